--- a/coordination/src/main/java/brookpath/coordination/Tempo.java
+++ b/coordination/src/main/java/brookpath/coordination/TimingBounds.java
@@ -11,73 +11,73 @@
  *     changeMs, a change is confirmed before the leases of processes that cannot be reached have run out, and holds
  *     there leaseMs after its confirmation at the latest
  */
-public record Tempo(long deliverMs, long recoverMs, long changeMs, long windowMs, long leaseMs) {
-    public static final Tempo DEFAULT = new Tempo(2_000, 12_000, 3_000, 10_000);
+public record TimingBounds(long deliverMs, long recoverMs, long changeMs, long windowMs, long leaseMs) {
+    public static final TimingBounds DEFAULT = new TimingBounds(2_000, 12_000, 3_000, 10_000);
 
-    public Tempo(final long deliverMs, final long recoverMs, final long changeMs, final long windowMs) {
+    public TimingBounds(final long deliverMs, final long recoverMs, final long changeMs, final long windowMs) {
         this(deliverMs, recoverMs, changeMs, windowMs, changeMs * 4 / 5);
     }
 
-    /** The sharing-beat's period. */
-    public long beat() {
+    /** The heartbeat's period. */
+    public long heartbeat() {
         return deliverMs / 8;
     }
 
     /** Two replies missed in a row. */
     public long down() {
-        return 2 * beat();
+        return 2 * heartbeat();
     }
 
-    /** A master may act this long after a beat was sent that a majority answered. */
+    /** A leader may act this long after a heartbeat was sent that a majority answered. */
     public long lease() {
         return down() * 4 / 5;
     }
 
     public long pullHold() {
-        return beat();
+        return heartbeat();
     }
 
     /** A pull that was not answered goes again; what breaks a session says so sooner. */
-    public long pullHorizon() {
-        return 4 * beat();
+    public long pullDeadline() {
+        return 4 * heartbeat();
     }
 
     /** A candidate waits this long for votes. */
-    public long goHorizon() {
-        return beat();
+    public long goDeadline() {
+        return heartbeat();
     }
 
     /** A publish that is not confirmed within this is unsettled. */
-    public long settleHorizon() {
+    public long settleDeadline() {
         return deliverMs / 2;
     }
 
-    /** How long a front tries to bring a publish to its group's master. */
-    public long ferryHorizon() {
+    /** How long a gateway tries to bring a publish to its group's leader. */
+    public long forwardDeadline() {
         return deliverMs * 5 / 8;
     }
 
-    /** The pause before a master that took nothing is asked again. */
-    public long ferryPause() {
-        return beat() / 6;
+    /** The pause before a leader that took nothing is asked again. */
+    public long forwardPause() {
+        return heartbeat() / 6;
     }
 
-    /** A storage machine answers a front's held fetch after this, with or without records. */
+    /** A storage machine answers a gateway's held fetch after this, with or without records. */
     public long fetchHold() {
-        return 2 * beat();
+        return 2 * heartbeat();
     }
 
-    /** A front says so often who listens, though it is as before. */
+    /** A gateway says so often who listens, though it is as before. */
     public long listenRefresh() {
         return recoverMs / 8;
     }
 
-    /** Listeners of a front that says no more lapse after this. */
+    /** Listeners of a gateway that says no more lapse after this. */
     public long listenLapse() {
         return recoverMs / 3;
     }
 
-    public long specLease() {
+    public long configurationLease() {
         return leaseMs;
     }
 
@@ -86,34 +86,34 @@
         return leaseMs <= changeMs ? leaseMs : changeMs / 4;
     }
 
-    public long specHold() {
-        return specLease() / 4;
+    public long configurationHold() {
+        return configurationLease() / 4;
     }
 
-    public long specHorizon() {
-        return specLease() / 3;
+    public long configurationDeadline() {
+        return configurationLease() / 3;
     }
 
     /**
-     * A storage machine that the control master has not heard for this long is taken for gone, and its copies are made
+     * A storage machine that the control leader has not heard for this long is taken for gone, and its copies are made
      * elsewhere. A live one polls about once in half of it.
      */
     public long goneAfter() {
-        return 2 * specHold();
+        return 2 * configurationHold();
     }
 
-    /** The same while an empty storage machine is at hand: a poll's hold, and the time in which beats find it down. */
+    /** The same while an empty storage machine is at hand: a poll's hold, and the time in which heartbeats find it down. */
     public long replacedAfter() {
-        return specHold() + down();
+        return configurationHold() + down();
     }
 
     public long keepAlive() {
         return recoverMs / 4;
     }
 
-    /** Wakeups come at least this often. */
+    /** Timers come at least this often. */
     public long tick() {
-        return beat() / 10;
+        return heartbeat() / 10;
     }
 
     /** History is kept this much longer than the space asks. */
@@ -122,12 +122,12 @@
     }
 
     /** An order that has no answer after this has an unknown end. */
-    public long opHorizon() {
+    public long opDeadline() {
         return changeMs * 3 / 2;
     }
 
     /** A read that has no answer after this is given up; a later answer is dropped. */
-    public long readHorizon() {
+    public long readDeadline() {
         return changeMs / 2;
     }
 
@@ -138,7 +138,7 @@
 
     /** The pause before a write that found the disk full is tried again. */
     public long diskPause() {
-        return beat();
+        return heartbeat();
     }
 
     /** A member whose disk has taken nothing for this long is not fit to lead. */
@@ -147,6 +147,6 @@
     }
 
     public int retryAfterMs() {
-        return (int) (2 * beat());
+        return (int) (2 * heartbeat());
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/action/Action.java
+++ b/coordination/src/main/java/brookpath/coordination/action/Action.java
@@ -1,13 +1,13 @@
 package brookpath.coordination.action;
 
-import brookpath.coordination.message.Msg;
+import brookpath.coordination.message.PeerMessage;
 import brookpath.coordination.message.Response;
-import brookpath.state.record.Rec;
+import brookpath.state.record.LogRecord;
 
 /** What a machine wants done; the executor obeys. */
 public sealed interface Action {
     /** Sends a message to another process. */
-    record Send(int node, Msg msg) implements Action {}
+    record Send(int node, PeerMessage message) implements Action {}
 
     /** One entry for the log; the executor says later up to which number all is synced. */
     record Write(long number, byte[] entry) implements Action {}
@@ -15,11 +15,11 @@
     /** A new segment that begins with this snapshot of everything written so far. */
     record Roll(long number, byte[] snapshot) implements Action {}
 
-    /** A full round of sharing-beats is wanted now. */
-    record BeatNow() implements Action {}
+    /** A full round of heartbeats is wanted now. */
+    record HeartbeatNow() implements Action {}
 
-    /** The final response to a caller's job. */
-    record Respond(long jobId, Response response) implements Action {}
+    /** The final response to a caller's request. */
+    record Respond(long requestId, Response response) implements Action {}
 
     /** What goes to the traffic side of a listening session. */
     sealed interface ToSession extends Action {
@@ -29,8 +29,8 @@
     /** A line for a session whose topics are listened to as a whole. */
     record Deliver(long sessionId, byte[] line) implements ToSession {}
 
-    /** A record for a session that joins and leaves topics one by one; its cursor is {@code Cursor.one} of its LSN. */
-    record Hand(long sessionId, Rec rec) implements ToSession {}
+    /** A record for a session that joins and leaves topics one by one; its cursor is {@code Cursor.one} of its index. */
+    record Hand(long sessionId, LogRecord logRecord) implements ToSession {}
 
     /** A topic that a session had joined is no longer listened to, and why. */
     record Ended(long sessionId, String topic, Response why) implements ToSession {}
@@ -41,8 +41,8 @@
     /** Ends a caller's session. */
     record CloseSession(long sessionId, String why) implements ToSession {}
 
-    /** A post to the platform under an idempotency key; what became of it comes back as a job. */
-    record Post(long jobId, String key, String json) implements Action {}
+    /** A post to the platform under an idempotency key; what became of it comes back as a request. */
+    record Post(long requestId, String key, String json) implements Action {}
 
     /** A note for the log ring; a grave one has the ring written out. */
     record Note(boolean grave, String text) implements Action {}
--- a/coordination/src/main/java/brookpath/coordination/action/Actions.java
+++ b/coordination/src/main/java/brookpath/coordination/action/Actions.java
@@ -1,8 +1,8 @@
 package brookpath.coordination.action;
 
-import brookpath.coordination.message.Msg;
+import brookpath.coordination.message.PeerMessage;
 import brookpath.coordination.message.Response;
-import brookpath.state.record.Rec;
+import brookpath.state.record.LogRecord;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -12,8 +12,8 @@
     private long writes;
     private long bytesSinceRoll;
 
-    public void send(final int node, final Msg msg) {
-        list.add(new Action.Send(node, msg));
+    public void send(final int node, final PeerMessage message) {
+        list.add(new Action.Send(node, message));
     }
 
     public long write(final byte[] entry) {
@@ -35,20 +35,20 @@
         return writes;
     }
 
-    public void beatNow() {
-        list.add(new Action.BeatNow());
+    public void heartbeatNow() {
+        list.add(new Action.HeartbeatNow());
     }
 
-    public void respond(final long jobId, final Response response) {
-        list.add(new Action.Respond(jobId, response));
+    public void respond(final long requestId, final Response response) {
+        list.add(new Action.Respond(requestId, response));
     }
 
     public void deliver(final long sessionId, final byte[] line) {
         list.add(new Action.Deliver(sessionId, line));
     }
 
-    public void hand(final long sessionId, final Rec rec) {
-        list.add(new Action.Hand(sessionId, rec));
+    public void hand(final long sessionId, final LogRecord logRecord) {
+        list.add(new Action.Hand(sessionId, logRecord));
     }
 
     public void ended(final long sessionId, final String topic, final Response why) {
@@ -63,8 +63,8 @@
         list.add(new Action.CloseSession(sessionId, why));
     }
 
-    public void post(final long jobId, final String key, final String json) {
-        list.add(new Action.Post(jobId, key, json));
+    public void post(final long requestId, final String key, final String json) {
+        list.add(new Action.Post(requestId, key, json));
     }
 
     public void note(final String text) {
--- a/coordination/src/main/java/brookpath/coordination/spec/ChangeOutcomes.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/ChangeOutcomes.java
@@ -1,8 +1,8 @@
-package brookpath.coordination.spec;
+package brookpath.coordination.configuration;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import brookpath.state.record.Pack;
+import brookpath.state.record.PackedBuffer;
 import java.nio.ByteBuffer;
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
@@ -20,11 +20,11 @@
     /**
      * A change that took effect.
      *
-     * @param lsn its record in the control log
+     * @param index its record in the control log
      * @param checksum of its document
      * @param version that it made
      */
-    public record Outcome(long lsn, long checksum, long version) {}
+    public record Outcome(long index, long checksum, long version) {}
 
     /** The first half of a change ID's SHA-256. */
     private record ChangeKey(long high, long low) {
@@ -57,29 +57,29 @@
         }
     }
 
-    void save(final Pack pack) {
-        pack.num(outcomes.size());
+    void save(final PackedBuffer buffer) {
+        buffer.num(outcomes.size());
         outcomes.forEach((key, o) ->
-                pack.num(key.high).num(key.low).num(o.lsn).num(o.checksum).num(o.version));
+                buffer.num(key.high).num(key.low).num(o.index).num(o.checksum).num(o.version));
     }
 
-    void load(final Pack in) {
+    void load(final PackedBuffer in) {
         for (long n = in.num(); n > 0; n--) {
             add(new ChangeKey(in.num(), in.num()), new Outcome(in.num(), in.num(), in.num()));
         }
     }
 
     /** Loads the format of earlier releases, which kept refusals and their findings as well. */
-    void loadWithRefusals(final Pack in, final long count) {
+    void loadWithRefusals(final PackedBuffer in, final long count) {
         for (long n = count; n > 0; n--) {
-            final long lsn = in.num();
+            final long index = in.num();
             final String changeId = in.str();
             final long checksum = in.num();
             final long status = in.num();
             final long version = in.num();
             in.bytes();
             if (status == TOOK_EFFECT) {
-                add(changeId, new Outcome(lsn, checksum, version));
+                add(changeId, new Outcome(index, checksum, version));
             }
         }
     }
--- a/coordination/src/main/java/brookpath/coordination/spec/Roster.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/ClusterMetadata.java
@@ -1,8 +1,8 @@
-package brookpath.coordination.spec;
+package brookpath.coordination.configuration;
 
 import brookpath.coordination.group.Member;
 import brookpath.coordination.group.Membership;
-import brookpath.state.record.Pack;
+import brookpath.state.record.PackedBuffer;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -14,7 +14,7 @@
  * @param controllers the control plane's machines, members of the control group or not
  * @param control the control group's members
  */
-public record Roster(
+public record ClusterMetadata(
         long version,
         List<NodeInfo> nodes,
         List<GroupInfo> groups,
@@ -22,12 +22,12 @@
         List<NodeInfo> controllers,
         Membership control) {
     /**
-     * What a saved roster begins with. The first format began with the version, which is never negative; this one adds
+     * What a saved cluster metadata begins with. The first format began with the version, which is never negative; this one adds
      * the machines' identities.
      */
     private static final long FORMAT = -2;
 
-    public static final Roster NONE = new Roster(0, List.of(), List.of(), List.of());
+    public static final ClusterMetadata NONE = new ClusterMetadata(0, List.of(), List.of(), List.of());
 
     /**
      * A process as others are told of it. Node numbers follow from addresses, which are used again; the machine's
@@ -65,12 +65,12 @@
                     && other.machine != UNKNOWN_MACHINE;
         }
 
-        private void pack(final Pack pack) {
-            pack.num(node).str(zone).str(address).str(name).num(machine);
+        private void buffer(final PackedBuffer buffer) {
+            buffer.num(node).str(zone).str(address).str(name).num(machine);
         }
     }
 
-    public Roster(
+    public ClusterMetadata(
             final long version,
             final List<NodeInfo> nodes,
             final List<GroupInfo> groups,
@@ -90,7 +90,7 @@
     }
 
     /** The next version, with this group in place of the one of its number. */
-    public Roster with(final GroupInfo changed) {
+    public ClusterMetadata with(final GroupInfo changed) {
         return with(
                 nodes,
                 groups.stream().map(g -> g.id == changed.id ? changed : g).toList(),
@@ -98,9 +98,9 @@
     }
 
     /** The next version with these in place of its own; the control plane's part stays. */
-    public Roster with(
+    public ClusterMetadata with(
             final List<NodeInfo> newNodes, final List<GroupInfo> newGroups, final List<Integer> newRetiring) {
-        return new Roster(
+        return new ClusterMetadata(
                 version + 1,
                 List.copyOf(newNodes),
                 List.copyOf(newGroups),
@@ -110,8 +110,8 @@
     }
 
     /** The next version with another control plane. */
-    public Roster with(final List<NodeInfo> newControllers, final Membership newControl) {
-        return new Roster(version + 1, nodes, groups, retiring, List.copyOf(newControllers), newControl);
+    public ClusterMetadata with(final List<NodeInfo> newControllers, final Membership newControl) {
+        return new ClusterMetadata(version + 1, nodes, groups, retiring, List.copyOf(newControllers), newControl);
     }
 
     public NodeInfo node(final int id) {
@@ -124,24 +124,24 @@
     }
 
     public byte[] save() {
-        final Pack pack = Pack.writer().num(FORMAT).num(version).num(nodes.size());
-        nodes.forEach(n -> n.pack(pack));
-        pack.num(groups.size());
+        final PackedBuffer buffer = PackedBuffer.writer().num(FORMAT).num(version).num(nodes.size());
+        nodes.forEach(n -> n.buffer(buffer));
+        buffer.num(groups.size());
         for (final GroupInfo g : groups) {
-            g.membership.pack(pack.num(g.id).num(g.founded ? 1 : 0));
+            g.membership.buffer(buffer.num(g.id).num(g.founded ? 1 : 0));
         }
-        pack.num(retiring.size());
-        retiring.forEach(pack::num);
-        pack.num(controllers.size());
-        controllers.forEach(n -> n.pack(pack));
-        return control.pack(pack).done();
+        buffer.num(retiring.size());
+        retiring.forEach(buffer::num);
+        buffer.num(controllers.size());
+        controllers.forEach(n -> n.buffer(buffer));
+        return control.buffer(buffer).done();
     }
 
-    public static Roster load(final byte[] saved) {
+    public static ClusterMetadata load(final byte[] saved) {
         if (saved.length == 0) {
             return NONE;
         }
-        final Pack in = Pack.reader(saved);
+        final PackedBuffer in = PackedBuffer.reader(saved);
         final long first = in.num();
         if (first < FORMAT) {
             throw new IllegalStateException("the cluster metadata has format " + -first
@@ -158,11 +158,11 @@
         for (long n = in.num(); n > 0; n--) {
             retiring.add((int) in.num());
         }
-        return new Roster(
+        return new ClusterMetadata(
                 version, nodes, List.copyOf(groups), List.copyOf(retiring), infos(in, machines), Membership.load(in));
     }
 
-    private static List<NodeInfo> infos(final Pack in, final boolean machines) {
+    private static List<NodeInfo> infos(final PackedBuffer in, final boolean machines) {
         final List<NodeInfo> nodes = new ArrayList<>();
         for (long n = in.num(); n > 0; n--) {
             nodes.add(new NodeInfo(
--- /dev/null
+++ b/coordination/src/main/java/brookpath/coordination/configuration/CommittedVersions.java
@@ -0,0 +1,51 @@
+package brookpath.coordination.configuration;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * The versions of one value by their log position: the newest committed one, however long it stays so, and all that were
+ * appended after it. What is older than the newest committed one is dropped.
+ */
+final class CommittedVersions<T> {
+    /** A version and where its record lies. */
+    record Version<T>(long index, T value) {}
+
+    private final List<Version<T>> versions = new ArrayList<>();
+
+    void add(final long index, final T value) {
+        versions.add(new Version<>(index, value));
+    }
+
+    /** Everything up to the position is committed. */
+    void accept(final long index) {
+        int newestCommitted = 0;
+        while (newestCommitted + 1 < versions.size() && versions.get(newestCommitted + 1).index <= index) {
+            newestCommitted++;
+        }
+        versions.subList(0, newestCommitted).clear();
+    }
+
+    /** The newest version at or before the position. */
+    T at(final long index, final T absent) {
+        for (int i = versions.size() - 1; i >= 0; i--) {
+            if (versions.get(i).index <= index) {
+                return versions.get(i).value;
+            }
+        }
+        return absent;
+    }
+
+    /** How many were appended after the position. */
+    int after(final long index) {
+        return (int) versions.stream().filter(v -> v.index > index).count();
+    }
+
+    void clear() {
+        versions.clear();
+    }
+
+    List<Version<T>> all() {
+        return versions;
+    }
+}
--- a/coordination/src/main/java/brookpath/coordination/spec/Spec.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/Configuration.java
@@ -1,4 +1,4 @@
-package brookpath.coordination.spec;
+package brookpath.coordination.configuration;
 
 import java.util.Map;
 import java.util.Set;
@@ -8,7 +8,7 @@
  *
  * @param topicsPerSession a session may listen to so many topics
  */
-public record Spec(
+public record Configuration(
         long version,
         long basedOn,
         String changeId,
@@ -20,9 +20,9 @@
     /** Among a tenant's spaces: every one there is. */
     public static final String ALL = "*";
 
-    public static final Spec NONE = new Spec(0, 0, "", Map.of(), Map.of(), Map.of(), 64);
+    public static final Configuration NONE = new Configuration(0, 0, "", Map.of(), Map.of(), Map.of(), 64);
 
-    public Spec(
+    public Configuration(
             final long version,
             final long basedOn,
             final String changeId,
--- a/coordination/src/main/java/brookpath/coordination/spec/SpecClient.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/ConfigurationClient.java
@@ -1,35 +1,35 @@
-package brookpath.coordination.spec;
+package brookpath.coordination.configuration;
 
-import brookpath.coordination.Tempo;
+import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.message.Msg.SpecPoll;
-import brookpath.coordination.message.Msg.SpecReply;
+import brookpath.coordination.message.PeerMessage.ConfigurationPoll;
+import brookpath.coordination.message.PeerMessage.ConfigurationReply;
 import brookpath.coordination.node.Node.Time;
-import brookpath.coordination.spec.Roster.NodeInfo;
+import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
 import brookpath.state.record.Delta;
 import java.util.ArrayList;
 import java.util.List;
 
-/** A data-plane process's side of the spec: asks with the version that it has, and holds the lease on it. */
-public final class SpecClient {
+/** A data-plane process's side of the configuration: asks with the version that it has, and holds the lease on it. */
+public final class ConfigurationClient {
     /** Told in place of a version, so that the answer brings the whole. */
     private static final int NOTHING_KNOWN = -1;
 
     private final NodeInfo info;
     private final int self;
     private final int role;
-    /** Whom it may ask: those that the settings name, and those that the roster has told of since. */
+    /** Whom it may ask: those that the settings name, and those that the cluster metadata has told of since. */
     private List<Integer> controllers;
 
-    private final Tempo tempo;
+    private final TimingBounds timing;
     private final Actions out;
 
-    private Spec spec = Spec.NONE;
-    private Roster roster = Roster.NONE;
+    private Configuration configuration = Configuration.NONE;
+    private ClusterMetadata metadata = ClusterMetadata.NONE;
     /** Both as they came, for the differences that follow. */
-    private byte[] specBytes = VersionUpdates.NO_NEWS;
+    private byte[] configurationBytes = VersionUpdates.NO_NEWS;
 
-    private byte[] rosterBytes = VersionUpdates.NO_NEWS;
+    private byte[] metadataBytes = VersionUpdates.NO_NEWS;
     private boolean known;
     /** A difference did not fit, so the next answer is to bring both whole. */
     private boolean wantsWhole;
@@ -43,50 +43,50 @@
     private int turn;
     private boolean drain;
     private boolean relay;
-    /** Polls are carried only because the master's address is not known yet. */
-    private boolean masterUnknown;
+    /** Polls are carried only because the leader's address is not known yet. */
+    private boolean leaderUnknown;
 
     private long relayUntil;
     private long clockAhead = Long.MIN_VALUE;
 
     /**
-     * @param info this process as others are told of it; siblings reach a storage machine or a controller at its
-     *     address, callers a front
+     * @param info this process as others are told of it; peers reach a storage machine or a controller at its
+     *     address, callers a gateway
      * @param firstId where the polls' IDs begin, another place in each life of the process: a reply that a third node
      *     carries may outlive the one that asked, and must grant no lease to its successor
      */
-    public SpecClient(
+    public ConfigurationClient(
             final NodeInfo info,
             final int role,
             final List<Integer> seeds,
             final long firstId,
-            final Tempo tempo,
+            final TimingBounds timing,
             final Actions out) {
         this.info = info;
         self = info.node();
         this.role = role;
         pollId = firstId;
         controllers = seeds.stream().filter(n -> n != self).toList();
-        this.tempo = tempo;
+        this.timing = timing;
         this.out = out;
         turn = controllers.isEmpty() ? 0 : Math.floorMod(self, controllers.size());
         target = controllers.isEmpty() ? 0 : controllers.get(turn);
     }
 
-    public Spec spec() {
-        return spec;
+    public Configuration configuration() {
+        return configuration;
     }
 
-    public Roster roster() {
-        return roster;
+    public ClusterMetadata metadata() {
+        return metadata;
     }
 
-    public int controlMaster() {
+    public int controlLeader() {
         return target;
     }
 
-    /** The control master that has answered lately, 0 for none. */
-    public int masterHeard(final long now) {
+    /** The control leader that has answered lately, 0 for none. */
+    public int leaderHeard(final long now) {
         return leased(now) && !relay ? target : 0;
     }
 
@@ -112,14 +112,14 @@
         return clockAhead != Long.MIN_VALUE;
     }
 
-    /** The fleet's clock as the control master told it. */
+    /** The fleet's clock as the control leader told it. */
     public long wall(final Time time) {
         return clockKnown() ? time.mono() + clockAhead : 0;
     }
 
     public void tick(final Time time) {
         final long now = time.mono();
-        if (polling && now - sentAt > tempo.specHorizon()) {
+        if (polling && now - sentAt > timing.configurationDeadline()) {
             polling = false;
             unreached(now);
         }
@@ -134,7 +134,7 @@
     private void unreached(final long now) {
         // why: before a first answer nothing says that the one is unreachable rather than not up yet
         relay = known;
-        relayUntil = now + 2 * tempo.changeMs() * 4 / 5;
+        relayUntil = now + 2 * timing.changeMs() * 4 / 5;
         nextSeed();
     }
 
@@ -146,10 +146,10 @@
     }
 
     /** Further controllers that may be asked, from a log that may be old. */
-    public void suggest(final List<Roster.NodeInfo> more) {
+    public void suggest(final List<ClusterMetadata.NodeInfo> more) {
         final List<Integer> all = new ArrayList<>(controllers);
         more.stream()
-                .map(Roster.NodeInfo::node)
+                .map(ClusterMetadata.NodeInfo::node)
                 .filter(n -> n != self && !all.contains(n))
                 .forEach(all::add);
         controllers = List.copyOf(all);
@@ -158,25 +158,25 @@
         }
     }
 
-    /** The answer that was carried brought the master's address, so that the next poll can go there. */
-    private void askDirectly(final int master) {
-        if (masterUnknown && controllers.contains(master)) {
+    /** The answer that was carried brought the leader's address, so that the next poll can go there. */
+    private void askDirectly(final int leader) {
+        if (leaderUnknown && controllers.contains(leader)) {
             relay = false;
-            target = master;
+            target = leader;
         }
-        masterUnknown = false;
+        leaderUnknown = false;
     }
 
     private void learn() {
         final List<Integer> known = new ArrayList<>(controllers);
-        roster.controllers().forEach(b -> {
+        metadata.controllers().forEach(b -> {
             if (b.node() != self && !known.contains(b.node())) {
                 known.add(b.node());
             }
         });
         // why: machines of the first days may be gone for good
-        if (!roster.controllers().isEmpty()) {
-            known.removeIf(n -> n != target && roster.controllers().stream().noneMatch(b -> b.node() == n));
+        if (!metadata.controllers().isEmpty()) {
+            known.removeIf(n -> n != target && metadata.controllers().stream().noneMatch(b -> b.node() == n));
         }
         controllers = List.copyOf(known);
         turn = Math.max(0, controllers.indexOf(target));
@@ -189,15 +189,15 @@
         relay &= now < relayUntil;
         out.send(
                 target,
-                new SpecPoll(
+                new ConfigurationPoll(
                         ++pollId,
                         self,
                         role,
                         info.zone(),
                         info.address(),
                         info.name(),
-                        known && !wantsWhole ? spec.version() : NOTHING_KNOWN,
-                        known && !wantsWhole ? roster.version() : NOTHING_KNOWN,
+                        known && !wantsWhole ? configuration.version() : NOTHING_KNOWN,
+                        known && !wantsWhole ? metadata.version() : NOTHING_KNOWN,
                         drain,
                         relay,
                         time.wall(),
@@ -205,43 +205,43 @@
     }
 
     /**
-     * The poll never left, or the session that it went over broke: waiting for its horizon would only waste the lease.
+     * The poll never left, or the session that it went over broke: waiting for its deadline would only waste the lease.
      */
     public void unsent(final int to, final long now) {
         if (polling && to == target) {
             polling = false;
             unreached(now);
-            nextAt = now + tempo.tick();
+            nextAt = now + timing.tick();
         }
     }
 
-    /** True when the spec or the roster is a newer one. */
-    public boolean onReply(final SpecReply m, final Time time) {
+    /** True when the configuration or the cluster metadata is a newer one. */
+    public boolean onReply(final ConfigurationReply m, final Time time) {
         final long now = time.mono();
         if (!polling || m.pollId() != pollId) {
             return false;
         }
         polling = false;
-        if (!m.master()) {
-            if (!relay && m.masterHint() != 0 && m.masterHint() != target && controllers.contains(m.masterHint())) {
-                target = m.masterHint();
+        if (!m.leader()) {
+            if (!relay && m.leaderHint() != 0 && m.leaderHint() != target && controllers.contains(m.leaderHint())) {
+                target = m.leaderHint();
                 nextAt = now;
-            } else if (!relay && m.masterHint() != 0 && m.masterHint() != target) {
-                // why: a master that no settings named is known by number only; whoever names it carries the poll, and
-                // the roster tells the rest
+            } else if (!relay && m.leaderHint() != 0 && m.leaderHint() != target) {
+                // why: a leader that no settings named is known by number only; whoever names it carries the poll, and
+                // the cluster metadata tells the rest
                 relay = true;
-                masterUnknown = true;
-                relayUntil = now + tempo.specHold();
+                leaderUnknown = true;
+                relayUntil = now + timing.configurationHold();
                 nextAt = now;
             } else {
                 nextSeed();
-                nextAt = now + tempo.tick();
+                nextAt = now + timing.tick();
             }
             return false;
         }
-        if (m.specVersion() < spec.version()) {
+        if (m.configurationVersion() < configuration.version()) {
             // why: a process that has shown a version never goes back, whoever says so
-            out.grave("spec went back from " + spec.version() + " to " + m.specVersion());
+            out.grave("spec went back from " + configuration.version() + " to " + m.configurationVersion());
             return false;
         }
         final boolean news;
@@ -256,9 +256,9 @@
         }
         wantsWhole = false;
         known = true;
-        askDirectly(m.masterHint());
+        askDirectly(m.leaderHint());
         // why: the lease runs from when the poll was sent, which is before it was granted
-        leaseUntil = Math.max(leaseUntil, sentAt + tempo.specLease());
+        leaseUntil = Math.max(leaseUntil, sentAt + timing.configurationLease());
         if (m.wall() != 0) {
             clockAhead = m.wall() - now;
         }
@@ -267,20 +267,20 @@
     }
 
     /** Takes what is newer in the reply; nothing of it where one part does not fit. True where there was something. */
-    private boolean take(final SpecReply m) throws Delta.MismatchException {
-        final boolean newSpec = m.specVersion() > spec.version();
-        final boolean newRoster = m.rosterVersion() > roster.version();
-        final byte[] nextSpec = newSpec ? Delta.apply(specBytes, m.spec()) : specBytes;
-        final byte[] nextRoster = newRoster ? Delta.apply(rosterBytes, m.roster()) : rosterBytes;
-        if (newSpec) {
-            spec = SpecReader.stored(nextSpec, m.specVersion());
-            specBytes = nextSpec;
+    private boolean take(final ConfigurationReply m) throws Delta.MismatchException {
+        final boolean newConfiguration = m.configurationVersion() > configuration.version();
+        final boolean newMetadata = m.metadataVersion() > metadata.version();
+        final byte[] nextConfiguration = newConfiguration ? Delta.apply(configurationBytes, m.configuration()) : configurationBytes;
+        final byte[] nextMetadata = newMetadata ? Delta.apply(metadataBytes, m.metadata()) : metadataBytes;
+        if (newConfiguration) {
+            configuration = ConfigurationReader.stored(nextConfiguration, m.configurationVersion());
+            configurationBytes = nextConfiguration;
         }
-        if (newRoster) {
-            roster = Roster.load(nextRoster);
-            rosterBytes = nextRoster;
+        if (newMetadata) {
+            metadata = ClusterMetadata.load(nextMetadata);
+            metadataBytes = nextMetadata;
             learn();
         }
-        return newSpec || newRoster;
+        return newConfiguration || newMetadata;
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/spec/SpecReader.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/ConfigurationReader.java
@@ -1,9 +1,9 @@
-package brookpath.coordination.spec;
+package brookpath.coordination.configuration;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import brookpath.coordination.spec.Spec.Space;
-import brookpath.coordination.spec.Spec.Tenant;
+import brookpath.coordination.configuration.Configuration.Space;
+import brookpath.coordination.configuration.Configuration.Tenant;
 import jakarta.json.Json;
 import jakarta.json.JsonArray;
 import jakarta.json.JsonConfig;
@@ -22,7 +22,7 @@
 import java.util.Set;
 
 /** Reads a change document and collects everything that is wrong with it. */
-public final class SpecReader {
+public final class ConfigurationReader {
     /**
      * The largest document. One record holds it, and one frame carries it; {@code Wire} lets as much wait for a peer.
      */
@@ -35,17 +35,17 @@
     public record Limits(int members, int floor) {}
 
     /** What reading a document gave: whether it is JSON, the configuration if it could be read, and all findings. */
-    public record Reading(boolean json, Spec spec, List<Finding> findings) {}
+    public record Reading(boolean json, Configuration configuration, List<Finding> findings) {}
 
     private final Limits limits;
     private final List<Finding> findings = new ArrayList<>();
 
-    private SpecReader(final Limits limits) {
+    private ConfigurationReader(final Limits limits) {
         this.limits = limits;
     }
 
-    public static Reading read(final byte[] doc, final long version, final Limits limits, final Spec present) {
-        final SpecReader rd = new SpecReader(limits);
+    public static Reading read(final byte[] doc, final long version, final Limits limits, final Configuration present) {
+        final ConfigurationReader rd = new ConfigurationReader(limits);
         final JsonValue root;
         try (JsonReader json = Json.createReaderFactory(Map.of(JsonConfig.KEY_STRATEGY, JsonConfig.KeyStrategy.NONE))
                 .createReader(new ByteArrayInputStream(doc), UTF_8)) {
@@ -58,8 +58,8 @@
             rd.find("/", "must be an object");
             return new Reading(true, null, rd.findings);
         }
-        final Spec spec = rd.spec(jsonObject, version, present);
-        return new Reading(true, spec, rd.findings);
+        final Configuration configuration = rd.configuration(jsonObject, version, present);
+        return new Reading(true, configuration, rd.findings);
     }
 
     /**
@@ -79,11 +79,11 @@
         }
     }
 
-    public static Spec stored(final byte[] doc, final long version) {
-        return read(doc, version, new Limits(7, 1), Spec.NONE).spec;
+    public static Configuration stored(final byte[] doc, final long version) {
+        return read(doc, version, new Limits(7, 1), Configuration.NONE).configuration;
     }
 
-    private Spec spec(final JsonObject obj, final long version, final Spec present) {
+    private Configuration configuration(final JsonObject obj, final long version, final Configuration present) {
         only(obj, "", Set.of("version", "basedOn", "changeId", "spaces", "tenants", "topicsPerSession", "annotation"));
         // why: users who number their documents themselves need those numbers in basedOn, in the outcome and when they
         // read it back
@@ -140,7 +140,7 @@
             final String name = name(item, at, "name", 64);
             final Set<String> mine = new LinkedHashSet<>();
             strings(item, at, "spaces", (space, place) -> {
-                if (!spaces.containsKey(space) && !space.equals(Spec.ALL)) {
+                if (!spaces.containsKey(space) && !space.equals(Configuration.ALL)) {
                     find(place, "no space \"" + space + "\" in this document");
                 }
                 if (!mine.add(space)) {
@@ -163,8 +163,8 @@
         if (obj.containsKey("annotation") && !(obj.get("annotation") instanceof JsonString)) {
             find("/annotation", "must be a string");
         }
-        return new Spec(numbered, basedOn, changeId, Map.copyOf(spaces), Map.copyOf(tenants), Map.copyOf(keys), (int)
-                num(obj, "", "topicsPerSession", 1, 10_000, (long) Spec.NONE.topicsPerSession()));
+        return new Configuration(numbered, basedOn, changeId, Map.copyOf(spaces), Map.copyOf(tenants), Map.copyOf(keys), (int)
+                num(obj, "", "topicsPerSession", 1, 10_000, (long) Configuration.NONE.topicsPerSession()));
     }
 
     private interface Item<T> {
--- a/coordination/src/main/java/brookpath/coordination/spec/ControlState.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/ControlState.java
@@ -1,25 +1,25 @@
-package brookpath.coordination.spec;
+package brookpath.coordination.configuration;
 
 import brookpath.coordination.group.LogState;
 import brookpath.state.record.Delta;
-import brookpath.state.record.Pack;
-import brookpath.state.record.Rec;
+import brookpath.state.record.PackedBuffer;
+import brookpath.state.record.LogRecord;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What follows from the control log: the specs, the rosters, and the outcome of each change. */
+/** What follows from the control log: the configurations, the cluster metadata, and the outcome of each change. */
 public final class ControlState implements LogState {
-    public static final int SPEC = 1;
+    public static final int CONFIGURATION = 1;
     /** Written by earlier releases; says nothing any more. */
     private static final int REFUSAL = 2;
 
-    public static final int ROSTER = 3;
+    public static final int METADATA = 3;
     public static final int USAGE = 4;
     public static final int DELIVERED = 5;
     /** A configuration as its difference from the one in the record of a configuration before it. */
-    public static final int SPEC_DELTA = 6;
+    public static final int CONFIGURATION_DELTA = 6;
 
     /** Totals that the platform has not been told yet are kept for as many windows. */
     private static final int KEPT_WINDOWS = 360;
@@ -27,7 +27,7 @@
     /** Totals that the platform has been told are kept for as many windows, for those who ask what was reported. */
     private static final int KEPT_TOLD_WINDOWS = 64;
 
-    /** So many accepted records, and so many bytes of them, stay in memory for slaves that lag. */
+    /** So many committed records, and so many bytes of them, stay in memory for followers that lag. */
     private static final int KEPT_RECORDS = 256;
     /** Stands where earlier formats of the saved state have the number of outcomes. */
     private static final long COMPACT_OUTCOMES = -2;
@@ -42,37 +42,37 @@
     public record Used(String tenant, long publishes, long bytes, boolean late) {}
 
     /** The usage of one window, as a record of the control log holds it. */
-    public record Window(long lsn, long window, List<Used> used) {}
+    public record Window(long index, long window, List<Used> used) {}
 
     private final TreeMap<Long, Window> windows = new TreeMap<>();
     private final TreeMap<Long, Boolean> settled = new TreeMap<>();
     private final TreeMap<Integer, Long> included = new TreeMap<>();
-    private final AcceptedVersions<StoredSpec> specs = new AcceptedVersions<>();
-    private final AcceptedVersions<Roster> rosters = new AcceptedVersions<>();
+    private final CommittedVersions<StoredConfiguration> configurations = new CommittedVersions<>();
+    private final CommittedVersions<ClusterMetadata> metadatas = new CommittedVersions<>();
     private final ChangeOutcomes outcomes = new ChangeOutcomes();
     private final Retirements retirements = new Retirements();
 
     /** A configuration in full. */
-    public static byte[] specBody(final String changeId, final long sum, final long version, final byte[] doc) {
-        return specBody(SPEC, changeId, sum, version, doc);
+    public static byte[] configurationBody(final String changeId, final long sum, final long version, final byte[] doc) {
+        return configurationBody(CONFIGURATION, changeId, sum, version, doc);
     }
 
     /**
      * A configuration as its difference from the newest one in the log, or in full where that is no longer.
      *
-     * @param newest what {@link #specAt} gives for the end of the log that the record is appended to
+     * @param newest what {@link #configurationAt} gives for the end of the log that the record is appended to
      */
-    public static byte[] specBody(
-            final StoredSpec newest, final String changeId, final long sum, final long version, final byte[] doc) {
+    public static byte[] configurationBody(
+            final StoredConfiguration newest, final String changeId, final long sum, final long version, final byte[] doc) {
         final byte[] delta = Delta.between(newest.doc(), doc);
         return delta.length < doc.length
-                ? specBody(SPEC_DELTA, changeId, sum, version, delta)
-                : specBody(SPEC, changeId, sum, version, doc);
+                ? configurationBody(CONFIGURATION_DELTA, changeId, sum, version, delta)
+                : configurationBody(CONFIGURATION, changeId, sum, version, doc);
     }
 
-    private static byte[] specBody(
+    private static byte[] configurationBody(
             final int kind, final String changeId, final long sum, final long version, final byte[] content) {
-        return Pack.writer()
+        return PackedBuffer.writer()
                 .num(kind)
                 .str(changeId)
                 .num(sum)
@@ -81,35 +81,35 @@
                 .done();
     }
 
-    public static byte[] rosterBody(final Roster roster) {
-        return Pack.writer().num(ROSTER).bytes(roster.save()).done();
+    public static byte[] metadataBody(final ClusterMetadata metadata) {
+        return PackedBuffer.writer().num(METADATA).bytes(metadata.save()).done();
     }
 
     /** @param upTo per group, through which of its windows it is counted from now on */
     public static byte[] usageBody(final long window, final List<Used> used, final Map<Integer, Long> upTo) {
-        final Pack pack = Pack.writer().num(USAGE);
-        packWindow(pack, new Window(0, window, used));
-        pack.num(upTo.size());
-        upTo.forEach((g, w) -> pack.num(g).num(w));
-        return pack.done();
+        final PackedBuffer buffer = PackedBuffer.writer().num(USAGE);
+        packWindow(buffer, new Window(0, window, used));
+        buffer.num(upTo.size());
+        upTo.forEach((g, w) -> buffer.num(g).num(w));
+        return buffer.done();
     }
 
     public static byte[] deliveredBody(final long window, final boolean delivered) {
-        return Pack.writer().num(DELIVERED).num(window).num(delivered ? 1 : 0).done();
+        return PackedBuffer.writer().num(DELIVERED).num(window).num(delivered ? 1 : 0).done();
     }
 
-    private static void packWindow(final Pack pack, final Window w) {
-        pack.num(w.window).num(w.used.size());
-        w.used.forEach(u -> pack.str(u.tenant).num(u.publishes).num(u.bytes).num(u.late ? 1 : 0));
+    private static void packWindow(final PackedBuffer buffer, final Window w) {
+        buffer.num(w.window).num(w.used.size());
+        w.used.forEach(u -> buffer.str(u.tenant).num(u.publishes).num(u.bytes).num(u.late ? 1 : 0));
     }
 
-    private static Window unpackWindow(final long lsn, final Pack in) {
+    private static Window unpackWindow(final long index, final PackedBuffer in) {
         final long window = in.num();
         final List<Used> used = new ArrayList<>();
         for (long n = in.num(); n > 0; n--) {
             used.add(new Used(in.str(), in.num(), in.num(), in.num() == 1));
         }
-        return new Window(lsn, window, List.copyOf(used));
+        return new Window(index, window, List.copyOf(used));
     }
 
     private void addWindow(final Window w) {
@@ -138,7 +138,7 @@
     /** Windows of which the platform has not been told yet. */
     public List<Window> untold(final long position) {
         return windows.values().stream()
-                .filter(w -> w.lsn <= position && !settled.containsKey(w.window))
+                .filter(w -> w.index <= position && !settled.containsKey(w.window))
                 .toList();
     }
 
@@ -152,73 +152,73 @@
     }
 
     @Override
-    public void apply(final Rec rec) {
-        if (rec.kind() != Rec.CONTROL) {
+    public void apply(final LogRecord logRecord) {
+        if (logRecord.kind() != LogRecord.CONTROL) {
             return;
         }
-        final Pack in = Pack.reader(rec.body());
+        final PackedBuffer in = PackedBuffer.reader(logRecord.body());
         final int kind = (int) in.num();
         switch (kind) {
-            case SPEC, SPEC_DELTA -> {
+            case CONFIGURATION, CONFIGURATION_DELTA -> {
                 final String changeId = in.str();
                 final long sum = in.num();
                 final long version = in.num();
                 final byte[] content = in.bytes();
-                addSpec(rec.lsn(), version, kind == SPEC ? content : followingNewest(rec, content));
-                outcomes.add(changeId, new ChangeOutcomes.Outcome(rec.lsn(), sum, version));
+                addConfiguration(logRecord.index(), version, kind == CONFIGURATION ? content : followingNewest(logRecord, content));
+                outcomes.add(changeId, new ChangeOutcomes.Outcome(logRecord.index(), sum, version));
             }
             case REFUSAL -> {
-                // why: a refusal follows from the document and from what was accepted before it
+                // why: a refusal follows from the document and from what was committed before it
             }
-            case ROSTER -> {
-                final Roster roster = Roster.load(in.bytes());
-                rosters.add(rec.lsn(), roster);
-                retirements.apply(rec.lsn(), roster);
+            case METADATA -> {
+                final ClusterMetadata metadata = ClusterMetadata.load(in.bytes());
+                metadatas.add(logRecord.index(), metadata);
+                retirements.apply(logRecord.index(), metadata);
             }
             case USAGE -> {
-                addWindow(unpackWindow(rec.lsn(), in));
+                addWindow(unpackWindow(logRecord.index(), in));
                 for (long n = in.num(); n > 0; n--) {
                     included.put((int) in.num(), in.num());
                 }
             }
             case DELIVERED -> settle(in.num(), in.num() == 1);
-            default -> throw new IllegalStateException("unknown control record at " + rec.lsn());
+            default -> throw new IllegalStateException("unknown control record at " + logRecord.index());
         }
     }
 
     /** The document that a record holds as its difference from the one in the log before it. */
-    private byte[] followingNewest(final Rec rec, final byte[] delta) {
+    private byte[] followingNewest(final LogRecord logRecord, final byte[] delta) {
         try {
-            return Delta.apply(specAt(Long.MAX_VALUE).doc(), delta);
+            return Delta.apply(configurationAt(Long.MAX_VALUE).doc(), delta);
         } catch (final Delta.MismatchException ex) {
             // why: the records before this one decide the base, and each stands on a checksum of its own
-            throw new IllegalStateException("configuration record at " + rec.lsn() + ": " + ex.getMessage(), ex);
+            throw new IllegalStateException("configuration record at " + logRecord.index() + ": " + ex.getMessage(), ex);
         }
     }
 
-    private void addSpec(final long lsn, final long version, final byte[] doc) {
-        specs.add(lsn, new StoredSpec(lsn, version, doc));
+    private void addConfiguration(final long index, final long version, final byte[] doc) {
+        configurations.add(index, new StoredConfiguration(index, version, doc));
     }
 
     @Override
-    public void accepted(final long lsn) {
-        specs.accept(lsn);
-        rosters.accept(lsn);
+    public void committed(final long index) {
+        configurations.accept(index);
+        metadatas.accept(index);
     }
 
-    /** The newest configuration at or before the position, which is that of the newest accepted record or later. */
-    public StoredSpec specAt(final long lsn) {
-        return specs.at(lsn, StoredSpec.NONE);
+    /** The newest configuration at or before the position, which is that of the newest committed record or later. */
+    public StoredConfiguration configurationAt(final long index) {
+        return configurations.at(index, StoredConfiguration.NONE);
     }
 
-    /** As {@link #specAt}, for the cluster metadata. */
-    public Roster rosterAt(final long lsn) {
-        return rosters.at(lsn, Roster.NONE);
+    /** As {@link #configurationAt}, for the cluster metadata. */
+    public ClusterMetadata metadataAt(final long index) {
+        return metadatas.at(index, ClusterMetadata.NONE);
     }
 
-    /** How many configurations and rosters were appended after the position. */
-    public int appendedAfter(final long lsn) {
-        return specs.after(lsn) + rosters.after(lsn);
+    /** How many configurations and cluster metadata were appended after the position. */
+    public int appendedAfter(final long index) {
+        return configurations.after(index) + metadatas.after(index);
     }
 
     /** What became of the newest changes. */
@@ -232,12 +232,12 @@
     }
 
     @Override
-    public void trimmed(final Rec rec) {
+    public void trimmed(final LogRecord logRecord) {
         // why: nothing is read back from the control log by position, so nothing needs to know what is gone
     }
 
     @Override
-    public boolean keeps(final Rec rec, final long now, final int newerRecords, final long newerBytes) {
+    public boolean keeps(final LogRecord logRecord, final long now, final int newerRecords, final long newerBytes) {
         // why: by count and size, not by age: a snapshot serves whoever lags more, and a run of large changes must not
         // fill the memory
         return newerRecords < KEPT_RECORDS && newerBytes < KEPT_BYTES;
@@ -245,32 +245,32 @@
 
     @Override
     public byte[] save() {
-        final Pack pack = Pack.writer().num(specs.all().size());
-        specs.all()
-                .forEach(s -> pack.num(s.lsn())
+        final PackedBuffer buffer = PackedBuffer.writer().num(configurations.all().size());
+        configurations.all()
+                .forEach(s -> buffer.num(s.index())
                         .num(s.value().version())
                         .bytes(s.value().doc()));
-        pack.num(rosters.all().size());
-        rosters.all().forEach(r -> pack.num(r.lsn()).bytes(r.value().save()));
-        pack.num(windows.size());
-        windows.values().forEach(w -> packWindow(pack.num(w.lsn), w));
-        pack.num(settled.size());
-        settled.forEach((w, told) -> pack.num(w).num(told ? 1 : 0));
-        pack.num(included.size());
-        included.forEach((g, w) -> pack.num(g).num(w));
-        outcomes.save(pack.num(COMPACT_OUTCOMES));
-        retirements.save(pack);
-        return pack.done();
+        buffer.num(metadatas.all().size());
+        metadatas.all().forEach(r -> buffer.num(r.index()).bytes(r.value().save()));
+        buffer.num(windows.size());
+        windows.values().forEach(w -> packWindow(buffer.num(w.index), w));
+        buffer.num(settled.size());
+        settled.forEach((w, told) -> buffer.num(w).num(told ? 1 : 0));
+        buffer.num(included.size());
+        included.forEach((g, w) -> buffer.num(g).num(w));
+        outcomes.save(buffer.num(COMPACT_OUTCOMES));
+        retirements.save(buffer);
+        return buffer.done();
     }
 
     @Override
     public void load(final byte[] saved) {
-        final Pack in = Pack.reader(saved);
+        final PackedBuffer in = PackedBuffer.reader(saved);
         for (long n = in.num(); n > 0; n--) {
-            addSpec(in.num(), in.num(), in.bytes());
+            addConfiguration(in.num(), in.num(), in.bytes());
         }
         for (long n = in.num(); n > 0; n--) {
-            rosters.add(in.num(), Roster.load(in.bytes()));
+            metadatas.add(in.num(), ClusterMetadata.load(in.bytes()));
         }
         for (long n = in.num(); n > 0; n--) {
             addWindow(unpackWindow(in.num(), in));
@@ -284,14 +284,14 @@
         loadOrders(in);
     }
 
-    private void loadOrders(final Pack in) {
+    private void loadOrders(final PackedBuffer in) {
         final long format = in.num();
         if (format == COMPACT_OUTCOMES) {
             outcomes.load(in);
             retirements.load(in);
         } else {
             outcomes.loadWithRefusals(in, format);
-            rosters.all().forEach(r -> retirements.apply(r.lsn(), r.value()));
+            metadatas.all().forEach(r -> retirements.apply(r.index(), r.value()));
         }
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/spec/Finding.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/Finding.java
@@ -1,4 +1,4 @@
-package brookpath.coordination.spec;
+package brookpath.coordination.configuration;
 
 import jakarta.json.Json;
 import jakarta.json.JsonArrayBuilder;
--- a/coordination/src/main/java/brookpath/coordination/spec/FleetClock.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/FleetClock.java
@@ -1,11 +1,11 @@
-package brookpath.coordination.spec;
+package brookpath.coordination.configuration;
 
 import java.util.Arrays;
 import java.util.Set;
 import java.util.TreeMap;
 
 /**
- * The fleet's clock: the middle one of the clocks that the control master hears. Windows are closed and totalled by it,
+ * The fleet's clock: the middle one of the clocks that the control leader hears. Windows are closed and totalled by it,
  * so that no single machine's wrong clock makes a report late or early.
  */
 public final class FleetClock {
--- a/coordination/src/main/java/brookpath/coordination/spec/MovePlan.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/MovePlan.java
@@ -1,9 +1,9 @@
-package brookpath.coordination.spec;
+package brookpath.coordination.configuration;
 
 import brookpath.coordination.group.Member;
 import brookpath.coordination.group.Membership;
-import brookpath.coordination.spec.Roster.GroupInfo;
-import brookpath.coordination.spec.Roster.NodeInfo;
+import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
+import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
@@ -12,7 +12,7 @@
 
 /**
  * Which copies are to move, and which masterships: asked by the controller again and again, and by the planner, which
- * changes nothing. It follows from the roster alone, so that any control master goes on with what another began;
+ * changes nothing. It follows from the cluster metadata alone, so that any control leader goes on with what another began;
  * nothing of a move is kept but the memberships themselves.
  */
 public final class MovePlan {
@@ -36,7 +36,7 @@
     }
 
     /**
-     * What the control master has heard of the storage machines.
+     * What the control leader has heard of the storage machines.
      *
      * @param alive heard lately
      * @param steady those among them that have been heard for so long that it is worth moving something to them
@@ -44,26 +44,26 @@
      */
     public record Heard(Set<Integer> alive, Set<Integer> steady, Set<Integer> gone) {}
 
-    /** The group's mastership goes to a member that ranks higher. */
+    /** The group's leadership goes to a member that ranks higher. */
     public record Switchover(int group, int from, int to) {}
 
-    /** What retiring a machine, or keeping it after all, comes to: the roster then, or why not. */
-    public record Retirement(Roster then, List<Finding> findings) {}
+    /** What retiring a machine, or keeping it after all, comes to: the cluster metadata then, or why not. */
+    public record Retirement(ClusterMetadata then, List<Finding> findings) {}
 
     private MovePlan() {}
 
-    public static Retirement retire(final Roster roster, final int node, final boolean on, final Set<Integer> alive) {
+    public static Retirement retire(final ClusterMetadata metadata, final int node, final boolean on, final Set<Integer> alive) {
         final List<Finding> findings = new ArrayList<>();
-        if (roster.node(node) == null) {
+        if (metadata.node(node) == null) {
             findings.add(new Finding("/storages/" + node, "no such storage machine"));
         }
-        final List<Integer> retiring = new ArrayList<>(roster.retiring());
+        final List<Integer> retiring = new ArrayList<>(metadata.retiring());
         retiring.remove((Integer) node);
         if (on) {
             retiring.add(node);
         }
-        final Roster then = roster.with(roster.nodes(), roster.groups(), retiring);
-        for (final GroupInfo g : roster.groups()) {
+        final ClusterMetadata then = metadata.with(metadata.nodes(), metadata.groups(), retiring);
+        for (final GroupInfo g : metadata.groups()) {
             if (on && Membership.find(g.members(), node) != null && Placement.instead(then, g, node, alive) == null) {
                 findings.add(new Finding(
                         "/groups/" + g.id(),
@@ -74,41 +74,41 @@
         return new Retirement(then, findings);
     }
 
-    /** The roster after one step of a move, as the group's master takes it; null where nothing is left of it. */
-    public static Roster after(final Roster roster, final Move m) {
-        final GroupInfo g = roster.groups().get(m.group());
+    /** The cluster metadata after one step of a move, as the group's leader takes it; null where nothing is left of it. */
+    public static ClusterMetadata after(final ClusterMetadata metadata, final Move m) {
+        final GroupInfo g = metadata.groups().get(m.group());
         final Member from = Membership.find(g.members(), m.from());
         final int weight = from == null ? 0 : from.weight();
         final Member to = new Member(m.to().node(), weight, m.to().zone());
         final Membership next = m.repair()
                 ? g.membership().repairStep(m.from(), to)
                 : g.membership().step(m.from(), to);
-        return next == null ? null : roster.with(new GroupInfo(g.id(), g.founded(), next));
+        return next == null ? null : metadata.with(new GroupInfo(g.id(), g.founded(), next));
     }
 
     /** The moves to be driven on now, one step each, where no machine is taken for gone. */
     public static List<Move> next(
-            final Roster roster, final Set<Integer> alive, final Set<Integer> steady, final int copies) {
-        return next(roster, new Heard(alive, steady, Set.of()), copies);
+            final ClusterMetadata metadata, final Set<Integer> alive, final Set<Integer> steady, final int copies) {
+        return next(metadata, new Heard(alive, steady, Set.of()), copies);
     }
 
     /** The moves to be driven on now, one step each. */
-    public static List<Move> next(final Roster roster, final Heard heard, final int copies) {
+    public static List<Move> next(final ClusterMetadata metadata, final Heard heard, final int copies) {
         final List<Move> moves = new ArrayList<>();
         // why: what has begun is ended first, else a change of plans would leave copies half moved everywhere
-        for (final GroupInfo g : roster.groups()) {
+        for (final GroupInfo g : metadata.groups()) {
             if (g.founded() && underWay(g, copies)) {
-                final Move m = goOn(roster, g, heard, copies);
+                final Move m = goOn(metadata, g, heard, copies);
                 if (m != null) {
                     moves.add(m);
                 }
             }
         }
         // why: a group that is a copy short comes before one whose copy only has to go elsewhere
-        begin(roster, heard, copies, heard.gone, moves);
-        begin(roster, heard, copies, roster.retiring(), moves);
+        begin(metadata, heard, copies, heard.gone, moves);
+        begin(metadata, heard, copies, metadata.retiring(), moves);
         if (moves.isEmpty()) {
-            final Move m = spread(roster, heard.steady, copies);
+            final Move m = spread(metadata, heard.steady, copies);
             if (m != null) {
                 moves.add(m);
             }
@@ -117,17 +117,17 @@
     }
 
     private static void begin(
-            final Roster roster,
+            final ClusterMetadata metadata,
             final Heard heard,
             final int copies,
             final Collection<Integer> leavers,
             final List<Move> moves) {
-        for (final GroupInfo g : roster.groups()) {
+        for (final GroupInfo g : metadata.groups()) {
             final int leaving = leaving(g, leavers);
             final boolean begun = underWay(g, copies) || moves.stream().anyMatch(m -> m.group() == g.id());
             final boolean wanted = leaving != 0 || g.members().size() < copies;
             if (moves.size() < MOST && g.founded() && !begun && wanted) {
-                final NodeInfo to = Placement.instead(planned(roster, moves), g, leaving, heard.alive);
+                final NodeInfo to = Placement.instead(planned(metadata, moves), g, leaving, heard.alive);
                 if (to != null) {
                     moves.add(leave(heard, g, leaving, to));
                 }
@@ -135,11 +135,11 @@
         }
     }
 
-    /** The roster with the moves begun, so that machines that are about to get a copy count as fuller. */
-    private static Roster planned(final Roster roster, final List<Move> moves) {
-        Roster then = roster;
+    /** The cluster metadata with the moves begun, so that machines that are about to get a copy count as fuller. */
+    private static ClusterMetadata planned(final ClusterMetadata metadata, final List<Move> moves) {
+        ClusterMetadata then = metadata;
         for (final Move m : moves) {
-            final Roster next = after(then, m);
+            final ClusterMetadata next = after(then, m);
             then = next == null ? then : next;
         }
         return then;
@@ -158,9 +158,9 @@
     }
 
     /** The voter that leaves: one that is gone before one that retires; 0 for none. */
-    private static int leaving(final Roster roster, final GroupInfo g, final Heard heard) {
+    private static int leaving(final ClusterMetadata metadata, final GroupInfo g, final Heard heard) {
         final int gone = leaving(g, heard.gone);
-        return gone != 0 ? gone : leaving(g, roster.retiring());
+        return gone != 0 ? gone : leaving(g, metadata.retiring());
     }
 
     private static int leaving(final GroupInfo g, final Collection<Integer> leavers) {
@@ -176,18 +176,18 @@
      * A group with a learner, or with one voter too many: who learns becomes a voter, then the one that leaves is let
      * go. A learner that leaves itself goes first.
      */
-    private static Move goOn(final Roster roster, final GroupInfo g, final Heard heard, final int copies) {
+    private static Move goOn(final ClusterMetadata metadata, final GroupInfo g, final Heard heard, final int copies) {
         for (final Member learner : g.membership().learners()) {
             final boolean gone = heard.gone.contains(learner.node());
-            if (gone || roster.retiring().contains(learner.node())) {
-                final NodeInfo stays = roster.node(g.members().get(0).node());
+            if (gone || metadata.retiring().contains(learner.node())) {
+                final NodeInfo stays = metadata.node(g.members().get(0).node());
                 return new Move(g.id(), learner.node(), stays, "it learns, and leaves before it is done", gone);
             }
         }
-        final int retires = leaving(roster, g, heard);
+        final int retires = leaving(metadata, g, heard);
         if (g.members().size() > copies) {
-            final int from = retires != 0 ? retires : mostLoaded(roster, g.members());
-            final NodeInfo stays = roster.node(g.members().stream()
+            final int from = retires != 0 ? retires : mostLoaded(metadata, g.members());
+            final NodeInfo stays = metadata.node(g.members().stream()
                     .map(Member::node)
                     .filter(n -> n != from)
                     .findFirst()
@@ -195,36 +195,36 @@
             return new Move(g.id(), from, stays, "it has a copy more than it needs");
         }
         for (final Member learner : g.membership().learners()) {
-            final NodeInfo to = roster.node(learner.node());
+            final NodeInfo to = metadata.node(learner.node());
             if (to != null && heard.alive.contains(to.node()) && g.members().size() < copies) {
                 return new Move(g.id(), 0, to, "it is a copy short, and node " + to.node() + " learns it", true);
             }
             if (to != null && heard.alive.contains(to.node())) {
                 return new Move(
                         g.id(),
-                        retires != 0 ? retires : mostLoaded(roster, g.members()),
+                        retires != 0 ? retires : mostLoaded(metadata, g.members()),
                         to,
                         "node " + to.node() + " learns it already",
                         heard.gone.contains(retires));
             }
         }
         final boolean wanted = retires != 0 || g.members().size() < copies;
-        final NodeInfo to = !wanted ? null : Placement.instead(roster, g, retires, heard.alive);
+        final NodeInfo to = !wanted ? null : Placement.instead(metadata, g, retires, heard.alive);
         return to == null ? null : leave(heard, g, retires, to);
     }
 
-    private static int load(final Roster roster, final int node) {
+    private static int load(final ClusterMetadata metadata, final int node) {
         return (int)
-                roster.groups().stream().filter(g -> g.membership().holds(node)).count();
+                metadata.groups().stream().filter(g -> g.membership().holds(node)).count();
     }
 
-    private static int mostLoaded(final Roster roster, final List<Member> members) {
+    private static int mostLoaded(final ClusterMetadata metadata, final List<Member> members) {
         int best = 0;
         int bestScore = -1;
         for (final Member m : members) {
             final boolean zoneTwice =
                     members.stream().filter(o -> o.zone().equals(m.zone())).count() > 1;
-            final int score = load(roster, m.node()) + (zoneTwice ? 10_000 : 0);
+            final int score = load(metadata, m.node()) + (zoneTwice ? 10_000 : 0);
             if (score > bestScore) {
                 bestScore = score;
                 best = m.node();
@@ -237,10 +237,10 @@
      * One move that makes the spread over machines better by two, and the spread over zones no worse; null where there
      * is none.
      */
-    private static Move spread(final Roster roster, final Set<Integer> steady, final int copies) {
+    private static Move spread(final ClusterMetadata metadata, final Set<Integer> steady, final int copies) {
         Move best = null;
         int bestGain = 1;
-        for (final GroupInfo g : roster.groups()) {
+        for (final GroupInfo g : metadata.groups()) {
             if (!g.founded()
                     || g.members().size() != copies
                     || !steady.containsAll(
@@ -248,16 +248,16 @@
                 // why: with a member away no copy is moved for mere looks
                 continue;
             }
-            for (final NodeInfo to : roster.nodes()) {
+            for (final NodeInfo to : metadata.nodes()) {
                 if (!steady.contains(to.node())
-                        || roster.retiring().contains(to.node())
+                        || metadata.retiring().contains(to.node())
                         || g.membership().holds(to.node())) {
                     continue;
                 }
                 for (final Member from : g.members()) {
                     final int zones = zones(g, from.node(), to.zone()) - zones(g, 0, "");
                     // why: a difference of one would only swap sides, so such moves would go to and fro
-                    final int gain = load(roster, from.node()) - load(roster, to.node()) + 100 * zones;
+                    final int gain = load(metadata, from.node()) - load(metadata, to.node()) + 100 * zones;
                     if (zones >= 0 && gain > bestGain) {
                         bestGain = gain;
                         best = new Move(
@@ -266,8 +266,8 @@
                                 to,
                                 zones > 0
                                         ? "its copies lie in fewer zones than they could"
-                                        : "node " + from.node() + " holds " + load(roster, from.node())
-                                                + " groups, node " + to.node() + " " + load(roster, to.node()));
+                                        : "node " + from.node() + " holds " + load(metadata, from.node())
+                                                + " groups, node " + to.node() + " " + load(metadata, to.node()));
                     }
                 }
             }
@@ -285,16 +285,16 @@
     }
 
     /**
-     * The first group whose master is not its highest rank, though that one is steady; null where all is as the weights
+     * The first group whose leader is not its highest rank, though that one is steady; null where all is as the weights
      * spread it.
      */
     public static Switchover switchover(
-            final Roster roster, final Map<Integer, Integer> masters, final Set<Integer> steady) {
-        for (final GroupInfo g : roster.groups()) {
-            final Integer master = masters.get(g.id());
+            final ClusterMetadata metadata, final Map<Integer, Integer> leaders, final Set<Integer> steady) {
+        for (final GroupInfo g : metadata.groups()) {
+            final Integer leader = leaders.get(g.id());
             Member first = null;
             for (final Member m : g.members()) {
-                if (!roster.retiring().contains(m.node())
+                if (!metadata.retiring().contains(m.node())
                         && (first == null
                                 || m.weight() > first.weight()
                                 || (m.weight() == first.weight() && m.node() > first.node()))) {
@@ -302,13 +302,13 @@
                 }
             }
             if (g.founded()
-                    && master != null
+                    && leader != null
                     && first != null
-                    && first.node() != master
+                    && first.node() != leader
                     && steady.contains(first.node())
-                    && Membership.find(g.members(), master) != null
+                    && Membership.find(g.members(), leader) != null
                     && g.membership().learners().isEmpty()) {
-                return new Switchover(g.id(), master, first.node());
+                return new Switchover(g.id(), leader, first.node());
             }
         }
         return null;
--- a/coordination/src/main/java/brookpath/coordination/spec/Placement.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/Placement.java
@@ -1,15 +1,15 @@
-package brookpath.coordination.spec;
+package brookpath.coordination.configuration;
 
 import brookpath.coordination.group.Member;
 import brookpath.coordination.group.Membership;
-import brookpath.coordination.spec.Roster.GroupInfo;
-import brookpath.coordination.spec.Roster.NodeInfo;
+import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
+import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
 import java.util.Set;
 
-/** Spreads groups over storage nodes: members in different zones where there are enough, masters spread by weight. */
+/** Spreads groups over storage nodes: members in different zones where there are enough, leaders spread by weight. */
 public final class Placement {
     private static final int[] WEIGHTS = {90, 60, 30, 25, 20, 15, 10};
 
@@ -44,19 +44,19 @@
 
     /** The storage node that best takes the place of another in a group, or null where none can. */
     public static NodeInfo instead(
-            final Roster roster, final GroupInfo g, final int leaving, final Set<Integer> alive) {
+            final ClusterMetadata metadata, final GroupInfo g, final int leaving, final Set<Integer> alive) {
         NodeInfo best = null;
         int bestScore = Integer.MAX_VALUE;
-        for (final NodeInfo n : roster.nodes()) {
+        for (final NodeInfo n : metadata.nodes()) {
             if ((g.membership().holds(n.node())
                             && Membership.find(g.membership().learners(), n.node()) == null)
-                    || roster.retiring().contains(n.node())
+                    || metadata.retiring().contains(n.node())
                     || !alive.contains(n.node())) {
                 continue;
             }
             final boolean sameZone = g.members().stream()
                     .anyMatch(m -> m.node() != leaving && m.zone().equals(n.zone()));
-            final int load = (int) roster.groups().stream()
+            final int load = (int) metadata.groups().stream()
                     .filter(o -> o.membership().holds(n.node()))
                     .count();
             // why: one that learns already is taken to the end, else two would be made to learn
@@ -72,7 +72,7 @@
     }
 
     /** The group of a topic. A space that promises one order for all lies in one group. */
-    public static int groupOf(final String topic, final Spec.Space space, final int groups) {
+    public static int groupOf(final String topic, final Configuration.Space space, final int groups) {
         int h = 0x811c9dc5;
         final String hashed = space.one() ? space.name() : topic;
         for (int i = 0; i < hashed.length(); i++) {
--- a/coordination/src/main/java/brookpath/coordination/spec/Prefixes.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/Prefixes.java
@@ -1,4 +1,4 @@
-package brookpath.coordination.spec;
+package brookpath.coordination.configuration;
 
 import java.util.Collection;
 import java.util.HashMap;
@@ -8,11 +8,11 @@
 final class Prefixes {
     static final Prefixes NONE = new Prefixes(java.util.List.of());
 
-    private final Map<String, Spec.Space> byPrefix = new HashMap<>();
+    private final Map<String, Configuration.Space> byPrefix = new HashMap<>();
     /** Longest first, so that the first hit is the one that wins. */
     private final int[] lengths;
 
-    Prefixes(final Collection<Spec.Space> spaces) {
+    Prefixes(final Collection<Configuration.Space> spaces) {
         spaces.forEach(s -> byPrefix.put(s.prefix(), s));
         lengths = spaces.stream()
                 .mapToInt(s -> s.prefix().length())
@@ -23,9 +23,9 @@
                 .toArray();
     }
 
-    Spec.Space of(final String topic) {
+    Configuration.Space of(final String topic) {
         for (final int len : lengths) {
-            final Spec.Space space = topic.length() < len ? null : byPrefix.get(topic.substring(0, len));
+            final Configuration.Space space = topic.length() < len ? null : byPrefix.get(topic.substring(0, len));
             if (space != null) {
                 return space;
             }
--- a/coordination/src/main/java/brookpath/coordination/spec/Retirements.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/Retirements.java
@@ -1,7 +1,7 @@
-package brookpath.coordination.spec;
+package brookpath.coordination.configuration;
 
-import brookpath.coordination.spec.Roster.NodeInfo;
-import brookpath.state.record.Pack;
+import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.state.record.PackedBuffer;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -12,8 +12,8 @@
 public final class Retirements {
     private static final int KEPT = 256;
 
-    /** @param lsn the record that took the order */
-    public record Retirement(long lsn, int node, String name) {
+    /** @param index the record that took the order */
+    public record Retirement(long index, int node, String name) {
         private boolean isOf(final NodeInfo info) {
             return name.isEmpty()
                     ? info.name().isEmpty() && info.node() == node
@@ -26,14 +26,14 @@
     /** The newest retirement of a machine of this name up to a position of the log, null for none. */
     public Retirement named(final String name, final long position) {
         return newest(retirements.stream()
-                .filter(r -> r.lsn <= position && r.name.equals(name))
+                .filter(r -> r.index <= position && r.name.equals(name))
                 .toList());
     }
 
     /** The newest retirement of a machine of this number up to a position of the log, null for none. */
     public Retirement numbered(final int node, final long position) {
         return newest(retirements.stream()
-                .filter(r -> r.lsn <= position && r.node == node)
+                .filter(r -> r.index <= position && r.node == node)
                 .toList());
     }
 
@@ -41,13 +41,13 @@
         return found.isEmpty() ? null : found.get(found.size() - 1);
     }
 
-    void apply(final long lsn, final Roster roster) {
-        for (final NodeInfo info : roster.nodes()) {
-            if (!roster.retiring().contains(info.node())) {
+    void apply(final long index, final ClusterMetadata metadata) {
+        for (final NodeInfo info : metadata.nodes()) {
+            if (!metadata.retiring().contains(info.node())) {
                 // why: it was kept after all, or another machine bears the name now
                 retirements.removeIf(r -> r.isOf(info));
             } else if (retirements.stream().noneMatch(r -> r.isOf(info))) {
-                retirements.add(new Retirement(lsn, info.node(), info.name()));
+                retirements.add(new Retirement(index, info.node(), info.name()));
             }
         }
         while (retirements.size() > KEPT) {
@@ -55,12 +55,12 @@
         }
     }
 
-    void save(final Pack pack) {
-        pack.num(retirements.size());
-        retirements.forEach(r -> pack.num(r.lsn).num(r.node).str(r.name));
+    void save(final PackedBuffer buffer) {
+        buffer.num(retirements.size());
+        retirements.forEach(r -> buffer.num(r.index).num(r.node).str(r.name));
     }
 
-    void load(final Pack in) {
+    void load(final PackedBuffer in) {
         for (long n = in.num(); n > 0; n--) {
             retirements.add(new Retirement(in.num(), (int) in.num(), in.str()));
         }
--- a/coordination/src/main/java/brookpath/coordination/spec/StorageSilence.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/StorageFailureDetector.java
@@ -1,25 +1,25 @@
-package brookpath.coordination.spec;
+package brookpath.coordination.configuration;
 
-import brookpath.coordination.Tempo;
+import brookpath.coordination.TimingBounds;
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
 
 /**
- * Judges which storage machines are gone, from when the control master heard each of them last. It judges nothing while
+ * Judges which storage machines are gone, from when the control leader heard each of them last. It judges nothing while
  * most of them are silent, for then it is more likely cut off itself.
  */
-public final class StorageSilence {
-    private final Tempo tempo;
-    private final Roster roster;
+public final class StorageFailureDetector {
+    private final TimingBounds timing;
+    private final ClusterMetadata metadata;
     private final Map<Integer, Long> heardAt;
     private final long now;
 
-    /** @param heardAt when each storage machine polled last; one that has not polled this control master is missing */
-    public StorageSilence(final Tempo tempo, final Roster roster, final Map<Integer, Long> heardAt, final long now) {
-        this.tempo = tempo;
-        this.roster = roster;
+    /** @param heardAt when each storage machine polled last; one that has not polled this control leader is missing */
+    public StorageFailureDetector(final TimingBounds timing, final ClusterMetadata metadata, final Map<Integer, Long> heardAt, final long now) {
+        this.timing = timing;
+        this.metadata = metadata;
         this.heardAt = heardAt;
         this.now = now;
     }
@@ -28,7 +28,7 @@
     public Set<Integer> alive() {
         final Set<Integer> alive = new HashSet<>();
         heardAt.forEach((node, at) -> {
-            if (now - at <= tempo.goneAfter()) {
+            if (now - at <= timing.goneAfter()) {
                 alive.add(node);
             }
         });
@@ -38,7 +38,7 @@
     /**
      * The machines that hold copies and are to be taken for gone.
      *
-     * @param dutySince since when this control master has been on duty; whoever polled its predecessor needs time to
+     * @param dutySince since when this control leader has been on duty; whoever polled its predecessor needs time to
      *     find it
      * @param before those taken for gone so far: they stay so until they are heard
      */
@@ -49,12 +49,12 @@
         if (2 * alive.size() <= judged.size()) {
             return Set.of();
         }
-        final long listeningSince = dutySince + tempo.specHorizon();
+        final long listeningSince = dutySince + timing.configurationDeadline();
         final boolean early = anyEmpty(alive);
         final Set<Integer> gone = new TreeSet<>();
         for (final int node : holders()) {
             final long last = Math.max(heardAt.getOrDefault(node, listeningSince), listeningSince);
-            final long bound = early || before.contains(node) ? tempo.replacedAfter() : tempo.goneAfter();
+            final long bound = early || before.contains(node) ? timing.replacedAfter() : timing.goneAfter();
             if (now - last > bound) {
                 gone.add(node);
             }
@@ -64,7 +64,7 @@
 
     private Set<Integer> holders() {
         final Set<Integer> holders = new HashSet<>();
-        for (final Roster.GroupInfo group : roster.groups()) {
+        for (final ClusterMetadata.GroupInfo group : metadata.groups()) {
             group.members().forEach(m -> holders.add(m.node()));
             group.membership().learners().forEach(m -> holders.add(m.node()));
         }
@@ -75,6 +75,6 @@
     private boolean anyEmpty(final Set<Integer> alive) {
         final Set<Integer> holders = holders();
         return alive.stream()
-                .anyMatch(n -> !holders.contains(n) && !roster.retiring().contains(n));
+                .anyMatch(n -> !holders.contains(n) && !metadata.retiring().contains(n));
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/spec/VersionUpdates.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/VersionUpdates.java
@@ -1,4 +1,4 @@
-package brookpath.coordination.spec;
+package brookpath.coordination.configuration;
 
 import brookpath.state.record.Delta;
 import java.util.HashMap;
@@ -7,7 +7,7 @@
 
 /**
  * Brings the newest version of one document to followers: to one that has a version which was told lately, as the
- * difference from that; to any other, whole. Holds the versions that this master has told, bounded in number and bytes;
+ * difference from that; to any other, whole. Holds the versions that this leader has told, bounded in number and bytes;
  * nothing of it is replicated. Not thread-safe.
  */
 public final class VersionUpdates {
@@ -57,7 +57,7 @@
         return base == null ? Delta.whole(newest) : Delta.between(base, newest);
     }
 
-    /** Forgets what was told, as one that is no longer the master. */
+    /** Forgets what was told, as one that is no longer the leader. */
     public void clear() {
         documents.clear();
         updates.clear();
--- a/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
@@ -1,22 +1,22 @@
 package brookpath.coordination.group;
 
-import static brookpath.coordination.group.Copies.majority;
-import static brookpath.coordination.message.Msg.PullReply.FULL;
-import static brookpath.coordination.message.Msg.PullReply.MISMATCH;
-import static brookpath.coordination.message.Msg.PullReply.RECORDS;
+import static brookpath.coordination.group.Quorums.majority;
+import static brookpath.coordination.message.PeerMessage.PullReply.FULL;
+import static brookpath.coordination.message.PeerMessage.PullReply.MISMATCH;
+import static brookpath.coordination.message.PeerMessage.PullReply.RECORDS;
 
-import brookpath.coordination.Tempo;
+import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.beat.BeatTable;
-import brookpath.coordination.beat.Pledges;
-import brookpath.coordination.message.Msg;
-import brookpath.coordination.message.Msg.BeatEntry;
-import brookpath.coordination.message.Msg.Pull;
-import brookpath.coordination.message.Msg.PullReply;
-import brookpath.coordination.message.Msg.VoteAsk;
-import brookpath.coordination.message.Msg.VoteReply;
-import brookpath.state.record.Pack;
-import brookpath.state.record.Rec;
+import brookpath.coordination.heartbeat.HeartbeatTable;
+import brookpath.coordination.heartbeat.HeartbeatPromises;
+import brookpath.coordination.message.PeerMessage;
+import brookpath.coordination.message.PeerMessage.HeartbeatEntry;
+import brookpath.coordination.message.PeerMessage.Pull;
+import brookpath.coordination.message.PeerMessage.PullReply;
+import brookpath.coordination.message.PeerMessage.VoteRequest;
+import brookpath.coordination.message.PeerMessage.VoteReply;
+import brookpath.state.record.PackedBuffer;
+import brookpath.state.record.LogRecord;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
@@ -27,26 +27,26 @@
 import java.util.function.Supplier;
 
 /**
- * One member of one replication group: the source's election and pulled replication, with the epochs, the copies floor,
+ * One member of one replication group: the source's election and pulled replication, with the terms, the copies floor,
  * the lease and the lost-disk rule that it lacks. Takes (event, now) and adds actions; it has no clock and no I/O.
  */
 public final class GroupMachine {
-    public static final int SLAVE = BeatEntry.SLAVE;
-    public static final int CANDIDATE = BeatEntry.CANDIDATE;
-    public static final int MASTER = BeatEntry.MASTER;
+    public static final int FOLLOWER = HeartbeatEntry.FOLLOWER;
+    public static final int CANDIDATE = HeartbeatEntry.CANDIDATE;
+    public static final int LEADER = HeartbeatEntry.LEADER;
 
     public static final int SYNC_PEER = 0;
     public static final int SYNC_CATCH_UP = 1;
     public static final int SYNC_LOST = 2;
 
-    private static final int W_REC = 1;
+    private static final int W_RECORD = 1;
     private static final int W_TRUNCATE = 2;
     private static final int W_VOTE = 3;
     private static final int W_INIT = 4;
-    private static final int W_IMAGE = 5;
-    /** So many bytes of records go in one reply: a slow link must not keep the beats behind it for long. */
+    private static final int W_SNAPSHOT = 5;
+    /** So many bytes of records go in one reply: a slow link must not keep the heartbeats behind it for long. */
     private static final int REPLY_BYTES = 64 << 10;
-    /** Beyond so many bytes that its own disk has not synced, a master takes nothing more. */
+    /** Beyond so many bytes that its own disk has not synced, a leader takes nothing more. */
     private static final int MAX_UNSYNCED_BYTES = 1 << 20;
 
     /** The log is trimmed in steps of so many records or bytes, so that the list is not shifted for each record. */
@@ -57,32 +57,32 @@
     private static final int SWEPT_AT_ONCE = 16;
 
     /** A message that goes out once a write is synced. */
-    private record Waiting(long write, int node, Msg msg, long since) {}
+    private record Waiting(long write, int node, PeerMessage message, long since) {}
 
     /** A part of the log that is not synced yet. */
-    private record Unsynced(long write, long lsn, int bytes, long since) {}
+    private record Unsynced(long write, long index, int bytes, long since) {}
 
     private final int id;
-    private final Pledges pledges;
+    private final HeartbeatPromises promises;
     private final int self;
-    private final Tempo tempo;
+    private final TimingBounds timing;
     private final int toleratedLosses;
     private final Supplier<LogState> states;
     private final Actions out;
-    private final SplittableRandom rnd;
+    private final SplittableRandom random;
 
     /** The newest in the log counts as soon as it is there; without one, what the group was founded with. */
     private Membership founding = Membership.NONE;
 
     private Membership baseMembership;
     private Membership membership = Membership.NONE;
-    private long membershipLsn;
+    private long membershipIndex;
     private List<Member> members = List.of();
     private int groupVersion;
     private long handingOverUntil = Long.MIN_VALUE;
     private final TreeMap<Integer, Long> learnt = new TreeMap<>();
     private boolean founded;
-    private BeatTable table = BeatTable.EMPTY;
+    private HeartbeatTable table = HeartbeatTable.EMPTY;
     private long startedAt = Long.MIN_VALUE;
 
     private boolean initialised;
@@ -93,30 +93,30 @@
      */
     private boolean damaged;
 
-    private long epoch;
+    private long term;
     private int votedFor;
-    private long epochSeen;
+    private long termSeen;
 
-    private long baseLsn;
-    private long baseEpoch;
+    private long baseIndex;
+    private long baseTerm;
     private LogState base;
     private LogState live;
-    private final ArrayList<Rec> recs = new ArrayList<>();
+    private final ArrayList<LogRecord> records = new ArrayList<>();
     /** Per record, a digest of the whole log up to it: equal here and there means equal all the way. */
     private final ArrayList<Long> chain = new ArrayList<>();
 
     private long baseChain;
     private long logBytes;
     private long swept;
-    private long syncedLsn;
-    private long accepted;
+    private long syncedIndex;
+    private long committed;
     private final ArrayDeque<Unsynced> unsynced = new ArrayDeque<>();
     private long unsyncedBytes;
     private final ArrayDeque<Waiting> afterSync = new ArrayDeque<>();
 
-    private int role = SLAVE;
-    private long openLsn;
-    private long masterSince;
+    private int role = FOLLOWER;
+    private long openIndex;
+    private long leaderSince;
     private final TreeMap<Integer, Long> copies = new TreeMap<>();
     private final TreeMap<Integer, Pull> held = new TreeMap<>();
 
@@ -124,7 +124,7 @@
     private long goEndsAt;
     private long nextGo;
     private int lostGoes;
-    private int masterHeard;
+    private int leaderHeard;
     private String why = "started";
     private String obstacle = "";
     private long deferUntil = Long.MIN_VALUE / 2;
@@ -135,8 +135,8 @@
     private long pullSentAt;
     private boolean pulling;
     private boolean wantFull;
-    private final ImageSender imageSender;
-    private final ImageReceiver imageReceiver = new ImageReceiver();
+    private final SnapshotSender snapshotSender;
+    private final SnapshotReceiver snapshotReceiver = new SnapshotReceiver();
     private long joinTarget = -1;
     /** The write that says that this copy is rebuilt, until it is synced; 0 for none. */
     private long rebuiltWrite;
@@ -147,21 +147,21 @@
     public GroupMachine(
             final int id,
             final int self,
-            final Tempo tempo,
+            final TimingBounds timing,
             final int toleratedLosses,
             final long seed,
             final Supplier<LogState> states,
-            final Pledges pledges,
+            final HeartbeatPromises promises,
             final Actions out) {
-        this.pledges = pledges;
+        this.promises = promises;
         this.id = id;
         this.self = self;
-        this.tempo = tempo;
+        this.timing = timing;
         this.toleratedLosses = toleratedLosses;
         this.states = states;
         this.out = out;
-        imageSender = new ImageSender(tempo.recoverMs());
-        rnd = new SplittableRandom(seed * 31 + id * 7919L + self);
+        snapshotSender = new SnapshotSender(timing.recoverMs());
+        random = new SplittableRandom(seed * 31 + id * 7919L + self);
         base = states.get();
         live = states.get();
     }
@@ -176,29 +176,29 @@
         return role;
     }
 
-    public long epoch() {
-        return epoch;
+    public long term() {
+        return term;
     }
 
-    public long accepted() {
-        return accepted;
+    public long committed() {
+        return committed;
     }
 
-    public long endLsn() {
-        return baseLsn + recs.size();
+    public long endIndex() {
+        return baseIndex + records.size();
     }
 
-    public long baseLsn() {
-        return baseLsn;
+    public long baseIndex() {
+        return baseIndex;
     }
 
-    public long syncedLsn() {
-        return syncedLsn;
+    public long syncedIndex() {
+        return syncedIndex;
     }
 
-    /** Where this master opened its epoch, 0 while it has none. */
-    public long openLsn() {
-        return openLsn;
+    /** Where this leader opened its term, 0 while it has none. */
+    public long openIndex() {
+        return openIndex;
     }
 
     public int groupVersion() {
@@ -215,12 +215,12 @@
 
     /** Whether the log itself tells who the members are, rather than whoever founded the group. */
     public boolean tellsMembers() {
-        return baseMembership != null || recs.stream().anyMatch(rec -> rec.kind() == Rec.MEMBERS);
+        return baseMembership != null || records.stream().anyMatch(logRecord -> logRecord.kind() == LogRecord.MEMBERS);
     }
 
-    /** Whether the newest membership is accepted, so that a next step may follow. */
+    /** Whether the newest membership is committed, so that a next step may follow. */
     public boolean membershipSettled() {
-        return membershipLsn <= accepted;
+        return membershipIndex <= committed;
     }
 
     /** How far a learner's copy is known to be synced. */
@@ -228,19 +228,19 @@
         return learnt.getOrDefault(node, -1L);
     }
 
-    /** How far a voter's copy is known to be synced, as the master counts it; -1 where nothing is known. */
+    /** How far a voter's copy is known to be synced, as the leader counts it; -1 where nothing is known. */
     public long copySynced(final int node) {
-        return node == self ? syncedLsn : copies.getOrDefault(node, -1L);
+        return node == self ? syncedIndex : copies.getOrDefault(node, -1L);
     }
 
     /** Where the newest membership stands in the log; 0 where the log tells none. */
-    public long membershipLsn() {
-        return membershipLsn;
+    public long membershipIndex() {
+        return membershipIndex;
     }
 
-    /** Nothing is under way that a wakeup would have to drive on. */
+    /** Nothing is under way that a timer would have to drive on. */
     public boolean calm() {
-        return role == MASTER ? openLsn > 0 && accepted == endLsn() : role == SLAVE && masterHeard != 0 && !lost();
+        return role == LEADER ? openIndex > 0 && committed == endIndex() : role == FOLLOWER && leaderHeard != 0 && !lost();
     }
 
     /** What was asked of the node may never have arrived. */
@@ -265,34 +265,34 @@
         return why;
     }
 
-    /** The master as this member sees it, 0 for none. */
-    public int masterHeard() {
-        return masterHeard;
+    /** The leader as this member sees it, 0 for none. */
+    public int leaderHeard() {
+        return leaderHeard;
     }
 
-    public Rec rec(final long lsn) {
-        return recs.get((int) (lsn - baseLsn - 1));
+    public LogRecord logRecord(final long index) {
+        return records.get((int) (index - baseIndex - 1));
     }
 
     public int floor() {
         return floor(members.size());
     }
 
-    /** The copies that an accepted record has at least, in a group of so many voters. */
+    /** The copies that an committed record has at least, in a group of so many voters. */
     public int floor(final int voters) {
-        return Copies.floor(voters, toleratedLosses);
+        return Quorums.floor(voters, toleratedLosses);
     }
 
-    /** Whether the node, a voter or a learner, is this master itself or has answered it within the lease. */
+    /** Whether the node, a voter or a learner, is this leader itself or has answered it within the lease. */
     public boolean follows(final int node, final long now) {
-        return node == self || answeredSince(node, now - tempo.lease());
+        return node == self || answeredSince(node, now - timing.lease());
     }
 
     /** Copies of a record that are known to be synced. */
-    public int copies(final long lsn) {
-        int n = syncedLsn >= lsn ? 1 : 0;
+    public int copies(final long index) {
+        int n = syncedIndex >= index ? 1 : 0;
         for (final Map.Entry<Integer, Long> copy : copies.entrySet()) {
-            n += copy.getValue() >= lsn && weight(copy.getKey()) >= 0 ? 1 : 0;
+            n += copy.getValue() >= index && weight(copy.getKey()) >= 0 ? 1 : 0;
         }
         return n;
     }
@@ -305,82 +305,82 @@
         return n;
     }
 
-    /** May this member act as the master just now? Asked again immediately before each response. */
+    /** May this member act as the leader just now? Asked again immediately before each response. */
     public boolean mayAct(final long now) {
-        return role == MASTER && openLsn > 0 && accepted >= openLsn && leaseHeld(now) && now >= handingOverUntil;
+        return role == LEADER && openIndex > 0 && committed >= openIndex && leaseHeld(now) && now >= handingOverUntil;
     }
 
-    /** Has a slave the accepted position of a master that it hears? */
+    /** Has a follower the committed position of a leader that it hears? */
     public boolean inSync(final long now) {
-        // why: a slave that hears its master but is not heard gets no more of the log, and would not know
-        return role == MASTER
+        // why: a follower that hears its leader but is not heard gets no more of the log, and would not know
+        return role == LEADER
                 ? mayAct(now)
-                : inSync && !lost() && masterHeard != 0 && table.up(masterHeard) && now - behindSince <= tempo.down();
+                : inSync && !lost() && leaderHeard != 0 && table.up(leaderHeard) && now - behindSince <= timing.down();
     }
 
-    /** Since when the master has told of more accepted than is here. */
+    /** Since when the leader has told of more committed than is here. */
     private void lookBehind(final long now) {
-        final BeatEntry e = masterHeard == 0 || masterHeard == self ? null : table.fresh(masterHeard, id, now);
-        if (e == null || e.accepted() <= accepted) {
+        final HeartbeatEntry e = leaderHeard == 0 || leaderHeard == self ? null : table.fresh(leaderHeard, id, now);
+        if (e == null || e.committed() <= committed) {
             behindSince = Long.MAX_VALUE;
         } else if (behindSince == Long.MAX_VALUE) {
             behindSince = now;
         }
     }
 
-    public BeatEntry entry(final long now) {
+    public HeartbeatEntry entry(final long now) {
         final int sync = lost ? SYNC_LOST : inSync(now) ? SYNC_PEER : SYNC_CATCH_UP;
-        return new BeatEntry(
+        return new HeartbeatEntry(
                 id,
                 groupVersion,
-                epoch,
+                term,
                 role,
                 sync,
-                baseLsn + 1,
-                syncedLsn,
-                epochAt(syncedLsn),
-                accepted,
-                masterHeard,
+                baseIndex + 1,
+                syncedIndex,
+                termAt(syncedIndex),
+                committed,
+                leaderHeard,
                 weight(self));
     }
 
     // ---- set-up and recovery
 
-    public void replay(final Pack in, final long now) {
+    public void replay(final PackedBuffer in, final long now) {
         final int kind = (int) in.num();
         switch (kind) {
-            case W_REC -> {
-                final Rec rec = Rec.wrap(in.bytes(), now);
-                push(rec);
-                if (rec.epoch() > epoch) {
-                    epoch = rec.epoch();
+            case W_RECORD -> {
+                final LogRecord logRecord = LogRecord.wrap(in.bytes(), now);
+                push(logRecord);
+                if (logRecord.term() > term) {
+                    term = logRecord.term();
                     votedFor = 0;
                 }
             }
             case W_TRUNCATE -> cutTo(in.num());
             case W_VOTE -> {
-                epoch = in.num();
+                term = in.num();
                 votedFor = (int) in.num();
             }
             case W_INIT -> {
                 initialised = true;
                 lost = in.num() == 1;
             }
-            case W_IMAGE -> loadImage(in.bytes(), now);
+            case W_SNAPSHOT -> loadSnapshot(in.bytes(), now);
             default -> throw new IllegalStateException("group " + id + ": unknown entry kind " + kind);
         }
-        syncedLsn = endLsn();
-        epochSeen = Math.max(epochSeen, epoch);
+        syncedIndex = endIndex();
+        termSeen = Math.max(termSeen, term);
     }
 
     /** Everything of this group, for the snapshot that begins a segment, as entries to replay. */
     public List<byte[]> checkpoint() {
         final List<byte[]> entries = new ArrayList<>();
-        entries.add(entryOf(W_VOTE).num(epoch).num(votedFor).done());
+        entries.add(entryOf(W_VOTE).num(term).num(votedFor).done());
         if (initialised) {
             entries.add(entryOf(W_INIT).num(lost && rebuiltWrite == 0 ? 1 : 0).done());
         }
-        entries.add(entryOf(W_IMAGE).bytes(image()).done());
+        entries.add(entryOf(W_SNAPSHOT).bytes(snapshot()).done());
         return entries;
     }
 
@@ -393,7 +393,7 @@
     }
 
     /**
-     * Since when the process runs that this member is part of: the pledges that a former one gave were given before.
+     * Since when the process runs that this member is part of: the promises that a former one gave were given before.
      */
     public void bornAt(final long mono) {
         startedAt = mono;
@@ -406,8 +406,8 @@
     public void configure(final Membership placed, final boolean isFounded, final long now) {
         founding = placed;
         useMembership();
-        // why: whoever has voted in an epoch is bound by no master of an earlier one, also after a restart
-        pledges.raise(id, epoch, self, true, now);
+        // why: whoever has voted in a term is bound by no leader of an earlier one, also after a restart
+        promises.raise(id, term, self, true, now);
         founded = isFounded;
         if (startedAt == Long.MIN_VALUE) {
             startedAt = now;
@@ -425,18 +425,18 @@
     /** Takes the newest membership that the log or the placement tells. */
     private void useMembership() {
         membership = baseMembership != null ? baseMembership : founding;
-        membershipLsn = 0;
-        for (int i = recs.size() - 1; i >= 0; i--) {
-            if (recs.get(i).kind() == Rec.MEMBERS) {
-                membership = Membership.load(Pack.reader(recs.get(i).body()));
-                membershipLsn = recs.get(i).lsn();
+        membershipIndex = 0;
+        for (int i = records.size() - 1; i >= 0; i--) {
+            if (records.get(i).kind() == LogRecord.MEMBERS) {
+                membership = Membership.load(PackedBuffer.reader(records.get(i).body()));
+                membershipIndex = records.get(i).index();
                 break;
             }
         }
-        // why: only accepted memberships are told by a placement, so a newer one stands over a log that is behind
+        // why: only committed memberships are told by a placement, so a newer one stands over a log that is behind
         if (founding.version() > membership.version()) {
             membership = founding;
-            membershipLsn = 0;
+            membershipIndex = 0;
         }
         members = membership.voters();
         groupVersion = membership.version();
@@ -450,7 +450,7 @@
         if (!mayChange(next, now)) {
             return false;
         }
-        append(Rec.MEMBERS, next.save(), now, wall);
+        append(LogRecord.MEMBERS, next.save(), now, wall);
         why = "group version " + next.version() + " with voters "
                 + next.voters().stream().map(Member::node).toList() + " and learners "
                 + next.learners().stream().map(Member::node).toList();
@@ -460,7 +460,7 @@
 
     /** Whether a membership may follow the present one now; docs/design/control-membership.md says why. */
     private boolean mayChange(final Membership next, final long now) {
-        // why: mayAct stands for an accepted record of this epoch, without which a predecessor's change may be open
+        // why: mayAct stands for an committed record of this term, without which a predecessor's change may be open
         if (!mayAct(now) || !membershipSettled() || next.version() != membership.version() + 1) {
             return false;
         }
@@ -469,36 +469,36 @@
         if (joining.size() + leaving.size() > 1 || Membership.find(next.voters(), self) == null) {
             return false;
         }
-        if (joining.stream().anyMatch(m -> learnt(m.node()) < accepted)) {
+        if (joining.stream().anyMatch(m -> learnt(m.node()) < committed)) {
             return false;
         }
-        // why: what is accepted must not rest on the copy of the one that leaves
-        return copiesAmong(next.voters()) >= Copies.floor(next.voters().size(), toleratedLosses)
+        // why: what is committed must not rest on the copy of the one that leaves
+        return copiesAmong(next.voters()) >= Quorums.floor(next.voters().size(), toleratedLosses)
                 && leaseHeld(next.voters(), now);
     }
 
-    /** How many of these nodes have synced all that is accepted. */
+    /** How many of these nodes have synced all that is committed. */
     private int copiesAmong(final List<Member> voters) {
         int n = 0;
         for (final Member m : voters) {
             final boolean joins = weight(m.node()) < 0;
             final long synced =
-                    m.node() == self ? syncedLsn : joins ? learnt(m.node()) : copies.getOrDefault(m.node(), -1L);
-            n += synced >= accepted ? 1 : 0;
+                    m.node() == self ? syncedIndex : joins ? learnt(m.node()) : copies.getOrDefault(m.node(), -1L);
+            n += synced >= committed ? 1 : 0;
         }
         return n;
     }
 
     /**
-     * This member is about to leave: it stands no more, and hands over to whoever has everything. True once it masters
+     * This member is about to leave: it stands no more, and hands over to whoever has everything. True once it leaders
      * nothing.
      */
     public boolean retreat(final long now) {
         retreats = true;
-        if (role == MASTER && now >= handingOverUntil) {
+        if (role == LEADER && now >= handingOverUntil) {
             handOverToAny(now);
         }
-        return role != MASTER;
+        return role != LEADER;
     }
 
     private void handOverToAny(final long now) {
@@ -509,34 +509,34 @@
         }
     }
 
-    /** Manual switchover: asks a slave that has everything to stand, and does not act until that has been tried. */
+    /** Manual switchover: asks a follower that has everything to stand, and does not act until that has been tried. */
     public boolean handOver(final int to, final long now) {
-        if (!mayAct(now) || to == self || weight(to) < 0 || copies.getOrDefault(to, -1L) < endLsn()) {
+        if (!mayAct(now) || to == self || weight(to) < 0 || copies.getOrDefault(to, -1L) < endIndex()) {
             return false;
         }
         // why: the voters will not wait for this lease to end, so it must not be used from here on
-        handingOverUntil = now + tempo.down() + tempo.goHorizon();
+        handingOverUntil = now + timing.down() + timing.goDeadline();
         why = "hands over to " + to;
-        out.send(to, new Msg.StandNow(id, epoch));
+        out.send(to, new PeerMessage.TimeoutNow(id, term));
         return true;
     }
 
-    public void tick(final long now, final BeatTable newTable) {
+    public void tick(final long now, final HeartbeatTable newTable) {
         table = newTable;
         if (weight(self) < 0) {
             followOnly(now);
             return;
         }
         for (final Member m : members) {
-            final BeatEntry e = m.node() == self ? null : table.fresh(m.node(), id, now);
+            final HeartbeatEntry e = m.node() == self ? null : table.fresh(m.node(), id, now);
             if (e != null) {
-                epochSeen = Math.max(epochSeen, e.epoch());
+                termSeen = Math.max(termSeen, e.term());
             }
         }
-        if (role == MASTER) {
-            if (epochSeen > epoch) {
-                stepDown("epoch " + epochSeen + " seen");
-            } else if (now - masterSince > tempo.down() && !majorityAnswers(now)) {
+        if (role == LEADER) {
+            if (termSeen > term) {
+                stepDown("epoch " + termSeen + " seen");
+            } else if (now - leaderSince > timing.down() && !majorityAnswers(now)) {
                 stepDown("no majority answers");
             } else {
                 advance(now);
@@ -544,24 +544,24 @@
             }
         }
         if (role == CANDIDATE && now >= goEndsAt) {
-            role = SLAVE;
+            role = FOLLOWER;
             lostGoes++;
             nextGo = now + spread();
-            why = "go for epoch " + epoch + " lost";
+            why = "go for epoch " + term + " lost";
         }
-        final int heard = role == MASTER ? (leaseHeld(now) ? self : 0) : liveMaster(now);
-        if (heard != masterHeard) {
-            masterHeard = heard;
+        final int heard = role == LEADER ? (leaseHeld(now) ? self : 0) : liveLeader(now);
+        if (heard != leaderHeard) {
+            leaderHeard = heard;
             if (heard == 0 || heard == self) {
-                // why: the others wait to stand until nobody tells of a live master, so they are told at once
-                out.beatNow();
+                // why: the others wait to stand until nobody tells of a live leader, so they are told at once
+                out.heartbeatNow();
             }
             if (heard != self && heard != 0) {
                 lostGoes = 0;
             }
             pulling = false;
         }
-        if (role == SLAVE && masterHeard == 0) {
+        if (role == FOLLOWER && leaderHeard == 0) {
             inSync = false;
             if (now >= nextGo && mayStand(now)) {
                 stand(now, false);
@@ -573,17 +573,17 @@
         trim(now);
     }
 
-    /** A learner copies the log; who is no member does nothing and hears no master through this group. */
+    /** A learner copies the log; who is no member does nothing and hears no leader through this group. */
     private void followOnly(final long now) {
-        if (role == MASTER) {
+        if (role == LEADER) {
             stepDown("is no voter any more");
         }
-        role = SLAVE;
+        role = FOLLOWER;
         if (membership.holds(self)) {
-            masterHeard = liveMaster(now);
+            leaderHeard = liveLeader(now);
             pull(now);
         } else {
-            masterHeard = 0;
+            leaderHeard = 0;
             inSync = false;
         }
     }
@@ -592,24 +592,24 @@
     public void synced(final long number, final long now) {
         while (!unsynced.isEmpty() && unsynced.peek().write <= number) {
             final Unsynced done = unsynced.poll();
-            syncedLsn = Math.max(syncedLsn, done.lsn);
+            syncedIndex = Math.max(syncedIndex, done.index);
             unsyncedBytes -= done.bytes;
         }
         while (!afterSync.isEmpty() && afterSync.peek().write <= number) {
             final Waiting w = afterSync.poll();
             if (w.node == self) {
-                onVoteReply(self, (VoteReply) w.msg, now);
+                onVoteReply(self, (VoteReply) w.message, now);
             } else {
-                out.send(w.node, w.msg);
+                out.send(w.node, w.message);
             }
         }
         if (damaged && !lost && !wantFull && unsynced.isEmpty()) {
-            // why: it has forgotten no vote, so the master's log, whole and synced, makes it the copy that any other
-            // slave is
+            // why: it has forgotten no vote, so the leader's log, whole and synced, makes it the copy that any other
+            // follower is
             damaged = false;
-            why = "copy mended up to " + syncedLsn;
+            why = "copy mended up to " + syncedIndex;
         }
-        if (lost() && joinTarget >= 0 && syncedLsn >= joinTarget && unsynced.isEmpty() && rebuiltWrite == 0) {
+        if (lost() && joinTarget >= 0 && syncedIndex >= joinTarget && unsynced.isEmpty() && rebuiltWrite == 0) {
             rebuiltWrite = out.write(entryOf(W_INIT).num(0).done());
         }
         // why: whoever is told that this copy counts must find it counting after a crash, too
@@ -618,56 +618,56 @@
             lost = false;
             damaged = false;
             joinTarget = -1;
-            why = "copy rebuilt up to " + syncedLsn;
+            why = "copy rebuilt up to " + syncedIndex;
         }
-        if (role == MASTER) {
+        if (role == LEADER) {
             advance(now);
         } else if (unsynced.isEmpty()) {
             pull(now);
         }
     }
 
-    public void on(final int from, final Msg msg, final long now) {
-        if (!concerns(from, msg)) {
+    public void on(final int from, final PeerMessage message, final long now) {
+        if (!concerns(from, message)) {
             return;
         }
-        if (msg instanceof Msg.StandNow m) {
-            if (role == SLAVE && from == masterHeard && m.epoch() == epoch && !lost() && unsynced.isEmpty()) {
+        if (message instanceof PeerMessage.TimeoutNow m) {
+            if (role == FOLLOWER && from == leaderHeard && m.term() == term && !lost() && unsynced.isEmpty()) {
                 stand(now, true);
             }
-        } else if (msg instanceof VoteAsk m) {
+        } else if (message instanceof VoteRequest m) {
             onVoteAsk(from, m, now);
-        } else if (msg instanceof VoteReply m) {
+        } else if (message instanceof VoteReply m) {
             onVoteReply(from, m, now);
-        } else if (msg instanceof Pull m) {
+        } else if (message instanceof Pull m) {
             onPull(from, m, now);
-        } else if (msg instanceof PullReply m) {
+        } else if (message instanceof PullReply m) {
             onPullReply(from, m, now);
         }
     }
 
     /**
      * Whose message counts. The membership here may be older or newer than the sender's: whoever asks for a vote is
-     * judged by its epoch and log alone, and counts the answer by its own membership; a master is obeyed by its epoch.
+     * judged by its term and log alone, and counts the answer by its own membership; a leader is obeyed by its term.
      */
-    private boolean concerns(final int from, final Msg msg) {
-        if (msg instanceof PullReply) {
+    private boolean concerns(final int from, final PeerMessage message) {
+        if (message instanceof PullReply) {
             return true;
         }
-        if (msg instanceof VoteAsk) {
+        if (message instanceof VoteRequest) {
             return membership.holds(self);
         }
         return weight(self) >= 0
-                && (weight(from) >= 0 || (msg instanceof Pull && Membership.find(membership.learners(), from) != null));
+                && (weight(from) >= 0 || (message instanceof Pull && Membership.find(membership.learners(), from) != null));
     }
 
-    /** Appends a record as the master; the caller has asked {@link #mayAct}. */
+    /** Appends a record as the leader; the caller has asked {@link #mayAct}. */
     public long append(final int kind, final byte[] body, final long now, final long wall) {
-        final long last = recs.isEmpty() ? 0 : recs.get(recs.size() - 1).stamp();
-        final Rec rec = Rec.of(endLsn() + 1, epoch, Math.max(last, wall), kind, body, now);
-        store(rec);
+        final long last = records.isEmpty() ? 0 : records.get(records.size() - 1).stamp();
+        final LogRecord logRecord = LogRecord.of(endIndex() + 1, term, Math.max(last, wall), kind, body, now);
+        store(logRecord);
         serveHeld(now);
-        return rec.lsn();
+        return logRecord.index();
     }
 
     // ---- election
@@ -685,10 +685,10 @@
         if (retreats) {
             return "it is about to leave";
         }
-        if (now - startedAt <= tempo.down()) {
+        if (now - startedAt <= timing.down()) {
             return "it has just started";
         }
-        if (diskLag(now) > tempo.diskPatience()) {
+        if (diskLag(now) > timing.diskPatience()) {
             return "its disk takes nothing";
         }
         int answering = 1;
@@ -697,25 +697,25 @@
             if (m.node() == self) {
                 continue;
             }
-            final BeatEntry e = table.fresh(m.node(), id, now);
+            final HeartbeatEntry e = table.fresh(m.node(), id, now);
             if (e == null || e.sync() == SYNC_LOST) {
                 continue;
             }
-            if (e.role() == MASTER && e.epoch() >= epoch) {
+            if (e.role() == LEADER && e.term() >= term) {
                 return "node " + m.node() + " is the master";
             }
-            if (e.masterHeard() != 0 && e.masterHeard() != self) {
-                return "node " + m.node() + " hears master " + e.masterHeard();
+            if (e.leaderHeard() != 0 && e.leaderHeard() != self) {
+                return "node " + m.node() + " hears master " + e.leaderHeard();
             }
             // why: one that is heard but does not answer is down; waiting for its longer log would wait for ever, and
             // the
             // voters' own logs decide anyway
             if (table.up(m.node())) {
-                if (newer(e.endEpoch(), e.endLsn(), epochAt(syncedLsn), syncedLsn)) {
+                if (newer(e.endTerm(), e.endIndex(), termAt(syncedIndex), syncedIndex)) {
                     return "node " + m.node() + " has a newer log";
                 }
                 answering++;
-                if (e.endLsn() == syncedLsn && e.endEpoch() == epochAt(syncedLsn) && outranks(m.node(), self)) {
+                if (e.endIndex() == syncedIndex && e.endTerm() == termAt(syncedIndex) && outranks(m.node(), self)) {
                     better++;
                 }
             }
@@ -734,38 +734,38 @@
     }
 
     private boolean deferred(final long now, final int better) {
-        if (now - deferUntil > tempo.down()) {
-            deferUntil = now + better * tempo.goHorizon();
+        if (now - deferUntil > timing.down()) {
+            deferUntil = now + better * timing.goDeadline();
         }
         return now >= deferUntil;
     }
 
     private void stand(final long now, final boolean manual) {
-        final long next = Math.max(epoch, epochSeen) + 1;
-        if (!pledges.raise(id, next, self, manual, now)) {
+        final long next = Math.max(term, termSeen) + 1;
+        if (!promises.raise(id, next, self, manual, now)) {
             obstacle = "it has just answered a master's beat";
             return;
         }
-        epoch = next;
-        epochSeen = epoch;
+        term = next;
+        termSeen = term;
         votedFor = self;
         role = CANDIDATE;
         votes.clear();
-        goEndsAt = now + tempo.goHorizon();
-        why = "stands for epoch " + epoch;
-        final long write = out.write(entryOf(W_VOTE).num(epoch).num(self).done());
+        goEndsAt = now + timing.goDeadline();
+        why = "stands for epoch " + term;
+        final long write = out.write(entryOf(W_VOTE).num(term).num(self).done());
         for (final Member m : members) {
             afterSync.add(new Waiting(
                     write,
                     m.node(),
                     m.node() == self
-                            ? new VoteReply(id, epoch, true, epoch, "own vote")
-                            : new VoteAsk(
+                            ? new VoteReply(id, term, true, term, "own vote")
+                            : new VoteRequest(
                                     id,
                                     groupVersion,
-                                    epoch,
-                                    syncedLsn,
-                                    epochAt(syncedLsn),
+                                    term,
+                                    syncedIndex,
+                                    termAt(syncedIndex),
                                     weight(self),
                                     lostGoes,
                                     manual),
@@ -773,52 +773,52 @@
         }
     }
 
-    private void onVoteAsk(final int from, final VoteAsk m, final long now) {
-        epochSeen = Math.max(epochSeen, role == MASTER ? epochSeen : m.epoch());
+    private void onVoteAsk(final int from, final VoteRequest m, final long now) {
+        termSeen = Math.max(termSeen, role == LEADER ? termSeen : m.term());
         String refusal = refusal(from, m, now);
-        if (refusal == null && !pledges.raise(id, m.epoch(), from, m.manual(), now)) {
+        if (refusal == null && !promises.raise(id, m.term(), from, m.manual(), now)) {
             refusal = "has just answered a master's beat";
         }
         if (refusal != null) {
-            out.send(from, new VoteReply(id, m.epoch(), false, Math.max(epoch, epochSeen), refusal));
+            out.send(from, new VoteReply(id, m.term(), false, Math.max(term, termSeen), refusal));
             return;
         }
-        if (role == MASTER) {
+        if (role == LEADER) {
             stepDown("node " + from + " takes over");
         }
-        epoch = m.epoch();
+        term = m.term();
         votedFor = from;
-        role = SLAVE;
-        nextGo = now + tempo.down();
-        why = "voted for " + from + " in epoch " + epoch;
+        role = FOLLOWER;
+        nextGo = now + timing.down();
+        why = "voted for " + from + " in epoch " + term;
         // why: a vote that is forgotten after a crash could be given twice
-        final long write = out.write(entryOf(W_VOTE).num(epoch).num(from).done());
-        afterSync.add(new Waiting(write, from, new VoteReply(id, epoch, true, epoch, "granted"), now));
+        final long write = out.write(entryOf(W_VOTE).num(term).num(from).done());
+        afterSync.add(new Waiting(write, from, new VoteReply(id, term, true, term, "granted"), now));
     }
 
-    private String refusal(final int from, final VoteAsk m, final long now) {
+    private String refusal(final int from, final VoteRequest m, final long now) {
         if (lost || !initialised) {
             return "copy is being rebuilt";
         }
-        if (now - startedAt <= tempo.down()) {
-            // why: before the restart it may have answered a master's beat whose lease still runs
+        if (now - startedAt <= timing.down()) {
+            // why: before the restart it may have answered a leader's heartbeat whose lease still runs
             return "just started";
         }
-        if (m.groupVersion() < groupVersion && m.endEpoch() <= epochAt(syncedLsn)) {
+        if (m.groupVersion() < groupVersion && m.endTerm() <= termAt(syncedIndex)) {
             return "older group version";
         }
-        if (m.epoch() < epoch || (m.epoch() == epoch && votedFor != from)) {
-            return "epoch " + epoch + " is taken";
+        if (m.term() < term || (m.term() == term && votedFor != from)) {
+            return "epoch " + term + " is taken";
         }
-        if (role == MASTER && (!m.manual() || now >= handingOverUntil)) {
+        if (role == LEADER && (!m.manual() || now >= handingOverUntil)) {
             return "master lives";
         }
-        // why: the table's LSNs may be stale; the voter's own log as it is now is what counts
-        if (newer(epochAt(syncedLsn), syncedLsn, m.endEpoch(), m.endLsn())) {
+        // why: the table's indexes may be stale; the voter's own log as it is now is what counts
+        if (newer(termAt(syncedIndex), syncedIndex, m.endTerm(), m.endIndex())) {
             return "own log is newer";
         }
-        if (m.endLsn() == syncedLsn
-                && m.endEpoch() == epochAt(syncedLsn)
+        if (m.endIndex() == syncedIndex
+                && m.endTerm() == termAt(syncedIndex)
                 && outranks(self, from)
                 && m.goes() < DEFERENCE
                 && !m.manual()
@@ -830,61 +830,61 @@
     }
 
     private void onVoteReply(final int from, final VoteReply m, final long now) {
-        if (role == MASTER) {
+        if (role == LEADER) {
             return;
         }
-        epochSeen = Math.max(epochSeen, m.epochSeen());
-        if (role != CANDIDATE || m.epoch() != epoch || !m.granted()) {
+        termSeen = Math.max(termSeen, m.termSeen());
+        if (role != CANDIDATE || m.term() != term || !m.granted()) {
             return;
         }
         votes.add(from);
         if (votes.size() < (founded ? majority(members.size()) : members.size())) {
             return;
         }
-        role = MASTER;
-        imageReceiver.reset();
-        masterSince = now;
-        masterHeard = self;
+        role = LEADER;
+        snapshotReceiver.reset();
+        leaderSince = now;
+        leaderHeard = self;
         lostGoes = 0;
         copies.clear();
         learnt.clear();
         handingOverUntil = Long.MIN_VALUE;
         held.clear();
         pulling = false;
-        why = "won epoch " + epoch + " with votes of " + votes;
+        why = "won epoch " + term + " with votes of " + votes;
         out.note("group " + id + ": " + why);
-        out.beatNow();
-        // why: records of earlier epochs count as accepted only once a record of this one is
-        openLsn = endLsn() + 1;
-        append(Rec.OPEN, new byte[0], now, 0);
+        out.heartbeatNow();
+        // why: records of earlier terms count as committed only once a record of this one is
+        openIndex = endIndex() + 1;
+        append(LogRecord.OPEN, new byte[0], now, 0);
     }
 
     private void stepDown(final String reason) {
-        role = SLAVE;
-        openLsn = 0;
-        masterHeard = 0;
+        role = FOLLOWER;
+        openIndex = 0;
+        leaderHeard = 0;
         held.clear();
         copies.clear();
         pulling = false;
         inSync = false;
         why = "stepped down: " + reason;
         out.note("group " + id + ": " + why);
-        out.beatNow();
-    }
-
-    private int liveMaster(final long now) {
-        int master = 0;
-        // why: a learner may have raised its epoch before it was removed, when nobody who counted heard of it
-        long best = weight(self) < 0 ? epochAt(endLsn()) : epoch;
-        // why: a membership here that was never accepted may leave out whoever masters the group by now
-        for (final BeatTable.Row row : table.rows()) {
-            final BeatEntry e = row.node() == self ? null : table.fresh(row.node(), id, now);
-            if (e != null && e.role() == MASTER && e.epoch() >= best) {
-                best = e.epoch();
-                master = row.node();
+        out.heartbeatNow();
+    }
+
+    private int liveLeader(final long now) {
+        int leader = 0;
+        // why: a learner may have raised its term before it was removed, when nobody who counted heard of it
+        long best = weight(self) < 0 ? termAt(endIndex()) : term;
+        // why: a membership here that was never committed may leave out whoever leaders the group by now
+        for (final HeartbeatTable.Row row : table.rows()) {
+            final HeartbeatEntry e = row.node() == self ? null : table.fresh(row.node(), id, now);
+            if (e != null && e.role() == LEADER && e.term() >= best) {
+                best = e.term();
+                leader = row.node();
             }
         }
-        return master;
+        return leader;
     }
 
     private boolean majorityAnswers(final long now) {
@@ -892,7 +892,7 @@
         for (final Member m : members) {
             n += m.node() != self
                             && table.up(m.node())
-                            && now - table.row(m.node()).answeredSentAt() <= 2 * tempo.down()
+                            && now - table.row(m.node()).answeredSentAt() <= 2 * timing.down()
                     ? 1
                     : 0;
         }
@@ -900,14 +900,14 @@
     }
 
     private boolean leaseHeld(final long now) {
-        return majoritySince(members, now - tempo.lease());
+        return majoritySince(members, now - timing.lease());
     }
 
     private boolean leaseHeld(final List<Member> voters, final long now) {
-        return majoritySince(voters, now - tempo.lease());
+        return majoritySince(voters, now - timing.lease());
     }
 
-    /** Whether a majority has answered beats of this mastership that were sent at this time or later. */
+    /** Whether a majority has answered heartbeats of this leadership that were sent at this time or later. */
     public boolean majoritySince(final long since) {
         return majoritySince(members, since);
     }
@@ -920,30 +920,30 @@
         return n >= majority(voters.size());
     }
 
-    /** Whether the node has answered a beat that told of this mastership and was sent at this time or later. */
+    /** Whether the node has answered a heartbeat that told of this leadership and was sent at this time or later. */
     private boolean answeredSince(final int node, final long since) {
-        final BeatTable.Row row = table.row(node);
+        final HeartbeatTable.Row row = table.row(node);
         if (row == null || row.answeredSentAt() < since) {
             return false;
         }
-        final BeatEntry told = row.answeredOwn().get(id);
-        final BeatEntry theirs = row.entries().get(id);
-        // why: only a beat that told of this mastership binds the one who answered it, and only a voter can be bound
+        final HeartbeatEntry told = row.answeredOwn().get(id);
+        final HeartbeatEntry theirs = row.entries().get(id);
+        // why: only a heartbeat that told of this leadership binds the one who answered it, and only a voter can be bound
         return told != null
-                && told.role() == MASTER
-                && told.epoch() == epoch
+                && told.role() == LEADER
+                && told.term() == term
                 && theirs != null
                 && theirs.sync() != SYNC_LOST
-                && theirs.epoch() <= epoch;
+                && theirs.term() <= term;
     }
 
     private boolean voting(final int node, final long now) {
-        final BeatEntry e = table.fresh(node, id, now);
+        final HeartbeatEntry e = table.fresh(node, id, now);
         return e != null && e.sync() != SYNC_LOST && table.up(node);
     }
 
-    private static boolean newer(final long epochA, final long lsnA, final long epochB, final long lsnB) {
-        return epochA > epochB || (epochA == epochB && lsnA > lsnB);
+    private static boolean newer(final long termA, final long indexA, final long termB, final long indexB) {
+        return termA > termB || (termA == termB && indexA > indexB);
     }
 
     private boolean outranks(final int a, final int b) {
@@ -962,17 +962,17 @@
     }
 
     private long spread() {
-        return (long) (tempo.goHorizon() * (0.2 + rnd.nextDouble() * Math.min(4, lostGoes)));
+        return (long) (timing.goDeadline() * (0.2 + random.nextDouble() * Math.min(4, lostGoes)));
     }
 
     // ---- replication
 
     private void pull(final long now) {
-        if (role == MASTER || members.isEmpty() || !unsynced.isEmpty()) {
+        if (role == LEADER || members.isEmpty() || !unsynced.isEmpty()) {
             return;
         }
         final int source = source(now);
-        if (source == 0 || (pulling && source == pullSource && now - pullSentAt < tempo.pullHorizon())) {
+        if (source == 0 || (pulling && source == pullSource && now - pullSentAt < timing.pullDeadline())) {
             return;
         }
         sendPull(source, now);
@@ -982,37 +982,37 @@
         pulling = true;
         pullSource = source;
         pullSentAt = now;
-        final long next = wantFull ? -1 : endLsn() + 1;
+        final long next = wantFull ? -1 : endIndex() + 1;
         out.send(
                 source,
                 new Pull(
                         id,
                         groupVersion,
-                        epoch,
+                        term,
                         next,
-                        epochAt(endLsn()),
-                        syncedLsn,
-                        epochAt(syncedLsn),
-                        lost() && joinTarget < 0 ? Pull.UNKNOWN : accepted,
+                        termAt(endIndex()),
+                        syncedIndex,
+                        termAt(syncedIndex),
+                        lost() && joinTarget < 0 ? Pull.UNKNOWN : committed,
                         lost(),
-                        chainAt(syncedLsn),
-                        imageReceiver.sum(),
-                        imageReceiver.offset()));
+                        chainAt(syncedIndex),
+                        snapshotReceiver.sum(),
+                        snapshotReceiver.offset()));
     }
 
-    /** The master while it can be reached; else a slave that still hears it. */
+    /** The leader while it can be reached; else a follower that still hears it. */
     private int source(final long now) {
-        if (masterHeard != 0 && table.up(masterHeard)) {
-            return masterHeard;
+        if (leaderHeard != 0 && table.up(leaderHeard)) {
+            return leaderHeard;
         }
         for (final Member m : members) {
-            final BeatEntry e = m.node() == self ? null : table.fresh(m.node(), id, now);
+            final HeartbeatEntry e = m.node() == self ? null : table.fresh(m.node(), id, now);
             if (e != null
                     && table.up(m.node())
-                    && e.masterHeard() != 0
-                    && e.masterHeard() != self
+                    && e.leaderHeard() != 0
+                    && e.leaderHeard() != self
                     && e.sync() == SYNC_PEER
-                    && e.epoch() >= epoch) {
+                    && e.term() >= term) {
                 return m.node();
             }
         }
@@ -1021,43 +1021,43 @@
 
     private void onPull(final int from, final Pull m, final long now) {
         final boolean learner = weight(from) < 0;
-        if (m.epoch() > epoch && !learner) {
-            epochSeen = Math.max(epochSeen, m.epoch());
-            if (role == MASTER) {
-                stepDown("sibling " + from + " is in epoch " + m.epoch());
+        if (m.term() > term && !learner) {
+            termSeen = Math.max(termSeen, m.term());
+            if (role == LEADER) {
+                stepDown("sibling " + from + " is in epoch " + m.term());
             }
             return;
         }
-        if (role == MASTER
+        if (role == LEADER
                 && !m.lost()
-                && epochAt(m.syncedLsn()) == m.syncedEpoch()
-                && chainAt(m.syncedLsn()) != m.chain()) {
-            // why: the same (epoch, LSN) must mean the same log; where it does not, the copy is no copy and is sent
+                && termAt(m.syncedIndex()) == m.syncedTerm()
+                && chainAt(m.syncedIndex()) != m.chain()) {
+            // why: the same (term, index) must mean the same log; where it does not, the copy is no copy and is sent
             // whole
             copies.remove(from);
             learnt.remove(from);
             held.remove(from);
-            out.note("group " + id + ": the copy of node " + from + " differs at or before " + m.syncedLsn()
+            out.note("group " + id + ": the copy of node " + from + " differs at or before " + m.syncedIndex()
                     + " and is sent whole");
-            sendWhole(from, m, mayAct(now) ? PullReply.ACTING_MASTER : PullReply.MASTER, now);
+            sendWhole(from, m, mayAct(now) ? PullReply.ACTING_LEADER : PullReply.LEADER, now);
             return;
         }
-        if (role == MASTER) {
+        if (role == LEADER) {
             if (learner) {
                 // why: a learner's copy is looked at to see when it may vote, and counts for nothing until then; one
-                // that stood in vain in a later epoch, before it was removed, may not vote in this one
+                // that stood in vain in a later term, before it was removed, may not vote in this one
                 copies.remove(from);
-                final boolean mayVote = !m.lost() && m.epoch() <= epoch;
-                learnt.put(from, mayVote && epochAt(m.syncedLsn()) == m.syncedEpoch() ? m.syncedLsn() : -1);
+                final boolean mayVote = !m.lost() && m.term() <= term;
+                learnt.put(from, mayVote && termAt(m.syncedIndex()) == m.syncedTerm() ? m.syncedIndex() : -1);
             } else if (m.lost()) {
                 copies.remove(from);
-            } else if (m.epoch() == epoch
-                    && m.syncedLsn() > baseLsn
-                    && m.syncedLsn() <= endLsn()
-                    && epochAt(m.syncedLsn()) == m.syncedEpoch()) {
-                // why: the same (epoch, LSN) means the same log up to there, so this copy holds everything before it
+            } else if (m.term() == term
+                    && m.syncedIndex() > baseIndex
+                    && m.syncedIndex() <= endIndex()
+                    && termAt(m.syncedIndex()) == m.syncedTerm()) {
+                // why: the same (term, index) means the same log up to there, so this copy holds everything before it
                 // too
-                copies.merge(from, m.syncedLsn(), Math::max);
+                copies.merge(from, m.syncedIndex(), Math::max);
                 advance(now);
             }
         } else if (!inSync(now)) {
@@ -1070,77 +1070,77 @@
     }
 
     private boolean reply(final int to, final Pull m, final long now) {
-        final long prev = m.nextLsn() - 1;
-        // why: only a master that has opened its epoch knows everything that was accepted before it
-        final int lead = mayAct(now) ? PullReply.ACTING_MASTER : role == MASTER ? PullReply.MASTER : PullReply.SLAVE;
-        if (m.nextLsn() < 0 || prev < baseLsn) {
+        final long prev = m.nextIndex() - 1;
+        // why: only a leader that has opened its term knows everything that was committed before it
+        final int lead = mayAct(now) ? PullReply.ACTING_LEADER : role == LEADER ? PullReply.LEADER : PullReply.FOLLOWER;
+        if (m.nextIndex() < 0 || prev < baseIndex) {
             sendWhole(to, m, lead, now);
             return true;
         }
-        if (prev > endLsn() || epochAt(prev) != m.prevEpoch()) {
-            long tryLsn = Math.min(endLsn(), prev - 1);
-            while (tryLsn > baseLsn && epochAt(tryLsn) > m.prevEpoch()) {
-                tryLsn--;
+        if (prev > endIndex() || termAt(prev) != m.prevTerm()) {
+            long tryIndex = Math.min(endIndex(), prev - 1);
+            while (tryIndex > baseIndex && termAt(tryIndex) > m.prevTerm()) {
+                tryIndex--;
             }
             out.send(
                     to,
                     new PullReply(
                             id,
                             groupVersion,
-                            epoch,
+                            term,
                             MISMATCH,
                             lead,
-                            accepted,
+                            committed,
                             prev,
-                            m.prevEpoch(),
-                            tryLsn,
+                            m.prevTerm(),
+                            tryIndex,
                             new byte[0],
                             List.of()));
             return true;
         }
-        final List<Rec> part = new ArrayList<>();
+        final List<LogRecord> part = new ArrayList<>();
         int bytes = 0;
-        for (long lsn = m.nextLsn(); lsn <= endLsn() && bytes < REPLY_BYTES; lsn++) {
-            if (!whole(lsn)) {
+        for (long index = m.nextIndex(); index <= endIndex() && bytes < REPLY_BYTES; index++) {
+            if (!whole(index)) {
                 return true;
             }
-            part.add(rec(lsn));
-            bytes += rec(lsn).bytes().length;
+            part.add(logRecord(index));
+            bytes += logRecord(index).bytes().length;
         }
-        // why: a member that rebuilds its copy has to hear from an acting master how far, also where nothing follows
-        final boolean news = m.accepted() == Pull.UNKNOWN ? lead == PullReply.ACTING_MASTER : m.accepted() < accepted;
-        if (part.isEmpty() && !news && m.epoch() >= epoch) {
+        // why: a member that rebuilds its copy has to hear from an acting leader how far, also where nothing follows
+        final boolean news = m.committed() == Pull.UNKNOWN ? lead == PullReply.ACTING_LEADER : m.committed() < committed;
+        if (part.isEmpty() && !news && m.term() >= term) {
             return false;
         }
         out.send(
                 to,
                 new PullReply(
-                        id, groupVersion, epoch, RECORDS, lead, accepted, prev, m.prevEpoch(), 0, new byte[0], part));
+                        id, groupVersion, term, RECORDS, lead, committed, prev, m.prevTerm(), 0, new byte[0], part));
         return true;
     }
 
-    /** Sends the next part of this copy's image, which is built for the first who asks and kept for the others. */
+    /** Sends the next part of this copy's snapshot, which is built for the first who asks and kept for the others. */
     private void sendWhole(final int to, final Pull m, final int lead, final long now) {
-        if (!imageSender.serves(m.imageSum(), Math.min(m.syncedLsn(), endLsn()))) {
-            for (long lsn = baseLsn + 1; lsn <= endLsn(); lsn++) {
-                if (!whole(lsn)) {
+        if (!snapshotSender.serves(m.snapshotSum(), Math.min(m.syncedIndex(), endIndex()))) {
+            for (long index = baseIndex + 1; index <= endIndex(); index++) {
+                if (!whole(index)) {
                     return;
                 }
             }
-            imageSender.hold(image(), endLsn(), now);
+            snapshotSender.hold(snapshot(), endIndex(), now);
         }
-        final ImageSender.Part part = imageSender.part(m.imageSum(), m.imageOffset(), now);
+        final SnapshotSender.Part part = snapshotSender.part(m.snapshotSum(), m.snapshotOffset(), now);
         out.send(
                 to,
                 new PullReply(
                         id,
                         groupVersion,
-                        epoch,
+                        term,
                         FULL,
                         lead,
-                        accepted,
-                        m.nextLsn() - 1,
-                        m.prevEpoch(),
+                        committed,
+                        m.nextIndex() - 1,
+                        m.prevTerm(),
                         0,
                         part.bytes(),
                         List.of(),
@@ -1154,33 +1154,33 @@
     }
 
     /**
-     * Whether the reply is older than a membership that its sender must know: one that is accepted, or that was made in
-     * this epoch. A record of an earlier master that was never accepted says nothing of this one.
+     * Whether the reply is older than a membership that its sender must know: one that is committed, or that was made in
+     * this term. A record of an earlier leader that was never committed says nothing of this one.
      */
     private boolean olderGroup(final PullReply m) {
-        return m.groupVersion() < groupVersion && (membershipSettled() || epochAt(membershipLsn) == m.epoch());
+        return m.groupVersion() < groupVersion && (membershipSettled() || termAt(membershipIndex) == m.term());
     }
 
     private void onPullReply(final int from, final PullReply m, final long now) {
-        // why: the fence: whoever acts for an older epoch or an older group is not obeyed, however late it wakes
-        final boolean older = weight(self) < 0 ? m.epoch() < epochAt(endLsn()) : m.epoch() < epoch;
-        if (older || (m.epoch() == epoch && olderGroup(m)) || role == MASTER || from != pullSource) {
+        // why: the fence: whoever acts for an older term or an older group is not obeyed, however late it wakes
+        final boolean older = weight(self) < 0 ? m.term() < termAt(endIndex()) : m.term() < term;
+        if (older || (m.term() == term && olderGroup(m)) || role == LEADER || from != pullSource) {
             return;
         }
-        if (m.epoch() > epoch) {
+        if (m.term() > term) {
             if (role == CANDIDATE) {
-                role = SLAVE;
+                role = FOLLOWER;
             }
-            epoch = m.epoch();
+            term = m.term();
             votedFor = 0;
-            epochSeen = Math.max(epochSeen, epoch);
-            out.write(entryOf(W_VOTE).num(epoch).num(0).done());
+            termSeen = Math.max(termSeen, term);
+            out.write(entryOf(W_VOTE).num(term).num(0).done());
         }
         pulling = false;
         // why: a late reply speaks of a log that may have grown since; cutting by it would take back acknowledged
         // records
         final boolean ofThisLog =
-                wantFull ? m.askedLsn() < 0 : m.askedLsn() == endLsn() && m.askedEpoch() == epochAt(endLsn());
+                wantFull ? m.askedIndex() < 0 : m.askedIndex() == endIndex() && m.askedTerm() == termAt(endIndex());
         if (m.kind() != RECORDS && !ofThisLog) {
             pull(now);
             return;
@@ -1188,55 +1188,55 @@
         long matched = -1;
         switch (m.kind()) {
             case FULL -> {
-                // why: a slave's log may lack what this member's counted for; whoever is mended takes the master's
-                if (m.image().length == 0
-                        || (m.standing() == PullReply.SLAVE && damaged)
-                        || (m.standing() == PullReply.SLAVE && !lost() && !wantFull && endLsn() > 0 && accepted > 0)) {
+                // why: a follower's log may lack what this member's counted for; whoever is mended takes the leader's
+                if (m.snapshot().length == 0
+                        || (m.standing() == PullReply.FOLLOWER && damaged)
+                        || (m.standing() == PullReply.FOLLOWER && !lost() && !wantFull && endIndex() > 0 && committed > 0)) {
                     return;
                 }
-                final byte[] image = imageReceiver.take(m);
-                if (image == null) {
+                final byte[] snapshot = snapshotReceiver.take(m);
+                if (snapshot == null) {
                     break;
                 }
-                loadImage(image, now);
-                syncedLsn = baseLsn;
+                loadSnapshot(snapshot, now);
+                syncedIndex = baseIndex;
                 unsynced.clear();
                 unsyncedBytes = 0;
                 wantFull = false;
-                matched = endLsn();
-                addUnsynced(out.write(entryOf(W_IMAGE).bytes(image).done()), endLsn(), image.length, now);
-                why = "full sync from " + from + " up to " + endLsn();
+                matched = endIndex();
+                addUnsynced(out.write(entryOf(W_SNAPSHOT).bytes(snapshot).done()), endIndex(), snapshot.length, now);
+                why = "full sync from " + from + " up to " + endIndex();
                 out.note("group " + id + ": " + why);
             }
             case MISMATCH -> {
-                if (m.standing() == PullReply.SLAVE) {
+                if (m.standing() == PullReply.FOLLOWER) {
                     return;
                 }
-                if ((m.tryLsn() < accepted && m.tryLsn() < baseLsn) || (m.tryLsn() <= baseLsn && endLsn() == baseLsn)) {
+                if ((m.tryIndex() < committed && m.tryIndex() < baseIndex) || (m.tryIndex() <= baseIndex && endIndex() == baseIndex)) {
                     wantFull = true;
-                } else if (m.tryLsn() < accepted) {
-                    out.grave("group " + id + ": master " + from + " lacks accepted records after " + m.tryLsn());
+                } else if (m.tryIndex() < committed) {
+                    out.grave("group " + id + ": master " + from + " lacks accepted records after " + m.tryIndex());
                     return;
                 } else {
-                    cutTo(m.tryLsn());
-                    out.write(entryOf(W_TRUNCATE).num(m.tryLsn()).done());
-                    why = "diverged tail cut to " + m.tryLsn();
+                    cutTo(m.tryIndex());
+                    out.write(entryOf(W_TRUNCATE).num(m.tryIndex()).done());
+                    why = "diverged tail cut to " + m.tryIndex();
                     out.note("group " + id + ": " + why);
                 }
             }
             default -> {
-                imageReceiver.reset();
+                snapshotReceiver.reset();
                 matched = take(m, now);
             }
         }
         if (m.kind() != MISMATCH && matched >= 0) {
-            accept(Math.min(m.accepted(), matched));
-            if (!inSync && matched >= m.accepted()) {
-                out.beatNow();
+            accept(Math.min(m.committed(), matched));
+            if (!inSync && matched >= m.committed()) {
+                out.heartbeatNow();
             }
-            inSync = matched >= m.accepted();
-            if (lost() && m.standing() == PullReply.ACTING_MASTER && joinTarget < 0) {
-                joinTarget = m.accepted();
+            inSync = matched >= m.committed();
+            if (lost() && m.standing() == PullReply.ACTING_LEADER && joinTarget < 0) {
+                joinTarget = m.committed();
             }
             serveHeld(now);
         }
@@ -1248,32 +1248,32 @@
 
     /** Appends what follows; returns up to where this log is the source's, or -1 where the reply fits another log. */
     private long take(final PullReply m, final long now) {
-        // why: a late reply may belong to a log that was cut since; what came after the cut must not be called accepted
+        // why: a late reply may belong to a log that was cut since; what came after the cut must not be called committed
         // by it
-        if (m.askedLsn() < baseLsn || m.askedLsn() > endLsn() || epochAt(m.askedLsn()) != m.askedEpoch()) {
+        if (m.askedIndex() < baseIndex || m.askedIndex() > endIndex() || termAt(m.askedIndex()) != m.askedTerm()) {
             return -1;
         }
-        long matched = m.askedLsn();
-        for (final Rec rec : m.recs()) {
-            if (rec.lsn() != matched + 1 || (rec.lsn() <= endLsn() && epochAt(rec.lsn()) != rec.epoch())) {
+        long matched = m.askedIndex();
+        for (final LogRecord logRecord : m.records()) {
+            if (logRecord.index() != matched + 1 || (logRecord.index() <= endIndex() && termAt(logRecord.index()) != logRecord.term())) {
                 break;
             }
-            if (rec.lsn() > endLsn()) {
-                store(Rec.wrap(rec.bytes(), now));
+            if (logRecord.index() > endIndex()) {
+                store(LogRecord.wrap(logRecord.bytes(), now));
             }
-            matched = rec.lsn();
+            matched = logRecord.index();
         }
         return matched;
     }
 
-    private void store(final Rec rec) {
-        push(rec);
-        final long write = out.write(entryOf(W_REC).bytes(rec.bytes()).done());
-        addUnsynced(write, rec.lsn(), rec.bytes().length, rec.learnedAt());
+    private void store(final LogRecord logRecord) {
+        push(logRecord);
+        final long write = out.write(entryOf(W_RECORD).bytes(logRecord.bytes()).done());
+        addUnsynced(write, logRecord.index(), logRecord.bytes().length, logRecord.learnedAt());
     }
 
-    private void addUnsynced(final long write, final long lsn, final int bytes, final long now) {
-        unsynced.add(new Unsynced(write, lsn, bytes, now));
+    private void addUnsynced(final long write, final long index, final int bytes, final long now) {
+        unsynced.add(new Unsynced(write, index, bytes, now));
         unsyncedBytes += bytes;
     }
 
@@ -1289,41 +1289,41 @@
         return unsyncedBytes > MAX_UNSYNCED_BYTES;
     }
 
-    /** A master whose disk takes nothing hands over to a slave that has everything, if there is one. */
+    /** A leader whose disk takes nothing hands over to a follower that has everything, if there is one. */
     private void yieldForDisk(final long now) {
         // why: without a majority among the others none of them can win, and this one had better go on
         final boolean othersCanElect = active(now) - 1 >= majority(members.size());
-        if (diskLag(now) > tempo.diskPatience() && othersCanElect && now >= handingOverUntil) {
+        if (diskLag(now) > timing.diskPatience() && othersCanElect && now >= handingOverUntil) {
             handOverToAny(now);
         }
     }
 
-    private void push(final Rec rec) {
-        if (rec.lsn() != endLsn() + 1) {
-            throw new IllegalStateException("group " + id + ": record " + rec.lsn() + " after " + endLsn());
+    private void push(final LogRecord logRecord) {
+        if (logRecord.index() != endIndex() + 1) {
+            throw new IllegalStateException("group " + id + ": record " + logRecord.index() + " after " + endIndex());
         }
-        recs.add(rec);
-        chain.add(link(chain.isEmpty() ? baseChain : chain.get(chain.size() - 1), rec));
-        logBytes += rec.bytes().length;
-        live.apply(rec);
-        if (rec.kind() == Rec.MEMBERS) {
+        records.add(logRecord);
+        chain.add(link(chain.isEmpty() ? baseChain : chain.get(chain.size() - 1), logRecord));
+        logBytes += logRecord.bytes().length;
+        live.apply(logRecord);
+        if (logRecord.kind() == LogRecord.MEMBERS) {
             useMembership();
         }
     }
 
-    private void cutTo(final long lsn) {
-        imageSender.drop();
-        imageReceiver.reset();
-        recs.subList((int) (lsn - baseLsn), recs.size()).clear();
-        chain.subList((int) (lsn - baseLsn), chain.size()).clear();
+    private void cutTo(final long index) {
+        snapshotSender.drop();
+        snapshotReceiver.reset();
+        records.subList((int) (index - baseIndex), records.size()).clear();
+        chain.subList((int) (index - baseIndex), chain.size()).clear();
         live = states.get();
         live.load(base.save());
-        recs.forEach(live::apply);
-        live.accepted(accepted);
-        logBytes = recs.stream().mapToLong(r -> r.bytes().length).sum();
+        records.forEach(live::apply);
+        live.committed(committed);
+        logBytes = records.stream().mapToLong(r -> r.bytes().length).sum();
         useMembership();
-        syncedLsn = Math.min(syncedLsn, lsn);
-        unsynced.removeIf(u -> u.lsn > lsn);
+        syncedIndex = Math.min(syncedIndex, index);
+        unsynced.removeIf(u -> u.index > index);
         unsyncedBytes = unsynced.stream().mapToLong(Unsynced::bytes).sum();
     }
 
@@ -1331,13 +1331,13 @@
         if (!leaseHeld(now)) {
             return;
         }
-        final long lsn = syncedBy(members, floor());
-        if (lsn > accepted && lsn >= openLsn && epochAt(lsn) == epoch) {
-            if (accepted < openLsn) {
-                // why: whoever only watches is told at once that it may be read from, and not with its own next beat
-                out.beatNow();
+        final long index = syncedBy(members, floor());
+        if (index > committed && index >= openIndex && termAt(index) == term) {
+            if (committed < openIndex) {
+                // why: whoever only watches is told at once that it may be read from, and not with its own next heartbeat
+                out.heartbeatNow();
             }
-            accept(lsn);
+            accept(index);
             serveHeld(now);
         }
     }
@@ -1345,16 +1345,16 @@
     /** Up to where at least so many of these nodes have the log synced. */
     private long syncedBy(final List<Member> voters, final int needed) {
         final long[] synced = voters.stream()
-                .mapToLong(m -> m.node() == self ? syncedLsn : copies.getOrDefault(m.node(), 0L))
+                .mapToLong(m -> m.node() == self ? syncedIndex : copies.getOrDefault(m.node(), 0L))
                 .sorted()
                 .toArray();
         return synced[synced.length - needed];
     }
 
-    private void accept(final long lsn) {
-        if (lsn > accepted) {
-            accepted = lsn;
-            live.accepted(lsn);
+    private void accept(final long index) {
+        if (index > committed) {
+            committed = index;
+            live.committed(index);
         }
     }
 
@@ -1362,14 +1362,14 @@
         if (now < nextTrim) {
             return;
         }
-        nextTrim = now + tempo.beat();
-        imageSender.expire(now);
-        final long limit = Math.min(imageSender.trimLimit(), Math.min(accepted, syncedLsn));
+        nextTrim = now + timing.heartbeat();
+        snapshotSender.expire(now);
+        final long limit = Math.min(snapshotSender.trimLimit(), Math.min(committed, syncedIndex));
         int n = 0;
         long bytes = 0;
-        while (n < recs.size() && recs.get(n).lsn() <= limit) {
-            final long withThis = bytes + recs.get(n).bytes().length;
-            if (live.keeps(recs.get(n), now, recs.size() - n - 1, logBytes - withThis)) {
+        while (n < records.size() && records.get(n).index() <= limit) {
+            final long withThis = bytes + records.get(n).bytes().length;
+            if (live.keeps(records.get(n), now, records.size() - n - 1, logBytes - withThis)) {
                 break;
             }
             bytes = withThis;
@@ -1378,31 +1378,31 @@
         if (n < TRIM_RECORDS && bytes < TRIM_BYTES) {
             return;
         }
-        for (final Rec rec : recs.subList(0, n)) {
-            base.apply(rec);
-            base.trimmed(rec);
-            live.trimmed(rec);
-            if (rec.kind() == Rec.MEMBERS) {
-                baseMembership = Membership.load(Pack.reader(rec.body()));
+        for (final LogRecord logRecord : records.subList(0, n)) {
+            base.apply(logRecord);
+            base.trimmed(logRecord);
+            live.trimmed(logRecord);
+            if (logRecord.kind() == LogRecord.MEMBERS) {
+                baseMembership = Membership.load(PackedBuffer.reader(logRecord.body()));
             }
-            baseLsn = rec.lsn();
-            baseEpoch = rec.epoch();
+            baseIndex = logRecord.index();
+            baseTerm = logRecord.term();
         }
-        base.accepted(baseLsn);
+        base.committed(baseIndex);
         logBytes -= bytes;
-        recs.subList(0, n).clear();
+        records.subList(0, n).clear();
         baseChain = chain.get(n - 1);
         chain.subList(0, n).clear();
     }
 
-    private static long link(final long before, final Rec rec) {
-        final long d = (before ^ rec.madeSum() ^ rec.lsn() << 32) * 0x9E3779B97F4A7C15L;
+    private static long link(final long before, final LogRecord logRecord) {
+        final long d = (before ^ logRecord.madeSum() ^ logRecord.index() << 32) * 0x9E3779B97F4A7C15L;
         return d ^ d >>> 31;
     }
 
     /** A digest of the whole log up to there; -1 where this copy does not reach. */
-    public long chainAt(final long lsn) {
-        return lsn == baseLsn ? baseChain : lsn < baseLsn || lsn > endLsn() ? -1 : chain.get((int) (lsn - baseLsn - 1));
+    public long chainAt(final long index) {
+        return index == baseIndex ? baseChain : index < baseIndex || index > endIndex() ? -1 : chain.get((int) (index - baseIndex - 1));
     }
 
     // ---- repair
@@ -1411,62 +1411,62 @@
      * Whether the record is as it was made. Where not, this copy is out and is mended from another, and nothing of it
      * is served.
      */
-    public boolean whole(final long lsn) {
-        if (rec(lsn).whole()) {
+    public boolean whole(final long index) {
+        if (logRecord(index).whole()) {
             return true;
         }
         if (!lost()) {
             damaged = true;
-            imageReceiver.reset();
+            snapshotReceiver.reset();
             joinTarget = -1;
             wantFull = true;
             inSync = false;
-            if (role == MASTER) {
-                stepDown("record " + lsn + " is damaged");
+            if (role == LEADER) {
+                stepDown("record " + index + " is damaged");
             }
-            out.note("group " + id + ": record " + lsn + " is damaged; the copy is mended");
+            out.note("group " + id + ": record " + index + " is damaged; the copy is mended");
         }
         return false;
     }
 
     /** A few records each time, round and round: finds what no read has met. */
     private void sweep() {
-        for (int i = 0; i < SWEPT_AT_ONCE && swept < recs.size(); i++) {
-            if (!whole(baseLsn + 1 + swept++)) {
+        for (int i = 0; i < SWEPT_AT_ONCE && swept < records.size(); i++) {
+            if (!whole(baseIndex + 1 + swept++)) {
                 return;
             }
         }
-        swept = swept >= recs.size() ? 0 : swept;
+        swept = swept >= records.size() ? 0 : swept;
     }
 
-    private long epochAt(final long lsn) {
-        return lsn == baseLsn ? baseEpoch : lsn < baseLsn || lsn > endLsn() ? -1 : rec(lsn).epoch();
+    private long termAt(final long index) {
+        return index == baseIndex ? baseTerm : index < baseIndex || index > endIndex() ? -1 : logRecord(index).term();
     }
 
-    private byte[] image() {
-        final Pack pack = Pack.writer()
-                .num(baseLsn)
-                .num(baseEpoch)
+    private byte[] snapshot() {
+        final PackedBuffer buffer = PackedBuffer.writer()
+                .num(baseIndex)
+                .num(baseTerm)
                 .num(baseChain)
                 .bytes(base.save())
-                .num(recs.size());
-        recs.forEach(r -> pack.bytes(r.bytes()));
+                .num(records.size());
+        records.forEach(r -> buffer.bytes(r.bytes()));
         if (baseMembership != null) {
-            pack.bytes(baseMembership.save());
+            buffer.bytes(baseMembership.save());
         }
-        return pack.done();
+        return buffer.done();
     }
 
-    private void loadImage(final byte[] image, final long now) {
-        final Pack in = Pack.reader(image);
-        imageSender.drop();
-        imageReceiver.reset();
-        recs.clear();
+    private void loadSnapshot(final byte[] snapshot, final long now) {
+        final PackedBuffer in = PackedBuffer.reader(snapshot);
+        snapshotSender.drop();
+        snapshotReceiver.reset();
+        records.clear();
         chain.clear();
         logBytes = 0;
         swept = 0;
-        baseLsn = in.num();
-        baseEpoch = in.num();
+        baseIndex = in.num();
+        baseTerm = in.num();
         baseChain = in.num();
         final byte[] saved = in.bytes();
         base = states.get();
@@ -1474,16 +1474,16 @@
         live = states.get();
         live.load(saved);
         for (long n = in.num(); n > 0; n--) {
-            push(Rec.wrap(in.bytes(), now));
+            push(LogRecord.wrap(in.bytes(), now));
         }
-        baseMembership = in.more() ? Membership.load(Pack.reader(in.bytes())) : null;
+        baseMembership = in.more() ? Membership.load(PackedBuffer.reader(in.bytes())) : null;
         useMembership();
-        accept(baseLsn);
-        base.accepted(baseLsn);
-        live.accepted(accepted);
+        accept(baseIndex);
+        base.committed(baseIndex);
+        live.committed(committed);
     }
 
-    private Pack entryOf(final int kind) {
-        return Pack.writer().num(id).num(kind);
+    private PackedBuffer entryOf(final int kind) {
+        return PackedBuffer.writer().num(id).num(kind);
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/group/LogState.java
+++ b/coordination/src/main/java/brookpath/coordination/group/LogState.java
@@ -1,29 +1,29 @@
 package brookpath.coordination.group;
 
-import brookpath.state.record.Rec;
+import brookpath.state.record.LogRecord;
 
 /** What follows from a group's log alone. */
 public interface LogState {
-    void apply(Rec rec);
+    void apply(LogRecord logRecord);
 
     /** The record leaves the kept history; its effect stays. */
-    void trimmed(Rec rec);
+    void trimmed(LogRecord logRecord);
 
     byte[] save();
 
     void load(byte[] saved);
 
-    /** Everything up to the position is accepted; what only an older position needs may be dropped. */
-    default void accepted(final long lsn) {
+    /** Everything up to the position is committed; what only an older position needs may be dropped. */
+    default void committed(final long index) {
         // why: most states hold nothing by position
     }
 
     /**
-     * Whether a copy still keeps an accepted record in memory for slaves that lag.
+     * Whether a copy still keeps an committed record in memory for followers that lag.
      *
-     * @param now by the steady clock, as {@link Rec#learnedAt}
+     * @param now by the steady clock, as {@link LogRecord#learnedAt}
      * @param newerRecords how many records follow it
      * @param newerBytes how many bytes those have
      */
-    boolean keeps(Rec rec, long now, int newerRecords, long newerBytes);
+    boolean keeps(LogRecord logRecord, long now, int newerRecords, long newerBytes);
 }
--- a/coordination/src/main/java/brookpath/coordination/group/Membership.java
+++ b/coordination/src/main/java/brookpath/coordination/group/Membership.java
@@ -1,6 +1,6 @@
 package brookpath.coordination.group;
 
-import brookpath.state.record.Pack;
+import brookpath.state.record.PackedBuffer;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -9,23 +9,23 @@
     public static final Membership NONE = new Membership(0, List.of(), List.of());
 
     public byte[] save() {
-        return pack(Pack.writer()).done();
+        return buffer(PackedBuffer.writer()).done();
     }
 
-    public Pack pack(final Pack pack) {
-        pack.num(version);
+    public PackedBuffer buffer(final PackedBuffer buffer) {
+        buffer.num(version);
         for (final List<Member> list : List.of(voters, learners)) {
-            pack.num(list.size());
-            list.forEach(m -> pack.num(m.node()).num(m.weight()).str(m.zone()));
+            buffer.num(list.size());
+            list.forEach(m -> buffer.num(m.node()).num(m.weight()).str(m.zone()));
         }
-        return pack;
+        return buffer;
     }
 
-    public static Membership load(final Pack in) {
+    public static Membership load(final PackedBuffer in) {
         return new Membership((int) in.num(), list(in), list(in));
     }
 
-    private static List<Member> list(final Pack in) {
+    private static List<Member> list(final PackedBuffer in) {
         final List<Member> list = new ArrayList<>();
         for (long n = in.num(); n > 0; n--) {
             list.add(new Member((int) in.num(), (int) in.num(), in.str()));
--- a/coordination/src/main/java/brookpath/coordination/group/MembershipDriver.java
+++ b/coordination/src/main/java/brookpath/coordination/group/MembershipDriver.java
@@ -1,19 +1,19 @@
 package brookpath.coordination.group;
 
-import brookpath.coordination.Tempo;
-import brookpath.coordination.beat.BeatTable;
+import brookpath.coordination.TimingBounds;
+import brookpath.coordination.heartbeat.HeartbeatTable;
 import java.util.List;
 import java.util.TreeMap;
 
 /**
- * Carries out the control master's orders on the groups that this node masters: one membership record at a time, the
- * next one as soon as the one before is accepted. Takes (event, now); it has no clock and no I/O.
+ * Carries out the control leader's orders on the groups that this node leaders: one membership record at a time, the
+ * next one as soon as the one before is committed. Takes (event, now); it has no clock and no I/O.
  */
 public final class MembershipDriver {
-    /** An order that is not repeated within so many beats is dropped. */
-    private static final int ORDER_LASTS_BEATS = 6;
-    /** So many extra beats in a period at most, while a learner's first answer is waited for. */
-    private static final int EXTRA_BEATS = 8;
+    /** An order that is not repeated within so many heartbeats is dropped. */
+    private static final int ORDER_LASTS_HEARTBEATS = 6;
+    /** So many extra heartbeats in a period at most, while a learner's first answer is waited for. */
+    private static final int EXTRA_HEARTBEATS = 8;
     /** The rank of a copy that takes nobody's place. */
     private static final int SPARE_WEIGHT = 30;
 
@@ -23,20 +23,20 @@
     private record Running(MoveOrder order, int atVersion, long expiresAt) {}
 
     private final int self;
-    private final Tempo tempo;
+    private final TimingBounds timing;
     private final TreeMap<Integer, Running> running = new TreeMap<>();
-    private long nextBeat = Long.MIN_VALUE;
+    private long nextHeartbeat = Long.MIN_VALUE;
 
-    public MembershipDriver(final int self, final Tempo tempo) {
+    public MembershipDriver(final int self, final TimingBounds timing) {
         this.self = self;
-        this.tempo = tempo;
+        this.timing = timing;
     }
 
     /** Takes an order; one that was made for another membership is ignored, unless it repeats the one under way. */
     public void order(final MoveOrder order, final GroupMachine group, final long now) {
         final Running before = running.get(group.id());
         final int version = group.membership().version();
-        final long expiresAt = now + ORDER_LASTS_BEATS * tempo.beat();
+        final long expiresAt = now + ORDER_LASTS_HEARTBEATS * timing.heartbeat();
         if (order.groupVersion() == version) {
             running.put(group.id(), new Running(order, version, expiresAt));
         } else if (before != null && before.order.sameMove(order)) {
@@ -47,9 +47,9 @@
     /**
      * Appends the next membership record of the order under way, where that is due and safe.
      *
-     * @return true where the step waits for an answer to a beat, so that one should be sent now
+     * @return true where the step waits for an answer to a heartbeat, so that one should be sent now
      */
-    public boolean drive(final GroupMachine group, final BeatTable table, final long now, final long wall) {
+    public boolean drive(final GroupMachine group, final HeartbeatTable table, final long now, final long wall) {
         final Running run = running.get(group.id());
         if (run == null || !group.mayAct(now) || !group.membershipSettled()) {
             return false;
@@ -61,7 +61,7 @@
             return false;
         }
         if (!allowed(group, present, next, run.order, table, now)) {
-            return wantsBeat(group, run.order, now);
+            return wantsHeartbeat(group, run.order, now);
         }
         if (run.order.from() == self && !next.holds(self)) {
             handOver(group, next, now);
@@ -73,12 +73,12 @@
         return false;
     }
 
-    private boolean wantsBeat(final GroupMachine group, final MoveOrder order, final long now) {
-        final boolean waits = group.learnt(order.to()) >= group.accepted() && !group.follows(order.to(), now);
-        if (!waits || now < nextBeat) {
+    private boolean wantsHeartbeat(final GroupMachine group, final MoveOrder order, final long now) {
+        final boolean waits = group.learnt(order.to()) >= group.committed() && !group.follows(order.to(), now);
+        if (!waits || now < nextHeartbeat) {
             return false;
         }
-        nextBeat = now + tempo.beat() / EXTRA_BEATS;
+        nextHeartbeat = now + timing.heartbeat() / EXTRA_HEARTBEATS;
         return true;
     }
 
@@ -94,17 +94,17 @@
             final Membership present,
             final Membership next,
             final MoveOrder order,
-            final BeatTable table,
+            final HeartbeatTable table,
             final long now) {
         if (next.learners().size() > present.learners().size()) {
-            // why: the control master may be cut off from a machine that this group's master hears well
+            // why: the control leader may be cut off from a machine that this group's leader hears well
             return !order.repair() || !table.up(order.from());
         }
         if (next.voters().size() == present.voters().size()) {
             return true;
         }
-        // why: a majority of the new voters must answer before they count, else the step itself ends this mastership
-        if (following(group, next.voters(), now) < Copies.majority(next.voters().size())) {
+        // why: a majority of the new voters must answer before they count, else the step itself ends this leadership
+        if (following(group, next.voters(), now) < Quorums.majority(next.voters().size())) {
             return false;
         }
         return next.voters().size() > present.voters().size()
@@ -116,7 +116,7 @@
         return voters.stream().filter(m -> group.follows(m.node(), now)).count();
     }
 
-    /** A learner becomes a voter once it has all that is accepted; with a voter too many, all must work besides. */
+    /** A learner becomes a voter once it has all that is committed; with a voter too many, all must work besides. */
     private static boolean mayPromote(
             final GroupMachine group, final Membership next, final MoveOrder order, final long now) {
         final boolean ready = ready(group, order.to(), now);
@@ -126,11 +126,11 @@
     }
 
     private static boolean ready(final GroupMachine group, final int learner, final long now) {
-        return group.learnt(learner) >= group.accepted() && group.follows(learner, now);
+        return group.learnt(learner) >= group.committed() && group.follows(learner, now);
     }
 
     /**
-     * A voter may go once every accepted record is on enough of those that stay. One that still works goes only once
+     * A voter may go once every committed record is on enough of those that stay. One that still works goes only once
      * all of these work and have synced the present membership, for until then its copy may be needed; one that is gone
      * goes only once its successor has everything.
      */
@@ -142,7 +142,7 @@
             final long now) {
         final List<Member> staying = next.voters();
         final long holding = staying.stream()
-                .filter(m -> group.follows(m.node(), now) && group.copySynced(m.node()) >= group.accepted())
+                .filter(m -> group.follows(m.node(), now) && group.copySynced(m.node()) >= group.committed())
                 .count();
         if (holding < group.floor(staying.size())) {
             return false;
@@ -153,7 +153,7 @@
         return !leaverUp
                 || staying.stream()
                         .allMatch(m ->
-                                group.follows(m.node(), now) && group.copySynced(m.node()) >= group.membershipLsn());
+                                group.follows(m.node(), now) && group.copySynced(m.node()) >= group.membershipIndex());
     }
 
     private static void handOver(final GroupMachine group, final Membership next, final long now) {
--- a/coordination/src/main/java/brookpath/coordination/group/MembershipPlan.java
+++ b/coordination/src/main/java/brookpath/coordination/group/MembershipPlan.java
@@ -21,10 +21,10 @@
     private static final int WEIGHT = 50;
 
     /**
-     * A process that could be a member, as the master sees it.
+     * A process that could be a member, as the leader sees it.
      *
      * @param quietMs how long nothing has been heard of it
-     * @param synced it answers, and its copy holds all that is accepted
+     * @param synced it answers, and its copy holds all that is committed
      * @param steady it has answered for long without a break
      */
     public record Candidate(int node, String zone, long quietMs, boolean synced, boolean steady) {}
@@ -61,7 +61,7 @@
     /**
      * The next membership, or null where nothing is to be done.
      *
-     * @param self the master, which is never removed
+     * @param self the leader, which is never removed
      * @param candidates all members, and all others that are heard
      */
     public static Membership next(
--- a/coordination/src/main/java/brookpath/coordination/group/MoveOrder.java
+++ b/coordination/src/main/java/brookpath/coordination/group/MoveOrder.java
@@ -1,16 +1,16 @@
 package brookpath.coordination.group;
 
-import brookpath.state.record.Pack;
+import brookpath.state.record.PackedBuffer;
 
 /**
- * The control master's order to a group's master: a copy moves from one node to another.
+ * The control leader's order to a group's leader: a copy moves from one node to another.
  *
  * @param groupVersion the membership that the order was made for; it is void on any other
- * @param repair the leaving node is taken for gone, so the order is void while the group's master hears it
+ * @param repair the leaving node is taken for gone, so the order is void while the group's leader hears it
  */
 public record MoveOrder(int group, int groupVersion, int from, int to, String zone, boolean repair) {
     public byte[] save() {
-        return Pack.writer()
+        return PackedBuffer.writer()
                 .num(group)
                 .num(groupVersion)
                 .num(from)
@@ -21,7 +21,7 @@
     }
 
     public static MoveOrder load(final byte[] saved) {
-        final Pack in = Pack.reader(saved);
+        final PackedBuffer in = PackedBuffer.reader(saved);
         return new MoveOrder((int) in.num(), (int) in.num(), (int) in.num(), (int) in.num(), in.str(), in.num() == 1);
     }
 
--- a/coordination/src/main/java/brookpath/coordination/group/Copies.java
+++ b/coordination/src/main/java/brookpath/coordination/group/Quorums.java
@@ -1,16 +1,16 @@
 package brookpath.coordination.group;
 
 /** How many copies a record needs. */
-public final class Copies {
-    private Copies() {}
+public final class Quorums {
+    private Quorums() {}
 
     public static int majority(final int members) {
         return members / 2 + 1;
     }
 
     /**
-     * With this many copies synced, each majority that may elect a master holds the record: a majority of these members
-     * or of a membership that is one voter away, which may be in a log without being accepted. For an even number,
+     * With this many copies synced, each majority that may elect a leader holds the record: a majority of these members
+     * or of a membership that is one voter away, which may be in a log without being committed. For an even number,
      * members - majority + 1 would meet each majority of these members, but not of one voter fewer or more.
      */
     public static int floor(final int members, final int toleratedLosses) {
--- /dev/null
+++ b/coordination/src/main/java/brookpath/coordination/group/SnapshotChecksum.java
@@ -0,0 +1,18 @@
+package brookpath.coordination.group;
+
+import java.util.zip.CRC32;
+import java.util.zip.CRC32C;
+
+/** What tells one snapshot from another: the snapshot begins with its base position, so the sum covers that as well. */
+final class SnapshotChecksum {
+    private SnapshotChecksum() {}
+
+    /** Never 0, which stands for no snapshot. */
+    static long of(final byte[] snapshot) {
+        final CRC32 high = new CRC32();
+        high.update(snapshot);
+        final CRC32C low = new CRC32C();
+        low.update(snapshot);
+        return Math.max(1, high.getValue() << 31 | low.getValue());
+    }
+}
--- /dev/null
+++ b/coordination/src/main/java/brookpath/coordination/group/SnapshotReceiver.java
@@ -0,0 +1,51 @@
+package brookpath.coordination.group;
+
+import brookpath.coordination.message.PeerMessage.PullReply;
+import brookpath.state.wal.WriteAheadLog;
+import java.io.ByteArrayOutputStream;
+
+/**
+ * The receiving side of a full sync: collects the parts of one snapshot. It survives a lost session and a change of the
+ * source; parts of another snapshot make it begin again.
+ */
+final class SnapshotReceiver {
+    private long sum;
+    private long total;
+    private ByteArrayOutputStream received = new ByteArrayOutputStream();
+
+    /** The snapshot that is under way, 0 for none. */
+    long sum() {
+        return sum;
+    }
+
+    /** How much of it is here. */
+    long offset() {
+        return received.size();
+    }
+
+    /** Takes one part; gives the whole snapshot once it is complete, else null. */
+    byte[] take(final PullReply part) {
+        if (part.snapshotSum() != sum || part.snapshotTotal() != total) {
+            reset();
+            sum = part.snapshotSum();
+            total = part.snapshotTotal();
+        }
+        if (part.snapshotOffset() != received.size() || total > WriteAheadLog.MAX_ENTRY) {
+            return null;
+        }
+        received.write(part.snapshot(), 0, part.snapshot().length);
+        if (received.size() < total) {
+            return null;
+        }
+        final byte[] snapshot = received.toByteArray();
+        final boolean whole = snapshot.length == total && SnapshotChecksum.of(snapshot) == sum;
+        reset();
+        return whole ? snapshot : null;
+    }
+
+    void reset() {
+        sum = 0;
+        total = 0;
+        received = new ByteArrayOutputStream();
+    }
+}
--- a/coordination/src/main/java/brookpath/coordination/beat/StatusHandoff.java
+++ b/coordination/src/main/java/brookpath/coordination/heartbeat/StatusHandoff.java
@@ -1,6 +1,6 @@
-package brookpath.coordination.beat;
+package brookpath.coordination.heartbeat;
 
-import brookpath.coordination.message.Msg.BeatEntry;
+import brookpath.coordination.message.PeerMessage.HeartbeatEntry;
 import java.util.List;
 import java.util.concurrent.atomic.AtomicBoolean;
 
@@ -11,28 +11,28 @@
  */
 public final class StatusHandoff {
     private final AtomicBoolean wished = new AtomicBoolean();
-    private volatile List<BeatEntry> entries = List.of();
+    private volatile List<HeartbeatEntry> entries = List.of();
 
     /** State thread: these are the entries from here on. */
-    public void publish(final List<BeatEntry> newest) {
+    public void publish(final List<HeartbeatEntry> newest) {
         entries = newest;
     }
 
     /**
-     * Any thread: a beat is to go out without waiting for its period. True where no wish was pending, so that the
+     * Any thread: a heartbeat is to go out without waiting for its period. True where no wish was pending, so that the
      * listener has to be woken.
      */
     public boolean wish() {
         return wished.compareAndSet(false, true);
     }
 
-    /** Listener thread, before {@link #entries()}: whether a beat was wished for since it last asked. */
+    /** Listener thread, before {@link #entries()}: whether a heartbeat was wished for since it last asked. */
     public boolean takeWish() {
         return wished.compareAndSet(true, false);
     }
 
     /** Listener thread: the newest entries. */
-    public List<BeatEntry> entries() {
+    public List<HeartbeatEntry> entries() {
         return entries;
     }
 }
--- /dev/null
+++ b/coordination/src/main/java/brookpath/coordination/message/PeerMessage.java
@@ -0,0 +1,257 @@
+package brookpath.coordination.message;
+
+import brookpath.state.record.LogRecord;
+import java.util.List;
+
+/** What the processes say to each other. Every message that acts for a leader carries its term and group version. */
+public sealed interface PeerMessage {
+    /** One heartbeat per pair of processes, with an entry per group; its reply carries the replier's entries. */
+    /**
+     * @param known what the sender has of the receiver's entries ({@link HeartbeatEntry#digest})
+     * @param same in a reply: the entries are left out, for what matters of them is what the asker has
+     */
+    record Heartbeat(boolean reply, long id, long stamp, long known, boolean same, List<HeartbeatEntry> entries) implements PeerMessage {}
+
+    /** The state of one group at the sender: its role, term, sync state and the ends of its log. */
+    record HeartbeatEntry(
+            int group,
+            int groupVersion,
+            long term,
+            int role,
+            int sync,
+            long startIndex,
+            long endIndex,
+            long endTerm,
+            long committed,
+            int leaderHeard,
+            int weight) {
+        public static final int FOLLOWER = 0;
+        public static final int CANDIDATE = 1;
+        public static final int LEADER = 2;
+
+        /** Who is what, in which term, without the positions: all that a process needs that holds no copy itself. */
+        public static long digest(final List<HeartbeatEntry> entries) {
+            long d = 17;
+            for (final HeartbeatEntry e : entries) {
+                for (final long part :
+                        new long[] {e.group, e.groupVersion, e.term, e.role, e.sync, e.leaderHeard, e.weight}) {
+                    d = (d ^ part) * 0x9E3779B97F4A7C15L;
+                    d ^= d >>> 29;
+                }
+            }
+            return d;
+        }
+
+        /** The same member after it has voted in a later term, in which it leaders nothing yet. */
+        public HeartbeatEntry raised(final long later) {
+            return new HeartbeatEntry(
+                    group, groupVersion, later, FOLLOWER, sync, startIndex, endIndex, endTerm, committed, 0, weight);
+        }
+    }
+
+    /** A candidate's request for a vote, with the end of its log. */
+    record VoteRequest(
+            int group, int groupVersion, long term, long endIndex, long endTerm, int weight, int goes, boolean manual)
+            implements PeerMessage {}
+
+    /** A vote, or why it was refused. */
+    record VoteReply(int group, long term, boolean granted, long termSeen, String why) implements PeerMessage {}
+
+    /** The leader asks a follower that has its whole log to stand at once: a manual switchover. */
+    record TimeoutNow(int group, long term) implements PeerMessage {}
+
+    /**
+     * A follower asks its source for the log; what it has synced is its copy's acknowledgement, and the chain tells
+     * whether it is the same log.
+     *
+     * @param committed how far the sender knows the log to be committed; {@link #UNKNOWN} where it rebuilds its copy and
+     *     has to hear it from an acting leader
+     * @param snapshotSum which snapshot of a full sync the follower has begun to collect, 0 for none
+     * @param snapshotOffset how much of that snapshot it has
+     */
+    record Pull(
+            int group,
+            int groupVersion,
+            long term,
+            long nextIndex,
+            long prevTerm,
+            long syncedIndex,
+            long syncedTerm,
+            long committed,
+            boolean lost,
+            long chain,
+            long snapshotSum,
+            long snapshotOffset)
+            implements PeerMessage {
+        public static final long UNKNOWN = -1;
+    }
+
+    /**
+     * The asked index and term are the end of the log that the pull told of; only to that log do a cut and a full sync
+     * apply.
+     *
+     * @param snapshot a part of the snapshot of a full sync, empty in other replies
+     * @param snapshotSum which snapshot it is a part of
+     * @param snapshotTotal the size of that snapshot
+     * @param snapshotOffset where in the snapshot the part begins
+     */
+    record PullReply(
+            int group,
+            int groupVersion,
+            long term,
+            int kind,
+            int standing,
+            long committed,
+            long askedIndex,
+            long askedTerm,
+            long tryIndex,
+            byte[] snapshot,
+            List<LogRecord> records,
+            long snapshotSum,
+            long snapshotTotal,
+            long snapshotOffset)
+            implements PeerMessage {
+        /** A reply without an snapshot. */
+        public PullReply(
+                final int group,
+                final int groupVersion,
+                final long term,
+                final int kind,
+                final int standing,
+                final long committed,
+                final long askedIndex,
+                final long askedTerm,
+                final long tryIndex,
+                final byte[] snapshot,
+                final List<LogRecord> records) {
+            this(
+                    group,
+                    groupVersion,
+                    term,
+                    kind,
+                    standing,
+                    committed,
+                    askedIndex,
+                    askedTerm,
+                    tryIndex,
+                    snapshot,
+                    records,
+                    0,
+                    snapshot.length,
+                    0);
+        }
+
+        public static final int RECORDS = 0;
+        public static final int MISMATCH = 1;
+        public static final int FULL = 2;
+        public static final int FOLLOWER = 0;
+        public static final int LEADER = 1;
+        public static final int ACTING_LEADER = 2;
+    }
+
+    /** A gateway hands a caller's publish to the leader of the topic's group; jobId ties the reply to it. */
+    record Publish(
+            long requestId, int group, long configurationVersion, long seq, String tenant, String topic, String sender, String text)
+            implements PeerMessage {}
+
+    /** The end of a publish as the leader knows it; the position is set where it was committed. */
+    record PublishReply(long requestId, int outcome, long position, int leaderHint, long term, String why) implements PeerMessage {
+        public static final int ACCEPTED = 0;
+        public static final int NOT_LEADER = 1;
+        public static final int REFUSED_FOR_GOOD = 2;
+        public static final int UNSETTLED = 3;
+        public static final int BUSY = 4;
+    }
+
+    /**
+     * A gateway reads committed records of some topics after a position each; tail asks for the present position alone.
+     *
+     * @param hold answered when there is something, or after a while; then all topics are read from one position
+     * @param at that position
+     * @param edition of the topics of a held fetch: told once, and not again while they are the same
+     */
+    record Fetch(long requestId, int group, boolean tail, boolean hold, long at, long edition, List<TopicPosition> topics)
+            implements PeerMessage {}
+
+    /** A topic and the position after which its records are wanted. */
+    record TopicPosition(String topic, long from) {}
+
+    /** Committed records up to the position that was looked through, and the topics of which older records are gone. */
+    record FetchReply(long requestId, int group, int status, long scannedTo, List<String> gone, List<LogRecord> records)
+            implements PeerMessage {
+        public static final int OK = 0;
+        public static final int NOT_HERE = 1;
+        /** The edition of the topics is not known here; they are to be told. */
+        public static final int UNTOLD = 2;
+    }
+
+    /**
+     * A data-plane process asks with the versions that it has. The relay mark: the control leader that was named cannot
+     * be reached from here. The machine is the identity of the one that it runs on.
+     */
+    record ConfigurationPoll(
+            long pollId,
+            int node,
+            int role,
+            String zone,
+            String address,
+            String name,
+            long configurationVersion,
+            long metadataVersion,
+            boolean drain,
+            boolean relay,
+            long wall,
+            long machine)
+            implements PeerMessage {
+        public static final int GATEWAY = 1;
+        public static final int STORAGE = 2;
+        public static final int CONTROLLER = 3;
+    }
+
+    /**
+     * For the node that polled, whoever carries it; wall is the fleet's clock, 0 while the control leader does not know
+     * it yet.
+     *
+     * @param configuration the configuration as a difference from the version that the poll told of
+     *     ({@link brookpath.state.record.Delta}), empty where that is the newest
+     * @param metadata the cluster metadata in the same way
+     */
+    record ConfigurationReply(
+            long pollId,
+            boolean leader,
+            int leaderHint,
+            long term,
+            long configurationVersion,
+            byte[] configuration,
+            long metadataVersion,
+            byte[] metadata,
+            int node,
+            long wall)
+            implements PeerMessage {}
+
+    /** An operator's or another process's request for the control leader. */
+    record ControlRequest(long requestId, String kind, byte[] body) implements PeerMessage {}
+
+    /** The answer to an operation; the status is an HTTP status. */
+    record ControlReply(long requestId, int status, int retryAfterMs, byte[] body) implements PeerMessage {}
+
+    /**
+     * How many sessions of a gateway listen to each topic of a group.
+     *
+     * @param onto the edition that these counts change; 0 where they are all there are, the edition itself where
+     *     nothing has changed
+     */
+    record ListenerReport(int group, long edition, long onto, List<TopicCount> counts) implements PeerMessage {}
+
+    /** A topic and how many sessions listen to it. */
+    record TopicCount(String topic, int count) {}
+
+    /** Asks a group's leader how many sessions listen to a topic. */
+    record ListenerCountRequest(long requestId, int group, String topic) implements PeerMessage {}
+
+    /** How many sessions listen to a topic. */
+    record ListenerCountReply(long requestId, int status, int count) implements PeerMessage {
+        public static final int OK = 0;
+        public static final int NOT_HERE = 1;
+    }
+}
