--- a/coordination/src/main/java/brookpath/coordination/node/ControllerNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/ControllerNode.java
@@ -2,17 +2,17 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import brookpath.coordination.Tempo;
-import brookpath.coordination.group.Copies;
+import brookpath.coordination.TimingBounds;
+import brookpath.coordination.group.Quorums;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Member;
 import brookpath.coordination.group.Membership;
-import brookpath.coordination.message.Msg;
-import brookpath.coordination.message.Msg.BeatEntry;
-import brookpath.coordination.message.Msg.Op;
-import brookpath.coordination.message.Msg.OpReply;
-import brookpath.coordination.message.Msg.SpecPoll;
-import brookpath.coordination.message.Msg.SpecReply;
+import brookpath.coordination.message.PeerMessage;
+import brookpath.coordination.message.PeerMessage.HeartbeatEntry;
+import brookpath.coordination.message.PeerMessage.ControlRequest;
+import brookpath.coordination.message.PeerMessage.ControlReply;
+import brookpath.coordination.message.PeerMessage.ConfigurationPoll;
+import brookpath.coordination.message.PeerMessage.ConfigurationReply;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.node.control.ChangeOrders;
 import brookpath.coordination.node.control.ControlMembers;
@@ -27,16 +27,16 @@
 import brookpath.coordination.node.control.Replies;
 import brookpath.coordination.node.control.RequestKind;
 import brookpath.coordination.node.control.RetireOrders;
-import brookpath.coordination.node.usage.UsageDesk;
-import brookpath.coordination.spec.ControlState;
-import brookpath.coordination.spec.FleetClock;
-import brookpath.coordination.spec.Roster;
-import brookpath.coordination.spec.Roster.GroupInfo;
-import brookpath.coordination.spec.Roster.NodeInfo;
-import brookpath.coordination.spec.SpecClient;
-import brookpath.coordination.spec.SpecReader;
-import brookpath.coordination.spec.StoredSpec;
-import brookpath.state.record.Pack;
+import brookpath.coordination.node.usage.UsageReporter;
+import brookpath.coordination.configuration.ControlState;
+import brookpath.coordination.configuration.FleetClock;
+import brookpath.coordination.configuration.ClusterMetadata;
+import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
+import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.configuration.ConfigurationClient;
+import brookpath.coordination.configuration.ConfigurationReader;
+import brookpath.coordination.configuration.StoredConfiguration;
+import brookpath.state.record.PackedBuffer;
 import jakarta.json.Json;
 import java.util.HashSet;
 import java.util.List;
@@ -44,12 +44,12 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** A machine of the control plane: a member of the control group, and its duties while it is the master. */
+/** A machine of the control plane: a member of the control group, and its duties while it is the leader. */
 public final class ControllerNode extends Node {
     /** The control group's number; topic groups count from 0. */
     public static final int CONTROL = 1_000_000;
 
-    /** Operations that append a roster. */
+    /** Operations that append a cluster metadata. */
     private static final Set<RequestKind> APPENDING =
             Set.of(RequestKind.FOUNDED, RequestKind.MEMBERS, RequestKind.RETIRE, RequestKind.RETIRE_NAMED);
 
@@ -57,15 +57,15 @@
     /** Whom the settings name as the control group's founders; once the log tells of members, these count no more. */
     private final List<Member> founders;
 
-    /** How a controller that is not the control master hears of the roster, and the control master of it. */
-    private final SpecClient client;
+    /** How a controller that is not the control leader hears of the cluster metadata, and the control leader of it. */
+    private final ConfigurationClient client;
 
     private long rollBytes;
     private final GroupMachine group;
     private final ControlMembers controlMembers;
     private final ControlView view;
     private final PollRegistry polls;
-    private final MetadataKeeper metadata;
+    private final MetadataKeeper metadataKeeper;
     private final GroupMoves moves;
     private final Replies replies;
     private final RelayedRequests relayed;
@@ -73,17 +73,17 @@
     private final ChangeOrders changes;
     private final RetireOrders retirements;
     private long ids;
-    private final UsageDesk usage;
+    private final UsageReporter usage;
     private long retreat;
     private final FleetClock clock = new FleetClock();
-    /** Polls that this node has carried to a control master, by who asked. */
-    private final TreeMap<Integer, SpecPoll> carried = new TreeMap<>();
+    /** Polls that this node has carried to a control leader, by who asked. */
+    private final TreeMap<Integer, ConfigurationPoll> carried = new TreeMap<>();
 
     public ControllerNode(
             final int self,
             final List<Member> founders,
             final Founding founding,
-            final Tempo tempo,
+            final TimingBounds timing,
             final long seed,
             final long firstId,
             final long rollBytes) {
@@ -92,7 +92,7 @@
                 founders,
                 founders.stream().map(Member::node).toList(),
                 founding,
-                tempo,
+                timing,
                 seed,
                 firstId,
                 rollBytes);
@@ -108,34 +108,34 @@
             final List<Member> founders,
             final List<Integer> seeds,
             final Founding founding,
-            final Tempo tempo,
+            final TimingBounds timing,
             final long seed,
             final long firstId,
             final long rollBytes) {
-        super(info.node(), tempo);
+        super(info.node(), timing);
         this.founding = founding;
         this.rollBytes = rollBytes;
         this.founders = founders;
         ids = firstId;
         group = new GroupMachine(
-                CONTROL, self, tempo, founding.toleratedLosses(), seed, ControlState::new, pledges, out);
-        controlMembers = new ControlMembers(self, group, tempo, founding.toleratedLosses());
+                CONTROL, self, timing, founding.toleratedLosses(), seed, ControlState::new, promises, out);
+        controlMembers = new ControlMembers(self, group, timing, founding.toleratedLosses());
         view = new ControlView(group);
-        polls = new PollRegistry(self, group, view, clock, tempo, out);
-        metadata = new MetadataKeeper(info, group, view, polls, founding, tempo);
-        moves = new GroupMoves(view, polls, founding.copies(), tempo, out);
-        replies = new Replies(self, tempo, out);
-        relayed = new RelayedRequests(tempo, replies, () -> ++ids, out);
-        pending = new PendingAnswers(group, tempo, replies, out);
+        polls = new PollRegistry(self, group, view, clock, timing, out);
+        metadataKeeper = new MetadataKeeper(info, group, view, polls, founding, timing);
+        moves = new GroupMoves(view, polls, founding.copies(), timing, out);
+        replies = new Replies(self, timing, out);
+        relayed = new RelayedRequests(timing, replies, () -> ++ids, out);
+        pending = new PendingAnswers(group, timing, replies, out);
         changes = new ChangeOrders(
                 group,
-                new SpecReader.Limits(founding.copies(), Copies.floor(founding.copies(), founding.toleratedLosses())),
+                new ConfigurationReader.Limits(founding.copies(), Quorums.floor(founding.copies(), founding.toleratedLosses())),
                 polls,
                 pending,
                 replies);
         retirements = new RetireOrders(group, polls, pending);
-        usage = new UsageDesk(self, group, clock, tempo, () -> ++ids, out);
-        client = new SpecClient(info, SpecPoll.CONTROLLER, seeds, firstId, tempo, out);
+        usage = new UsageReporter(self, group, clock, timing, () -> ++ids, out);
+        client = new ConfigurationClient(info, ConfigurationPoll.CONTROLLER, seeds, firstId, timing, out);
     }
 
     public GroupMachine group() {
@@ -148,7 +148,7 @@
         if (found) {
             group.found();
         }
-        // why: one that no founder and no log names is no member; it carries jobs and polls, and a membership that
+        // why: one that no founder and no log names is no member; it carries requests and polls, and a membership that
         // names it may come later
         if (founders.stream().anyMatch(m -> m.node() == self)
                 || group.membership().holds(self)) {
@@ -162,34 +162,34 @@
     /** The addresses of the other controllers, as far as they are known. */
     public Map<Integer, String> addresses() {
         final Map<Integer, String> map = new TreeMap<>();
-        for (final Roster r : List.of(view.newestMetadata(), client.roster())) {
+        for (final ClusterMetadata r : List.of(view.newestMetadata(), client.metadata())) {
             r.controllers().forEach(n -> map.put(n.node(), n.address()));
         }
         map.remove(self);
         return map;
     }
 
-    /** The control master as this controller sees it, 0 for none. */
-    private int controlMaster(final long now) {
-        final int heard = group.masterHeard();
-        return heard != 0 ? heard == self ? 0 : heard : client.masterHeard(now);
+    /** The control leader as this controller sees it, 0 for none. */
+    private int controlLeader(final long now) {
+        final int heard = group.leaderHeard();
+        return heard != 0 ? heard == self ? 0 : heard : client.leaderHeard(now);
     }
 
     /**
-     * Whom requests are carried to, 0 for nobody. A member of the control group knows by the beats that it has lost its
-     * master, and says so at once, where a lease from a poll would have it wait for one that it cannot reach.
+     * Whom requests are carried to, 0 for nobody. A member of the control group knows by the heartbeats that it has lost its
+     * leader, and says so at once, where a lease from a poll would have it wait for one that it cannot reach.
      */
-    private int masterForRequests(final long now) {
+    private int leaderForRequests(final long now) {
         if (!group.membership().holds(self)) {
-            return controlMaster(now);
+            return controlLeader(now);
         }
-        final int heard = group.masterHeard();
+        final int heard = group.leaderHeard();
         return heard == self ? 0 : heard;
     }
 
     @Override
     public void replay(final byte[] entry, final Time time) {
-        final Pack in = Pack.reader(entry);
+        final PackedBuffer in = PackedBuffer.reader(entry);
         in.num();
         group.replay(in, time.mono());
     }
@@ -202,7 +202,7 @@
         group.tick(now, table);
         controlMembers.watch(table, now);
         after(time);
-        if (group.role() != GroupMachine.MASTER) {
+        if (group.role() != GroupMachine.LEADER) {
             client.tick(time);
         }
         if (retreat != 0 && group.retreat(now)) {
@@ -211,10 +211,10 @@
         }
         if (group.mayAct(now)) {
             if (!view.backlogged()) {
-                metadata.update(time);
+                metadataKeeper.update(time);
                 moves.drive(now);
             }
-            usage.total(view.metadata(), view.configuration().spec().tenants().keySet(), time);
+            usage.total(view.metadata(), view.configuration().configuration().tenants().keySet(), time);
             usage.report(time);
         }
         relayed.tick(now);
@@ -225,9 +225,9 @@
 
     @Override
     protected void onDamage(final Time time) {
-        final Pack pack = Pack.writer();
-        group.checkpoint().forEach(pack::bytes);
-        out.roll(pack.done());
+        final PackedBuffer buffer = PackedBuffer.writer();
+        group.checkpoint().forEach(buffer::bytes);
+        out.roll(buffer.done());
     }
 
     @Override
@@ -237,11 +237,11 @@
     }
 
     @Override
-    protected void onMessage(final int from, final Msg msg, final Time time) {
+    protected void onMessage(final int from, final PeerMessage message, final Time time) {
         final long now = time.mono();
-        if (msg instanceof SpecPoll m) {
+        if (message instanceof ConfigurationPoll m) {
             poll(from, m, time);
-        } else if (msg instanceof SpecReply m) {
+        } else if (message instanceof ConfigurationReply m) {
             if (m.node() == self) {
                 if (client.onReply(m, time)) {
                     join(now);
@@ -250,27 +250,27 @@
                 carried.remove(m.node());
                 out.send(m.node(), m);
             }
-        } else if (msg instanceof Op m) {
-            if (isSibling(from) || group.mayAct(now) || !relayed.carry(from, m, masterForRequests(now), now)) {
+        } else if (message instanceof ControlRequest m) {
+            if (isPeer(from) || group.mayAct(now) || !relayed.carry(from, m, leaderForRequests(now), now)) {
                 operate(from, m, time);
             }
-        } else if (msg instanceof OpReply m) {
+        } else if (message instanceof ControlReply m) {
             relayed.onReply(from, m, now);
         } else {
-            group.on(from, msg, now);
+            group.on(from, message, now);
             after(time);
         }
     }
 
     /** Whether this answers the poll that is carried for the node, not one before it. */
-    private boolean isCarried(final SpecReply m) {
-        final SpecPoll poll = carried.get(m.node());
+    private boolean isCarried(final ConfigurationReply m) {
+        final ConfigurationPoll poll = carried.get(m.node());
         return poll != null && poll.pollId() == m.pollId();
     }
 
-    /** The roster may tell a newer membership than this controller's own log, if it has one: it joined, or left. */
+    /** The cluster metadata may tell a newer membership than this controller's own log, if it has one: it joined, or left. */
     private void join(final long now) {
-        final Membership control = client.roster().control();
+        final Membership control = client.metadata().control();
         final boolean concerned = control.holds(self) || group.membership().holds(self);
         if (concerned && control.version() > group.membership().version()) {
             group.configure(control, true, now);
@@ -278,14 +278,14 @@
     }
 
     @Override
-    protected void onUnsent(final int to, final Msg msg, final Time time) {
-        if (msg instanceof SpecPoll m && m.node() == self) {
+    protected void onUnsent(final int to, final PeerMessage message, final Time time) {
+        if (message instanceof ConfigurationPoll m && m.node() == self) {
             client.unsent(to, time.mono());
         }
-        if (msg instanceof SpecPoll m && carried.remove(m.node()) != null) {
-            notMaster(m.node(), m, 0);
+        if (message instanceof ConfigurationPoll m && carried.remove(m.node()) != null) {
+            notLeader(m.node(), m, 0);
         }
-        if (msg instanceof Op m) {
+        if (message instanceof ControlRequest m) {
             relayed.unsent(m);
         }
     }
@@ -294,8 +294,8 @@
     protected void onSessionLost(final int node, final Time time) {
         client.unsent(node, time.mono());
         group.sessionLost(node);
-        if (isSibling(node)) {
-            carried.forEach((from, m) -> notMaster(from, m, 0));
+        if (isPeer(node)) {
+            carried.forEach((from, m) -> notLeader(from, m, 0));
             carried.clear();
         }
         relayed.sessionLost(node);
@@ -305,51 +305,51 @@
     public long restMs(final Time time) {
         final boolean busy = retreat != 0 || !pending.isEmpty() || !relayed.isEmpty();
         // why: one that is no member of the control group has nothing under way but what it carries
-        return !busy && (group.calm() || !group.membership().holds(self)) ? tempo.beat() / 2 : tempo.tick();
+        return !busy && (group.calm() || !group.membership().holds(self)) ? timing.heartbeat() / 2 : timing.tick();
     }
 
     @Override
-    protected void onJob(final Job job, final Time time) {
+    protected void onRequest(final NodeRequest request, final Time time) {
         final long now = time.mono();
-        if (job instanceof Job.Adopt j) {
+        if (request instanceof NodeRequest.Adopt j) {
             rollBytes = j.rollBytes();
-        } else if (job instanceof Job.Posted j) {
+        } else if (request instanceof NodeRequest.Posted j) {
             usage.posted(j, time);
-        } else if (job instanceof Job.Status j) {
-            out.respond(j.jobId(), new Response(200, 0, statusJson(time)));
-        } else if (job instanceof Job.Ready j) {
-            out.respond(j.jobId(), Ready.response(group.mayAct(now) || controlMaster(now) != 0, false));
-        } else if (job instanceof Job.Retreat j) {
-            retreat = j.jobId();
-        } else if (job instanceof Job.Operate j) {
-            final Op op = new Op(j.jobId(), j.kind(), j.body());
+        } else if (request instanceof NodeRequest.Status j) {
+            out.respond(j.requestId(), new Response(200, 0, statusJson(time)));
+        } else if (request instanceof NodeRequest.ReadinessProbe j) {
+            out.respond(j.requestId(), ReadinessProbe.response(group.mayAct(now) || controlLeader(now) != 0, false));
+        } else if (request instanceof NodeRequest.Retreat j) {
+            retreat = j.requestId();
+        } else if (request instanceof NodeRequest.Operate j) {
+            final ControlRequest op = new ControlRequest(j.requestId(), j.kind(), j.body());
             if (group.mayAct(now)) {
                 operate(self, op, time);
-            } else if (!relayed.carry(self, op, masterForRequests(now), now)) {
-                out.respond(j.jobId(), replies.unavailable("the control group has no master just now"));
+            } else if (!relayed.carry(self, op, leaderForRequests(now), now)) {
+                out.respond(j.requestId(), replies.unavailable("the control group has no master just now"));
             }
         }
     }
 
-    private boolean isSibling(final int node) {
+    private boolean isPeer(final int node) {
         return group.membership().holds(node)
                 || view.metadata().controllers().stream().anyMatch(b -> b.node() == node)
-                || client.roster().controllers().stream().anyMatch(b -> b.node() == node);
+                || client.metadata().controllers().stream().anyMatch(b -> b.node() == node);
     }
 
     // ---- polls
 
-    private void poll(final int from, final SpecPoll m, final Time time) {
+    private void poll(final int from, final ConfigurationPoll m, final Time time) {
         final long now = time.mono();
         if (!group.mayAct(now)) {
-            final int master = controlMaster(now);
-            if (m.relay() && from == m.node() && master != 0) {
-                // why: it cannot reach the master but this node can; without this a half cut-off master would pause all
+            final int leader = controlLeader(now);
+            if (m.relay() && from == m.node() && leader != 0) {
+                // why: it cannot reach the leader but this node can; without this a half cut-off leader would pause all
                 // who do not hear it
                 carried.put(from, m);
-                out.send(master, m);
+                out.send(leader, m);
             } else {
-                notMaster(from, m, master);
+                notLeader(from, m, leader);
             }
             return;
         }
@@ -358,21 +358,21 @@
         pending.step(time);
     }
 
-    private void notMaster(final int to, final SpecPoll m, final int hint) {
+    private void notLeader(final int to, final ConfigurationPoll m, final int hint) {
         out.send(
-                to, new SpecReply(m.pollId(), false, hint, group.epoch(), 0, new byte[0], 0, new byte[0], m.node(), 0));
+                to, new ConfigurationReply(m.pollId(), false, hint, group.term(), 0, new byte[0], 0, new byte[0], m.node(), 0));
     }
 
     private void after(final Time time) {
         final long now = time.mono();
         if (!group.mayAct(now)) {
-            if (group.role() != GroupMachine.MASTER && polls.isOnDuty()) {
+            if (group.role() != GroupMachine.LEADER && polls.isOnDuty()) {
                 polls.clear();
                 clock.clear();
                 usage.clear();
                 moves.clear();
             }
-            if (group.role() == GroupMachine.MASTER) {
+            if (group.role() == GroupMachine.LEADER) {
                 pending.step(time);
             } else {
                 pending.end();
@@ -397,23 +397,23 @@
         return zones;
     }
 
-    private void operate(final int from, final Op op, final Time time) {
+    private void operate(final int from, final ControlRequest op, final Time time) {
         if (!group.mayAct(time.mono())) {
-            replies.respond(from, op.jobId(), replies.unavailable("this node is not the control master"));
+            replies.respond(from, op.requestId(), replies.unavailable("this node is not the control master"));
             return;
         }
         final RequestKind kind = RequestKind.of(op.kind());
         if (view.backlogged() && APPENDING.contains(kind)) {
             // why: refused before anything is appended, so it is certain; a change may be the repeat of one that is
             // under way
-            replies.respond(from, op.jobId(), replies.unavailable("too many records wait for their copies"));
+            replies.respond(from, op.requestId(), replies.unavailable("too many records wait for their copies"));
             return;
         }
         switch (kind) {
-            case FOUNDED -> metadata.founded(op, time);
-            case MEMBERS -> metadata.members(op, time);
+            case FOUNDED -> metadataKeeper.founded(op, time);
+            case MEMBERS -> metadataKeeper.members(op, time);
             case USAGE -> usage(from, op);
-            case FRONTS -> out.send(from, new OpReply(op.jobId(), 200, 0, polls.openGateways(time.mono())));
+            case GATEWAYS -> out.send(from, new ControlReply(op.requestId(), 200, 0, polls.openGateways(time.mono())));
             case CHANGE -> changes.change(from, op, time);
             case RETIRE -> retirements.retire(from, op, time);
             case RETIRE_NAMED -> retirements.retireNamed(from, op, time);
@@ -421,11 +421,11 @@
         }
     }
 
-    /** Answers from the accepted state, which a majority backs. */
-    private Response read(final RequestKind kind, final Op op, final long now) {
+    /** Answers from the committed state, which a majority backs. */
+    private Response read(final RequestKind kind, final ControlRequest op, final long now) {
         return switch (kind) {
-            case SPEC -> readSpec();
-            case OUTCOME -> changes.outcome(new String(op.body(), UTF_8), tempo.retryAfterMs(), now);
+            case CONFIGURATION -> readConfiguration();
+            case OUTCOME -> changes.outcome(new String(op.body(), UTF_8), timing.retryAfterMs(), now);
             case RETIRED -> retirements.retired(new String(op.body(), UTF_8));
             case HANDOVER -> handover(op);
             case WINDOWS -> new Response(200, 0, usage.windowsJson());
@@ -434,8 +434,8 @@
         };
     }
 
-    private Response readSpec() {
-        final StoredSpec at = view.configuration();
+    private Response readConfiguration() {
+        final StoredConfiguration at = view.configuration();
         return at.version() == 0
                 ? new Response(404, 0, "{\"version\":0}")
                 : new Response(
@@ -443,29 +443,29 @@
     }
 
     /** Asks a group's members for a manual switchover; nothing is recorded, and it may be asked again. */
-    private Response handover(final Op op) {
-        final int id = (int) Pack.reader(op.body()).num();
+    private Response handover(final ControlRequest op) {
+        final int id = (int) PackedBuffer.reader(op.body()).num();
         final List<GroupInfo> groups = view.metadata().groups();
         if (id < 0 || id >= groups.size()) {
             return new Response(404, 0, "{\"outcome\":\"no such group\"}");
         }
-        groups.get(id).members().forEach(m -> out.send(m.node(), new Op(0, "handover", op.body())));
+        groups.get(id).members().forEach(m -> out.send(m.node(), new ControlRequest(0, "handover", op.body())));
         return new Response(202, 0, "{\"outcome\":\"asked\"}");
     }
 
-    private void usage(final int from, final Op op) {
-        final int id = (int) Pack.reader(op.body()).num();
+    private void usage(final int from, final ControlRequest op) {
+        final int id = (int) PackedBuffer.reader(op.body()).num();
         if (view.metadata().node(from) != null) {
             moves.mastered(id, from);
         }
-        final byte[] included = Pack.writer().num(usage.tell(op)).done();
-        out.send(from, new OpReply(op.jobId(), 200, 0, included));
+        final byte[] included = PackedBuffer.writer().num(usage.tell(op)).done();
+        out.send(from, new ControlReply(op.requestId(), 200, 0, included));
     }
 
     private String nodesJson(final long now) {
         return Json.createObjectBuilder()
                 .add("controlMaster", self)
-                .add("epoch", group.epoch())
+                .add("epoch", group.term())
                 .add("nodes", polls.nodesJson(now))
                 .build()
                 .toString();
@@ -474,12 +474,12 @@
     // ---- for the listener thread and the status page
 
     @Override
-    public List<BeatEntry> entries(final Time time) {
+    public List<HeartbeatEntry> entries(final Time time) {
         return group.membership().holds(self) ? List.of(group.entry(time.mono())) : List.of();
     }
 
     @Override
-    public Set<Integer> beatSiblings() {
+    public Set<Integer> heartbeatPeers() {
         final Set<Integer> nodes = new HashSet<>();
         if (group.membership().holds(self)) {
             group.membership().voters().forEach(m -> nodes.add(m.node()));
@@ -498,17 +498,17 @@
 
     @Override
     public String statusJson(final Time time) {
-        final Roster roster = view.metadata();
+        final ClusterMetadata metadata = view.metadata();
         return Json.createObjectBuilder()
                 .add("node", self)
                 .add("role", "bailiff")
                 .add("specVersion", view.configuration().version())
-                .add("rosterVersion", roster.version())
+                .add("rosterVersion", metadata.version())
                 .add("control", GroupStatus.json(group, table, time.mono()))
-                .add("placement", ControlStatus.placement(roster))
+                .add("placement", ControlStatus.placement(metadata))
                 .add("copies", founding.copies())
-                .add("storages", ControlStatus.storages(roster))
-                .add("retiring", Json.createArrayBuilder(roster.retiring()))
+                .add("storages", ControlStatus.storages(metadata))
+                .add("retiring", Json.createArrayBuilder(metadata.retiring()))
                 .build()
                 .toString();
     }
--- a/coordination/src/main/java/brookpath/coordination/node/FrontNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/GatewayNode.java
@@ -1,30 +1,30 @@
 package brookpath.coordination.node;
 
-import brookpath.coordination.Tempo;
-import brookpath.coordination.message.Msg;
-import brookpath.coordination.message.Msg.BeatEntry;
-import brookpath.coordination.message.Msg.CountAsk;
-import brookpath.coordination.message.Msg.CountReply;
-import brookpath.coordination.message.Msg.Fetch;
-import brookpath.coordination.message.Msg.FetchReply;
-import brookpath.coordination.message.Msg.Listen;
-import brookpath.coordination.message.Msg.Op;
-import brookpath.coordination.message.Msg.OpReply;
-import brookpath.coordination.message.Msg.Publish;
-import brookpath.coordination.message.Msg.PublishReply;
-import brookpath.coordination.message.Msg.SpecPoll;
-import brookpath.coordination.message.Msg.SpecReply;
+import brookpath.coordination.TimingBounds;
+import brookpath.coordination.message.PeerMessage;
+import brookpath.coordination.message.PeerMessage.HeartbeatEntry;
+import brookpath.coordination.message.PeerMessage.ListenerCountRequest;
+import brookpath.coordination.message.PeerMessage.ListenerCountReply;
+import brookpath.coordination.message.PeerMessage.Fetch;
+import brookpath.coordination.message.PeerMessage.FetchReply;
+import brookpath.coordination.message.PeerMessage.ListenerReport;
+import brookpath.coordination.message.PeerMessage.ControlRequest;
+import brookpath.coordination.message.PeerMessage.ControlReply;
+import brookpath.coordination.message.PeerMessage.Publish;
+import brookpath.coordination.message.PeerMessage.PublishReply;
+import brookpath.coordination.message.PeerMessage.ConfigurationPoll;
+import brookpath.coordination.message.PeerMessage.ConfigurationReply;
 import brookpath.coordination.message.Response;
-import brookpath.coordination.node.front.GatewayAddresses;
-import brookpath.coordination.node.front.LeaseQueue;
-import brookpath.coordination.node.front.ListenerCountRequests;
-import brookpath.coordination.node.front.PublishForwarder;
-import brookpath.coordination.node.front.Subscriptions;
+import brookpath.coordination.node.gateway.GatewayAddresses;
+import brookpath.coordination.node.gateway.LeaseQueue;
+import brookpath.coordination.node.gateway.ListenerCountRequests;
+import brookpath.coordination.node.gateway.PublishForwarder;
+import brookpath.coordination.node.gateway.Subscriptions;
 import brookpath.coordination.route.Refusals;
 import brookpath.coordination.route.Route;
 import brookpath.coordination.route.RouteFinder;
-import brookpath.coordination.spec.Roster.NodeInfo;
-import brookpath.coordination.spec.SpecClient;
+import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.configuration.ConfigurationClient;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
@@ -32,10 +32,10 @@
 
 /**
  * The gateway: a node of the data plane that holds the callers' sessions and keeps nothing on disk. It forwards
- * publishes to the groups' masters, reads what its sessions listen to, and serves only while it holds the lease on the
+ * publishes to the groups' leaders, reads what its sessions listen to, and serves only while it holds the lease on the
  * configuration.
  */
-public final class FrontNode extends Node {
+public final class GatewayNode extends Node {
     /** The longest message that a caller may publish, in UTF-8 bytes. */
     public static final int MAX_TEXT = 16_384;
 
@@ -50,13 +50,13 @@
     private static final int UNAUTHORIZED = 401;
 
     private final String zone;
-    private final SpecClient client;
+    private final ConfigurationClient client;
     private final PublishForwarder forwarder;
     private final Subscriptions subscriptions;
     private final ListenerCountRequests counts;
     private final LeaseQueue leaseQueue;
     private final GatewayAddresses otherGateways;
-    private final FrontStatus status;
+    private final GatewayStatus status;
 
     private long ids;
     private long nextListenerReport;
@@ -68,28 +68,28 @@
      * @param firstId the IDs of requests begin behind it, so that a reply meant for a former life of this process does
      *     not match a request of this one
      */
-    public FrontNode(final NodeInfo info, final List<Integer> seeds, final Tempo tempo, final long firstId) {
-        super(info.node(), tempo);
+    public GatewayNode(final NodeInfo info, final List<Integer> seeds, final TimingBounds timing, final long firstId) {
+        super(info.node(), timing);
         zone = info.zone();
         ids = firstId;
-        client = new SpecClient(info, SpecPoll.FRONT, seeds, firstId, tempo, out);
-        forwarder = new PublishForwarder(tempo, this::routes, this::nextId, out);
+        client = new ConfigurationClient(info, ConfigurationPoll.GATEWAY, seeds, firstId, timing, out);
+        forwarder = new PublishForwarder(timing, this::routes, this::nextId, out);
         subscriptions =
-                new Subscriptions(self, () -> client.spec().topicsPerSession(), tempo, this::routes, this::nextId, out);
-        counts = new ListenerCountRequests(tempo, this::nextId, out);
-        leaseQueue = new LeaseQueue(tempo);
+                new Subscriptions(self, () -> client.configuration().topicsPerSession(), timing, this::routes, this::nextId, out);
+        counts = new ListenerCountRequests(timing, this::nextId, out);
+        leaseQueue = new LeaseQueue(timing);
         otherGateways = new GatewayAddresses(self, zone, this::nextId);
-        status = new FrontStatus(self, zone, client);
+        status = new GatewayStatus(self, zone, client);
     }
 
     /** The copy of the configuration and the cluster's metadata that this node works by. */
-    public SpecClient client() {
+    public ConfigurationClient client() {
         return client;
     }
 
     @Override
-    public long beatPeriod() {
-        return HEARTBEAT_PERIODS * tempo.beat();
+    public long heartbeatPeriod() {
+        return HEARTBEAT_PERIODS * timing.heartbeat();
     }
 
     @Override
@@ -98,7 +98,7 @@
                 || subscriptions.needsTimer()
                 || client.draining()
                 || !client.leased(time.mono());
-        return needsTimer ? tempo.tick() : tempo.beat();
+        return needsTimer ? timing.tick() : timing.heartbeat();
     }
 
     private long nextId() {
@@ -107,12 +107,12 @@
     }
 
     private RouteFinder routes(final long now) {
-        return new RouteFinder(client.spec(), client.roster(), table, client.leased(now), zone, tempo);
+        return new RouteFinder(client.configuration(), client.metadata(), table, client.leased(now), zone, timing);
     }
 
     /** Whether this node holds a configuration and the lease on it. */
     private boolean serves(final long now) {
-        return client.leased(now) && client.spec().version() > 0;
+        return client.leased(now) && client.configuration().version() > 0;
     }
 
     @Override
@@ -127,7 +127,7 @@
         final long now = time.mono();
         client.tick(time);
         releaseWaiting(now);
-        forwarder.checkMasters(client.roster().groups().size(), now);
+        forwarder.checkLeaders(client.metadata().groups().size(), now);
         forwarder.tick(now);
         counts.tick(now);
         if (client.leased(now)) {
@@ -141,7 +141,7 @@
             retreatRequest = 0;
         }
         if (now >= nextListenerReport) {
-            nextListenerReport = now + tempo.beat();
+            nextListenerReport = now + timing.heartbeat();
             subscriptions.reportListeners(now);
         }
     }
@@ -149,28 +149,28 @@
     // ---- messages
 
     @Override
-    protected void onMessage(final int from, final Msg msg, final Time time) {
+    protected void onMessage(final int from, final PeerMessage peerMessage, final Time time) {
         final long now = time.mono();
-        if (msg instanceof SpecReply reply) {
+        if (peerMessage instanceof ConfigurationReply reply) {
             if (client.onReply(reply, time)) {
                 subscriptions.reviewPermissions(now);
             }
             releaseWaiting(now);
-        } else if (msg instanceof PublishReply reply) {
+        } else if (peerMessage instanceof PublishReply reply) {
             forwarder.reply(from, reply, now);
-        } else if (msg instanceof FetchReply reply) {
+        } else if (peerMessage instanceof FetchReply reply) {
             // delivery pauses with the lease; the cursors stay where they are
             if (client.leased(now)) {
                 subscriptions.fetched(from, reply, now);
             }
-        } else if (msg instanceof OpReply reply && otherGateways.asked(reply.jobId())) {
+        } else if (peerMessage instanceof ControlReply reply && otherGateways.asked(reply.requestId())) {
             addressesReceived(reply);
-        } else if (msg instanceof CountReply reply) {
+        } else if (peerMessage instanceof ListenerCountReply reply) {
             counts.reply(reply);
         }
     }
 
-    private void addressesReceived(final OpReply reply) {
+    private void addressesReceived(final ControlReply reply) {
         if (reply.status() == OK) {
             otherGateways.received(reply.body());
         } else {
@@ -179,19 +179,19 @@
     }
 
     @Override
-    protected void onUnsent(final int to, final Msg msg, final Time time) {
+    protected void onUnsent(final int to, final PeerMessage peerMessage, final Time time) {
         final long now = time.mono();
-        if (msg instanceof SpecPoll) {
+        if (peerMessage instanceof ConfigurationPoll) {
             client.unsent(to, now);
-        } else if (msg instanceof Publish message) {
+        } else if (peerMessage instanceof Publish message) {
             forwarder.unsent(to, message, now);
-        } else if (msg instanceof Fetch message) {
+        } else if (peerMessage instanceof Fetch message) {
             subscriptions.unsent(to, message, now);
-        } else if (msg instanceof Listen message) {
+        } else if (peerMessage instanceof ListenerReport message) {
             subscriptions.unsent(message);
-        } else if (msg instanceof Op message && otherGateways.asked(message.jobId())) {
+        } else if (peerMessage instanceof ControlRequest message && otherGateways.asked(message.requestId())) {
             otherGateways.unknown();
-        } else if (msg instanceof CountAsk message) {
+        } else if (peerMessage instanceof ListenerCountRequest message) {
             counts.unsent(to, message);
         }
     }
@@ -206,113 +206,113 @@
     // ---- requests
 
     @Override
-    protected void onJob(final Job job, final Time time) {
+    protected void onRequest(final NodeRequest nodeRequest, final Time time) {
         final long now = time.mono();
-        if (needsLease(job)) {
-            if (!leaseQueue.offer(job, serves(now), now)) {
-                handleLeased(job, now);
+        if (needsLease(nodeRequest)) {
+            if (!leaseQueue.offer(nodeRequest, serves(now), now)) {
+                handleLeased(nodeRequest, now);
             }
-        } else if (job instanceof Job.Subscribe request) {
+        } else if (nodeRequest instanceof NodeRequest.Subscribe request) {
             if (client.draining()) {
-                refuseDraining(request.jobId());
+                refuseDraining(request.requestId());
             } else {
                 subscriptions.subscribe(request, Cursor.read(request.cursor()), now);
             }
-        } else if (job instanceof Job.Leave request) {
+        } else if (nodeRequest instanceof NodeRequest.Leave request) {
             subscriptions.leave(request);
-        } else if (job instanceof Job.Unsubscribe request) {
+        } else if (nodeRequest instanceof NodeRequest.Unsubscribe request) {
             leaseQueue.removeIf(waiting -> belongsTo(waiting, request.sessionId()));
             subscriptions.end(request.sessionId());
         } else {
-            handleOperator(job, time);
+            handleOperator(nodeRequest, time);
         }
     }
 
     /** Requests of callers that can be judged only with the lease on the configuration. */
-    private static boolean needsLease(final Job job) {
-        return job instanceof Job.Publish
-                || job instanceof Job.Open
-                || job instanceof Job.Join
-                || job instanceof Job.Count;
+    private static boolean needsLease(final NodeRequest nodeRequest) {
+        return nodeRequest instanceof NodeRequest.Publish
+                || nodeRequest instanceof NodeRequest.Open
+                || nodeRequest instanceof NodeRequest.Join
+                || nodeRequest instanceof NodeRequest.Count;
     }
 
-    private static boolean belongsTo(final Job job, final long sessionId) {
-        if (job instanceof Job.Open open) {
-            return open.jobId() == sessionId;
+    private static boolean belongsTo(final NodeRequest nodeRequest, final long sessionId) {
+        if (nodeRequest instanceof NodeRequest.Open open) {
+            return open.requestId() == sessionId;
         }
-        return job instanceof Job.Join join && join.sessionId() == sessionId;
+        return nodeRequest instanceof NodeRequest.Join join && join.sessionId() == sessionId;
     }
 
     private void releaseWaiting(final long now) {
-        leaseQueue.release(serves(now), now, job -> handleLeased(job, now));
+        leaseQueue.release(serves(now), now, nodeRequest -> handleLeased(nodeRequest, now));
     }
 
-    private void handleLeased(final Job job, final long now) {
-        if (job instanceof Job.Publish request) {
+    private void handleLeased(final NodeRequest nodeRequest, final long now) {
+        if (nodeRequest instanceof NodeRequest.Publish request) {
             publish(request, now);
-        } else if (job instanceof Job.Open request) {
+        } else if (nodeRequest instanceof NodeRequest.Open request) {
             open(request, now);
-        } else if (job instanceof Job.Join request) {
+        } else if (nodeRequest instanceof NodeRequest.Join request) {
             subscriptions.join(request, now);
-        } else if (job instanceof Job.Count request) {
+        } else if (nodeRequest instanceof NodeRequest.Count request) {
             count(request, now);
         }
     }
 
-    private void handleOperator(final Job job, final Time time) {
+    private void handleOperator(final NodeRequest nodeRequest, final Time time) {
         final long now = time.mono();
-        if (job instanceof Job.Explain request) {
+        if (nodeRequest instanceof NodeRequest.Explain request) {
             final String page = status.explain(request, routes(now), table, now);
-            out.respond(request.jobId(), new Response(OK, 0, page));
-        } else if (job instanceof Job.Ready request) {
-            out.respond(request.jobId(), readiness(now));
-        } else if (job instanceof Job.Drain request) {
-            drain(request.on(), tempo.recoverMs() / DRAIN_DIVISOR, now);
-            out.respond(request.jobId(), new Response(OK, 0, "{\"draining\":" + request.on() + "}"));
-        } else if (job instanceof Job.Retreat request) {
-            retreatRequest = request.jobId();
-            drain(true, tempo.recoverMs() / RETREAT_DIVISOR, now);
-        } else if (job instanceof Job.Status request) {
-            out.respond(request.jobId(), new Response(OK, 0, statusJson(time)));
+            out.respond(request.requestId(), new Response(OK, 0, page));
+        } else if (nodeRequest instanceof NodeRequest.ReadinessProbe request) {
+            out.respond(request.requestId(), readiness(now));
+        } else if (nodeRequest instanceof NodeRequest.Drain request) {
+            drain(request.on(), timing.recoverMs() / DRAIN_DIVISOR, now);
+            out.respond(request.requestId(), new Response(OK, 0, "{\"draining\":" + request.on() + "}"));
+        } else if (nodeRequest instanceof NodeRequest.Retreat request) {
+            retreatRequest = request.requestId();
+            drain(true, timing.recoverMs() / RETREAT_DIVISOR, now);
+        } else if (nodeRequest instanceof NodeRequest.Status request) {
+            out.respond(request.requestId(), new Response(OK, 0, statusJson(time)));
         }
     }
 
-    private void publish(final Job.Publish request, final long now) {
+    private void publish(final NodeRequest.Publish request, final long now) {
         final Route route = routes(now).admit(request.key(), request.topic());
         if (route.isRefused()) {
             out.note("publish " + request.topic() + " " + request.sender() + "/" + request.seq() + ": refused with "
                     + route.refusal().status() + ", " + route.because());
-            out.respond(request.jobId(), route.refusal());
+            out.respond(request.requestId(), route.refusal());
             return;
         }
-        final long answerMs = client.spec().spaceOf(request.topic()).answerMs();
-        forwarder.add(request, route, client.spec().version(), answerMs, now);
+        final long answerMs = client.configuration().spaceOf(request.topic()).answerMs();
+        forwarder.add(request, route, client.configuration().version(), answerMs, now);
     }
 
-    private void open(final Job.Open request, final long now) {
+    private void open(final NodeRequest.Open request, final long now) {
         if (!serves(now)) {
-            refuse(request.jobId(), "spec", "this node has not heard from the control plane lately");
-        } else if (!request.key().isEmpty() && client.spec().tenantOf(request.key()) == null) {
-            out.respond(request.jobId(), Refusals.refused(UNAUTHORIZED, 0, "key", "unknown key"));
+            refuse(request.requestId(), "spec", "this node has not heard from the control plane lately");
+        } else if (!request.key().isEmpty() && client.configuration().tenantOf(request.key()) == null) {
+            out.respond(request.requestId(), Refusals.refused(UNAUTHORIZED, 0, "key", "unknown key"));
         } else if (client.draining()) {
-            refuseDraining(request.jobId());
-            out.move(request.jobId(), otherGateways.next());
+            refuseDraining(request.requestId());
+            out.move(request.requestId(), otherGateways.next());
         } else {
             subscriptions.open(request);
         }
     }
 
-    private void count(final Job.Count request, final long now) {
+    private void count(final NodeRequest.Count request, final long now) {
         final Route route = routes(now).publish(request.key(), request.topic(), now);
         if (route.isRefused()) {
-            out.respond(request.jobId(), route.refusal());
+            out.respond(request.requestId(), route.refusal());
         } else {
-            counts.ask(request.jobId(), route, request.topic(), excludesCaller(request), now);
+            counts.ask(request.requestId(), route, request.topic(), excludesCaller(request), now);
         }
     }
 
     /** Whether the caller's own session is among the listeners; one of another node is believed to be. */
-    private boolean excludesCaller(final Job.Count request) {
+    private boolean excludesCaller(final NodeRequest.Count request) {
         final String session = request.session();
         if (session == null || session.isEmpty()) {
             return false;
@@ -326,9 +326,9 @@
 
     /** It is ready before it has anything to serve, and says so by a code for those who would rather wait. */
     private Response readiness(final long now) {
-        final Response ready = Ready.response(client.leased(now), client.draining());
+        final Response ready = ReadinessProbe.response(client.leased(now), client.draining());
         final boolean empty =
-                client.spec().version() == 0 || client.roster().groups().isEmpty();
+                client.configuration().version() == 0 || client.metadata().groups().isEmpty();
         return new Response(ready.status(), ready.retryAfterMs(), ready.json(), empty ? "empty" : "");
     }
 
@@ -336,8 +336,8 @@
         if (on && !client.draining()) {
             // whoever is sent on is told where to, and only the control plane knows all gateways
             final long request = nextId();
-            otherGateways.await(request, now + tempo.down());
-            out.send(client.controlMaster(), new Op(request, "fronts", new byte[0]));
+            otherGateways.await(request, now + timing.down());
+            out.send(client.controlLeader(), new ControlRequest(request, "fronts", new byte[0]));
         }
         client.drain(on);
         if (on) {
@@ -352,7 +352,7 @@
     }
 
     private void refuse(final long requestId, final String code, final String why) {
-        out.respond(requestId, Refusals.retryLater(tempo, code, why));
+        out.respond(requestId, Refusals.retryLater(timing, code, why));
     }
 
     // ---- for the listener thread and the status page
@@ -363,20 +363,20 @@
     }
 
     @Override
-    public List<BeatEntry> entries(final Time time) {
+    public List<HeartbeatEntry> entries(final Time time) {
         return List.of();
     }
 
     @Override
-    public Set<Integer> beatSiblings() {
+    public Set<Integer> heartbeatPeers() {
         final Set<Integer> nodes = new HashSet<>();
-        client.roster().groups().forEach(group -> group.members().forEach(member -> nodes.add(member.node())));
+        client.metadata().groups().forEach(group -> group.members().forEach(member -> nodes.add(member.node())));
         return nodes;
     }
 
     @Override
     public Map<Integer, String> zones() {
-        return zonesOf(client.roster());
+        return zonesOf(client.metadata());
     }
 
     @Override
--- a/coordination/src/main/java/brookpath/coordination/node/FrontStatus.java
+++ b/coordination/src/main/java/brookpath/coordination/node/GatewayStatus.java
@@ -1,36 +1,36 @@
 package brookpath.coordination.node;
 
-import brookpath.coordination.beat.BeatTable;
+import brookpath.coordination.heartbeat.HeartbeatTable;
 import brookpath.coordination.route.Route;
 import brookpath.coordination.route.RouteFinder;
-import brookpath.coordination.spec.Roster;
-import brookpath.coordination.spec.SpecClient;
+import brookpath.coordination.configuration.ClusterMetadata;
+import brookpath.coordination.configuration.ConfigurationClient;
 import jakarta.json.Json;
 import jakarta.json.JsonArrayBuilder;
 import jakarta.json.JsonObjectBuilder;
 
 /** The pages on which a gateway tells operators how it stands and why requests go where they go. */
-final class FrontStatus {
+final class GatewayStatus {
     private static final int OK = 200;
 
     private final int self;
     private final String zone;
-    private final SpecClient client;
+    private final ConfigurationClient client;
 
-    FrontStatus(final int self, final String zone, final SpecClient client) {
+    GatewayStatus(final int self, final String zone, final ConfigurationClient client) {
         this.self = self;
         this.zone = zone;
         this.client = client;
     }
 
     /** Why a publish to, or a subscription of, the topic would go where it goes. */
-    String explain(final Job.Explain request, final RouteFinder routes, final BeatTable table, final long now) {
+    String explain(final NodeRequest.Explain request, final RouteFinder routes, final HeartbeatTable table, final long now) {
         final Route route = routes.publish(request.key(), request.topic(), now);
         final int group = routes.admit(request.key(), request.topic()).group();
         final JsonObjectBuilder page = Json.createObjectBuilder()
                 .add("node", self)
                 .add("topic", request.topic())
-                .add("specVersion", client.spec().version())
+                .add("specVersion", client.configuration().version())
                 .add("specLeaseLeftMs", leaseLeft(now))
                 .add("because", route.because())
                 .add("status", route.isRefused() ? route.refusal().status() : OK)
@@ -38,7 +38,7 @@
                 .add("master", route.node());
         if (group >= 0) {
             final JsonArrayBuilder members = Json.createArrayBuilder();
-            client.roster()
+            client.metadata()
                     .groups()
                     .get(group)
                     .members()
@@ -57,17 +57,17 @@
      */
     String page(final RouteFinder routes, final int sessions, final int publishes, final long now) {
         final JsonArrayBuilder groups = Json.createArrayBuilder();
-        for (final Roster.GroupInfo group : client.roster().groups()) {
+        for (final ClusterMetadata.GroupInfo group : client.metadata().groups()) {
             groups.add(groupRow(group, routes, now));
         }
         return Json.createObjectBuilder()
                 .add("node", self)
                 .add("role", "front")
                 .add("zone", zone)
-                .add("specVersion", client.spec().version())
-                .add("rosterVersion", client.roster().version())
+                .add("specVersion", client.configuration().version())
+                .add("rosterVersion", client.metadata().version())
                 .add("specLeaseLeftMs", leaseLeft(now))
-                .add("controlMaster", client.controlMaster())
+                .add("controlMaster", client.controlLeader())
                 .add("draining", client.draining())
                 .add("sessions", sessions)
                 .add("ferries", publishes)
@@ -76,8 +76,8 @@
                 .toString();
     }
 
-    private static JsonObjectBuilder groupRow(final Roster.GroupInfo group, final RouteFinder routes, final long now) {
-        final Route route = routes.toMaster(new Route(null, "", group.id(), 0, "group " + group.id()), now);
+    private static JsonObjectBuilder groupRow(final ClusterMetadata.GroupInfo group, final RouteFinder routes, final long now) {
+        final Route route = routes.toLeader(new Route(null, "", group.id(), 0, "group " + group.id()), now);
         return Json.createObjectBuilder()
                 .add("group", group.id())
                 .add("master", route.node())
--- a/coordination/src/main/java/brookpath/coordination/node/GroupStatus.java
+++ b/coordination/src/main/java/brookpath/coordination/node/GroupStatus.java
@@ -1,37 +1,37 @@
 package brookpath.coordination.node;
 
-import brookpath.coordination.beat.BeatTable;
+import brookpath.coordination.heartbeat.HeartbeatTable;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Member;
-import brookpath.coordination.message.Msg.BeatEntry;
+import brookpath.coordination.message.PeerMessage.HeartbeatEntry;
 import jakarta.json.Json;
 import jakarta.json.JsonArrayBuilder;
 import jakarta.json.JsonObject;
 
-/** Who masters a group, and why, as one member sees it. */
+/** Who leaders a group, and why, as one member sees it. */
 final class GroupStatus {
     private static final String[] ROLES = {"slave", "candidate", "master"};
     private static final String[] SYNCS = {"peer", "catch-up", "lost"};
 
     private GroupStatus() {}
 
-    static JsonObject json(final GroupMachine g, final BeatTable table, final long now) {
+    static JsonObject json(final GroupMachine g, final HeartbeatTable table, final long now) {
         final JsonArrayBuilder seen = Json.createArrayBuilder();
         g.members().forEach(m -> seen.add(row(m, table, g.id(), now, true)));
         return Json.createObjectBuilder()
                 .add("group", g.id())
                 .add("groupVersion", g.groupVersion())
                 .add("role", ROLES[g.role()])
-                .add("master", g.masterHeard())
-                .add("epoch", g.epoch())
+                .add("master", g.leaderHeard())
+                .add("epoch", g.term())
                 .add("mayAct", g.mayAct(now))
-                .add("startLsn", g.baseLsn() + 1)
-                .add("endLsn", g.endLsn())
-                .add("syncedLsn", g.syncedLsn())
-                .add("accepted", g.accepted())
+                .add("startLsn", g.baseIndex() + 1)
+                .add("endLsn", g.endIndex())
+                .add("syncedLsn", g.syncedIndex())
+                .add("accepted", g.committed())
                 .add("lost", g.lost())
                 .add("why", g.why())
-                .add("obstacle", g.masterHeard() == 0 ? g.obstacle() : "")
+                .add("obstacle", g.leaderHeard() == 0 ? g.obstacle() : "")
                 .add("table", seen)
                 .build();
     }
@@ -39,11 +39,11 @@
     /**
      * One member as the table shows it.
      *
-     * @param copies false where the process holds no copy, and is not told positions in each beat
+     * @param copies false where the process holds no copy, and is not told positions in each heartbeat
      */
     static JsonObject row(
-            final Member m, final BeatTable table, final int group, final long now, final boolean copies) {
-        final BeatEntry e = table.fresh(m.node(), group, now);
+            final Member m, final HeartbeatTable table, final int group, final long now, final boolean copies) {
+        final HeartbeatEntry e = table.fresh(m.node(), group, now);
         final var row = Json.createObjectBuilder()
                 .add("node", m.node())
                 .add("zone", m.zone())
@@ -52,10 +52,10 @@
         if (e != null) {
             row.add("role", ROLES[e.role()])
                     .add("sync", SYNCS[e.sync()])
-                    .add("epoch", e.epoch())
-                    .add("masterHeard", e.masterHeard());
+                    .add("epoch", e.term())
+                    .add("masterHeard", e.leaderHeard());
             if (copies) {
-                row.add("startLsn", e.startLsn()).add("endLsn", e.endLsn());
+                row.add("startLsn", e.startIndex()).add("endLsn", e.endIndex());
             }
         }
         return row.build();
--- a/coordination/src/main/java/brookpath/coordination/node/Node.java
+++ b/coordination/src/main/java/brookpath/coordination/node/Node.java
@@ -1,13 +1,13 @@
 package brookpath.coordination.node;
 
-import brookpath.coordination.Tempo;
+import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Action;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.beat.BeatTable;
-import brookpath.coordination.beat.Pledges;
-import brookpath.coordination.message.Msg;
-import brookpath.coordination.message.Msg.BeatEntry;
-import brookpath.coordination.spec.Roster;
+import brookpath.coordination.heartbeat.HeartbeatTable;
+import brookpath.coordination.heartbeat.HeartbeatPromises;
+import brookpath.coordination.message.PeerMessage;
+import brookpath.coordination.message.PeerMessage.HeartbeatEntry;
+import brookpath.coordination.configuration.ClusterMetadata;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -21,16 +21,16 @@
     private static final long UNKNOWN = Long.MIN_VALUE;
 
     protected final int self;
-    protected final Tempo tempo;
+    protected final TimingBounds timing;
     protected final Actions out = new Actions();
-    protected BeatTable table = BeatTable.EMPTY;
-    protected final Pledges pledges;
+    protected HeartbeatTable table = HeartbeatTable.EMPTY;
+    protected final HeartbeatPromises promises;
     protected long bornAt = UNKNOWN;
 
-    protected Node(final int self, final Tempo tempo) {
+    protected Node(final int self, final TimingBounds timing) {
         this.self = self;
-        this.tempo = tempo;
-        pledges = new Pledges(tempo.down());
+        this.timing = timing;
+        promises = new HeartbeatPromises(timing.down());
     }
 
     /** When this process began, where that is known: what its former life promised, it promised before. */
@@ -39,21 +39,21 @@
     }
 
     /** Shared with the listener thread, and safe to. */
-    public final Pledges pledges() {
-        return pledges;
+    public final HeartbeatPromises promises() {
+        return promises;
     }
 
     /** Monotonic and wall time, in milliseconds. */
     public record Time(long mono, long wall) {}
 
-    public final List<Action> tick(final Time time, final BeatTable newTable) {
+    public final List<Action> tick(final Time time, final HeartbeatTable newTable) {
         table = newTable;
         onTick(time);
         return out.drain();
     }
 
-    public final List<Action> message(final int from, final Msg msg, final Time time) {
-        onMessage(from, msg, time);
+    public final List<Action> message(final int from, final PeerMessage message, final Time time) {
+        onMessage(from, message, time);
         return out.drain();
     }
 
@@ -63,12 +63,12 @@
     }
 
     /** The message never left this process. */
-    public final List<Action> unsent(final int to, final Msg msg, final Time time) {
-        onUnsent(to, msg, time);
+    public final List<Action> unsent(final int to, final PeerMessage message, final Time time) {
+        onUnsent(to, message, time);
         return out.drain();
     }
 
-    /** The session with a sibling broke; what was under way on it may or may not have arrived. */
+    /** The session with a peer broke; what was under way on it may or may not have arrived. */
     public final List<Action> sessionLost(final int node, final Time time) {
         onSessionLost(node, time);
         return out.drain();
@@ -87,56 +87,56 @@
         return out.drain();
     }
 
-    public final List<Action> job(final Job job, final Time time) {
-        onJob(job, time);
+    public final List<Action> request(final NodeRequest request, final Time time) {
+        onRequest(request, time);
         return out.drain();
     }
 
-    protected static Map<Integer, String> zonesOf(final Roster roster) {
+    protected static Map<Integer, String> zonesOf(final ClusterMetadata metadata) {
         final Map<Integer, String> zones = new HashMap<>();
-        roster.nodes().forEach(n -> zones.put(n.node(), n.zone()));
+        metadata.nodes().forEach(n -> zones.put(n.node(), n.zone()));
         return zones;
     }
 
     protected abstract void onTick(Time time);
 
-    protected abstract void onMessage(int from, Msg msg, Time time);
+    protected abstract void onMessage(int from, PeerMessage message, Time time);
 
     protected abstract void onSynced(long number, Time time);
 
-    protected abstract void onJob(Job job, Time time);
+    protected abstract void onRequest(NodeRequest request, Time time);
 
     protected void onDamage(final Time time) {
         // why: a process without a disk has nothing that could be damaged
     }
 
-    protected void onUnsent(final int to, final Msg msg, final Time time) {
-        // why: what is asked again by a wakeup needs no word of a lost message
+    protected void onUnsent(final int to, final PeerMessage message, final Time time) {
+        // why: what is asked again by a timer needs no word of a lost message
     }
 
     protected void onSessionLost(final int node, final Time time) {
         // why: as above
     }
 
-    /** Between two sharing-beats to each sibling. */
-    public long beatPeriod() {
-        return tempo.beat();
+    /** Between two heartbeats to each peer. */
+    public long heartbeatPeriod() {
+        return timing.heartbeat();
     }
 
     /**
-     * How long this process may be left alone while nothing happens, in milliseconds: wakeups cost, and most of them
+     * How long this process may be left alone while nothing happens, in milliseconds: timers cost, and most of them
      * would find nothing to do.
      */
     public long restMs(final Time time) {
-        return tempo.tick();
+        return timing.tick();
     }
 
     /** Replays one entry of the log before the first event. */
     public abstract void replay(byte[] entry, Time time);
 
-    public abstract List<BeatEntry> entries(Time time);
+    public abstract List<HeartbeatEntry> entries(Time time);
 
-    public abstract Set<Integer> beatSiblings();
+    public abstract Set<Integer> heartbeatPeers();
 
     public abstract String statusJson(Time time);
 
--- a/coordination/src/main/java/brookpath/coordination/node/Ready.java
+++ b/coordination/src/main/java/brookpath/coordination/node/ReadinessProbe.java
@@ -3,8 +3,8 @@
 import brookpath.coordination.message.Response;
 
 /** Readiness, by which the platform picks healthy nodes. */
-final class Ready {
-    private Ready() {}
+final class ReadinessProbe {
+    private ReadinessProbe() {}
 
     static Response response(final boolean leased, final boolean draining) {
         final boolean ready = leased && !draining;
--- a/coordination/src/main/java/brookpath/coordination/node/control/ChangeOrders.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ChangeOrders.java
@@ -1,38 +1,38 @@
 package brookpath.coordination.node.control;
 
 import brookpath.coordination.group.GroupMachine;
-import brookpath.coordination.message.Msg.Op;
+import brookpath.coordination.message.PeerMessage.ControlRequest;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.node.Node.Time;
-import brookpath.coordination.spec.ChangeOutcomes.Outcome;
-import brookpath.coordination.spec.ControlState;
-import brookpath.coordination.spec.Finding;
-import brookpath.coordination.spec.SpecReader;
-import brookpath.coordination.spec.StoredSpec;
-import brookpath.state.record.Rec;
+import brookpath.coordination.configuration.ChangeOutcomes.Outcome;
+import brookpath.coordination.configuration.ControlState;
+import brookpath.coordination.configuration.Finding;
+import brookpath.coordination.configuration.ConfigurationReader;
+import brookpath.coordination.configuration.StoredConfiguration;
+import brookpath.state.record.LogRecord;
 import java.util.List;
 import java.util.zip.CRC32C;
 
 /**
  * Changes of the configuration. A change that is taken is a record of the control log, and confirmed once that is
- * accepted and in force everywhere. A refusal is no record: it follows from the document and from the version that it
- * lost to, and is given only once that version is accepted.
+ * committed and in force everywhere. A refusal is no record: it follows from the document and from the version that it
+ * lost to, and is given only once that version is committed.
  */
 public final class ChangeOrders {
-    /** Beyond so many configurations and rosters that are not accepted yet, nothing more is appended. */
-    public static final int MAX_UNACCEPTED = 16;
+    /** Beyond so many configurations and cluster metadata that are not committed yet, nothing more is appended. */
+    public static final int MAX_UNCOMMITTED = 16;
 
     private static final int MAX_CHANGES = 64;
 
     private final GroupMachine group;
-    private final SpecReader.Limits limits;
+    private final ConfigurationReader.Limits limits;
     private final Followers followers;
     private final PendingAnswers pending;
     private final Replies replies;
 
     public ChangeOrders(
             final GroupMachine group,
-            final SpecReader.Limits limits,
+            final ConfigurationReader.Limits limits,
             final Followers followers,
             final PendingAnswers pending,
             final Replies replies) {
@@ -48,38 +48,38 @@
     }
 
     /** Takes or refuses a document, or answers again for one that was taken before. */
-    public void change(final int from, final Op op, final Time time) {
-        if (op.body().length > SpecReader.MAX_BYTES) {
-            final Finding finding = new Finding("/", "larger than " + SpecReader.MAX_BYTES + " bytes");
-            replies.respond(from, op.jobId(), Replies.refused(413, List.of(finding)));
+    public void change(final int from, final ControlRequest op, final Time time) {
+        if (op.body().length > ConfigurationReader.MAX_BYTES) {
+            final Finding finding = new Finding("/", "larger than " + ConfigurationReader.MAX_BYTES + " bytes");
+            replies.respond(from, op.requestId(), Replies.refused(413, List.of(finding)));
             return;
         }
         if (pending.count(RequestKind.CHANGE) >= MAX_CHANGES) {
-            replies.respond(from, op.jobId(), replies.unavailable("too many changes are under way"));
+            replies.respond(from, op.requestId(), replies.unavailable("too many changes are under way"));
             return;
         }
-        // why: compared with the newest appended, not the newest accepted, so that of two racing changes one loses for
+        // why: compared with the newest appended, not the newest committed, so that of two racing changes one loses for
         // certain
-        final StoredSpec newest = state().specAt(Long.MAX_VALUE);
-        final SpecReader.Reading reading = SpecReader.read(op.body(), newest.version() + 1, limits, newest.spec());
+        final StoredConfiguration newest = state().configurationAt(Long.MAX_VALUE);
+        final ConfigurationReader.Reading reading = ConfigurationReader.read(op.body(), newest.version() + 1, limits, newest.configuration());
         if (!reading.json()
-                || reading.spec() == null
-                || reading.spec().changeId().isEmpty()) {
-            replies.respond(from, op.jobId(), Replies.refused(reading.json() ? 422 : 400, reading.findings()));
+                || reading.configuration() == null
+                || reading.configuration().changeId().isEmpty()) {
+            replies.respond(from, op.requestId(), Replies.refused(reading.json() ? 422 : 400, reading.findings()));
             return;
         }
-        final String changeId = reading.spec().changeId();
+        final String changeId = reading.configuration().changeId();
         final long checksum = checksum(op.body());
         final Response refusal = refusal(reading, newest);
         final boolean appends = state().outcomes().of(changeId) == null && refusal == null;
-        if (appends && state().appendedAfter(group.accepted()) >= MAX_UNACCEPTED) {
-            replies.respond(from, op.jobId(), replies.unavailable("too many changes wait for their copies"));
+        if (appends && state().appendedAfter(group.committed()) >= MAX_UNCOMMITTED) {
+            replies.respond(from, op.requestId(), replies.unavailable("too many changes wait for their copies"));
             return;
         }
         if (appends) {
-            final byte[] body = ControlState.specBody(
-                    newest, changeId, checksum, reading.spec().version(), op.body());
-            group.append(Rec.CONTROL, body, time.mono(), time.wall());
+            final byte[] body = ControlState.configurationBody(
+                    newest, changeId, checksum, reading.configuration().version(), op.body());
+            group.append(LogRecord.CONTROL, body, time.mono(), time.wall());
         }
         final PendingAnswers.Answer answer = at -> {
             final Outcome outcome = state().outcomes().of(changeId);
@@ -97,15 +97,15 @@
     }
 
     /** Why the document cannot follow the newest version, null where it can. */
-    private static Response refusal(final SpecReader.Reading reading, final StoredSpec newest) {
+    private static Response refusal(final ConfigurationReader.Reading reading, final StoredConfiguration newest) {
         if (!reading.findings().isEmpty()) {
-            return refused(422, reading.spec().changeId(), "\"findings\":" + Finding.json(reading.findings()));
+            return refused(422, reading.configuration().changeId(), "\"findings\":" + Finding.json(reading.findings()));
         }
-        return reading.spec().basedOn() == newest.version()
+        return reading.configuration().basedOn() == newest.version()
                 ? null
                 : refused(
                         409,
-                        reading.spec().changeId(),
+                        reading.configuration().changeId(),
                         "\"why\":\"basedOn is not the present version\",\"version\":" + newest.version());
     }
 
@@ -113,13 +113,13 @@
         return new Response(status, 0, "{\"outcome\":\"refused\",\"changeId\":\"" + changeId + "\"," + why + "}");
     }
 
-    /** A lost race is final only once the version that won is accepted. */
+    /** A lost race is final only once the version that won is committed. */
     private Response refusedBy(final long winner, final Response refusal) {
-        return state().specAt(group.accepted()).version() >= winner ? refusal : null;
+        return state().configurationAt(group.committed()).version() >= winner ? refusal : null;
     }
 
     private Response taken(final String changeId, final long checksum, final Outcome outcome, final long now) {
-        if (outcome.lsn() > group.accepted()) {
+        if (outcome.index() > group.committed()) {
             return null;
         }
         if (outcome.checksum() != checksum) {
@@ -143,7 +143,7 @@
     /** What became of a change: confirmed, spreading, or unknown. */
     public Response outcome(final String changeId, final int retryAfterMs, final long now) {
         final Outcome outcome = state().outcomes().of(changeId);
-        if (outcome == null || outcome.lsn() > group.accepted()) {
+        if (outcome == null || outcome.index() > group.committed()) {
             return new Response(404, 0, "{\"outcome\":\"unknown\"}");
         }
         return followers.everywhere(outcome.version(), now)
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlMembers.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlMembers.java
@@ -1,14 +1,14 @@
 package brookpath.coordination.node.control;
 
-import brookpath.coordination.Tempo;
-import brookpath.coordination.beat.BeatTable;
+import brookpath.coordination.TimingBounds;
+import brookpath.coordination.heartbeat.HeartbeatTable;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Member;
 import brookpath.coordination.group.Membership;
 import brookpath.coordination.group.MembershipPlan;
 import brookpath.coordination.group.MembershipPlan.Candidate;
 import brookpath.coordination.group.MembershipPlan.Limits;
-import brookpath.coordination.spec.Roster.NodeInfo;
+import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -16,7 +16,7 @@
 import java.util.stream.Stream;
 
 /**
- * Keeps the control group's membership up: watches who answers, and as the acting master appends the steps that
+ * Keeps the control group's membership up: watches who answers, and as the acting leader appends the steps that
  * {@link MembershipPlan} names.
  */
 public final class ControlMembers {
@@ -37,16 +37,16 @@
     private final long steadyMs;
     private final TreeMap<Integer, Watched> watched = new TreeMap<>();
 
-    public ControlMembers(final int self, final GroupMachine group, final Tempo tempo, final int toleratedLosses) {
+    public ControlMembers(final int self, final GroupMachine group, final TimingBounds timing, final int toleratedLosses) {
         this.self = self;
         this.group = group;
         // why: the machine that replaces a dead one may itself be lost soon; timing.md has the arithmetic
-        limits = new Limits(Limits.votersFor(toleratedLosses), tempo.changeMs() * 4 / 5, tempo.recoverMs());
-        steadyMs = 2 * tempo.recoverMs();
+        limits = new Limits(Limits.votersFor(toleratedLosses), timing.changeMs() * 4 / 5, timing.recoverMs());
+        steadyMs = 2 * timing.recoverMs();
     }
 
-    /** Every member watches, so that a new master knows at once who has been gone for how long. */
-    public void watch(final BeatTable table, final long now) {
+    /** Every member watches, so that a new leader knows at once who has been gone for how long. */
+    public void watch(final HeartbeatTable table, final long now) {
         final Membership membership = group.membership();
         watched.keySet().removeIf(node -> !membership.holds(node));
         members().forEach(m -> {
@@ -64,11 +64,11 @@
     /**
      * Appends the next step, where one is due; true where it did.
      *
-     * @param observers controllers that are no members but have asked this master lately
+     * @param observers controllers that are no members but have asked this leader lately
      * @param zones of all controllers that are known
      */
     public boolean advance(
-            final BeatTable table,
+            final HeartbeatTable table,
             final List<NodeInfo> observers,
             final Map<Integer, String> zones,
             final long now,
@@ -85,14 +85,14 @@
         return next != null && group.change(next, now, wall);
     }
 
-    private Candidate candidate(final Member m, final BeatTable table, final String zone, final long now) {
+    private Candidate candidate(final Member m, final HeartbeatTable table, final String zone, final long now) {
         final Watched w = watched.get(m.node());
         if (m.node() == self || w == null) {
             return new Candidate(m.node(), zone, 0, false, m.node() == self);
         }
-        final BeatTable.Row row = table.row(m.node());
+        final HeartbeatTable.Row row = table.row(m.node());
         final long heardAt = row == null ? w.since : Math.max(w.since, row.answeredSentAt());
-        final boolean synced = table.up(m.node()) && group.learnt(m.node()) >= group.accepted();
+        final boolean synced = table.up(m.node()) && group.learnt(m.node()) >= group.committed();
         return new Candidate(m.node(), zone, now - heardAt, synced, now - w.brokenAt >= steadyMs);
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlStatus.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlStatus.java
@@ -1,9 +1,9 @@
 package brookpath.coordination.node.control;
 
 import brookpath.coordination.group.Member;
-import brookpath.coordination.spec.Roster;
-import brookpath.coordination.spec.Roster.GroupInfo;
-import brookpath.coordination.spec.Roster.NodeInfo;
+import brookpath.coordination.configuration.ClusterMetadata;
+import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
+import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
 import jakarta.json.Json;
 import jakarta.json.JsonArrayBuilder;
 import jakarta.json.JsonObject;
@@ -14,9 +14,9 @@
     private ControlStatus() {}
 
     /** Where each topic group lies. */
-    public static JsonArrayBuilder placement(final Roster roster) {
+    public static JsonArrayBuilder placement(final ClusterMetadata metadata) {
         final JsonArrayBuilder placed = Json.createArrayBuilder();
-        roster.groups().forEach(g -> placed.add(group(g)));
+        metadata.groups().forEach(g -> placed.add(group(g)));
         return placed;
     }
 
@@ -42,9 +42,9 @@
     }
 
     /** The storage machines. */
-    public static JsonArrayBuilder storages(final Roster roster) {
+    public static JsonArrayBuilder storages(final ClusterMetadata metadata) {
         final JsonArrayBuilder storages = Json.createArrayBuilder();
-        roster.nodes().forEach(n -> storages.add(storage(n)));
+        metadata.nodes().forEach(n -> storages.add(storage(n)));
         return storages;
     }
 
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlView.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlView.java
@@ -1,9 +1,9 @@
 package brookpath.coordination.node.control;
 
 import brookpath.coordination.group.GroupMachine;
-import brookpath.coordination.spec.ControlState;
-import brookpath.coordination.spec.Roster;
-import brookpath.coordination.spec.StoredSpec;
+import brookpath.coordination.configuration.ControlState;
+import brookpath.coordination.configuration.ClusterMetadata;
+import brookpath.coordination.configuration.StoredConfiguration;
 
 /** What follows from the control log, as a member of the control group sees it. */
 public final class ControlView {
@@ -13,28 +13,28 @@
         this.group = group;
     }
 
-    /** The state with every record that this member has, accepted or not. */
+    /** The state with every record that this member has, committed or not. */
     public ControlState state() {
         return (ControlState) group.live();
     }
 
-    /** The newest accepted configuration. */
-    public StoredSpec configuration() {
-        return state().specAt(group.accepted());
+    /** The newest committed configuration. */
+    public StoredConfiguration configuration() {
+        return state().configurationAt(group.committed());
     }
 
-    /** The newest accepted cluster metadata. */
-    public Roster metadata() {
-        return state().rosterAt(group.accepted());
+    /** The newest committed cluster metadata. */
+    public ClusterMetadata metadata() {
+        return state().metadataAt(group.committed());
     }
 
-    /** The newest cluster metadata in the log, accepted or not: what the next version builds on. */
-    public Roster newestMetadata() {
-        return state().rosterAt(Long.MAX_VALUE);
+    /** The newest cluster metadata in the log, committed or not: what the next version builds on. */
+    public ClusterMetadata newestMetadata() {
+        return state().metadataAt(Long.MAX_VALUE);
     }
 
     /** Whether so much waits for its copies that nothing more is to be appended. */
     public boolean backlogged() {
-        return group.diskBacklogged() || state().appendedAfter(group.accepted()) >= ChangeOrders.MAX_UNACCEPTED;
+        return group.diskBacklogged() || state().appendedAfter(group.committed()) >= ChangeOrders.MAX_UNCOMMITTED;
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/control/Followers.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/Followers.java
@@ -2,9 +2,9 @@
 
 import java.util.Set;
 
-/** What the control master knows of the processes that follow it. */
+/** What the control leader knows of the processes that follow it. */
 public interface Followers {
-    /** Whether every live process has taken the accepted version, or its lease on what was before has run out. */
+    /** Whether every live process has taken the committed version, or its lease on what was before has run out. */
     boolean everywhere(long version, long now);
 
     /** The version has been confirmed. */
@@ -13,6 +13,6 @@
     /** The storage machines heard within the lease. */
     Set<Integer> aliveStorages(long now);
 
-    /** Whether this mastership has lasted for so long that every live process has been heard. */
+    /** Whether this leadership has lasted for so long that every live process has been heard. */
     boolean heardAll(long now);
 }
--- a/coordination/src/main/java/brookpath/coordination/node/control/GroupMoves.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/GroupMoves.java
@@ -1,14 +1,14 @@
 package brookpath.coordination.node.control;
 
-import brookpath.coordination.Tempo;
+import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
 import brookpath.coordination.group.MoveOrder;
-import brookpath.coordination.message.Msg.Op;
-import brookpath.coordination.spec.MovePlan;
-import brookpath.coordination.spec.Roster;
-import brookpath.coordination.spec.Roster.GroupInfo;
-import brookpath.coordination.spec.StorageSilence;
-import brookpath.state.record.Pack;
+import brookpath.coordination.message.PeerMessage.ControlRequest;
+import brookpath.coordination.configuration.MovePlan;
+import brookpath.coordination.configuration.ClusterMetadata;
+import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
+import brookpath.coordination.configuration.StorageFailureDetector;
+import brookpath.state.record.PackedBuffer;
 import java.util.Set;
 import java.util.TreeMap;
 
@@ -20,7 +20,7 @@
     private final ControlView view;
     private final PollRegistry polls;
     private final int copies;
-    private final Tempo tempo;
+    private final TimingBounds timing;
     private final Actions out;
     private long nextMove = Long.MIN_VALUE / 2;
     /** What the last plan of moves was made for; it is made anew when either changes. */
@@ -28,60 +28,60 @@
 
     private Set<Integer> plannedGone = Set.of();
     private long nextSwitchover = Long.MIN_VALUE / 2;
-    /** Who told last that it masters a group. */
-    private final TreeMap<Integer, Integer> masters = new TreeMap<>();
+    /** Who told last that it leaders a group. */
+    private final TreeMap<Integer, Integer> leaders = new TreeMap<>();
 
     /** @param copies of each group */
     public GroupMoves(
-            final ControlView view, final PollRegistry polls, final int copies, final Tempo tempo, final Actions out) {
+            final ControlView view, final PollRegistry polls, final int copies, final TimingBounds timing, final Actions out) {
         this.view = view;
         this.polls = polls;
         this.copies = copies;
-        this.tempo = tempo;
+        this.timing = timing;
         this.out = out;
     }
 
-    /** A node told that it masters a group. */
+    /** A node told that it leaders a group. */
     public void mastered(final int group, final int node) {
-        masters.put(group, node);
+        leaders.put(group, node);
     }
 
-    /** What a master knows and its successor must learn anew. */
+    /** What a leader knows and its successor must learn anew. */
     public void clear() {
-        masters.clear();
+        leaders.clear();
         plannedGone = Set.of();
     }
 
     /** Orders the moves that are due, and at most one switchover. */
     public void drive(final long now) {
-        final Roster roster = view.metadata();
-        final StorageSilence silence = new StorageSilence(tempo, roster, polls.storagesHeardAt(), now);
+        final ClusterMetadata metadata = view.metadata();
+        final StorageFailureDetector silence = new StorageFailureDetector(timing, metadata, polls.storagesHeardAt(), now);
         final Set<Integer> gone = silence.gone(polls.dutySince(), plannedGone);
-        if (now < nextMove && roster.version() == plannedVersion && gone.equals(plannedGone)) {
+        if (now < nextMove && metadata.version() == plannedVersion && gone.equals(plannedGone)) {
             return;
         }
-        nextMove = now + tempo.beat();
-        plannedVersion = roster.version();
+        nextMove = now + timing.heartbeat();
+        plannedVersion = metadata.version();
         noteGone(gone);
         final MovePlan.Heard heard = new MovePlan.Heard(silence.alive(), polls.steadyStorages(now), gone);
-        MovePlan.next(roster, heard, copies).forEach(m -> order(roster, m));
+        MovePlan.next(metadata, heard, copies).forEach(m -> order(metadata, m));
         if (now >= nextSwitchover) {
-            switchover(roster, now);
+            switchover(metadata, now);
         }
     }
 
-    private void switchover(final Roster roster, final long now) {
-        final MovePlan.Switchover s = MovePlan.switchover(roster, masters, polls.steadyStorages(now));
+    private void switchover(final ClusterMetadata metadata, final long now) {
+        final MovePlan.Switchover s = MovePlan.switchover(metadata, leaders, polls.steadyStorages(now));
         if (s == null) {
             return;
         }
         // why: one at a time, each with time to settle; a handing over that fails costs its group a moment
-        nextSwitchover = now + tempo.recoverMs() / 2;
-        masters.remove(s.group());
+        nextSwitchover = now + timing.recoverMs() / 2;
+        leaders.remove(s.group());
         out.note("group " + s.group() + ": asks node " + s.from() + " to hand over to node " + s.to()
                 + ", which ranks first");
-        final byte[] body = Pack.writer().num(s.group()).num(s.to()).done();
-        out.send(s.from(), new Op(0, "handover", body));
+        final byte[] body = PackedBuffer.writer().num(s.group()).num(s.to()).done();
+        out.send(s.from(), new ControlRequest(0, "handover", body));
     }
 
     private void noteGone(final Set<Integer> gone) {
@@ -91,11 +91,11 @@
         }
     }
 
-    /** Tells all members, of whom the group's master obeys. */
-    private void order(final Roster roster, final MovePlan.Move m) {
-        final GroupInfo info = roster.groups().get(m.group());
+    /** Tells all members, of whom the group's leader obeys. */
+    private void order(final ClusterMetadata metadata, final MovePlan.Move m) {
+        final GroupInfo info = metadata.groups().get(m.group());
         final byte[] body =
                 new MoveOrder(m.group(), info.version(), m.from(), m.to().node(), m.to().zone(), m.repair()).save();
-        info.members().forEach(to -> out.send(to.node(), new Op(0, "move", body)));
+        info.members().forEach(to -> out.send(to.node(), new ControlRequest(0, "move", body)));
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/control/MetadataKeeper.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/MetadataKeeper.java
@@ -1,22 +1,22 @@
 package brookpath.coordination.node.control;
 
-import brookpath.coordination.Tempo;
+import brookpath.coordination.TimingBounds;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Membership;
-import brookpath.coordination.message.Msg.Op;
+import brookpath.coordination.message.PeerMessage.ControlRequest;
 import brookpath.coordination.node.Node.Time;
-import brookpath.coordination.spec.ControlState;
-import brookpath.coordination.spec.Placement;
-import brookpath.coordination.spec.Roster;
-import brookpath.coordination.spec.Roster.GroupInfo;
-import brookpath.coordination.spec.Roster.NodeInfo;
-import brookpath.state.record.Pack;
-import brookpath.state.record.Rec;
+import brookpath.coordination.configuration.ControlState;
+import brookpath.coordination.configuration.Placement;
+import brookpath.coordination.configuration.ClusterMetadata;
+import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
+import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.state.record.PackedBuffer;
+import brookpath.state.record.LogRecord;
 import java.util.ArrayList;
 import java.util.List;
 
 /**
- * Keeps the cluster metadata up, as a duty of the control master: which machines there are, where the topic groups lie,
+ * Keeps the cluster metadata up, as a duty of the control leader: which machines there are, where the topic groups lie,
  * and who their members are. Each step is a record of the control log.
  */
 public final class MetadataKeeper {
@@ -25,7 +25,7 @@
     private final ControlView view;
     private final PollRegistry polls;
     private final Founding founding;
-    private final Tempo tempo;
+    private final TimingBounds timing;
 
     /** @param info this controller as others are told of it */
     public MetadataKeeper(
@@ -34,13 +34,13 @@
             final ControlView view,
             final PollRegistry polls,
             final Founding founding,
-            final Tempo tempo) {
+            final TimingBounds timing) {
         this.info = info;
         this.group = group;
         this.view = view;
         this.polls = polls;
         this.founding = founding;
-        this.tempo = tempo;
+        this.timing = timing;
     }
 
     /** Appends what has changed: machines that came, moved or went, the control group's members, the first groups. */
@@ -52,10 +52,10 @@
             group.change(new Membership(present.version() + 1, present.voters(), List.of()), time.mono(), time.wall());
             return;
         }
-        final Roster roster = view.newestMetadata();
-        final List<NodeInfo> nodes = new ArrayList<>(roster.nodes());
-        final List<NodeInfo> controllers = new ArrayList<>(roster.controllers());
-        final List<Integer> retiring = new ArrayList<>(roster.retiring());
+        final ClusterMetadata metadata = view.newestMetadata();
+        final List<NodeInfo> nodes = new ArrayList<>(metadata.nodes());
+        final List<NodeInfo> controllers = new ArrayList<>(metadata.controllers());
+        final List<Integer> retiring = new ArrayList<>(metadata.retiring());
         boolean changed = take(controllers, info, retiring);
         for (final NodeInfo storage : polls.storages()) {
             changed |= take(nodes, storage, retiring);
@@ -64,8 +64,8 @@
             changed |= take(controllers, controller, retiring);
         }
         changed |= group.membershipSettled()
-                && roster.control().version() < group.membership().version();
-        List<GroupInfo> groups = roster.groups();
+                && metadata.control().version() < group.membership().version();
+        List<GroupInfo> groups = metadata.groups();
         if (groups.isEmpty() && mayFound(nodes.size(), time.mono())) {
             groups =
                     Placement.found(nodes, founding.groups() > 0 ? founding.groups() : nodes.size(), founding.copies());
@@ -74,26 +74,26 @@
         if (changed) {
             controllers.removeIf(b -> isGone(b, time.mono()));
             append(
-                    new Roster(
-                            roster.version() + 1,
+                    new ClusterMetadata(
+                            metadata.version() + 1,
                             List.copyOf(nodes),
                             groups,
                             List.copyOf(retiring),
                             List.copyOf(controllers),
-                            group.membershipSettled() ? group.membership() : roster.control()),
+                            group.membershipSettled() ? group.membership() : metadata.control()),
                     time);
         }
     }
 
     private boolean mayFound(final int storages, final long now) {
         return storages >= founding.storages()
-                && (founding.groups() > 0 || now - polls.newcomerAt() >= tempo.changeMs() / 2);
+                && (founding.groups() > 0 || now - polls.newcomerAt() >= timing.changeMs() / 2);
     }
 
     /** Not a member, and not heard for long: nobody needs to know of it any more. */
     private boolean isGone(final NodeInfo controller, final long now) {
         return controller.node() != info.node()
-                && now - polls.dutySince() > tempo.recoverMs()
+                && now - polls.dutySince() > timing.recoverMs()
                 && !polls.nodes().contains(controller.node())
                 && !group.membership().holds(controller.node());
     }
@@ -113,30 +113,30 @@
         return true;
     }
 
-    private void append(final Roster roster, final Time time) {
-        group.append(Rec.CONTROL, ControlState.rosterBody(roster), time.mono(), time.wall());
+    private void append(final ClusterMetadata metadata, final Time time) {
+        group.append(LogRecord.CONTROL, ControlState.metadataBody(metadata), time.mono(), time.wall());
     }
 
-    /** A group's master tells that its group has been founded. */
-    public void founded(final Op op, final Time time) {
-        final int id = (int) Pack.reader(op.body()).num();
-        final Roster roster = view.newestMetadata();
-        for (final GroupInfo g : roster.groups()) {
+    /** A group's leader tells that its group has been founded. */
+    public void founded(final ControlRequest op, final Time time) {
+        final int id = (int) PackedBuffer.reader(op.body()).num();
+        final ClusterMetadata metadata = view.newestMetadata();
+        for (final GroupInfo g : metadata.groups()) {
             if (g.id() == id && !g.founded()) {
-                append(roster.with(new GroupInfo(id, true, g.membership())), time);
+                append(metadata.with(new GroupInfo(id, true, g.membership())), time);
             }
         }
     }
 
-    /** A group's master tells the membership that its log has accepted. */
-    public void members(final Op op, final Time time) {
-        final Pack in = Pack.reader(op.body());
+    /** A group's leader tells the membership that its log has committed. */
+    public void members(final ControlRequest op, final Time time) {
+        final PackedBuffer in = PackedBuffer.reader(op.body());
         final int id = (int) in.num();
         final Membership membership = Membership.load(in);
-        final Roster roster = view.newestMetadata();
-        if (id < 0 || id >= roster.groups().size() || roster.groups().get(id).version() >= membership.version()) {
+        final ClusterMetadata metadata = view.newestMetadata();
+        if (id < 0 || id >= metadata.groups().size() || metadata.groups().get(id).version() >= membership.version()) {
             return;
         }
-        append(roster.with(new GroupInfo(id, roster.groups().get(id).founded(), membership)), time);
+        append(metadata.with(new GroupInfo(id, metadata.groups().get(id).founded(), membership)), time);
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/control/PendingAnswers.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/PendingAnswers.java
@@ -1,16 +1,16 @@
 package brookpath.coordination.node.control;
 
-import brookpath.coordination.Tempo;
+import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
 import brookpath.coordination.group.GroupMachine;
-import brookpath.coordination.message.Msg.Op;
+import brookpath.coordination.message.PeerMessage.ControlRequest;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.node.Node.Time;
 import java.util.ArrayList;
 import java.util.List;
 
 /**
- * Requests that the control master has taken and not answered yet. Each is answered only by a master that had contact
+ * Requests that the control leader has taken and not answered yet. Each is answered only by a leader that had contact
  * with a majority which began after the request came in (a read index), so that no answer is older than its question.
  */
 public final class PendingAnswers {
@@ -23,19 +23,19 @@
     }
 
     private record Pending(
-            int from, long jobId, RequestKind kind, long epoch, long arrivedAt, long deadline, Answer answer) {}
+            int from, long requestId, RequestKind kind, long term, long arrivedAt, long deadline, Answer answer) {}
 
     private final GroupMachine group;
-    private final Tempo tempo;
+    private final TimingBounds timing;
     private final Replies replies;
     private final Actions out;
     private final List<Pending> pending = new ArrayList<>();
-    /** When the last extra round of beats was asked for. */
+    /** When the last extra round of heartbeats was asked for. */
     private long askedAt = Long.MIN_VALUE / 2;
 
-    public PendingAnswers(final GroupMachine group, final Tempo tempo, final Replies replies, final Actions out) {
+    public PendingAnswers(final GroupMachine group, final TimingBounds timing, final Replies replies, final Actions out) {
         this.group = group;
-        this.tempo = tempo;
+        this.timing = timing;
         this.replies = replies;
         this.out = out;
     }
@@ -50,14 +50,14 @@
     }
 
     /** Answers the request once a majority has been heard after now, and the answer is known. */
-    public void add(final int from, final Op op, final RequestKind kind, final Answer answer, final Time time) {
+    public void add(final int from, final ControlRequest op, final RequestKind kind, final Answer answer, final Time time) {
         final long now = time.mono();
         if (pending.size() >= MAX_PENDING) {
-            replies.respond(from, op.jobId(), replies.unavailable("too many requests are under way"));
+            replies.respond(from, op.requestId(), replies.unavailable("too many requests are under way"));
             return;
         }
-        final long horizon = (kind.order() ? tempo.opHorizon() : tempo.readHorizon()) * 9 / 10;
-        pending.add(new Pending(from, op.jobId(), kind, group.epoch(), now, now + horizon, answer));
+        final long deadline = (kind.order() ? timing.opDeadline() : timing.readDeadline()) * 9 / 10;
+        pending.add(new Pending(from, op.requestId(), kind, group.term(), now, now + deadline, answer));
         step(time);
     }
 
@@ -69,19 +69,19 @@
         }
     }
 
-    /** The next periodic beat may be far off, so an extra round of beats is sent: one at a time for all requests. */
+    /** The next periodic heartbeat may be far off, so an extra round of heartbeats is sent: one at a time for all requests. */
     private void askMajority(final long now) {
-        // why: only so many beats are remembered, and an answer to a forgotten one counts for nothing
-        if (group.majoritySince(askedAt) || now - askedAt >= tempo.beat() / 4) {
+        // why: only so many heartbeats are remembered, and an answer to a forgotten one counts for nothing
+        if (group.majoritySince(askedAt) || now - askedAt >= timing.heartbeat() / 4) {
             askedAt = now;
-            out.beatNow();
+            out.heartbeatNow();
         }
     }
 
     private boolean answered(final Pending p, final Time time) {
         final long now = time.mono();
-        if (p.epoch != group.epoch() || now >= p.deadline) {
-            replies.respond(p.from, p.jobId, replies.lost(p.kind, "not settled in time"));
+        if (p.term != group.term() || now >= p.deadline) {
+            replies.respond(p.from, p.requestId, replies.lost(p.kind, "not settled in time"));
             return true;
         }
         if (!group.mayAct(now) || !group.majoritySince(p.arrivedAt)) {
@@ -89,14 +89,14 @@
         }
         final Response response = p.answer.at(time);
         if (response != null) {
-            replies.respondBefore(p.deadline, p.kind, p.from, p.jobId, response);
+            replies.respondBefore(p.deadline, p.kind, p.from, p.requestId, response);
         }
         return response != null;
     }
 
-    /** This process is the control master no longer. */
+    /** This process is the control leader no longer. */
     public void end() {
-        pending.forEach(p -> replies.respond(p.from, p.jobId, replies.lost(p.kind, "the control master stepped down")));
+        pending.forEach(p -> replies.respond(p.from, p.requestId, replies.lost(p.kind, "the control master stepped down")));
         pending.clear();
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/control/PollRegistry.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/PollRegistry.java
@@ -1,16 +1,16 @@
 package brookpath.coordination.node.control;
 
-import brookpath.coordination.Tempo;
+import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
 import brookpath.coordination.group.GroupMachine;
-import brookpath.coordination.message.Msg.SpecPoll;
-import brookpath.coordination.message.Msg.SpecReply;
-import brookpath.coordination.spec.FleetClock;
-import brookpath.coordination.spec.Roster;
-import brookpath.coordination.spec.Roster.NodeInfo;
-import brookpath.coordination.spec.StoredSpec;
-import brookpath.coordination.spec.VersionUpdates;
-import brookpath.state.record.Pack;
+import brookpath.coordination.message.PeerMessage.ConfigurationPoll;
+import brookpath.coordination.message.PeerMessage.ConfigurationReply;
+import brookpath.coordination.configuration.FleetClock;
+import brookpath.coordination.configuration.ClusterMetadata;
+import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.configuration.StoredConfiguration;
+import brookpath.coordination.configuration.VersionUpdates;
+import brookpath.state.record.PackedBuffer;
 import jakarta.json.Json;
 import jakarta.json.JsonArrayBuilder;
 import jakarta.json.JsonObject;
@@ -21,7 +21,7 @@
 import java.util.TreeMap;
 
 /**
- * The processes that poll this control master: what each has, until when its lease runs, and when it was heard. Polls
+ * The processes that poll this control leader: what each has, until when its lease runs, and when it was heard. Polls
  * are held until there is news; the answer to one grants a lease on the configuration that it brings or confirms.
  */
 public final class PollRegistry implements Followers {
@@ -29,7 +29,7 @@
     private static final long NOT_HELD = -1;
 
     private static final class Poller {
-        SpecPoll last;
+        ConfigurationPoll last;
         /** Whom its replies go to: itself, or the controller that carries its polls. */
         int via;
 
@@ -54,16 +54,16 @@
     private final GroupMachine group;
     private final ControlView view;
     private final FleetClock clock;
-    private final Tempo tempo;
+    private final TimingBounds timing;
     private final Actions out;
     private final TreeMap<Integer, Poller> pollers = new TreeMap<>();
     /** The configurations and the cluster metadata as followers get them. */
-    private final VersionUpdates specUpdates = new VersionUpdates();
+    private final VersionUpdates configurationUpdates = new VersionUpdates();
 
-    private final VersionUpdates rosterUpdates = new VersionUpdates();
-    /** When each version that waits for its confirmation was first seen accepted. */
-    private final TreeMap<Long, Long> acceptedAt = new TreeMap<>();
-    /** Since when this process acts as the control master. */
+    private final VersionUpdates metadataUpdates = new VersionUpdates();
+    /** When each version that waits for its confirmation was first seen committed. */
+    private final TreeMap<Long, Long> committedAt = new TreeMap<>();
+    /** Since when this process acts as the control leader. */
     private long dutySince = NO_DUTY;
 
     private long newcomerAt;
@@ -73,29 +73,29 @@
             final GroupMachine group,
             final ControlView view,
             final FleetClock clock,
-            final Tempo tempo,
+            final TimingBounds timing,
             final Actions out) {
         this.self = self;
         this.group = group;
         this.view = view;
         this.clock = clock;
-        this.tempo = tempo;
+        this.timing = timing;
         this.out = out;
     }
 
-    /** This process acts as the control master. */
+    /** This process acts as the control leader. */
     public void onDuty(final long now) {
         if (dutySince < 0) {
             dutySince = now;
         }
     }
 
-    /** Whether it was the acting master when it was last asked. */
+    /** Whether it was the acting leader when it was last asked. */
     public boolean isOnDuty() {
         return dutySince >= 0;
     }
 
-    /** Since when this process acts as the control master, negative where it does not. */
+    /** Since when this process acts as the control leader, negative where it does not. */
     public long dutySince() {
         return dutySince;
     }
@@ -105,26 +105,26 @@
         return newcomerAt;
     }
 
-    /** It is the control master no longer: a successor learns all of this anew. */
+    /** It is the control leader no longer: a successor learns all of this anew. */
     public void clear() {
         dutySince = NO_DUTY;
         pollers.clear();
-        specUpdates.clear();
-        rosterUpdates.clear();
-        acceptedAt.clear();
+        configurationUpdates.clear();
+        metadataUpdates.clear();
+        committedAt.clear();
     }
 
     // ---- polls
 
     /** Takes a poll and answers it, now or when there is news. */
-    public void poll(final int from, final SpecPoll m, final long now) {
+    public void poll(final int from, final ConfigurationPoll m, final long now) {
         if (!pollers.containsKey(m.node())) {
             newcomerAt = now;
         }
         final Poller p = pollers.computeIfAbsent(m.node(), k -> new Poller());
         p.via = from;
         p.last = m;
-        if (p.since < 0 || now - p.heardAt > tempo.specLease()) {
+        if (p.since < 0 || now - p.heardAt > timing.configurationLease()) {
             p.since = now;
         }
         p.heardAt = now;
@@ -140,7 +140,7 @@
             }
         });
         // why: a process that is gone and whose lease has run out serves nothing, so nobody needs to wait for it
-        pollers.values().removeIf(p -> p.heldSince < 0 && now > p.leaseEnds && now - p.heardAt > 2 * tempo.specLease());
+        pollers.values().removeIf(p -> p.heldSince < 0 && now > p.leaseEnds && now - p.heardAt > 2 * timing.configurationLease());
     }
 
     /** The processes that polled. */
@@ -150,42 +150,42 @@
 
     /** Answers when there is news, or when the poll has been held long enough. */
     private void answer(final Poller p, final long now) {
-        final StoredSpec spec = view.configuration();
-        final Roster roster = view.metadata();
-        final boolean news = p.last.specVersion() < spec.version() || p.last.rosterVersion() < roster.version();
-        noteVersions(spec, roster);
+        final StoredConfiguration configuration = view.configuration();
+        final ClusterMetadata metadata = view.metadata();
+        final boolean news = p.last.configurationVersion() < configuration.version() || p.last.metadataVersion() < metadata.version();
+        noteVersions(configuration, metadata);
         // why: a lease that a predecessor granted may be about to run out, so the first poll is never held
         // why: until it knows the clock, a storage machine accepts nothing
         if (!news
                 && (p.clockTold || !clock.known())
                 && p.leaseEnds != Long.MIN_VALUE
-                && now - p.heldSince < tempo.specHold()) {
+                && now - p.heldSince < timing.configurationHold()) {
             return;
         }
         p.heldSince = NOT_HELD;
         p.clockTold = clock.known();
-        p.leaseEnds = now + tempo.specLease();
+        p.leaseEnds = now + timing.configurationLease();
         out.send(
                 p.via,
-                new SpecReply(
+                new ConfigurationReply(
                         p.last.pollId(),
                         true,
                         self,
-                        group.epoch(),
-                        spec.version(),
-                        specUpdates.since(p.last.specVersion()),
-                        roster.version(),
-                        rosterUpdates.since(p.last.rosterVersion()),
+                        group.term(),
+                        configuration.version(),
+                        configurationUpdates.since(p.last.configurationVersion()),
+                        metadata.version(),
+                        metadataUpdates.since(p.last.metadataVersion()),
                         p.last.node(),
                         clock.known() ? clock.wall(now) : 0));
     }
 
-    private void noteVersions(final StoredSpec spec, final Roster roster) {
-        if (!specUpdates.has(spec.version())) {
-            specUpdates.newest(spec.version(), spec.lean());
+    private void noteVersions(final StoredConfiguration configuration, final ClusterMetadata metadata) {
+        if (!configurationUpdates.has(configuration.version())) {
+            configurationUpdates.newest(configuration.version(), configuration.lean());
         }
-        if (!rosterUpdates.has(roster.version())) {
-            rosterUpdates.newest(roster.version(), roster.save());
+        if (!metadataUpdates.has(metadata.version())) {
+            metadataUpdates.newest(metadata.version(), metadata.save());
         }
     }
 
@@ -193,18 +193,18 @@
 
     @Override
     public boolean everywhere(final long version, final long now) {
-        acceptedAt.putIfAbsent(version, now);
-        // why: a predecessor may have granted leases that this master has not seen
-        if (dutySince < 0 || now - dutySince <= tempo.confirmWait()) {
+        committedAt.putIfAbsent(version, now);
+        // why: a predecessor may have granted leases that this leader has not seen
+        if (dutySince < 0 || now - dutySince <= timing.confirmWait()) {
             return false;
         }
-        if (tempo.leaseMs() > tempo.changeMs() && now - acceptedAt.get(version) >= tempo.confirmWait()) {
+        if (timing.leaseMs() > timing.changeMs() && now - committedAt.get(version) >= timing.confirmWait()) {
             // why: who has not taken it by now cannot be reached, and its lease ends no later than leaseMs from here
             return true;
         }
         for (final Poller p : pollers.values()) {
-            if (!p.is(SpecPoll.CONTROLLER)
-                    && p.last.specVersion() < version
+            if (!p.is(ConfigurationPoll.CONTROLLER)
+                    && p.last.configurationVersion() < version
                     && (now <= p.leaseEnds || p.heldSince >= 0)) {
                 return false;
             }
@@ -214,12 +214,12 @@
 
     @Override
     public void confirmed(final long version) {
-        acceptedAt.headMap(version).clear();
+        committedAt.headMap(version).clear();
     }
 
     @Override
     public boolean heardAll(final long now) {
-        return dutySince >= 0 && now - dutySince > tempo.specLease();
+        return dutySince >= 0 && now - dutySince > timing.configurationLease();
     }
 
     // ---- who is there
@@ -228,7 +228,7 @@
     public Set<Integer> aliveStorages(final long now) {
         final Set<Integer> alive = new HashSet<>();
         pollers.forEach((node, p) -> {
-            if (p.is(SpecPoll.STORAGE) && now - p.heardAt <= tempo.specLease()) {
+            if (p.is(ConfigurationPoll.STORAGE) && now - p.heardAt <= timing.configurationLease()) {
                 alive.add(node);
             }
         });
@@ -238,7 +238,7 @@
     /** Storage machines that have been heard for several times the recovery bound without a break. */
     public Set<Integer> steadyStorages(final long now) {
         final Set<Integer> steady = aliveStorages(now);
-        steady.removeIf(n -> now - pollers.get(n).since < 2 * tempo.recoverMs());
+        steady.removeIf(n -> now - pollers.get(n).since < 2 * timing.recoverMs());
         return steady;
     }
 
@@ -246,7 +246,7 @@
     public Map<Integer, Long> storagesHeardAt() {
         final Map<Integer, Long> heardAt = new TreeMap<>();
         pollers.forEach((node, p) -> {
-            if (p.is(SpecPoll.STORAGE)) {
+            if (p.is(ConfigurationPoll.STORAGE)) {
                 heardAt.put(node, p.heardAt);
             }
         });
@@ -255,12 +255,12 @@
 
     /** The storage machines that polled. */
     public List<NodeInfo> storages() {
-        return machines(SpecPoll.STORAGE);
+        return machines(ConfigurationPoll.STORAGE);
     }
 
     /** The controllers that polled. */
     public List<NodeInfo> controllers() {
-        return machines(SpecPoll.CONTROLLER);
+        return machines(ConfigurationPoll.CONTROLLER);
     }
 
     private List<NodeInfo> machines(final int role) {
@@ -270,11 +270,11 @@
                 .toList();
     }
 
-    /** Controllers that have lately asked this master themselves, and mean to stay. */
+    /** Controllers that have lately asked this leader themselves, and mean to stay. */
     public List<NodeInfo> observers(final long now) {
         return pollers.values().stream()
-                .filter(p -> p.is(SpecPoll.CONTROLLER) && p.via == p.last.node() && !p.last.drain())
-                .filter(p -> now - p.heardAt <= 2 * tempo.specHold())
+                .filter(p -> p.is(ConfigurationPoll.CONTROLLER) && p.via == p.last.node() && !p.last.drain())
+                .filter(p -> now - p.heardAt <= 2 * timing.configurationHold())
                 .map(Poller::info)
                 .toList();
     }
@@ -283,13 +283,13 @@
      * The gateways that take sessions, for one that sends its own on: how many, then node, zone and address of each.
      */
     public byte[] openGateways(final long now) {
-        final List<SpecPoll> gateways = pollers.values().stream()
-                .filter(p -> p.is(SpecPoll.FRONT) && !p.last.drain() && now - p.heardAt <= 2 * tempo.specHold())
+        final List<ConfigurationPoll> gateways = pollers.values().stream()
+                .filter(p -> p.is(ConfigurationPoll.GATEWAY) && !p.last.drain() && now - p.heardAt <= 2 * timing.configurationHold())
                 .map(p -> p.last)
                 .toList();
-        final Pack pack = Pack.writer().num(gateways.size());
-        gateways.forEach(m -> pack.num(m.node()).str(m.zone()).str(m.address()));
-        return pack.done();
+        final PackedBuffer buffer = PackedBuffer.writer().num(gateways.size());
+        gateways.forEach(m -> buffer.num(m.node()).str(m.zone()).str(m.address()));
+        return buffer.done();
     }
 
     /** The zone of each process that polled, added to those given. */
@@ -309,8 +309,8 @@
                 .add("node", node)
                 .add("role", roleName(p.last.role()))
                 .add("zone", p.last.zone())
-                .add("specVersion", p.last.specVersion())
-                .add("rosterVersion", p.last.rosterVersion())
+                .add("specVersion", p.last.configurationVersion())
+                .add("rosterVersion", p.last.metadataVersion())
                 .add("draining", p.last.drain())
                 .add("leaseLeftMs", Math.max(0, p.leaseEnds - now))
                 .add("heardMsAgo", now - p.heardAt)
@@ -319,8 +319,8 @@
 
     private static String roleName(final int role) {
         return switch (role) {
-            case SpecPoll.STORAGE -> "storage";
-            case SpecPoll.CONTROLLER -> "bailiff";
+            case ConfigurationPoll.STORAGE -> "storage";
+            case ConfigurationPoll.CONTROLLER -> "bailiff";
             default -> "front";
         };
     }
--- a/coordination/src/main/java/brookpath/coordination/node/control/Replies.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/Replies.java
@@ -2,51 +2,51 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import brookpath.coordination.Tempo;
+import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.message.Msg.OpReply;
+import brookpath.coordination.message.PeerMessage.ControlReply;
 import brookpath.coordination.message.Response;
-import brookpath.coordination.spec.Finding;
+import brookpath.coordination.configuration.Finding;
 import java.util.List;
 
 /** Gives responses to whoever asked: a caller of this process, or another process. */
 public final class Replies {
     private final int self;
-    private final Tempo tempo;
+    private final TimingBounds timing;
     private final Actions out;
 
-    public Replies(final int self, final Tempo tempo, final Actions out) {
+    public Replies(final int self, final TimingBounds timing, final Actions out) {
         this.self = self;
-        this.tempo = tempo;
+        this.timing = timing;
         this.out = out;
     }
 
-    /** Responds to a job of this process's callers, or of another process; job 0 wants no response. */
-    public void respond(final int from, final long jobId, final Response response) {
+    /** Responds to a request of this process's callers, or of another process; request 0 wants no response. */
+    public void respond(final int from, final long requestId, final Response response) {
         if (from == self) {
-            out.respond(jobId, response);
-        } else if (jobId != 0) {
+            out.respond(requestId, response);
+        } else if (requestId != 0) {
             final byte[] body = response.json().getBytes(UTF_8);
-            out.send(from, new OpReply(jobId, response.status(), response.retryAfterMs(), body));
+            out.send(from, new ControlReply(requestId, response.status(), response.retryAfterMs(), body));
         }
     }
 
     /** Responds as above, but nothing that may have become untrue is given after the deadline. */
     public void respondBefore(
-            final long deadline, final RequestKind kind, final int from, final long jobId, final Response response) {
+            final long deadline, final RequestKind kind, final int from, final long requestId, final Response response) {
         final boolean staysTrue = kind.order() && response.status() / 100 == 2;
         respond(
                 from,
-                jobId,
+                requestId,
                 staysTrue ? response : response.until(deadline, lost(kind, "the answer was held up for too long")));
     }
 
-    /** Passes on what the control master answered, as above. */
-    public void relay(final long deadline, final RequestKind kind, final int from, final OpReply reply) {
+    /** Passes on what the control leader answered, as above. */
+    public void relay(final long deadline, final RequestKind kind, final int from, final ControlReply reply) {
         if (from == self) {
             final String json = new String(reply.body(), UTF_8);
             respondBefore(
-                    deadline, kind, from, reply.jobId(), new Response(reply.status(), reply.retryAfterMs(), json));
+                    deadline, kind, from, reply.requestId(), new Response(reply.status(), reply.retryAfterMs(), json));
         } else {
             out.send(from, reply);
         }
@@ -54,7 +54,7 @@
 
     /** Certainly not done, and worth another try. */
     public Response unavailable(final String why) {
-        return new Response(503, tempo.retryAfterMs(), "{\"outcome\":\"refused\",\"why\":\"" + why + "\"}");
+        return new Response(503, timing.retryAfterMs(), "{\"outcome\":\"refused\",\"why\":\"" + why + "\"}");
     }
 
     /** The request was sent on, and nobody knows its end: an order may have been taken. */
@@ -64,7 +64,7 @@
         }
         return new Response(
                 504,
-                tempo.retryAfterMs(),
+                timing.retryAfterMs(),
                 "{\"outcome\":\"unsettled\",\"why\":\"" + why + "; send it again as it was\"}");
     }
 
--- a/coordination/src/main/java/brookpath/coordination/node/control/RequestKind.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/RequestKind.java
@@ -1,6 +1,6 @@
 package brookpath.coordination.node.control;
 
-/** What an operator or another process may ask of the control master, by its name on the wire. */
+/** What an operator or another process may ask of the control leader, by its name on the wire. */
 public enum RequestKind {
     /** A configuration document. */
     CHANGE("change", true),
@@ -8,26 +8,26 @@
     RETIRE("retire", true),
     /** Empties a storage machine given by its name. */
     RETIRE_NAMED("retireNamed", true),
-    /** Switches a group's mastership over by hand. */
+    /** Switches a group's leadership over by hand. */
     HANDOVER("handover", true),
-    /** A topic group's master says that its group is founded. */
+    /** A topic group's leader says that its group is founded. */
     FOUNDED("founded", true),
-    /** A topic group's master tells the membership that its log has accepted. */
+    /** A topic group's leader tells the membership that its log has committed. */
     MEMBERS("members", true),
-    /** A topic group's master tells the usage of its closed windows. */
+    /** A topic group's leader tells the usage of its closed windows. */
     USAGE("usage", true),
-    /** Reads the newest accepted configuration. */
-    SPEC("spec", false),
+    /** Reads the newest committed configuration. */
+    CONFIGURATION("spec", false),
     /** Reads what became of a change. */
     OUTCOME("outcome", false),
     /** Reads whether a retiring storage machine is empty. */
     RETIRED("retired", false),
     /** Reads the usage windows. */
     WINDOWS("windows", false),
-    /** Reads which processes follow the control master. */
+    /** Reads which processes follow the control leader. */
     NODES("nodes", false),
-    /** A front asks for the other fronts. */
-    FRONTS("fronts", false),
+    /** A gateway asks for the other gateways. */
+    GATEWAYS("fronts", false),
     /** Anything that this version does not know. */
     UNKNOWN("", false);
 
--- a/coordination/src/main/java/brookpath/coordination/node/control/RetireOrders.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/RetireOrders.java
@@ -3,33 +3,33 @@
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import brookpath.coordination.group.GroupMachine;
-import brookpath.coordination.message.Msg.Op;
+import brookpath.coordination.message.PeerMessage.ControlRequest;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.node.Node.Time;
-import brookpath.coordination.spec.ControlState;
-import brookpath.coordination.spec.MovePlan;
-import brookpath.coordination.spec.Retirements.Retirement;
-import brookpath.coordination.spec.Roster;
-import brookpath.coordination.spec.Roster.NodeInfo;
-import brookpath.state.record.Pack;
-import brookpath.state.record.Rec;
+import brookpath.coordination.configuration.ControlState;
+import brookpath.coordination.configuration.MovePlan;
+import brookpath.coordination.configuration.Retirements.Retirement;
+import brookpath.coordination.configuration.ClusterMetadata;
+import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.state.record.PackedBuffer;
+import brookpath.state.record.LogRecord;
 
 /**
  * Orders to empty a storage machine, or to keep it after all. An order is acknowledged once the record that took it is
- * accepted, and again however often it is repeated, also when the machine is long gone.
+ * committed, and again however often it is repeated, also when the machine is long gone.
  */
 public final class RetireOrders {
     /** The machine that an order names, by its number or by its name. */
     private sealed interface Target {
-        NodeInfo in(Roster roster);
+        NodeInfo in(ClusterMetadata metadata);
 
         Retirement retired(ControlState state, long position);
     }
 
     private record ByNumber(int node) implements Target {
         @Override
-        public NodeInfo in(final Roster roster) {
-            return roster.node(node);
+        public NodeInfo in(final ClusterMetadata metadata) {
+            return metadata.node(node);
         }
 
         @Override
@@ -40,8 +40,8 @@
 
     private record ByName(String name) implements Target {
         @Override
-        public NodeInfo in(final Roster roster) {
-            return roster.nodes().stream()
+        public NodeInfo in(final ClusterMetadata metadata) {
+            return metadata.nodes().stream()
                     .filter(n -> n.name().equals(name))
                     .findFirst()
                     .orElse(null);
@@ -67,29 +67,29 @@
         return (ControlState) group.live();
     }
 
-    private Roster accepted() {
-        return state().rosterAt(group.accepted());
+    private ClusterMetadata committed() {
+        return state().metadataAt(group.committed());
     }
 
-    private Roster newest() {
-        return state().rosterAt(Long.MAX_VALUE);
+    private ClusterMetadata newest() {
+        return state().metadataAt(Long.MAX_VALUE);
     }
 
     /** Empties a machine given by its number, or keeps it after all. */
-    public void retire(final int from, final Op op, final Time time) {
-        final Pack in = Pack.reader(op.body());
+    public void retire(final int from, final ControlRequest op, final Time time) {
+        final PackedBuffer in = PackedBuffer.reader(op.body());
         final Target target = new ByNumber((int) in.num());
         take(from, op, RequestKind.RETIRE, target, in.num() == 1, time);
     }
 
     /** Empties a machine given by its name. */
-    public void retireNamed(final int from, final Op op, final Time time) {
+    public void retireNamed(final int from, final ControlRequest op, final Time time) {
         take(from, op, RequestKind.RETIRE_NAMED, new ByName(new String(op.body(), UTF_8)), true, time);
     }
 
     private void take(
             final int from,
-            final Op op,
+            final ControlRequest op,
             final RequestKind kind,
             final Target target,
             final boolean on,
@@ -99,10 +99,10 @@
     }
 
     /** Whether the order is a fact in this cluster metadata, which stands at this position of the log. */
-    private boolean done(final Roster roster, final long position, final Target target, final boolean on) {
-        final NodeInfo node = target.in(roster);
+    private boolean done(final ClusterMetadata metadata, final long position, final Target target, final boolean on) {
+        final NodeInfo node = target.in(metadata);
         return node != null
-                ? roster.retiring().contains(node.node()) == on
+                ? metadata.retiring().contains(node.node()) == on
                 : on && target.retired(state(), position) != null;
     }
 
@@ -112,59 +112,59 @@
 
     /** Appends the order unless it is there already, or something speaks against it just now. */
     private void append(final Target target, final boolean on, final Time time) {
-        final Roster roster = newest();
-        final NodeInfo node = target.in(roster);
+        final ClusterMetadata metadata = newest();
+        final NodeInfo node = target.in(metadata);
         if (node == null || appended(target, on)) {
             return;
         }
-        final MovePlan.Retirement plan = plan(roster, node.node(), on, time);
+        final MovePlan.Retirement plan = plan(metadata, node.node(), on, time);
         if (plan.findings().isEmpty()) {
-            group.append(Rec.CONTROL, ControlState.rosterBody(plan.then()), time.mono(), time.wall());
+            group.append(LogRecord.CONTROL, ControlState.metadataBody(plan.then()), time.mono(), time.wall());
         }
     }
 
-    private MovePlan.Retirement plan(final Roster roster, final int node, final boolean on, final Time time) {
-        return MovePlan.retire(roster, node, on, followers.aliveStorages(time.mono()));
+    private MovePlan.Retirement plan(final ClusterMetadata metadata, final int node, final boolean on, final Time time) {
+        return MovePlan.retire(metadata, node, on, followers.aliveStorages(time.mono()));
     }
 
     private Response answer(final Target target, final boolean on, final Time time) {
-        if (done(accepted(), group.accepted(), target, on)) {
+        if (done(committed(), group.committed(), target, on)) {
             return new Response(202, 0, "{\"outcome\":\"" + (on ? "retiring" : "kept") + "\"}");
         }
         append(target, on, time);
-        // why: a refusal is final, so it must follow from what is accepted, and not from machines not heard yet
-        final boolean settled = newest().version() == accepted().version() && followers.heardAll(time.mono());
+        // why: a refusal is final, so it must follow from what is committed, and not from machines not heard yet
+        final boolean settled = newest().version() == committed().version() && followers.heardAll(time.mono());
         return appended(target, on) || !settled ? null : refusal(target, on, time);
     }
 
     private Response refusal(final Target target, final boolean on, final Time time) {
-        final NodeInfo node = target.in(accepted());
+        final NodeInfo node = target.in(committed());
         if (node == null && target instanceof ByName) {
             return unknown();
         }
         final int number = target instanceof ByNumber t ? t.node : node.node();
-        return Replies.refused(409, plan(accepted(), number, on, time).findings());
+        return Replies.refused(409, plan(committed(), number, on, time).findings());
     }
 
     private static Response unknown() {
         return new Response(404, 0, "{\"outcome\":\"unknown\"}");
     }
 
-    /** Whether a machine that was to be emptied holds nothing any more, by the accepted cluster metadata. */
+    /** Whether a machine that was to be emptied holds nothing any more, by the committed cluster metadata. */
     public Response retired(final String name) {
-        final Roster roster = accepted();
+        final ClusterMetadata metadata = committed();
         final Target target = new ByName(name);
-        if (!done(roster, group.accepted(), target, true)) {
+        if (!done(metadata, group.committed(), target, true)) {
             return unknown();
         }
-        final NodeInfo node = target.in(roster);
+        final NodeInfo node = target.in(metadata);
         final int number = node != null
                 ? node.node()
-                : target.retired(state(), group.accepted()).node();
+                : target.retired(state(), group.committed()).node();
         // why: where another machine has the number now, the one that retired is gone
-        final boolean replaced = node == null && roster.node(number) != null;
+        final boolean replaced = node == null && metadata.node(number) != null;
         final boolean holds =
-                roster.groups().stream().anyMatch(g -> g.membership().holds(number));
+                metadata.groups().stream().anyMatch(g -> g.membership().holds(number));
         return new Response(200, 0, "{\"empty\":" + (replaced || !holds) + "}");
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/front/package-info.java
+++ /dev/null
@@ -1,6 +0,0 @@
-/**
- * The gateway's parts. {@link brookpath.coordination.node.front.PublishForwarder} brings publishes to the masters of
- * their groups; {@link brookpath.coordination.node.front.Subscriptions} holds the callers' sessions and reads what they
- * listen to. All of it runs on the state thread, takes (event, now) and returns actions.
- */
-package brookpath.coordination.node.front;
--- a/coordination/src/main/java/brookpath/coordination/node/front/CatchUpFetcher.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/CatchUpFetcher.java
@@ -1,11 +1,11 @@
-package brookpath.coordination.node.front;
+package brookpath.coordination.node.gateway;
 
-import brookpath.coordination.Tempo;
+import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.message.Msg.Fetch;
-import brookpath.coordination.message.Msg.FetchReply;
-import brookpath.coordination.message.Msg.TopicAt;
-import brookpath.state.record.Rec;
+import brookpath.coordination.message.PeerMessage.Fetch;
+import brookpath.coordination.message.PeerMessage.FetchReply;
+import brookpath.coordination.message.PeerMessage.TopicPosition;
+import brookpath.state.record.LogRecord;
 import java.util.List;
 import java.util.function.LongSupplier;
 
@@ -16,7 +16,7 @@
     private final FeedFetcher feeds;
     private final SessionWriter writer;
     private final SessionTerminator terminator;
-    private final Tempo tempo;
+    private final TimingBounds timing;
     private final LongSupplier ids;
     private final Actions out;
 
@@ -26,7 +26,7 @@
             final FeedFetcher feeds,
             final SessionWriter writer,
             final SessionTerminator terminator,
-            final Tempo tempo,
+            final TimingBounds timing,
             final LongSupplier ids,
             final Actions out) {
         this.registry = registry;
@@ -34,7 +34,7 @@
         this.feeds = feeds;
         this.writer = writer;
         this.terminator = terminator;
-        this.tempo = tempo;
+        this.timing = timing;
         this.ids = ids;
         this.out = out;
     }
@@ -48,7 +48,7 @@
     /** Retries what has had no reply in time, or no member to be read from. */
     void retryIfOverdue(final Session session, final GroupSubscription subscription, final long now) {
         final boolean underWay = subscription.fetchId != 0;
-        if (subscription.live || (underWay && now - subscription.fetchSentAt <= tempo.down())) {
+        if (subscription.live || (underWay && now - subscription.fetchSentAt <= timing.down())) {
             return;
         }
         if (underWay) {
@@ -75,7 +75,7 @@
         subscription.source = source;
         subscription.fetchSentAt = now;
         registry.catchUpSent(session, subscription);
-        final List<TopicAt> wanted = subscription.resolvingEnd ? List.of() : subscription.wanted();
+        final List<TopicPosition> wanted = subscription.resolvingEnd ? List.of() : subscription.wanted();
         out.send(
                 source,
                 new Fetch(subscription.fetchId, subscription.group, subscription.resolvingEnd, false, 0, 0, wanted));
@@ -104,8 +104,8 @@
 
     /** The reply to a session's own fetch. */
     void received(final int from, final FetchReply reply, final long now) {
-        final SessionRegistry.CatchUpFetch fetch = registry.completeCatchUp(reply.jobId());
-        if (fetch == null || fetch.subscription().fetchId != reply.jobId()) {
+        final SessionRegistry.CatchUpFetch fetch = registry.completeCatchUp(reply.requestId());
+        if (fetch == null || fetch.subscription().fetchId != reply.requestId()) {
             return;
         }
         final GroupSubscription subscription = fetch.subscription();
@@ -141,8 +141,8 @@
             writer.start(session, now);
         }
         writer.confirmJoin(subscription);
-        for (final Rec rec : reply.recs()) {
-            writer.deliver(session, subscription, rec, now);
+        for (final LogRecord logRecord : reply.records()) {
+            writer.deliver(session, subscription, logRecord, now);
         }
         subscription.advanceAll(reply.scannedTo());
         joinFeed(session, subscription, reply, now);
@@ -161,14 +161,14 @@
         if (reply.scannedTo() >= feed.position) {
             goLive(session, subscription, feed, reply.scannedTo(), now);
             feeds.fetch(feed, now);
-        } else if (!reply.recs().isEmpty()) {
+        } else if (!reply.records().isEmpty()) {
             fetch(session, subscription, now);
         }
     }
 
     /** A fetch never left this process. */
     void unsent(final Fetch message, final long now) {
-        final SessionRegistry.CatchUpFetch fetch = registry.catchUp(message.jobId());
+        final SessionRegistry.CatchUpFetch fetch = registry.catchUp(message.requestId());
         if (fetch != null) {
             retryAtNextTimer(fetch.subscription(), now);
         }
@@ -187,6 +187,6 @@
 
     private void retryAtNextTimer(final GroupSubscription subscription, final long now) {
         // so long ago that the fetch is overdue
-        subscription.fetchSentAt = now - tempo.deliverMs();
+        subscription.fetchSentAt = now - timing.deliverMs();
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/front/Feed.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/Feed.java
@@ -1,4 +1,4 @@
-package brookpath.coordination.node.front;
+package brookpath.coordination.node.gateway;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -20,7 +20,7 @@
 
     final int group;
     private final TreeMap<String, Listeners> byTopic = new TreeMap<>();
-    /** What the group's master was told of the listeners. */
+    /** What the group's leader was told of the listeners. */
     final ReportedListeners reported = new ReportedListeners();
     /** Names the set of topics; another one whenever that changes. */
     long topicsVersion;
--- a/coordination/src/main/java/brookpath/coordination/node/front/FeedFetcher.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/FeedFetcher.java
@@ -1,11 +1,11 @@
-package brookpath.coordination.node.front;
+package brookpath.coordination.node.gateway;
 
-import brookpath.coordination.Tempo;
+import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.message.Msg.Fetch;
-import brookpath.coordination.message.Msg.FetchReply;
-import brookpath.coordination.message.Msg.TopicAt;
-import brookpath.state.record.Rec;
+import brookpath.coordination.message.PeerMessage.Fetch;
+import brookpath.coordination.message.PeerMessage.FetchReply;
+import brookpath.coordination.message.PeerMessage.TopicPosition;
+import brookpath.state.record.LogRecord;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.LongSupplier;
@@ -16,7 +16,7 @@
     private final FetchSources sources;
     private final SessionWriter writer;
     private final SessionTerminator terminator;
-    private final Tempo tempo;
+    private final TimingBounds timing;
     private final LongSupplier ids;
     private final Actions out;
 
@@ -25,14 +25,14 @@
             final FetchSources sources,
             final SessionWriter writer,
             final SessionTerminator terminator,
-            final Tempo tempo,
+            final TimingBounds timing,
             final LongSupplier ids,
             final Actions out) {
         this.registry = registry;
         this.sources = sources;
         this.writer = writer;
         this.terminator = terminator;
-        this.tempo = tempo;
+        this.timing = timing;
         this.ids = ids;
         this.out = out;
     }
@@ -48,7 +48,7 @@
         }
         final boolean underWay = feed.fetchId != 0;
         // the source answers within the hold, so one that has not is avoided before its heartbeats are missed
-        final boolean overdue = underWay && now - feed.fetchSentAt > tempo.fetchHold() + tempo.beat();
+        final boolean overdue = underWay && now - feed.fetchSentAt > timing.fetchHold() + timing.heartbeat();
         if (underWay && !overdue && feed.toldTopicsVersion == feed.topicsVersion) {
             return;
         }
@@ -69,9 +69,9 @@
         feed.fetchId = ids.getAsLong();
         feed.source = source;
         feed.fetchSentAt = unansweredSince;
-        final List<TopicAt> topics = new ArrayList<>();
+        final List<TopicPosition> topics = new ArrayList<>();
         if (feed.sourceToldTopics != source || feed.toldTopicsVersion != feed.topicsVersion) {
-            feed.topics().forEach(topic -> topics.add(new TopicAt(topic, 0)));
+            feed.topics().forEach(topic -> topics.add(new TopicPosition(topic, 0)));
             feed.sourceToldTopics = source;
             feed.toldTopicsVersion = feed.topicsVersion;
         }
@@ -92,8 +92,8 @@
         }
         feed.fetchId = 0;
         endWhereHistoryIsGone(feed, reply);
-        for (final Rec rec : reply.recs()) {
-            deliver(feed, rec, now);
+        for (final LogRecord logRecord : reply.records()) {
+            deliver(feed, logRecord, now);
         }
         feed.position = Math.max(feed.position, reply.scannedTo());
         if (!feed.hasNoListener()) {
@@ -111,10 +111,10 @@
         }
     }
 
-    private void deliver(final Feed feed, final Rec rec, final long now) {
-        for (final long id : feed.liveSessions(rec.topic())) {
+    private void deliver(final Feed feed, final LogRecord logRecord, final long now) {
+        for (final long id : feed.liveSessions(logRecord.topic())) {
             final Session session = registry.get(id);
-            writer.deliver(session, session.subscription(rec.topic()), rec, now);
+            writer.deliver(session, session.subscription(logRecord.topic()), logRecord, now);
         }
     }
 
@@ -131,7 +131,7 @@
     /** A fetch never left this process. */
     void unsent(final int to, final Fetch message, final long now) {
         registry.feeds().stream()
-                .filter(feed -> feed.fetchId == message.jobId())
+                .filter(feed -> feed.fetchId == message.requestId())
                 .forEach(feed -> {
                     feed.sourceToldTopics = 0;
                     fetchElsewhere(feed, to, now);
--- a/coordination/src/main/java/brookpath/coordination/node/front/FetchSources.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/FetchSources.java
@@ -1,6 +1,6 @@
-package brookpath.coordination.node.front;
+package brookpath.coordination.node.gateway;
 
-import brookpath.coordination.Tempo;
+import brookpath.coordination.TimingBounds;
 import brookpath.coordination.route.RouteFinder;
 import java.util.HashMap;
 import java.util.Map;
@@ -8,12 +8,12 @@
 
 /** Selects the members that history is read from; those that did not respond lately are asked last. */
 final class FetchSources {
-    private final Tempo tempo;
+    private final TimingBounds timing;
     private final LongFunction<RouteFinder> routes;
     private final Map<Integer, Long> avoidedUntil = new HashMap<>();
 
-    FetchSources(final Tempo tempo, final LongFunction<RouteFinder> routes) {
-        this.tempo = tempo;
+    FetchSources(final TimingBounds timing, final LongFunction<RouteFinder> routes) {
+        this.timing = timing;
         this.routes = routes;
     }
 
@@ -23,7 +23,7 @@
     }
 
     void avoid(final int node, final long now) {
-        avoidedUntil.put(node, now + tempo.recoverMs() / 4);
+        avoidedUntil.put(node, now + timing.recoverMs() / 4);
     }
 
     boolean isAvoided(final int node) {
--- a/coordination/src/main/java/brookpath/coordination/node/front/ForwardedPublish.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/ForwardedPublish.java
@@ -1,29 +1,29 @@
-package brookpath.coordination.node.front;
+package brookpath.coordination.node.gateway;
 
-import brookpath.coordination.message.Msg.Publish;
-import brookpath.coordination.node.Job;
+import brookpath.coordination.message.PeerMessage.Publish;
+import brookpath.coordination.node.NodeRequest;
 import brookpath.coordination.route.Route;
-import brookpath.coordination.route.RouteFinder.Master;
+import brookpath.coordination.route.RouteFinder.Leader;
 
-/** A caller's publish that has neither been accepted nor given back yet. */
+/** A caller's publish that has neither been committed nor given back yet. */
 final class ForwardedPublish {
-    private final Job.Publish request;
+    private final NodeRequest.Publish request;
     private final Route route;
-    private final long specVersion;
+    private final long configurationVersion;
     private final long deadline;
-    private Master target = Master.NONE;
+    private Leader target = Leader.NONE;
     private boolean maybeAppended;
     private String lastFailure = "the group has no master just now";
 
     /** @param deadline when the publish is given back to its caller, on the monotonic clock in milliseconds */
-    ForwardedPublish(final Job.Publish request, final Route route, final long specVersion, final long deadline) {
+    ForwardedPublish(final NodeRequest.Publish request, final Route route, final long configurationVersion, final long deadline) {
         this.request = request;
         this.route = route;
-        this.specVersion = specVersion;
+        this.configurationVersion = configurationVersion;
         this.deadline = deadline;
     }
 
-    Job.Publish request() {
+    NodeRequest.Publish request() {
         return request;
     }
 
@@ -55,21 +55,21 @@
         return maybeAppended || !isWaiting();
     }
 
-    /** An attempt at the master begins; one that was under way at another may have succeeded. */
-    void beginAttempt(final Master master) {
+    /** An attempt at the leader begins; one that was under way at another may have succeeded. */
+    void beginAttempt(final Leader leader) {
         maybeAppended = isUncertain();
-        target = master;
+        target = leader;
     }
 
     /** The attempt under way is over, and it may have succeeded. */
     void endAttemptUncertain() {
         maybeAppended = true;
-        target = Master.NONE;
+        target = Leader.NONE;
     }
 
     /** The attempt under way is over, and it certainly did not succeed. */
     void endAttempt() {
-        target = Master.NONE;
+        target = Leader.NONE;
     }
 
     void markUncertain() {
@@ -84,7 +84,7 @@
         return new Publish(
                 id,
                 route.group(),
-                specVersion,
+                configurationVersion,
                 request.seq(),
                 route.tenant(),
                 request.topic(),
--- a/coordination/src/main/java/brookpath/coordination/node/front/GatewayAddresses.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/GatewayAddresses.java
@@ -1,6 +1,6 @@
-package brookpath.coordination.node.front;
+package brookpath.coordination.node.gateway;
 
-import brookpath.state.record.Pack;
+import brookpath.state.record.PackedBuffer;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.LongSupplier;
@@ -57,7 +57,7 @@
     public void received(final byte[] body) {
         final List<String> near = new ArrayList<>();
         final List<String> all = new ArrayList<>();
-        final Pack in = Pack.reader(body);
+        final PackedBuffer in = PackedBuffer.reader(body);
         for (long left = in.num(); left > 0; left--) {
             final int node = (int) in.num();
             final boolean sameZone = in.str().equals(zone);
--- a/coordination/src/main/java/brookpath/coordination/node/front/GroupSubscription.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/GroupSubscription.java
@@ -1,6 +1,6 @@
-package brookpath.coordination.node.front;
+package brookpath.coordination.node.gateway;
 
-import brookpath.coordination.message.Msg.TopicAt;
+import brookpath.coordination.message.PeerMessage.TopicPosition;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -86,10 +86,10 @@
     }
 
     /** What a fetch asks for: each topic from its position on. */
-    List<TopicAt> wanted() {
-        final List<TopicAt> wanted = new ArrayList<>();
+    List<TopicPosition> wanted() {
+        final List<TopicPosition> wanted = new ArrayList<>();
         for (final Map.Entry<String, Long> entry : positions.entrySet()) {
-            wanted.add(new TopicAt(entry.getKey(), entry.getValue()));
+            wanted.add(new TopicPosition(entry.getKey(), entry.getValue()));
         }
         return wanted;
     }
--- a/coordination/src/main/java/brookpath/coordination/node/front/LeaseQueue.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/LeaseQueue.java
@@ -1,7 +1,7 @@
-package brookpath.coordination.node.front;
+package brookpath.coordination.node.gateway;
 
-import brookpath.coordination.Tempo;
-import brookpath.coordination.node.Job;
+import brookpath.coordination.TimingBounds;
+import brookpath.coordination.node.NodeRequest;
 import java.util.ArrayDeque;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
@@ -11,14 +11,14 @@
     private static final int MAX_REQUESTS = 4_096;
     private static final long NEVER = Long.MAX_VALUE / 2;
 
-    private record WaitingRequest(Job request, long deadline) {}
+    private record WaitingRequest(NodeRequest request, long deadline) {}
 
-    private final Tempo tempo;
+    private final TimingBounds timing;
     private final ArrayDeque<WaitingRequest> waiting = new ArrayDeque<>();
     private long leaseMissingSince = NEVER;
 
-    public LeaseQueue(final Tempo tempo) {
-        this.tempo = tempo;
+    public LeaseQueue(final TimingBounds timing) {
+        this.timing = timing;
     }
 
     /**
@@ -26,16 +26,16 @@
      *
      * @return false where the request is to be judged at once
      */
-    public boolean offer(final Job request, final boolean leased, final long now) {
+    public boolean offer(final NodeRequest request, final boolean leased, final long now) {
         if (leased || isLeaseGivenUp(now) || waiting.size() >= MAX_REQUESTS) {
             return false;
         }
-        waiting.add(new WaitingRequest(request, now + tempo.deliverMs() / 2));
+        waiting.add(new WaitingRequest(request, now + timing.deliverMs() / 2));
         return true;
     }
 
     /** Passes on what need not or cannot wait any longer. */
-    public void release(final boolean leased, final long now, final Consumer<Job> handler) {
+    public void release(final boolean leased, final long now, final Consumer<NodeRequest> handler) {
         if (leased) {
             leaseMissingSince = NEVER;
         } else if (leaseMissingSince > now) {
@@ -47,11 +47,11 @@
     }
 
     /** Nobody waits for the answers to these requests any more. */
-    public void removeIf(final Predicate<Job> abandoned) {
+    public void removeIf(final Predicate<NodeRequest> abandoned) {
         waiting.removeIf(entry -> abandoned.test(entry.request));
     }
 
     private boolean isLeaseGivenUp(final long now) {
-        return now - leaseMissingSince > tempo.deliverMs();
+        return now - leaseMissingSince > timing.deliverMs();
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/front/ListenerCountRequests.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/ListenerCountRequests.java
@@ -1,9 +1,9 @@
-package brookpath.coordination.node.front;
+package brookpath.coordination.node.gateway;
 
-import brookpath.coordination.Tempo;
+import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.message.Msg.CountAsk;
-import brookpath.coordination.message.Msg.CountReply;
+import brookpath.coordination.message.PeerMessage.ListenerCountRequest;
+import brookpath.coordination.message.PeerMessage.ListenerCountReply;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.route.Refusals;
 import brookpath.coordination.route.Route;
@@ -11,27 +11,27 @@
 import java.util.TreeMap;
 import java.util.function.LongSupplier;
 
-/** Callers' requests for the number of a topic's listeners that are under way to the groups' masters. */
+/** Callers' requests for the number of a topic's listeners that are under way to the groups' leaders. */
 public final class ListenerCountRequests {
     private static final int MAX_REQUESTS = 4_096;
     private static final int OK = 200;
 
     private record PendingCount(long requestId, long deadline, boolean excludesCaller) {}
 
-    private final Tempo tempo;
+    private final TimingBounds timing;
     private final LongSupplier ids;
     private final Actions out;
     private final TreeMap<Long, PendingCount> pending = new TreeMap<>();
 
     /** @param ids never the same twice, and rising */
-    public ListenerCountRequests(final Tempo tempo, final LongSupplier ids, final Actions out) {
-        this.tempo = tempo;
+    public ListenerCountRequests(final TimingBounds timing, final LongSupplier ids, final Actions out) {
+        this.timing = timing;
         this.ids = ids;
         this.out = out;
     }
 
     /**
-     * Asks the group's master.
+     * Asks the group's leader.
      *
      * @param excludesCaller whether the caller is a listener itself, and is not counted
      */
@@ -42,17 +42,17 @@
             return;
         }
         final long id = ids.getAsLong();
-        pending.put(id, new PendingCount(requestId, now + tempo.ferryHorizon(), excludesCaller));
-        out.send(route.node(), new CountAsk(id, route.group(), topic));
+        pending.put(id, new PendingCount(requestId, now + timing.forwardDeadline(), excludesCaller));
+        out.send(route.node(), new ListenerCountRequest(id, route.group(), topic));
     }
 
-    /** The master's reply. */
-    public void reply(final CountReply reply) {
-        final PendingCount count = pending.remove(reply.jobId());
+    /** The leader's reply. */
+    public void reply(final ListenerCountReply reply) {
+        final PendingCount count = pending.remove(reply.requestId());
         if (count == null) {
             return;
         }
-        if (reply.status() != CountReply.OK) {
+        if (reply.status() != ListenerCountReply.OK) {
             refuse(count.requestId, "master", "the master has no lease just now");
             return;
         }
@@ -61,8 +61,8 @@
     }
 
     /** The question never left this process. */
-    public void unsent(final int to, final CountAsk message) {
-        final PendingCount count = pending.remove(message.jobId());
+    public void unsent(final int to, final ListenerCountRequest message) {
+        final PendingCount count = pending.remove(message.requestId());
         if (count != null) {
             refuse(count.requestId, "master", "no session to node " + to);
         }
@@ -81,6 +81,6 @@
     }
 
     private void refuse(final long requestId, final String code, final String why) {
-        out.respond(requestId, Refusals.retryLater(tempo, code, why));
+        out.respond(requestId, Refusals.retryLater(timing, code, why));
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/front/PublishForwarder.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/PublishForwarder.java
@@ -1,15 +1,15 @@
-package brookpath.coordination.node.front;
+package brookpath.coordination.node.gateway;
 
-import brookpath.coordination.Tempo;
+import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.message.Msg.Publish;
-import brookpath.coordination.message.Msg.PublishReply;
+import brookpath.coordination.message.PeerMessage.Publish;
+import brookpath.coordination.message.PeerMessage.PublishReply;
 import brookpath.coordination.message.Response;
-import brookpath.coordination.node.Job;
+import brookpath.coordination.node.NodeRequest;
 import brookpath.coordination.route.Refusals;
 import brookpath.coordination.route.Route;
 import brookpath.coordination.route.RouteFinder;
-import brookpath.coordination.route.RouteFinder.Master;
+import brookpath.coordination.route.RouteFinder.Leader;
 import java.util.HashMap;
 import java.util.Iterator;
 import java.util.Map;
@@ -18,8 +18,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * Forwards publishes to their groups' masters, in the order in which the callers sent them. What a master did not take,
- * or what became unknown when a master or a session was lost, is retried with whoever masters the group then, for the
+ * Forwards publishes to their groups' leaders, in the order in which the callers sent them. What a leader did not take,
+ * or what became unknown when a leader or a session was lost, is retried with whoever leaders the group then, for the
  * sequence makes a repeat harmless. Only a publish whose deadline has passed is given back, as refused where it
  * certainly was not appended, else as unsettled.
  */
@@ -31,11 +31,11 @@
     private static final int CONFLICT = 409;
     private static final int GATEWAY_TIMEOUT = 504;
 
-    private final Tempo tempo;
+    private final TimingBounds timing;
     private final LongFunction<RouteFinder> routes;
     private final LongSupplier ids;
     private final Actions out;
-    private final MasterAvailability masters;
+    private final LeaderAvailability leaders;
     private final TreeMap<Integer, PublishQueue> queues = new TreeMap<>();
     private final Map<Long, Integer> groupOf = new HashMap<>();
 
@@ -44,12 +44,12 @@
      * @param ids never the same twice, and rising
      */
     public PublishForwarder(
-            final Tempo tempo, final LongFunction<RouteFinder> routes, final LongSupplier ids, final Actions out) {
-        this.tempo = tempo;
+            final TimingBounds timing, final LongFunction<RouteFinder> routes, final LongSupplier ids, final Actions out) {
+        this.timing = timing;
         this.routes = routes;
         this.ids = ids;
         this.out = out;
-        masters = new MasterAvailability(tempo, routes);
+        leaders = new LeaderAvailability(timing, routes);
     }
 
     /** How many publishes are under way. */
@@ -63,38 +63,38 @@
     }
 
     /**
-     * Takes a publish that was admitted, and sends it if its group has a master.
+     * Takes a publish that was admitted, and sends it if its group has a leader.
      *
      * @param answerMs how long the caller waits for an answer; 0 where that is unknown
      */
     public void add(
-            final Job.Publish request, final Route route, final long specVersion, final long answerMs, final long now) {
+            final NodeRequest.Publish request, final Route route, final long configurationVersion, final long answerMs, final long now) {
         if (groupOf.size() >= MAX_PUBLISHES) {
             refuse(request, "busy", "too many publishes are under way here");
             return;
         }
-        if (masters.isGivenUp(route.group(), now)) {
+        if (leaders.isGivenUp(route.group(), now)) {
             refuse(request, "master", "group " + route.group() + " has no master just now");
             return;
         }
         final long id = ids.getAsLong();
         groupOf.put(id, route.group());
         final PublishQueue queue = queues.computeIfAbsent(route.group(), group -> new PublishQueue());
-        queue.add(id, new ForwardedPublish(request, route, specVersion, now + patience(answerMs)));
+        queue.add(id, new ForwardedPublish(request, route, configurationVersion, now + patience(answerMs)));
         send(route.group(), queue, now);
     }
 
     /** How long a publish is retried: no longer than leaves the caller time to hear of it. */
     private long patience(final long answerMs) {
         if (answerMs == 0) {
-            return tempo.ferryHorizon();
+            return timing.forwardDeadline();
         }
-        return Math.min(tempo.ferryHorizon(), answerMs * 3 / 4);
+        return Math.min(timing.forwardDeadline(), answerMs * 3 / 4);
     }
 
-    /** Looks which groups have a master: one that has been without for longer than an election is not waited for. */
-    public void checkMasters(final int groups, final long now) {
-        masters.check(groups, now);
+    /** Looks which groups have a leader: one that has been without for longer than an election is not waited for. */
+    public void checkLeaders(final int groups, final long now) {
+        leaders.check(groups, now);
     }
 
     /** Gives back what is overdue and retries the rest where its pause is over. */
@@ -112,7 +112,7 @@
         while (entries.hasNext()) {
             final Map.Entry<Long, ForwardedPublish> entry = entries.next();
             final ForwardedPublish publish = entry.getValue();
-            if (!publish.expired(now) && !masters.isGivenUp(group, now)) {
+            if (!publish.expired(now) && !leaders.isGivenUp(group, now)) {
                 continue;
             }
             entries.remove();
@@ -129,48 +129,48 @@
         }
     }
 
-    /** Sends, in order, what is not with the group's present master. */
+    /** Sends, in order, what is not with the group's present leader. */
     private void send(final int group, final PublishQueue queue, final long now) {
         if (queue.isEmpty() || queue.isPaused(now)) {
             return;
         }
-        final Master fromHeartbeats = routes.apply(now).master(group, now);
-        final Master master = queue.masterToUse(fromHeartbeats, now);
-        if (master.node() == 0) {
+        final Leader fromHeartbeats = routes.apply(now).leader(group, now);
+        final Leader leader = queue.leaderToUse(fromHeartbeats, now);
+        if (leader.node() == 0) {
             return;
         }
         queue.publishes().forEach((id, publish) -> {
-            if (!publish.isWith(master.node())) {
-                publish.beginAttempt(master);
-                out.send(master.node(), publish.message(id));
+            if (!publish.isWith(leader.node())) {
+                publish.beginAttempt(leader);
+                out.send(leader.node(), publish.message(id));
             }
         });
     }
 
-    /** A master's reply to a publish. */
+    /** A leader's reply to a publish. */
     public void reply(final int from, final PublishReply reply, final long now) {
-        final PublishQueue queue = queueOf(reply.jobId());
-        final ForwardedPublish publish = queue == null ? null : queue.get(reply.jobId());
+        final PublishQueue queue = queueOf(reply.requestId());
+        final ForwardedPublish publish = queue == null ? null : queue.get(reply.requestId());
         if (publish == null) {
             return;
         }
         switch (reply.outcome()) {
-            case PublishReply.ACCEPTED -> accepted(queue, publish, reply);
+            case PublishReply.ACCEPTED -> committed(queue, publish, reply);
             case PublishReply.REFUSED_FOR_GOOD -> refusedForGood(queue, publish, from, reply);
             default -> notTaken(queue, publish, from, reply, now);
         }
     }
 
-    private void accepted(final PublishQueue queue, final ForwardedPublish publish, final PublishReply reply) {
-        remove(queue, reply.jobId());
+    private void committed(final PublishQueue queue, final ForwardedPublish publish, final PublishReply reply) {
+        remove(queue, reply.requestId());
         queue.resetBackoff();
         final String json = "{\"outcome\":\"accepted\",\"position\":" + reply.position() + "}";
-        out.respond(publish.request().jobId(), new Response(OK, 0, json));
+        out.respond(publish.request().requestId(), new Response(OK, 0, json));
     }
 
     private void refusedForGood(
             final PublishQueue queue, final ForwardedPublish publish, final int from, final PublishReply reply) {
-        remove(queue, reply.jobId());
+        remove(queue, reply.requestId());
         if (publish.isMaybeAppended()) {
             // an earlier attempt may lie in a log, and its sequence may only have been forgotten
             unsettled(
@@ -179,7 +179,7 @@
             return;
         }
         note(publish.request(), "node " + from + " said " + reply.why());
-        out.respond(publish.request().jobId(), Refusals.refused(CONFLICT, 0, "sequence", reply.why()));
+        out.respond(publish.request().requestId(), Refusals.refused(CONFLICT, 0, "sequence", reply.why()));
     }
 
     private void notTaken(
@@ -196,29 +196,29 @@
         if (reply.outcome() == PublishReply.UNSETTLED) {
             publish.markUncertain();
         }
-        final boolean notMaster = reply.outcome() == PublishReply.NOT_MASTER;
-        final boolean namesAnother = reply.masterHint() != 0 && reply.masterHint() != from;
-        if (notMaster && namesAnother && !queue.isHinted(reply.masterHint())) {
-            queue.followHint(reply.masterHint(), now + tempo.down());
+        final boolean notLeader = reply.outcome() == PublishReply.NOT_LEADER;
+        final boolean namesAnother = reply.leaderHint() != 0 && reply.leaderHint() != from;
+        if (notLeader && namesAnother && !queue.isHinted(reply.leaderHint())) {
+            queue.followHint(reply.leaderHint(), now + timing.down());
         } else {
-            if (notMaster) {
+            if (notLeader) {
                 queue.dropHint();
             }
-            queue.pause(tempo, now);
+            queue.pause(timing, now);
         }
-        queue.takeBackFrom(reply.jobId(), from);
-        send(groupOf.get(reply.jobId()), queue, now);
+        queue.takeBackFrom(reply.requestId(), from);
+        send(groupOf.get(reply.requestId()), queue, now);
     }
 
     /** The message never left this process for the node, so that attempt leaves nothing in doubt. */
     public void unsent(final int to, final Publish message, final long now) {
-        final PublishQueue queue = queueOf(message.jobId());
-        final ForwardedPublish publish = queue == null ? null : queue.get(message.jobId());
+        final PublishQueue queue = queueOf(message.requestId());
+        final ForwardedPublish publish = queue == null ? null : queue.get(message.requestId());
         // late word of an earlier attempt says nothing of the one that is under way
         if (publish != null && publish.isWith(to)) {
             publish.endAttempt();
             publish.failed("no session to the group's master");
-            queue.pause(tempo, now);
+            queue.pause(timing, now);
         }
     }
 
@@ -227,7 +227,7 @@
         final String why = "the session with node " + node + " broke";
         for (final PublishQueue queue : queues.values()) {
             if (queue.takeBackAll(node, why)) {
-                queue.pause(tempo, now);
+                queue.pause(timing, now);
             }
         }
     }
@@ -242,20 +242,20 @@
         groupOf.remove(id);
     }
 
-    private void refuse(final Job.Publish request, final String code, final String why) {
+    private void refuse(final NodeRequest.Publish request, final String code, final String why) {
         note(request, why);
-        out.respond(request.jobId(), Refusals.retryLater(tempo, code, why));
+        out.respond(request.requestId(), Refusals.retryLater(timing, code, why));
     }
 
-    private void unsettled(final Job.Publish request, final String why) {
+    private void unsettled(final NodeRequest.Publish request, final String why) {
         note(request, why);
         out.respond(
-                request.jobId(),
-                Refusals.response(GATEWAY_TIMEOUT, tempo.retryAfterMs(), "unsettled", "unsettled", why));
+                request.requestId(),
+                Refusals.response(GATEWAY_TIMEOUT, timing.retryAfterMs(), "unsettled", "unsettled", why));
     }
 
-    /** The notes are what is left to explain a publish from afterwards; accepted ones explain themselves. */
-    private void note(final Job.Publish request, final String how) {
+    /** The notes are what is left to explain a publish from afterwards; committed ones explain themselves. */
+    private void note(final NodeRequest.Publish request, final String how) {
         out.note("publish " + request.topic() + " " + request.sender() + "/" + request.seq() + ": " + how);
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/front/PublishQueue.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/PublishQueue.java
@@ -1,7 +1,7 @@
-package brookpath.coordination.node.front;
+package brookpath.coordination.node.gateway;
 
-import brookpath.coordination.Tempo;
-import brookpath.coordination.route.RouteFinder.Master;
+import brookpath.coordination.TimingBounds;
+import brookpath.coordination.route.RouteFinder.Leader;
 import java.util.Map;
 import java.util.TreeMap;
 
@@ -11,7 +11,7 @@
     private static final int MAX_BACKOFF_DOUBLINGS = 3;
 
     private final TreeMap<Long, ForwardedPublish> publishes = new TreeMap<>();
-    private int hintedMaster;
+    private int hintedLeader;
     private long hintValidUntil;
     private long pausedUntil = Long.MIN_VALUE;
     private int consecutivePauses;
@@ -47,8 +47,8 @@
         publishes.remove(id);
     }
 
-    void pause(final Tempo tempo, final long now) {
-        pausedUntil = now + (tempo.ferryPause() << Math.min(consecutivePauses, MAX_BACKOFF_DOUBLINGS));
+    void pause(final TimingBounds timing, final long now) {
+        pausedUntil = now + (timing.forwardPause() << Math.min(consecutivePauses, MAX_BACKOFF_DOUBLINGS));
         consecutivePauses++;
     }
 
@@ -56,27 +56,27 @@
         consecutivePauses = 0;
     }
 
-    /** Follows a refusal that named the master, until the heartbeats say the same or something newer. */
-    void followHint(final int master, final long validUntil) {
-        hintedMaster = master;
+    /** Follows a refusal that named the leader, until the heartbeats say the same or something newer. */
+    void followHint(final int leader, final long validUntil) {
+        hintedLeader = leader;
         hintValidUntil = validUntil;
     }
 
     void dropHint() {
-        hintedMaster = 0;
+        hintedLeader = 0;
     }
 
-    boolean isHinted(final int master) {
-        return hintedMaster == master;
+    boolean isHinted(final int leader) {
+        return hintedLeader == leader;
     }
 
-    /** The hinted master while the hint holds, else the one that the heartbeats name. */
-    Master masterToUse(final Master fromHeartbeats, final long now) {
-        if (hintedMaster == 0 || now >= hintValidUntil || fromHeartbeats.node() == hintedMaster) {
+    /** The hinted leader while the hint holds, else the one that the heartbeats name. */
+    Leader leaderToUse(final Leader fromHeartbeats, final long now) {
+        if (hintedLeader == 0 || now >= hintValidUntil || fromHeartbeats.node() == hintedLeader) {
             return fromHeartbeats;
         }
-        // an epoch above all, so that what the heartbeats tell of the old master does not turn the publishes back
-        return new Master(hintedMaster, Long.MAX_VALUE);
+        // a term above all, so that what the heartbeats tell of the old leader does not turn the publishes back
+        return new Leader(hintedLeader, Long.MAX_VALUE);
     }
 
     /**
--- a/coordination/src/main/java/brookpath/coordination/node/front/ReportedListeners.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/ReportedListeners.java
@@ -1,23 +1,23 @@
-package brookpath.coordination.node.front;
+package brookpath.coordination.node.gateway;
 
-import brookpath.coordination.message.Msg.TopicCount;
+import brookpath.coordination.message.PeerMessage.TopicCount;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 
-/** The listener counts of a group as its master was told them last. */
+/** The listener counts of a group as its leader was told them last. */
 final class ReportedListeners {
     /** Names the counts that were told. */
     private long version;
 
-    private int master;
+    private int leader;
     private long sentAt;
     private Map<String, Integer> counts = Map.of();
     private long changes;
 
-    /** The counts' name where the master knows them, so that changes are enough; else 0. */
+    /** The counts' name where the leader knows them, so that changes are enough; else 0. */
     long baseFor(final int node) {
-        return master == node ? version : 0;
+        return leader == node ? version : 0;
     }
 
     long version() {
@@ -25,7 +25,7 @@
     }
 
     boolean isCurrent(final int node, final long changesNow) {
-        return master == node && changes == changesNow;
+        return leader == node && changes == changesNow;
     }
 
     boolean sentWithin(final long period, final long now) {
@@ -36,22 +36,22 @@
         sentAt = now;
     }
 
-    /** Notes the counts that are about to be told to a master. */
+    /** Notes the counts that are about to be told to a leader. */
     void replace(final int node, final Map<String, Integer> newCounts, final long changesNow, final long newVersion) {
         version = newVersion;
-        master = node;
+        leader = node;
         counts = newCounts;
         changes = changesNow;
     }
 
-    /** What a master may not have received is told again, whole. */
+    /** What a leader may not have received is told again, whole. */
     void forget() {
-        master = 0;
+        leader = 0;
     }
 
     void forget(final int node) {
-        if (master == node) {
-            master = 0;
+        if (leader == node) {
+            leader = 0;
         }
     }
 
--- a/coordination/src/main/java/brookpath/coordination/node/front/Session.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/Session.java
@@ -1,4 +1,4 @@
-package brookpath.coordination.node.front;
+package brookpath.coordination.node.gateway;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/coordination/src/main/java/brookpath/coordination/node/front/SessionDrain.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/SessionDrain.java
@@ -1,4 +1,4 @@
-package brookpath.coordination.node.front;
+package brookpath.coordination.node.gateway;
 
 import brookpath.coordination.action.Actions;
 import java.util.function.Supplier;
--- a/coordination/src/main/java/brookpath/coordination/node/front/SessionTerminator.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/SessionTerminator.java
@@ -1,6 +1,6 @@
-package brookpath.coordination.node.front;
+package brookpath.coordination.node.gateway;
 
-import brookpath.coordination.Tempo;
+import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.route.Refusals;
@@ -14,12 +14,12 @@
     private static final String NO_LONGER_KEPT = "history after the cursor is no longer kept";
 
     private final SessionRegistry registry;
-    private final Tempo tempo;
+    private final TimingBounds timing;
     private final Actions out;
 
-    SessionTerminator(final SessionRegistry registry, final Tempo tempo, final Actions out) {
+    SessionTerminator(final SessionRegistry registry, final TimingBounds timing, final Actions out) {
         this.registry = registry;
-        this.tempo = tempo;
+        this.timing = timing;
         this.out = out;
     }
 
@@ -72,12 +72,12 @@
     /** A session could not start in time. */
     void sessionTimedOut(final Session session) {
         registry.remove(session);
-        out.respond(session.id, Refusals.retryLater(tempo, "history", NOT_READ_IN_TIME));
+        out.respond(session.id, Refusals.retryLater(timing, "history", NOT_READ_IN_TIME));
     }
 
     /** A topic that was joined by itself could not begin in time. */
     void joinTimedOut(final Session session, final GroupSubscription subscription) {
         registry.unsubscribe(session, subscription);
-        out.respond(subscription.pendingJoin, Refusals.retryLater(tempo, "history", NOT_READ_IN_TIME));
+        out.respond(subscription.pendingJoin, Refusals.retryLater(timing, "history", NOT_READ_IN_TIME));
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/front/SessionWriter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/SessionWriter.java
@@ -1,11 +1,11 @@
-package brookpath.coordination.node.front;
+package brookpath.coordination.node.gateway;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import brookpath.coordination.action.Actions;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.node.Cursor;
-import brookpath.state.record.Rec;
+import brookpath.state.record.LogRecord;
 import jakarta.json.Json;
 import jakarta.json.JsonObject;
 
@@ -42,21 +42,21 @@
     }
 
     /** Hands out a record, unless the session has it already. */
-    void deliver(final Session session, final GroupSubscription subscription, final Rec rec, final long now) {
-        if (!subscription.advance(rec.topic(), rec.lsn())) {
+    void deliver(final Session session, final GroupSubscription subscription, final LogRecord logRecord, final long now) {
+        if (!subscription.advance(logRecord.topic(), logRecord.index())) {
             return;
         }
         if (!session.sharedCursor) {
-            out.hand(session.id, rec);
+            out.hand(session.id, logRecord);
             return;
         }
         final JsonObject message = Json.createObjectBuilder()
                 .add("type", "message")
-                .add("topic", rec.topic())
-                .add("position", rec.lsn())
-                .add("sender", rec.sender())
-                .add("sequence", rec.seq())
-                .add("message", rec.text())
+                .add("topic", logRecord.topic())
+                .add("position", logRecord.index())
+                .add("sender", logRecord.sender())
+                .add("sequence", logRecord.seq())
+                .add("message", logRecord.text())
                 .add("cursor", Cursor.write(session.positions()))
                 .build();
         writeLine(session, message, now);
--- a/coordination/src/main/java/brookpath/coordination/node/front/Subscriptions.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/Subscriptions.java
@@ -1,13 +1,13 @@
-package brookpath.coordination.node.front;
+package brookpath.coordination.node.gateway;
 
-import brookpath.coordination.Tempo;
+import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.message.Msg.Fetch;
-import brookpath.coordination.message.Msg.FetchReply;
-import brookpath.coordination.message.Msg.Listen;
+import brookpath.coordination.message.PeerMessage.Fetch;
+import brookpath.coordination.message.PeerMessage.FetchReply;
+import brookpath.coordination.message.PeerMessage.ListenerReport;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.node.Cursor;
-import brookpath.coordination.node.Job;
+import brookpath.coordination.node.NodeRequest;
 import brookpath.coordination.route.Refusals;
 import brookpath.coordination.route.Route;
 import brookpath.coordination.route.RouteFinder;
@@ -32,7 +32,7 @@
     private record Revocation(Response response, String closeReason) {}
 
     private final IntSupplier maxTopics;
-    private final Tempo tempo;
+    private final TimingBounds timing;
     private final LongFunction<RouteFinder> routes;
     private final Actions out;
     private final SessionRegistry registry;
@@ -53,21 +53,21 @@
     public Subscriptions(
             final int self,
             final IntSupplier maxTopics,
-            final Tempo tempo,
+            final TimingBounds timing,
             final LongFunction<RouteFinder> routes,
             final LongSupplier ids,
             final Actions out) {
         this.maxTopics = maxTopics;
-        this.tempo = tempo;
+        this.timing = timing;
         this.routes = routes;
         this.out = out;
         registry = new SessionRegistry(ids);
-        sources = new FetchSources(tempo, routes);
+        sources = new FetchSources(timing, routes);
         writer = new SessionWriter(self, out);
-        terminator = new SessionTerminator(registry, tempo, out);
-        feedFetcher = new FeedFetcher(registry, sources, writer, terminator, tempo, ids, out);
-        catchUpFetcher = new CatchUpFetcher(registry, sources, feedFetcher, writer, terminator, tempo, ids, out);
-        listenerReporter = new ListenerReporter(registry, tempo, routes, ids, out);
+        terminator = new SessionTerminator(registry, timing, out);
+        feedFetcher = new FeedFetcher(registry, sources, writer, terminator, timing, ids, out);
+        catchUpFetcher = new CatchUpFetcher(registry, sources, feedFetcher, writer, terminator, timing, ids, out);
+        listenerReporter = new ListenerReporter(registry, timing, routes, ids, out);
         drain = new SessionDrain(registry, out);
     }
 
@@ -90,58 +90,58 @@
     // ---- requests
 
     /** Opens a session that joins and leaves topics one by one. */
-    public void open(final Job.Open request) {
+    public void open(final NodeRequest.Open request) {
         if (registry.isFull()) {
-            refuseFull(request.jobId());
+            refuseFull(request.requestId());
             return;
         }
-        final Session session = new Session(request.jobId(), request.key(), false, Session.NEVER);
+        final Session session = new Session(request.requestId(), request.key(), false, Session.NEVER);
         session.started = true;
         registry.add(session);
         out.respond(session.id, new Response(OK, 0, "{}"));
     }
 
     /** Adds a topic to a session; the response, once the topic's position is known, is its cursor. */
-    public void join(final Job.Join request, final long now) {
+    public void join(final NodeRequest.Join request, final long now) {
         final Session session = registry.get(request.sessionId());
         final long start = request.cursor() == null ? START_AT_END : Cursor.readOne(request.cursor());
         if (session == null) {
-            refuseInvalid(request.jobId(), "cursor", "no such session");
+            refuseInvalid(request.requestId(), "cursor", "no such session");
             return;
         }
         if (request.cursor() != null && start < 0) {
-            refuseInvalid(request.jobId(), "cursor", "not a cursor of this service");
+            refuseInvalid(request.requestId(), "cursor", "not a cursor of this service");
             return;
         }
         final GroupSubscription previous = session.subscription(request.topic());
         if (previous == null && session.topicCount() >= maxTopics.getAsInt()) {
-            refuseInvalid(request.jobId(), "topics", "more than " + maxTopics.getAsInt() + " topics");
+            refuseInvalid(request.requestId(), "topics", "more than " + maxTopics.getAsInt() + " topics");
             return;
         }
         final Route route = routes.apply(now).admit(session.key, request.topic());
         if (route.isRefused()) {
-            out.respond(request.jobId(), route.refusal());
+            out.respond(request.requestId(), route.refusal());
             return;
         }
         if (previous != null) {
             // joined anew, the topic begins anew, at the cursor that is asked for
             registry.unsubscribe(session, previous);
         }
-        final long deadline = now + tempo.deliverMs() / 2;
-        final GroupSubscription subscription = new GroupSubscription(route.group(), request.jobId(), deadline);
+        final long deadline = now + timing.deliverMs() / 2;
+        final GroupSubscription subscription = new GroupSubscription(route.group(), request.requestId(), deadline);
         subscription.include(request.topic(), start);
         registry.subscribe(session, subscription);
         catchUpFetcher.start(session, subscription, now);
     }
 
     /** Stops listening to a topic. */
-    public void leave(final Job.Leave request) {
+    public void leave(final NodeRequest.Leave request) {
         final Session session = registry.get(request.sessionId());
         final GroupSubscription subscription = session == null ? null : session.subscription(request.topic());
         if (subscription != null) {
             registry.unsubscribe(session, subscription);
         }
-        out.respond(request.jobId(), new Response(OK, 0, "{}"));
+        out.respond(request.requestId(), new Response(OK, 0, "{}"));
     }
 
     /**
@@ -149,27 +149,27 @@
      *
      * @param cursor a position per topic; null where the caller's cursor is none
      */
-    public void subscribe(final Job.Subscribe request, final Map<String, Long> cursor, final long now) {
+    public void subscribe(final NodeRequest.Subscribe request, final Map<String, Long> cursor, final long now) {
         if (cursor == null) {
-            refuseInvalid(request.jobId(), "cursor", "not a cursor of this service");
+            refuseInvalid(request.requestId(), "cursor", "not a cursor of this service");
             return;
         }
         if (request.topics().isEmpty() || request.topics().size() > maxTopics.getAsInt()) {
-            refuseInvalid(request.jobId(), "topics", "1 to " + maxTopics.getAsInt() + " topics are needed");
+            refuseInvalid(request.requestId(), "topics", "1 to " + maxTopics.getAsInt() + " topics are needed");
             return;
         }
         if (registry.isFull()) {
-            refuseFull(request.jobId());
+            refuseFull(request.requestId());
             return;
         }
-        final Session session = new Session(request.jobId(), request.key(), true, now + tempo.deliverMs());
+        final Session session = new Session(request.requestId(), request.key(), true, now + timing.deliverMs());
         final RouteFinder finder = routes.apply(now);
         // topics of one group are read together, for a space may promise one order over all its topics
         final TreeMap<Integer, GroupSubscription> byGroup = new TreeMap<>();
         for (final String topic : new LinkedHashSet<>(request.topics())) {
             final Route route = finder.admit(request.key(), topic);
             if (route.isRefused()) {
-                out.respond(request.jobId(), route.refusal());
+                out.respond(request.requestId(), route.refusal());
                 return;
             }
             byGroup.computeIfAbsent(route.group(), group -> new GroupSubscription(group, 0, session.deadline))
@@ -189,7 +189,7 @@
     }
 
     private void refuseFull(final long requestId) {
-        out.respond(requestId, Refusals.retryLater(tempo, "busy", "this node holds as many sessions as it may"));
+        out.respond(requestId, Refusals.retryLater(timing, "busy", "this node holds as many sessions as it may"));
     }
 
     private void refuseInvalid(final long requestId, final String code, final String why) {
@@ -222,7 +222,7 @@
         for (final String topic : subscription.topics()) {
             final Route route = finder.admit(session.key, topic);
             if (!route.isRefused() && route.group() != subscription.group) {
-                return new Revocation(Refusals.retryLater(tempo, "moved", "the topic moved"), "topic moved");
+                return new Revocation(Refusals.retryLater(timing, "moved", "the topic moved"), "topic moved");
             }
             if (route.isRefused() && !Refusals.isTemporary(route.refusal())) {
                 return new Revocation(route.refusal(), route.because());
@@ -278,7 +278,7 @@
         if (!session.sharedCursor && session.isLive()) {
             registry.needsNoTimer(session);
         }
-        if (session.sharedCursor && session.started && now - session.lastLineAt >= tempo.keepAlive()) {
+        if (session.sharedCursor && session.started && now - session.lastLineAt >= timing.keepAlive()) {
             writer.keepAlive(session, now);
         }
     }
@@ -289,7 +289,7 @@
     public void fetched(final int from, final FetchReply reply, final long now) {
         sources.responded(from);
         final Feed feed = registry.feed(reply.group());
-        if (feed != null && feed.fetchId == reply.jobId()) {
+        if (feed != null && feed.fetchId == reply.requestId()) {
             feedFetcher.received(feed, from, reply, now);
         } else {
             catchUpFetcher.received(from, reply, now);
@@ -304,7 +304,7 @@
     }
 
     /** A report of listeners never left this process. */
-    public void unsent(final Listen message) {
+    public void unsent(final ListenerReport message) {
         listenerReporter.unsent(message);
     }
 
@@ -315,7 +315,7 @@
         catchUpFetcher.sessionLost(node);
     }
 
-    /** Tells each group's master how many sessions listen to its topics. */
+    /** Tells each group's leader how many sessions listen to its topics. */
     public void reportListeners(final long now) {
         listenerReporter.report(now);
     }
