--- a/coordination/src/main/java/brookpath/coordination/node/usage/UsageDesk.java
+++ b/coordination/src/main/java/brookpath/coordination/node/usage/UsageReporter.java
@@ -1,18 +1,18 @@
 package brookpath.coordination.node.usage;
 
-import brookpath.coordination.Tempo;
+import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
 import brookpath.coordination.group.GroupMachine;
-import brookpath.coordination.message.Msg.Op;
-import brookpath.coordination.node.Job;
+import brookpath.coordination.message.PeerMessage.ControlRequest;
+import brookpath.coordination.node.NodeRequest;
 import brookpath.coordination.node.Node.Time;
-import brookpath.coordination.spec.ControlState;
-import brookpath.coordination.spec.FleetClock;
-import brookpath.coordination.spec.Roster;
-import brookpath.coordination.spec.Roster.GroupInfo;
+import brookpath.coordination.configuration.ControlState;
+import brookpath.coordination.configuration.FleetClock;
+import brookpath.coordination.configuration.ClusterMetadata;
+import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
 import brookpath.coordination.topic.TopicState;
-import brookpath.state.record.Pack;
-import brookpath.state.record.Rec;
+import brookpath.state.record.PackedBuffer;
+import brookpath.state.record.LogRecord;
 import jakarta.json.Json;
 import jakarta.json.JsonArrayBuilder;
 import java.util.ArrayList;
@@ -22,9 +22,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * The control master's duty of usage: the totals of a window go into the control log before they go to the platform.
+ * The control leader's duty of usage: the totals of a window go into the control log before they go to the platform.
  */
-public final class UsageDesk {
+public final class UsageReporter {
     /** Goes at one report: about an hour of a platform that is down, as long as the groups keep their windows. */
     private static final int MAX_GOES = 1_200;
 
@@ -47,24 +47,24 @@
     private final int self;
     private final GroupMachine group;
     private final FleetClock clock;
-    private final Tempo tempo;
+    private final TimingBounds timing;
     private final LongSupplier ids;
     private final Actions out;
     private final TreeMap<Integer, Told> told = new TreeMap<>();
     private final TreeMap<Long, Post> posts = new TreeMap<>();
 
     /** @param ids of posts, never the same twice */
-    public UsageDesk(
+    public UsageReporter(
             final int self,
             final GroupMachine group,
             final FleetClock clock,
-            final Tempo tempo,
+            final TimingBounds timing,
             final LongSupplier ids,
             final Actions out) {
         this.self = self;
         this.group = group;
         this.clock = clock;
-        this.tempo = tempo;
+        this.timing = timing;
         this.ids = ids;
         this.out = out;
     }
@@ -73,18 +73,18 @@
         return (ControlState) group.live();
     }
 
-    /** What a master knows and its successor must learn anew. */
+    /** What a leader knows and its successor must learn anew. */
     public void clear() {
         told.clear();
         posts.clear();
     }
 
     /**
-     * A group's master tells its closed windows; returns through which of them it is counted for good, -1 where that is
+     * A group's leader tells its closed windows; returns through which of them it is counted for good, -1 where that is
      * not settled.
      */
-    public long tell(final Op op) {
-        final Pack in = Pack.reader(op.body());
+    public long tell(final ControlRequest op) {
+        final PackedBuffer in = PackedBuffer.reader(op.body());
         final int id = (int) in.num();
         final long after = in.num();
         final long closed = in.num();
@@ -97,12 +97,12 @@
             told.put(id, new Told(closed, counts));
         }
         // why: what is only appended may still be lost, and the group would forget to tell it again
-        return group.accepted() >= group.endLsn() ? included : -1;
+        return group.committed() >= group.endIndex() ? included : -1;
     }
 
     /** Totals the next window once all groups have closed it, or its time for stragglers is up. */
-    public void total(final Roster roster, final Set<String> tenants, final Time time) {
-        if (told.isEmpty() || roster.groups().isEmpty() || !clock.known()) {
+    public void total(final ClusterMetadata metadata, final Set<String> tenants, final Time time) {
+        if (told.isEmpty() || metadata.groups().isEmpty() || !clock.known()) {
             return;
         }
         final long last = state().lastWindow();
@@ -110,10 +110,10 @@
                 ? last + 1
                 : told.values().stream().mapToLong(Told::closed).min().orElse(0);
         boolean all = true;
-        for (final GroupInfo g : roster.groups()) {
+        for (final GroupInfo g : metadata.groups()) {
             all &= told.containsKey(g.id()) && told.get(g.id()).closed >= window;
         }
-        if (!all && clock.wall(time.mono()) < (window + 1) * tempo.windowMs() + tempo.straggle()) {
+        if (!all && clock.wall(time.mono()) < (window + 1) * timing.windowMs() + timing.straggle()) {
             return;
         }
         final TreeMap<String, long[]> sums = new TreeMap<>();
@@ -136,13 +136,13 @@
         });
         final List<ControlState.Used> used = new ArrayList<>();
         sums.forEach((tenant, n) -> used.add(new ControlState.Used(tenant, n[0], n[1], n[2] == 1)));
-        group.append(Rec.CONTROL, ControlState.usageBody(window, used, upTo), time.mono(), time.wall());
+        group.append(LogRecord.CONTROL, ControlState.usageBody(window, used, upTo), time.mono(), time.wall());
     }
 
-    /** Posts what the log has accepted and the platform has not taken yet. */
+    /** Posts what the log has committed and the platform has not taken yet. */
     public void report(final Time time) {
         final long now = time.mono();
-        for (final ControlState.Window w : state().untold(group.accepted())) {
+        for (final ControlState.Window w : state().untold(group.committed())) {
             if (posts.values().stream().noneMatch(p -> p.window.window() == w.window())) {
                 posts.put(ids.getAsLong(), new Post(w));
             }
@@ -159,7 +159,7 @@
         }
     }
 
-    /** One report for a window: who reports, in which epoch of the duty, and every tenant's counts. */
+    /** One report for a window: who reports, in which term of the duty, and every tenant's counts. */
     private String json(final ControlState.Window w) {
         final JsonArrayBuilder tenants = Json.createArrayBuilder();
         w.used()
@@ -170,17 +170,17 @@
                         .add("late", u.late())));
         return Json.createObjectBuilder()
                 .add("reporter", self)
-                .add("epoch", group.epoch())
-                .add("windowStartMs", w.window() * tempo.windowMs())
-                .add("windowEndMs", (w.window() + 1) * tempo.windowMs())
+                .add("epoch", group.term())
+                .add("windowStartMs", w.window() * timing.windowMs())
+                .add("windowEndMs", (w.window() + 1) * timing.windowMs())
                 .add("tenants", tenants)
                 .build()
                 .toString();
     }
 
     /** What became of a post. */
-    public void posted(final Job.Posted j, final Time time) {
-        final Post p = posts.get(j.jobId());
+    public void posted(final NodeRequest.Posted j, final Time time) {
+        final Post p = posts.get(j.requestId());
         if (p == null) {
             return;
         }
@@ -189,8 +189,8 @@
         p.nextAt = time.mono() + pause(j.outcome(), p.goes);
         final boolean ok = j.outcome() == PostOutcome.ACCEPTED;
         if (group.mayAct(time.mono()) && (ok || p.goes >= MAX_GOES)) {
-            posts.remove(j.jobId());
-            group.append(Rec.CONTROL, ControlState.deliveredBody(p.window.window(), ok), time.mono(), time.wall());
+            posts.remove(j.requestId());
+            group.append(LogRecord.CONTROL, ControlState.deliveredBody(p.window.window(), ok), time.mono(), time.wall());
         }
     }
 
@@ -199,17 +199,17 @@
         return switch (outcome) {
             case ACCEPTED -> 0;
             // why: whoever holds the duty by now reports the same numbers from the same log; going on would only cost
-            // calls, and a master that is still the newest comes through later
-            case FENCED -> tempo.recoverMs();
+            // calls, and a leader that is still the newest comes through later
+            case FENCED -> timing.recoverMs();
             case NOT_SENT, THROTTLED, FAILED, UNKNOWN ->
-                Math.min(tempo.recoverMs() / 4, tempo.down() << Math.min(goes, MAX_DOUBLINGS));
+                Math.min(timing.recoverMs() / 4, timing.down() << Math.min(goes, MAX_DOUBLINGS));
         };
     }
 
     public String windowsJson() {
         final JsonArrayBuilder arr = Json.createArrayBuilder();
         for (final ControlState.Window w : state().windows()) {
-            if (w.lsn() <= group.accepted()) {
+            if (w.index() <= group.committed()) {
                 final JsonArrayBuilder used = Json.createArrayBuilder();
                 w.used()
                         .forEach(u -> used.add(Json.createObjectBuilder()
@@ -219,13 +219,13 @@
                                 .add("late", u.late())));
                 final Boolean was = state().told(w.window());
                 arr.add(Json.createObjectBuilder()
-                        .add("windowStartMs", w.window() * tempo.windowMs())
+                        .add("windowStartMs", w.window() * timing.windowMs())
                         .add("platform", was == null ? "on its way" : was ? "told" : "given up")
                         .add("tenants", used));
             }
         }
         return Json.createObjectBuilder()
-                .add("windowMs", tempo.windowMs())
+                .add("windowMs", timing.windowMs())
                 .add("windows", arr)
                 .build()
                 .toString();
--- a/coordination/src/main/java/brookpath/coordination/route/Refusals.java
+++ b/coordination/src/main/java/brookpath/coordination/route/Refusals.java
@@ -1,6 +1,6 @@
 package brookpath.coordination.route;
 
-import brookpath.coordination.Tempo;
+import brookpath.coordination.TimingBounds;
 import brookpath.coordination.message.Response;
 import jakarta.json.Json;
 
@@ -16,8 +16,8 @@
     }
 
     /** A request that was certainly not carried out and may be repeated after the time that the response names. */
-    public static Response retryLater(final Tempo tempo, final String code, final String why) {
-        return refused(SERVICE_UNAVAILABLE, tempo.retryAfterMs(), code, why);
+    public static Response retryLater(final TimingBounds timing, final String code, final String why) {
+        return refused(SERVICE_UNAVAILABLE, timing.retryAfterMs(), code, why);
     }
 
     /** Whether the same request may be carried out later. */
--- a/coordination/src/main/java/brookpath/coordination/route/RouteFinder.java
+++ b/coordination/src/main/java/brookpath/coordination/route/RouteFinder.java
@@ -2,15 +2,15 @@
 
 import static brookpath.coordination.route.Route.refused;
 
-import brookpath.coordination.Tempo;
-import brookpath.coordination.beat.BeatTable;
+import brookpath.coordination.TimingBounds;
+import brookpath.coordination.heartbeat.HeartbeatTable;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Member;
-import brookpath.coordination.message.Msg.BeatEntry;
-import brookpath.coordination.spec.Placement;
-import brookpath.coordination.spec.Roster;
-import brookpath.coordination.spec.Roster.GroupInfo;
-import brookpath.coordination.spec.Spec;
+import brookpath.coordination.message.PeerMessage.HeartbeatEntry;
+import brookpath.coordination.configuration.Placement;
+import brookpath.coordination.configuration.ClusterMetadata;
+import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
+import brookpath.coordination.configuration.Configuration;
 import java.util.function.IntPredicate;
 
 /** Decides where a request goes, from immutable tables alone. Whoever asks sends it there. */
@@ -27,35 +27,35 @@
     private static final int AVOIDED_PENALTY = 8;
 
     private static final int OTHER_ZONE_PENALTY = 4;
-    private static final int MASTER_PENALTY = 1;
+    private static final int LEADER_PENALTY = 1;
 
-    private final Spec spec;
-    private final Roster roster;
-    private final BeatTable table;
+    private final Configuration configuration;
+    private final ClusterMetadata metadata;
+    private final HeartbeatTable table;
     private final boolean leased;
     private final String zone;
-    private final Tempo tempo;
+    private final TimingBounds timing;
 
     /**
-     * @param spec the configuration
-     * @param roster the cluster's metadata: which members each group has
+     * @param configuration the configuration
+     * @param metadata the cluster's metadata: which members each group has
      * @param table the newest heartbeats
      * @param leased whether this node holds the lease on the configuration
      * @param zone the zone of this node, where history is read from if it can be
      */
     public RouteFinder(
-            final Spec spec,
-            final Roster roster,
-            final BeatTable table,
+            final Configuration configuration,
+            final ClusterMetadata metadata,
+            final HeartbeatTable table,
             final boolean leased,
             final String zone,
-            final Tempo tempo) {
-        this.spec = spec;
-        this.roster = roster;
+            final TimingBounds timing) {
+        this.configuration = configuration;
+        this.metadata = metadata;
         this.table = table;
         this.leased = leased;
         this.zone = zone;
-        this.tempo = tempo;
+        this.timing = timing;
     }
 
     /** May the key use the topic, and which group holds it? The node is left open. */
@@ -65,10 +65,10 @@
         }
         if (!leased) {
             // the key may have been removed since; safety comes first
-            return refused(503, tempo.retryAfterMs(), "spec", "this node has not heard from the control plane lately");
+            return refused(503, timing.retryAfterMs(), "spec", "this node has not heard from the control plane lately");
         }
-        final Spec.Tenant tenant = spec.tenantOf(key);
-        final Spec.Space space = spec.spaceOf(topic);
+        final Configuration.Tenant tenant = configuration.tenantOf(key);
+        final Configuration.Space space = configuration.spaceOf(topic);
         // the key is judged first; who has none learns nothing of the spaces but whether one is open
         if (tenant == null && (!key.isEmpty() || (space != null && !space.open()))) {
             return refused(401, 0, "key", key.isEmpty() ? "a key is needed" : "unknown key");
@@ -79,63 +79,63 @@
         if (tenant != null && !tenant.uses(space.name())) {
             return refused(403, 0, "topic", "space \"" + space.name() + "\" is not among the tenant's");
         }
-        if (roster.groups().isEmpty()) {
-            return refused(503, tempo.retryAfterMs(), "placement", "no groups are placed yet");
+        if (metadata.groups().isEmpty()) {
+            return refused(503, timing.retryAfterMs(), "placement", "no groups are placed yet");
         }
-        final int group = Placement.groupOf(topic, space, roster.groups().size());
+        final int group = Placement.groupOf(topic, space, metadata.groups().size());
         return new Route(
                 null,
                 tenant == null ? "" : tenant.name(),
                 group,
                 0,
-                "spec " + spec.version() + " puts " + topic + " into group " + group);
+                "spec " + configuration.version() + " puts " + topic + " into group " + group);
     }
 
-    /** Publishes go to the group's master, as the roles in the beats tell it. */
+    /** Publishes go to the group's leader, as the roles in the heartbeats tell it. */
     public Route publish(final String key, final String topic, final long now) {
         final Route route = admit(key, topic);
-        return route.isRefused() ? route : toMaster(route, now);
+        return route.isRefused() ? route : toLeader(route, now);
     }
 
     /**
-     * The master of a group.
+     * The leader of a group.
      *
      * @param node 0 for none
      */
-    public record Master(int node, long epoch) {
-        /** A group without a master. */
-        public static final Master NONE = new Master(0, -1);
+    public record Leader(int node, long term) {
+        /** A group without a leader. */
+        public static final Leader NONE = new Leader(0, -1);
     }
 
-    /** Who masters the group, as the roles in the beats tell it. */
-    public Master master(final int group, final long now) {
-        Master master = Master.NONE;
+    /** Who leaders the group, as the roles in the heartbeats tell it. */
+    public Leader leader(final int group, final long now) {
+        Leader leader = Leader.NONE;
         for (final Member m : groupOf(group).members()) {
-            final BeatEntry e = table.fresh(m.node(), group, now);
-            // two may call themselves master for a moment; the later epoch is the true one
-            if (e != null && e.role() == GroupMachine.MASTER && e.epoch() > master.epoch && table.up(m.node())) {
-                master = new Master(m.node(), e.epoch());
+            final HeartbeatEntry e = table.fresh(m.node(), group, now);
+            // two may call themselves leader for a moment; the later term is the true one
+            if (e != null && e.role() == GroupMachine.LEADER && e.term() > leader.term && table.up(m.node())) {
+                leader = new Leader(m.node(), e.term());
             }
         }
-        return master;
+        return leader;
     }
 
-    /** An admitted route to the group's master; refused for now where there is none. */
-    public Route toMaster(final Route route, final long now) {
-        final Master master = master(route.group(), now);
-        if (master.node == 0) {
-            return refused(503, tempo.retryAfterMs(), "master", "group " + route.group() + " has no master just now");
+    /** An admitted route to the group's leader; refused for now where there is none. */
+    public Route toLeader(final Route route, final long now) {
+        final Leader leader = leader(route.group(), now);
+        if (leader.node == 0) {
+            return refused(503, timing.retryAfterMs(), "master", "group " + route.group() + " has no master just now");
         }
         return new Route(
                 null,
                 route.tenant(),
                 route.group(),
-                master.node,
-                route.because() + "; node " + master.node + " masters it in epoch " + master.epoch);
+                leader.node,
+                route.because() + "; node " + leader.node + " masters it in epoch " + leader.term);
     }
 
     /**
-     * History is read from the nearest member that is in sync: same zone first, slaves before the master. 0 for none.
+     * History is read from the nearest member that is in sync: same zone first, followers before the leader. 0 for none.
      *
      * @param avoided those that have not responded lately are asked last
      */
@@ -143,13 +143,13 @@
         int best = 0;
         int bestScore = Integer.MAX_VALUE;
         for (final Member m : groupOf(group).members()) {
-            final BeatEntry e = table.fresh(m.node(), group, now);
+            final HeartbeatEntry e = table.fresh(m.node(), group, now);
             if (e == null || !table.up(m.node()) || e.sync() != GroupMachine.SYNC_PEER) {
                 continue;
             }
             final int score = (avoided.test(m.node()) ? AVOIDED_PENALTY : 0)
                     + (m.zone().equals(zone) ? 0 : OTHER_ZONE_PENALTY)
-                    + (e.role() == GroupMachine.MASTER ? MASTER_PENALTY : 0);
+                    + (e.role() == GroupMachine.LEADER ? LEADER_PENALTY : 0);
             if (score < bestScore) {
                 bestScore = score;
                 best = m.node();
@@ -159,6 +159,6 @@
     }
 
     private GroupInfo groupOf(final int group) {
-        return roster.groups().get(group);
+        return metadata.groups().get(group);
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/topic/SenderSequences.java
+++ b/coordination/src/main/java/brookpath/coordination/topic/SenderSequences.java
@@ -1,6 +1,6 @@
 package brookpath.coordination.topic;
 
-import brookpath.state.record.Pack;
+import brookpath.state.record.PackedBuffer;
 import java.util.ArrayDeque;
 import java.util.Map;
 import java.util.TreeMap;
@@ -87,20 +87,20 @@
         topics.computeIfAbsent(topic, k -> new Topic()).trimmedThrough = position;
     }
 
-    void save(final Pack pack) {
-        pack.num(topics.size());
+    void save(final PackedBuffer buffer) {
+        buffer.num(topics.size());
         topics.forEach((name, topic) -> {
-            pack.str(name).num(topic.trimmedThrough).num(topic.senders.size());
-            topic.senders.forEach((senderName, sender) -> save(pack, senderName, sender));
+            buffer.str(name).num(topic.trimmedThrough).num(topic.senders.size());
+            topic.senders.forEach((senderName, sender) -> save(buffer, senderName, sender));
         });
     }
 
-    private static void save(final Pack pack, final String name, final Sender sender) {
-        pack.str(name).num(sender.lastSeq).num(sender.lastStamp).num(sender.recent.size());
-        sender.recent.forEach(appended -> pack.num(appended.seq).num(appended.position));
+    private static void save(final PackedBuffer buffer, final String name, final Sender sender) {
+        buffer.str(name).num(sender.lastSeq).num(sender.lastStamp).num(sender.recent.size());
+        sender.recent.forEach(appended -> buffer.num(appended.seq).num(appended.position));
     }
 
-    void load(final Pack in) {
+    void load(final PackedBuffer in) {
         topics.clear();
         senderCount = 0;
         for (long left = in.num(); left > 0; left--) {
@@ -113,7 +113,7 @@
         }
     }
 
-    private void loadSender(final Pack in, final Topic topic) {
+    private void loadSender(final PackedBuffer in, final Topic topic) {
         final Sender sender = new Sender();
         topic.senders.put(in.str(), sender);
         sender.lastSeq = in.num();
--- a/coordination/src/main/java/brookpath/coordination/topic/TopicState.java
+++ b/coordination/src/main/java/brookpath/coordination/topic/TopicState.java
@@ -3,8 +3,8 @@
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import brookpath.coordination.group.LogState;
-import brookpath.state.record.Pack;
-import brookpath.state.record.Rec;
+import brookpath.state.record.PackedBuffer;
+import brookpath.state.record.LogRecord;
 import java.util.List;
 import java.util.function.ToLongFunction;
 
@@ -25,7 +25,7 @@
      */
     private static final long FORGET_MS = 3_600_000;
 
-    /** What a tenant had accepted in a window. */
+    /** What a tenant had committed in a window. */
     public record Count(long window, String tenant, long publishes, long bytes) {}
 
     private final ToLongFunction<String> keeping;
@@ -61,46 +61,46 @@
         return senders.lookUp(topic, sender, seq);
     }
 
-    /** The LSN of the newest record of the topic that is no longer kept. */
+    /** The index of the newest record of the topic that is no longer kept. */
     public long gone(final String topic) {
         return senders.trimmedThrough(topic);
     }
 
     @Override
-    public void apply(final Rec rec) {
-        if (rec.kind() == Rec.CLOSE) {
-            usage.close(Pack.reader(rec.body()).num(), rec.lsn());
+    public void apply(final LogRecord logRecord) {
+        if (logRecord.kind() == LogRecord.CLOSE) {
+            usage.close(PackedBuffer.reader(logRecord.body()).num(), logRecord.index());
             // decided by the log alone, so that each member forgets the same senders at the same position
-            senders.forget(rec.stamp() - FORGET_MS);
-        } else if (rec.kind() == Rec.PUBLISH) {
-            usage.add(rec.stamp(), rec.tenant(), rec.text().getBytes(UTF_8).length);
-            senders.add(rec.topic(), rec.sender(), rec.seq(), rec.lsn(), rec.stamp());
+            senders.forget(logRecord.stamp() - FORGET_MS);
+        } else if (logRecord.kind() == LogRecord.PUBLISH) {
+            usage.add(logRecord.stamp(), logRecord.tenant(), logRecord.text().getBytes(UTF_8).length);
+            senders.add(logRecord.topic(), logRecord.sender(), logRecord.seq(), logRecord.index(), logRecord.stamp());
         }
     }
 
     @Override
-    public void trimmed(final Rec rec) {
-        if (rec.kind() == Rec.PUBLISH) {
-            senders.trimmed(rec.topic(), rec.lsn());
+    public void trimmed(final LogRecord logRecord) {
+        if (logRecord.kind() == LogRecord.PUBLISH) {
+            senders.trimmed(logRecord.topic(), logRecord.index());
         }
     }
 
     @Override
-    public boolean keeps(final Rec rec, final long now, final int newerRecords, final long newerBytes) {
-        return now - rec.learnedAt() <= keeping.applyAsLong(rec.kind() == Rec.PUBLISH ? rec.topic() : "");
+    public boolean keeps(final LogRecord logRecord, final long now, final int newerRecords, final long newerBytes) {
+        return now - logRecord.learnedAt() <= keeping.applyAsLong(logRecord.kind() == LogRecord.PUBLISH ? logRecord.topic() : "");
     }
 
     @Override
     public byte[] save() {
-        final Pack pack = Pack.writer();
-        senders.save(pack);
-        usage.save(pack);
-        return pack.done();
+        final PackedBuffer buffer = PackedBuffer.writer();
+        senders.save(buffer);
+        usage.save(buffer);
+        return buffer.done();
     }
 
     @Override
     public void load(final byte[] saved) {
-        final Pack in = Pack.reader(saved);
+        final PackedBuffer in = PackedBuffer.reader(saved);
         senders.load(in);
         usage.load(in);
     }
--- a/coordination/src/main/java/brookpath/coordination/topic/UsageWindows.java
+++ b/coordination/src/main/java/brookpath/coordination/topic/UsageWindows.java
@@ -1,18 +1,18 @@
 package brookpath.coordination.topic;
 
 import brookpath.coordination.topic.TopicState.Count;
-import brookpath.state.record.Pack;
+import brookpath.state.record.PackedBuffer;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What each tenant had accepted, per usage window, and which windows the log has closed. */
+/** What each tenant had committed, per usage window, and which windows the log has closed. */
 final class UsageWindows {
     /** The most windows that are kept, and the most closings. */
     private static final int MAX_WINDOWS = 360;
 
-    /** What a tenant had accepted. */
+    /** What a tenant had committed. */
     private record Usage(long publishes, long bytes) {
         static final Usage NONE = new Usage(0, 0);
 
@@ -49,7 +49,7 @@
         return counts;
     }
 
-    /** Counts a message. What a master with a slow clock stamps after a window was closed belongs to the next. */
+    /** Counts a message. What a leader with a slow clock stamps after a window was closed belongs to the next. */
     void add(final long stamp, final String tenant, final long bytes) {
         final long window = Math.max(stamp / windowMs, closedAt.isEmpty() ? 0 : closedAt.lastKey() + 1);
         add(window, tenant, new Usage(1, bytes));
@@ -76,18 +76,18 @@
         }
     }
 
-    void save(final Pack pack) {
-        pack.num(byWindow.size());
+    void save(final PackedBuffer buffer) {
+        buffer.num(byWindow.size());
         byWindow.forEach((window, byTenant) -> {
-            pack.num(window).num(byTenant.size());
+            buffer.num(window).num(byTenant.size());
             byTenant.forEach(
-                    (tenant, usage) -> pack.str(tenant).num(usage.publishes).num(usage.bytes));
+                    (tenant, usage) -> buffer.str(tenant).num(usage.publishes).num(usage.bytes));
         });
-        pack.num(closedAt.size());
-        closedAt.forEach((window, position) -> pack.num(window).num(position));
+        buffer.num(closedAt.size());
+        closedAt.forEach((window, position) -> buffer.num(window).num(position));
     }
 
-    void load(final Pack in) {
+    void load(final PackedBuffer in) {
         byWindow.clear();
         closedAt.clear();
         for (long windows = in.num(); windows > 0; windows--) {
--- a/programs/src/main/java/brookpath/programs/boot/Assembly.java
+++ b/programs/src/main/java/brookpath/programs/boot/ProcessAssembly.java
@@ -1,21 +1,21 @@
 package brookpath.programs.boot;
 
-import brookpath.coordination.Tempo;
+import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Action;
 import brookpath.coordination.group.Member;
 import brookpath.coordination.node.ControllerNode;
-import brookpath.coordination.node.FrontNode;
+import brookpath.coordination.node.GatewayNode;
 import brookpath.coordination.node.Node;
 import brookpath.coordination.node.Node.Time;
 import brookpath.coordination.node.StorageNode;
 import brookpath.coordination.node.control.Founding;
-import brookpath.coordination.spec.Roster;
-import brookpath.coordination.spec.Roster.NodeInfo;
-import brookpath.coordination.spec.SpecClient;
+import brookpath.coordination.configuration.ClusterMetadata;
+import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.configuration.ConfigurationClient;
 import brookpath.state.disk.DiskFullException;
 import brookpath.state.disk.FolderDisk;
 import brookpath.state.disk.MachineIdentity;
-import brookpath.state.spool.Spool;
+import brookpath.state.wal.WriteAheadLog;
 import brookpath.transport.identity.ProcessIdentity;
 import brookpath.transport.identity.RandomNumbers;
 import brookpath.transport.loop.Host;
@@ -27,13 +27,13 @@
 import org.tinylog.Logger;
 
 /**
- * A process's state, disk and sessions with siblings put together; whatever serves callers or operators is added by the
+ * A process's state, disk and sessions with peers put together; whatever serves callers or operators is added by the
  * program.
  */
-public final class Assembly {
+public final class ProcessAssembly {
     /** What a process does. */
     public enum Role {
-        FRONT,
+        GATEWAY,
         STORAGE,
         CONTROLLER
     }
@@ -41,7 +41,7 @@
     /**
      * @param info this process as others are told of it
      * @param founders the control group's members at its founding; for a controller alone
-     * @param seeds controllers that may be asked, with the addresses where siblings reach them
+     * @param seeds controllers that may be asked, with the addresses where peers reach them
      * @param found whether this controller founds the control group, on an empty folder
      * @param data the data folder; empty where the machine has no disk
      * @param rollBytes a new segment after so much
@@ -53,7 +53,7 @@
             NodeInfo info,
             List<Member> founders,
             Map<Integer, String> seeds,
-            Tempo tempo,
+            TimingBounds timing,
             Founding founding,
             boolean found,
             String data,
@@ -65,19 +65,19 @@
     private final Host host;
     private final List<Action> first;
 
-    private Assembly(final Node node, final Host host, final List<Action> first) {
+    private ProcessAssembly(final Node node, final Host host, final List<Action> first) {
         this.node = node;
         this.host = host;
         this.first = first;
     }
 
     /** Throws IllegalStateException where the folder forbids what the plan says. */
-    public static Assembly of(final Plan plan, final Host.Poster poster) {
+    public static ProcessAssembly of(final Plan plan, final Host.Poster poster) {
         final Time time = Host.time();
         final FolderDisk disk = plan.data.isEmpty() ? null : new FolderDisk(Path.of(plan.data));
         final NodeInfo info =
                 plan.info.on(disk == null ? RandomNumbers.identity() : onceThereIsRoom(plan, () -> machine(disk)));
-        final Spool.Recovery recovered = disk == null ? null : onceThereIsRoom(plan, () -> Spool.recover(disk));
+        final WriteAheadLog.Recovery recovered = disk == null ? null : onceThereIsRoom(plan, () -> WriteAheadLog.recover(disk));
         final List<byte[]> entries = recovered == null ? List.of() : recovered.replayed();
         if (recovered != null) {
             recovered.findings().forEach(f -> Logger.error("data folder: {}", f));
@@ -90,19 +90,19 @@
                     "the data folder already holds a control log, and the control group is founded only once");
         }
         final List<Action> first = node instanceof ControllerNode b ? b.start(plan.found, time) : List.of();
-        final SpecClient client =
-                node instanceof FrontNode f ? f.client() : node instanceof StorageNode n ? n.client() : null;
+        final ConfigurationClient client =
+                node instanceof GatewayNode f ? f.client() : node instanceof StorageNode n ? n.client() : null;
         final Host host = new Host(
                 node,
                 new ProcessIdentity(info.node(), RandomNumbers.identity(), info.machine()),
-                plan.tempo,
-                recovered == null ? null : recovered.spool(),
+                plan.timing,
+                recovered == null ? null : recovered.writeAheadLog(),
                 n -> addresses(plan, n),
                 () -> client == null ? Long.MAX_VALUE : client.leaseUntil(),
                 poster,
                 plan.threads,
                 () -> Runtime.getRuntime().halt(1));
-        return new Assembly(node, host, first);
+        return new ProcessAssembly(node, host, first);
     }
 
     /** The identity of the machine that this runs on, kept on its disk. */
@@ -121,7 +121,7 @@
                 return opening.get();
             } catch (final DiskFullException ex) {
                 Logger.warn("data folder: no room to begin in; tried again");
-                pause(plan.tempo.diskPause());
+                pause(plan.timing.diskPause());
             }
         }
     }
@@ -137,29 +137,29 @@
 
     private static Node node(final Plan plan, final NodeInfo me) {
         final List<Integer> seeds = List.copyOf(plan.seeds.keySet());
-        // why: jobs of a former life must not be taken for this one's
+        // why: requests of a former life must not be taken for this one's
         final long firstId = RandomNumbers.firstId();
         final long seed = System.nanoTime();
         return switch (plan.role) {
-            case FRONT -> new FrontNode(me, seeds, plan.tempo, firstId);
+            case GATEWAY -> new GatewayNode(me, seeds, plan.timing, firstId);
             case STORAGE ->
-                new StorageNode(me, seeds, plan.tempo, plan.founding.toleratedLosses(), seed, firstId, plan.rollBytes);
+                new StorageNode(me, seeds, plan.timing, plan.founding.toleratedLosses(), seed, firstId, plan.rollBytes);
             case CONTROLLER ->
-                new ControllerNode(me, plan.founders, seeds, plan.founding, plan.tempo, seed, firstId, plan.rollBytes);
+                new ControllerNode(me, plan.founders, seeds, plan.founding, plan.timing, seed, firstId, plan.rollBytes);
         };
     }
 
-    /** Whom the process keeps sessions with: the controllers, and from the roster the storage machines. */
+    /** Whom the process keeps sessions with: the controllers, and from the cluster metadata the storage machines. */
     private static Map<Integer, String> addresses(final Plan plan, final Node node) {
         final Map<Integer, String> map = new LinkedHashMap<>(plan.seeds);
         if (node instanceof ControllerNode b) {
             map.putAll(b.addresses());
         } else {
-            final Roster roster = node instanceof FrontNode f
-                    ? f.client().roster()
-                    : ((StorageNode) node).client().roster();
-            roster.controllers().forEach(n -> map.put(n.node(), n.address()));
-            roster.nodes().forEach(n -> map.put(n.node(), n.address()));
+            final ClusterMetadata metadata = node instanceof GatewayNode f
+                    ? f.client().metadata()
+                    : ((StorageNode) node).client().metadata();
+            metadata.controllers().forEach(n -> map.put(n.node(), n.address()));
+            metadata.nodes().forEach(n -> map.put(n.node(), n.address()));
         }
         map.remove(plan.info.node());
         return map;
--- a/programs/src/main/java/brookpath/programs/boot/Boot.java
+++ b/programs/src/main/java/brookpath/programs/boot/ProcessLauncher.java
@@ -4,16 +4,16 @@
 import static brookpath.programs.settings.Settings.port;
 
 import brookpath.coordination.group.Member;
-import brookpath.coordination.node.Job;
+import brookpath.coordination.node.NodeRequest;
 import brookpath.coordination.node.control.Founding;
-import brookpath.coordination.spec.Roster.NodeInfo;
-import brookpath.programs.boot.Assembly.Role;
+import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.programs.boot.ProcessAssembly.Role;
 import brookpath.programs.settings.Settings;
 import brookpath.programs.settings.SettingsReader;
 import brookpath.programs.settings.SettingsWatch;
 import brookpath.transport.http.CommonResource;
-import brookpath.transport.http.Desk;
-import brookpath.transport.http.FrontResource;
+import brookpath.transport.http.RequestDispatcher;
+import brookpath.transport.http.GatewayResource;
 import brookpath.transport.http.OperatorResource;
 import brookpath.transport.http.PlatformPoster;
 import brookpath.transport.http.SettingsReport;
@@ -32,12 +32,12 @@
 import org.tinylog.Logger;
 
 /** From flags to a running process. */
-public final class Boot {
+public final class ProcessLauncher {
     private static final int BAD_SETTINGS = 2;
     private static final int TRAFFIC_THREADS = 2;
     private static final long BORN_AT = Host.time().mono();
 
-    private Boot() {}
+    private ProcessLauncher() {}
 
     public static void main(final String program, final boolean controller, final String[] args) throws Exception {
         final SettingsReader.Reading reading = SettingsReader.read(args, controller);
@@ -64,21 +64,21 @@
     private static void run(final Settings s, final String[] args, final boolean controller) throws Exception {
         final Injector injector = Guice.createInjector(new Parts(s, args, controller));
         final Host host = injector.getInstance(Host.class);
-        if (!s.siblings().isEmpty()) {
-            host.wire().listen(host(s.siblings()), port(s.siblings()));
+        if (!s.peers().isEmpty()) {
+            host.wire().listen(host(s.peers()), port(s.peers()));
         }
-        injector.getInstance(Assembly.class).start();
+        injector.getInstance(ProcessAssembly.class).start();
         final Set<Object> resources = new LinkedHashSet<>();
         resources.add(injector.getInstance(CommonResource.class));
-        if (s.role().equals(Settings.FRONT)) {
-            resources.add(injector.getInstance(FrontResource.class));
+        if (s.role().equals(Settings.GATEWAY)) {
+            resources.add(injector.getInstance(GatewayResource.class));
         } else if (s.role().equals(Settings.CONTROLLER)) {
             resources.add(injector.getInstance(OperatorResource.class));
         }
         new Web(host(s.http()), port(s.http()), resources).run("server");
         // why: Jetty waits for its sessions, and a listening session ends only when it is told to
         Runtime.getRuntime().addShutdownHook(new Thread(host::close, "stop"));
-        watch(injector.getInstance(SettingsWatch.class), s.tempo().changeMs() / 6);
+        watch(injector.getInstance(SettingsWatch.class), s.timing().changeMs() / 6);
         Logger.info("{} {} serves on {}", s.role(), s.node(), s.http());
     }
 
@@ -115,7 +115,7 @@
         SettingsWatch settings(final Host host, final PlatformPoster poster) {
             return new SettingsWatch(args, controller, s, is -> {
                 poster.url(is.platform());
-                host.tell(new Job.Adopt(is.rollBytes()));
+                host.tell(new NodeRequest.Adopt(is.rollBytes()));
             });
         }
 
@@ -127,14 +127,14 @@
         @Provides
         @Singleton
         PlatformPoster poster() {
-            return new PlatformPoster(s.platform(), s.tempo().deliverMs());
+            return new PlatformPoster(s.platform(), s.timing().deliverMs());
         }
 
         @Provides
         @Singleton
-        Assembly assembly(final PlatformPoster poster) {
-            final boolean front = s.role().equals(Settings.FRONT);
-            if (!front) {
+        ProcessAssembly assembly(final PlatformPoster poster) {
+            final boolean gateway = s.role().equals(Settings.GATEWAY);
+            if (!gateway) {
                 RingWriter.to(Path.of(s.data(), "ring.log"));
             }
             final List<Member> founders = controller
@@ -142,16 +142,16 @@
                             .map(n -> new Member(n, 50, ""))
                             .toList()
                     : List.of();
-            return Assembly.of(
-                    new Assembly.Plan(
-                            front ? Role.FRONT : controller ? Role.CONTROLLER : Role.STORAGE,
-                            new NodeInfo(s.node(), s.zone(), front ? s.http() : s.reachedAs()),
+            return ProcessAssembly.of(
+                    new ProcessAssembly.Plan(
+                            gateway ? Role.GATEWAY : controller ? Role.CONTROLLER : Role.STORAGE,
+                            new NodeInfo(s.node(), s.zone(), gateway ? s.http() : s.reachedAs()),
                             founders,
                             s.seeds(),
-                            s.tempo(),
+                            s.timing(),
                             new Founding(s.groups(), s.copies(), s.storages(), s.toleratedLosses()),
                             s.found(),
-                            front ? "" : s.data(),
+                            gateway ? "" : s.data(),
                             s.rollBytes(),
                             TRAFFIC_THREADS,
                             BORN_AT),
@@ -160,14 +160,14 @@
 
         @Provides
         @Singleton
-        Host host(final Assembly assembly) {
+        Host host(final ProcessAssembly assembly) {
             return assembly.host();
         }
 
         @Provides
         @Singleton
-        Desk desk(final Host host) {
-            return new Desk(host);
+        RequestDispatcher dispatcher(final Host host) {
+            return new RequestDispatcher(host);
         }
     }
 }
--- a/programs/src/main/java/brookpath/programs/boot/Web.java
+++ b/programs/src/main/java/brookpath/programs/boot/Web.java
@@ -55,7 +55,7 @@
         server.setAdminConnectors(List.of());
         server.getGzipFilterFactory().setEnabled(false);
         server.setRequestLogFactory(new NoRequestLog());
-        // why: by then the sessions have been told; callers are better off at another front
+        // why: by then the sessions have been told; callers are better off at another gateway
         server.setShutdownGracePeriod(io.dropwizard.util.Duration.seconds(1));
         server.setMaxThreads(128);
         server.setDetailedJsonProcessingExceptionMapper(false);
--- a/programs/src/main/java/brookpath/programs/settings/Settings.java
+++ b/programs/src/main/java/brookpath/programs/settings/Settings.java
@@ -1,6 +1,6 @@
 package brookpath.programs.settings;
 
-import brookpath.coordination.Tempo;
+import brookpath.coordination.TimingBounds;
 import java.util.Map;
 
 /** One process's place in the system, read and checked. Addresses are host:port; a seed is node@host:port. */
@@ -8,11 +8,11 @@
         int node,
         String zone,
         String role,
-        String siblings,
+        String peers,
         String http,
         Map<Integer, String> seeds,
         String data,
-        Tempo tempo,
+        TimingBounds timing,
         int toleratedLosses,
         int groups,
         int copies,
@@ -21,7 +21,7 @@
         boolean found,
         String platform,
         String reachedAs) {
-    public static final String FRONT = "front";
+    public static final String GATEWAY = "front";
     public static final String STORAGE = "storage";
     public static final String CONTROLLER = "bailiff";
 
--- a/programs/src/main/java/brookpath/programs/settings/SettingsReader.java
+++ b/programs/src/main/java/brookpath/programs/settings/SettingsReader.java
@@ -1,7 +1,7 @@
 package brookpath.programs.settings;
 
-import brookpath.coordination.Tempo;
-import brookpath.coordination.spec.Finding;
+import brookpath.coordination.TimingBounds;
+import brookpath.coordination.configuration.Finding;
 import jakarta.json.Json;
 import jakarta.json.JsonArray;
 import jakarta.json.JsonConfig;
@@ -128,12 +128,12 @@
         final int node = (int) num(file, "", "node", 1, 999_999, null);
         final String zone = text("zone", null);
         final String role = controller ? Settings.CONTROLLER : text("role", null);
-        if (!controller && !role.isEmpty() && !role.equals(Settings.FRONT) && !role.equals(Settings.STORAGE)) {
+        if (!controller && !role.isEmpty() && !role.equals(Settings.GATEWAY) && !role.equals(Settings.STORAGE)) {
             findings.add(new Finding(place("role"), "must be \"front\" or \"storage\""));
         }
-        final String siblings = address("siblings", role.equals(Settings.FRONT) ? "" : null);
+        final String peers = address("siblings", role.equals(Settings.GATEWAY) ? "" : null);
         final String http = address("http", null);
-        final boolean disk = !role.equals(Settings.FRONT);
+        final boolean disk = !role.equals(Settings.GATEWAY);
         final String data = text("data", disk ? null : "");
         final Map<Integer, String> seeds = seeds();
         if (controller && node > 0 && !seeds.isEmpty() && !seeds.containsKey(node)) {
@@ -143,13 +143,13 @@
             findings.add(new Finding(place("node"), "node " + node + " is one of the seeds"));
         }
         final JsonObject bounds = object("bounds", Set.of("deliverMs", "recoverMs", "changeMs", "windowMs"));
-        final Tempo tempo = new Tempo(
-                num(bounds, "/bounds", "deliverMs", 400, 60_000, Tempo.DEFAULT.deliverMs()),
-                num(bounds, "/bounds", "recoverMs", 1_000, 600_000, Tempo.DEFAULT.recoverMs()),
-                num(bounds, "/bounds", "changeMs", 600, 60_000, Tempo.DEFAULT.changeMs()),
-                num(bounds, "/bounds", "windowMs", 1_000, 3_600_000, Tempo.DEFAULT.windowMs()));
+        final TimingBounds timing = new TimingBounds(
+                num(bounds, "/bounds", "deliverMs", 400, 60_000, TimingBounds.DEFAULT.deliverMs()),
+                num(bounds, "/bounds", "recoverMs", 1_000, 600_000, TimingBounds.DEFAULT.recoverMs()),
+                num(bounds, "/bounds", "changeMs", 600, 60_000, TimingBounds.DEFAULT.changeMs()),
+                num(bounds, "/bounds", "windowMs", 1_000, 3_600_000, TimingBounds.DEFAULT.windowMs()));
         // why: the control plane's own failover must fit well inside the lease that it grants
-        if (tempo.down() + 2 * tempo.goHorizon() + tempo.specHold() > tempo.specLease()) {
+        if (timing.down() + 2 * timing.goDeadline() + timing.configurationHold() > timing.configurationLease()) {
             findings.add(new Finding(
                     "/bounds/changeMs",
                     "too short beside deliverMs: a change of control master would outlast the spec lease"));
@@ -164,11 +164,11 @@
                 node,
                 zone,
                 role,
-                siblings,
+                peers,
                 http,
                 seeds,
                 data,
-                tempo,
+                timing,
                 (int) num(file, "", "toleratedLosses", 0, 3, 1L),
                 (int) num(founding, "/founding", "groups", 1, 256, 16L),
                 copies,
@@ -176,7 +176,7 @@
                 num(file, "", "segmentBytes", 1 << 16, 1 << 30, 8L << 20),
                 cl.hasOption("found"),
                 platform(),
-                file.containsKey("reachedAs") ? address("reachedAs", "") : siblings);
+                file.containsKey("reachedAs") ? address("reachedAs", "") : peers);
     }
 
     private String platform() {
--- a/programs/src/main/java/brookpath/programs/settings/SettingsWatch.java
+++ b/programs/src/main/java/brookpath/programs/settings/SettingsWatch.java
@@ -1,6 +1,6 @@
 package brookpath.programs.settings;
 
-import brookpath.coordination.spec.Finding;
+import brookpath.coordination.configuration.Finding;
 import brookpath.transport.http.SettingsReport;
 import jakarta.json.Json;
 import java.io.IOException;
@@ -93,12 +93,12 @@
         differs(list, "node", was.node(), is.node());
         differs(list, "zone", was.zone(), is.zone());
         differs(list, "role", was.role(), is.role());
-        differs(list, "siblings", was.siblings(), is.siblings());
+        differs(list, "siblings", was.peers(), is.peers());
         differs(list, "reachedAs", was.reachedAs(), is.reachedAs());
         differs(list, "http", was.http(), is.http());
         differs(list, "seeds", was.seeds(), is.seeds());
         differs(list, "data", was.data(), is.data());
-        differs(list, "bounds", was.tempo(), is.tempo());
+        differs(list, "bounds", was.timing(), is.timing());
         differs(list, "toleratedLosses", was.toleratedLosses(), is.toleratedLosses());
         differs(
                 list,
--- a/protocol/src/main/java/brookpath/protocol/frame/FrameCodec.java
+++ b/protocol/src/main/java/brookpath/protocol/frame/FrameCodec.java
@@ -2,9 +2,9 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import brookpath.coordination.message.Msg;
-import brookpath.protocol.sbe.BeatFrameDecoder;
-import brookpath.protocol.sbe.BeatFrameEncoder;
+import brookpath.coordination.message.PeerMessage;
+import brookpath.protocol.sbe.HeartbeatFrameDecoder;
+import brookpath.protocol.sbe.HeartbeatFrameEncoder;
 import brookpath.protocol.sbe.CountAskFrameDecoder;
 import brookpath.protocol.sbe.CountAskFrameEncoder;
 import brookpath.protocol.sbe.CountReplyFrameDecoder;
@@ -29,17 +29,17 @@
 import brookpath.protocol.sbe.PullFrameEncoder;
 import brookpath.protocol.sbe.PullReplyFrameDecoder;
 import brookpath.protocol.sbe.PullReplyFrameEncoder;
-import brookpath.protocol.sbe.SpecPollFrameDecoder;
-import brookpath.protocol.sbe.SpecPollFrameEncoder;
-import brookpath.protocol.sbe.SpecReplyFrameDecoder;
-import brookpath.protocol.sbe.SpecReplyFrameEncoder;
+import brookpath.protocol.sbe.ConfigurationPollFrameDecoder;
+import brookpath.protocol.sbe.ConfigurationPollFrameEncoder;
+import brookpath.protocol.sbe.ConfigurationReplyFrameDecoder;
+import brookpath.protocol.sbe.ConfigurationReplyFrameEncoder;
 import brookpath.protocol.sbe.StandNowFrameDecoder;
 import brookpath.protocol.sbe.StandNowFrameEncoder;
 import brookpath.protocol.sbe.VoteAskFrameDecoder;
 import brookpath.protocol.sbe.VoteAskFrameEncoder;
 import brookpath.protocol.sbe.VoteReplyFrameDecoder;
 import brookpath.protocol.sbe.VoteReplyFrameEncoder;
-import brookpath.state.record.Rec;
+import brookpath.state.record.LogRecord;
 import java.util.ArrayList;
 import java.util.List;
 import org.agrona.ExpandableArrayBuffer;
@@ -54,8 +54,8 @@
     private final UnsafeBuffer in = new UnsafeBuffer(0, 0);
     private ExpandableArrayBuffer out = new ExpandableArrayBuffer(1024);
 
-    public byte[] encode(final Msg msg) {
-        final int len = MessageHeaderEncoder.ENCODED_LENGTH + body(msg);
+    public byte[] encode(final PeerMessage message) {
+        final int len = MessageHeaderEncoder.ENCODED_LENGTH + body(message);
         final byte[] bytes = new byte[len];
         out.getBytes(0, bytes);
         if (out.capacity() > 1 << 20) {
@@ -65,92 +65,92 @@
         return bytes;
     }
 
-    private int body(final Msg msg) {
-        if (msg instanceof Msg.Beat m) {
-            final BeatFrameEncoder e = new BeatFrameEncoder()
+    private int body(final PeerMessage message) {
+        if (message instanceof PeerMessage.Heartbeat m) {
+            final HeartbeatFrameEncoder e = new HeartbeatFrameEncoder()
                     .wrapAndApplyHeader(out, 0, headEnc)
                     .reply(bit(m.reply()))
                     .id(m.id())
                     .stamp(m.stamp())
                     .known(m.known())
                     .same(bit(m.same()));
-            final BeatFrameEncoder.EntriesEncoder g = e.entriesCount(m.entries().size());
-            for (final Msg.BeatEntry b : m.entries()) {
+            final HeartbeatFrameEncoder.EntriesEncoder g = e.entriesCount(m.entries().size());
+            for (final PeerMessage.HeartbeatEntry b : m.entries()) {
                 g.next()
                         .group(b.group())
                         .groupVersion(b.groupVersion())
-                        .epoch(b.epoch())
+                        .term(b.term())
                         .role((short) b.role())
                         .sync((short) b.sync())
-                        .startLsn(b.startLsn())
-                        .endLsn(b.endLsn())
-                        .endEpoch(b.endEpoch())
-                        .accepted(b.accepted())
-                        .masterHeard(b.masterHeard())
+                        .startIndex(b.startIndex())
+                        .endIndex(b.endIndex())
+                        .endTerm(b.endTerm())
+                        .committed(b.committed())
+                        .leaderHeard(b.leaderHeard())
                         .weight(b.weight());
             }
             return e.encodedLength();
-        } else if (msg instanceof Msg.VoteAsk m) {
+        } else if (message instanceof PeerMessage.VoteRequest m) {
             return new VoteAskFrameEncoder()
                     .wrapAndApplyHeader(out, 0, headEnc)
                     .group(m.group())
                     .groupVersion(m.groupVersion())
-                    .epoch(m.epoch())
-                    .endLsn(m.endLsn())
-                    .endEpoch(m.endEpoch())
+                    .term(m.term())
+                    .endIndex(m.endIndex())
+                    .endTerm(m.endTerm())
                     .weight(m.weight())
                     .goes(m.goes())
                     .manual(bit(m.manual()))
                     .encodedLength();
-        } else if (msg instanceof Msg.VoteReply m) {
+        } else if (message instanceof PeerMessage.VoteReply m) {
             final VoteReplyFrameEncoder e = new VoteReplyFrameEncoder()
                     .wrapAndApplyHeader(out, 0, headEnc)
                     .group(m.group())
-                    .epoch(m.epoch())
+                    .term(m.term())
                     .granted(bit(m.granted()))
-                    .epochSeen(m.epochSeen());
+                    .termSeen(m.termSeen());
             final byte[] why = utf(m.why());
             return e.putWhy(why, 0, why.length).encodedLength();
-        } else if (msg instanceof Msg.Pull m) {
+        } else if (message instanceof PeerMessage.Pull m) {
             return new PullFrameEncoder()
                     .wrapAndApplyHeader(out, 0, headEnc)
                     .group(m.group())
                     .groupVersion(m.groupVersion())
-                    .epoch(m.epoch())
-                    .nextLsn(m.nextLsn())
-                    .prevEpoch(m.prevEpoch())
-                    .syncedLsn(m.syncedLsn())
-                    .syncedEpoch(m.syncedEpoch())
-                    .accepted(m.accepted())
+                    .term(m.term())
+                    .nextIndex(m.nextIndex())
+                    .prevTerm(m.prevTerm())
+                    .syncedIndex(m.syncedIndex())
+                    .syncedTerm(m.syncedTerm())
+                    .committed(m.committed())
                     .lost(bit(m.lost()))
                     .chain(m.chain())
-                    .imageSum(m.imageSum())
-                    .imageOffset(m.imageOffset())
+                    .snapshotSum(m.snapshotSum())
+                    .snapshotOffset(m.snapshotOffset())
                     .encodedLength();
-        } else if (msg instanceof Msg.PullReply m) {
+        } else if (message instanceof PeerMessage.PullReply m) {
             final PullReplyFrameEncoder e = new PullReplyFrameEncoder()
                     .wrapAndApplyHeader(out, 0, headEnc)
                     .group(m.group())
                     .groupVersion(m.groupVersion())
-                    .epoch(m.epoch())
+                    .term(m.term())
                     .kind((short) m.kind())
                     .standing((short) m.standing())
-                    .accepted(m.accepted())
-                    .askedLsn(m.askedLsn())
-                    .askedEpoch(m.askedEpoch())
-                    .tryLsn(m.tryLsn())
-                    .imageSum(m.imageSum())
-                    .imageTotal(m.imageTotal())
-                    .imageOffset(m.imageOffset());
-            final PullReplyFrameEncoder.RecsEncoder g = e.recsCount(m.recs().size());
-            m.recs().forEach(r -> g.next().putRec(r.bytes(), 0, r.bytes().length));
-            return e.putImage(m.image(), 0, m.image().length).encodedLength();
-        } else if (msg instanceof Msg.Publish m) {
+                    .committed(m.committed())
+                    .askedIndex(m.askedIndex())
+                    .askedTerm(m.askedTerm())
+                    .tryIndex(m.tryIndex())
+                    .snapshotSum(m.snapshotSum())
+                    .snapshotTotal(m.snapshotTotal())
+                    .snapshotOffset(m.snapshotOffset());
+            final PullReplyFrameEncoder.RecordsEncoder g = e.recordsCount(m.records().size());
+            m.records().forEach(r -> g.next().putRecord(r.bytes(), 0, r.bytes().length));
+            return e.putSnapshot(m.snapshot(), 0, m.snapshot().length).encodedLength();
+        } else if (message instanceof PeerMessage.Publish m) {
             final PublishFrameEncoder e = new PublishFrameEncoder()
                     .wrapAndApplyHeader(out, 0, headEnc)
-                    .jobId(m.jobId())
+                    .requestId(m.requestId())
                     .group(m.group())
-                    .specVersion(m.specVersion())
+                    .configurationVersion(m.configurationVersion())
                     .seq(m.seq());
             final byte[] tenant = utf(m.tenant());
             final byte[] topic = utf(m.topic());
@@ -161,21 +161,21 @@
                     .putSender(sender, 0, sender.length)
                     .putText(text, 0, text.length)
                     .encodedLength();
-        } else if (msg instanceof Msg.PublishReply m) {
+        } else if (message instanceof PeerMessage.PublishReply m) {
             final byte[] why = utf(m.why());
             return new PublishReplyFrameEncoder()
                     .wrapAndApplyHeader(out, 0, headEnc)
-                    .jobId(m.jobId())
+                    .requestId(m.requestId())
                     .outcome((short) m.outcome())
                     .position(m.position())
-                    .masterHint(m.masterHint())
-                    .epoch(m.epoch())
+                    .leaderHint(m.leaderHint())
+                    .term(m.term())
                     .putWhy(why, 0, why.length)
                     .encodedLength();
-        } else if (msg instanceof Msg.Fetch m) {
+        } else if (message instanceof PeerMessage.Fetch m) {
             final FetchFrameEncoder e = new FetchFrameEncoder()
                     .wrapAndApplyHeader(out, 0, headEnc)
-                    .jobId(m.jobId())
+                    .requestId(m.requestId())
                     .group(m.group())
                     .tail(bit(m.tail()))
                     .hold(bit(m.hold()))
@@ -184,29 +184,29 @@
             final FetchFrameEncoder.TopicsEncoder g = e.topicsCount(m.topics().size());
             m.topics().forEach(t -> g.next().from(t.from()).putTopic(utf(t.topic()), 0, utf(t.topic()).length));
             return e.encodedLength();
-        } else if (msg instanceof Msg.FetchReply m) {
+        } else if (message instanceof PeerMessage.FetchReply m) {
             final FetchReplyFrameEncoder e = new FetchReplyFrameEncoder()
                     .wrapAndApplyHeader(out, 0, headEnc)
-                    .jobId(m.jobId())
+                    .requestId(m.requestId())
                     .group(m.group())
                     .status((short) m.status())
                     .scannedTo(m.scannedTo());
             final FetchReplyFrameEncoder.GoneEncoder gone = e.goneCount(m.gone().size());
             m.gone().forEach(t -> gone.next().putTopic(utf(t), 0, utf(t).length));
-            final FetchReplyFrameEncoder.RecsEncoder g = e.recsCount(m.recs().size());
-            m.recs().forEach(r -> g.next().putRec(r.bytes(), 0, r.bytes().length));
+            final FetchReplyFrameEncoder.RecordsEncoder g = e.recordsCount(m.records().size());
+            m.records().forEach(r -> g.next().putRecord(r.bytes(), 0, r.bytes().length));
             return e.encodedLength();
-        } else if (msg instanceof Msg.SpecPoll m) {
+        } else if (message instanceof PeerMessage.ConfigurationPoll m) {
             final byte[] zone = utf(m.zone());
             final byte[] address = utf(m.address());
             final byte[] name = utf(m.name());
-            return new SpecPollFrameEncoder()
+            return new ConfigurationPollFrameEncoder()
                     .wrapAndApplyHeader(out, 0, headEnc)
                     .pollId(m.pollId())
                     .node(m.node())
                     .role((short) m.role())
-                    .specVersion(m.specVersion())
-                    .rosterVersion(m.rosterVersion())
+                    .configurationVersion(m.configurationVersion())
+                    .metadataVersion(m.metadataVersion())
                     .drain(bit(m.drain()))
                     .relay(bit(m.relay()))
                     .wall(m.wall())
@@ -215,37 +215,37 @@
                     .putAddress(address, 0, address.length)
                     .putName(name, 0, name.length)
                     .encodedLength();
-        } else if (msg instanceof Msg.SpecReply m) {
-            return new SpecReplyFrameEncoder()
+        } else if (message instanceof PeerMessage.ConfigurationReply m) {
+            return new ConfigurationReplyFrameEncoder()
                     .wrapAndApplyHeader(out, 0, headEnc)
                     .pollId(m.pollId())
-                    .master(bit(m.master()))
-                    .masterHint(m.masterHint())
-                    .epoch(m.epoch())
-                    .specVersion(m.specVersion())
-                    .rosterVersion(m.rosterVersion())
+                    .leader(bit(m.leader()))
+                    .leaderHint(m.leaderHint())
+                    .term(m.term())
+                    .configurationVersion(m.configurationVersion())
+                    .metadataVersion(m.metadataVersion())
                     .node(m.node())
                     .wall(m.wall())
-                    .putSpec(m.spec(), 0, m.spec().length)
-                    .putRoster(m.roster(), 0, m.roster().length)
+                    .putConfiguration(m.configuration(), 0, m.configuration().length)
+                    .putMetadata(m.metadata(), 0, m.metadata().length)
                     .encodedLength();
-        } else if (msg instanceof Msg.Op m) {
+        } else if (message instanceof PeerMessage.ControlRequest m) {
             final byte[] kind = utf(m.kind());
             return new OpFrameEncoder()
                     .wrapAndApplyHeader(out, 0, headEnc)
-                    .jobId(m.jobId())
+                    .requestId(m.requestId())
                     .putKind(kind, 0, kind.length)
                     .putBody(m.body(), 0, m.body().length)
                     .encodedLength();
-        } else if (msg instanceof Msg.OpReply m) {
+        } else if (message instanceof PeerMessage.ControlReply m) {
             return new OpReplyFrameEncoder()
                     .wrapAndApplyHeader(out, 0, headEnc)
-                    .jobId(m.jobId())
+                    .requestId(m.requestId())
                     .status(m.status())
                     .retryAfterMs(m.retryAfterMs())
                     .putBody(m.body(), 0, m.body().length)
                     .encodedLength();
-        } else if (msg instanceof Msg.Listen m) {
+        } else if (message instanceof PeerMessage.ListenerReport m) {
             final ListenFrameEncoder e = new ListenFrameEncoder()
                     .wrapAndApplyHeader(out, 0, headEnc)
                     .group(m.group())
@@ -254,34 +254,34 @@
             final ListenFrameEncoder.CountsEncoder g = e.countsCount(m.counts().size());
             m.counts().forEach(c -> g.next().sessions(c.count()).putTopic(utf(c.topic()), 0, utf(c.topic()).length));
             return e.encodedLength();
-        } else if (msg instanceof Msg.CountAsk m) {
+        } else if (message instanceof PeerMessage.ListenerCountRequest m) {
             final byte[] topic = utf(m.topic());
             return new CountAskFrameEncoder()
                     .wrapAndApplyHeader(out, 0, headEnc)
-                    .jobId(m.jobId())
+                    .requestId(m.requestId())
                     .group(m.group())
                     .putTopic(topic, 0, topic.length)
                     .encodedLength();
-        } else if (msg instanceof Msg.CountReply m) {
+        } else if (message instanceof PeerMessage.ListenerCountReply m) {
             return new CountReplyFrameEncoder()
                     .wrapAndApplyHeader(out, 0, headEnc)
-                    .jobId(m.jobId())
+                    .requestId(m.requestId())
                     .status((short) m.status())
                     .count(m.count())
                     .encodedLength();
         }
-        if (msg instanceof Msg.StandNow m) {
+        if (message instanceof PeerMessage.TimeoutNow m) {
             return new StandNowFrameEncoder()
                     .wrapAndApplyHeader(out, 0, headEnc)
                     .group(m.group())
-                    .epoch(m.epoch())
+                    .term(m.term())
                     .encodedLength();
         }
-        throw new IllegalArgumentException("no frame for " + msg.getClass());
+        throw new IllegalArgumentException("no frame for " + message.getClass());
     }
 
     /** Throws a RuntimeException for a frame that is malformed in any way. */
-    public Msg decode(final byte[] bytes, final int off, final int len) {
+    public PeerMessage decode(final byte[] bytes, final int off, final int len) {
         in.wrap(bytes, off, len);
         headDec.wrap(in, 0);
         if (headDec.schemaId() != MessageHeaderDecoder.SCHEMA_ID
@@ -289,88 +289,88 @@
             throw new IllegalArgumentException("unknown schema " + headDec.schemaId() + "/" + headDec.version());
         }
         switch (headDec.templateId()) {
-            case BeatFrameDecoder.TEMPLATE_ID -> {
-                final BeatFrameDecoder d = new BeatFrameDecoder().wrapAndApplyHeader(in, 0, headDec);
+            case HeartbeatFrameDecoder.TEMPLATE_ID -> {
+                final HeartbeatFrameDecoder d = new HeartbeatFrameDecoder().wrapAndApplyHeader(in, 0, headDec);
                 final long known = d.known();
                 final boolean same = d.same() == 1;
-                final List<Msg.BeatEntry> list = new ArrayList<>();
-                for (final BeatFrameDecoder.EntriesDecoder g : d.entries()) {
-                    list.add(new Msg.BeatEntry(
+                final List<PeerMessage.HeartbeatEntry> list = new ArrayList<>();
+                for (final HeartbeatFrameDecoder.EntriesDecoder g : d.entries()) {
+                    list.add(new PeerMessage.HeartbeatEntry(
                             g.group(),
                             g.groupVersion(),
-                            g.epoch(),
+                            g.term(),
                             g.role(),
                             g.sync(),
-                            g.startLsn(),
-                            g.endLsn(),
-                            g.endEpoch(),
-                            g.accepted(),
-                            g.masterHeard(),
+                            g.startIndex(),
+                            g.endIndex(),
+                            g.endTerm(),
+                            g.committed(),
+                            g.leaderHeard(),
                             g.weight()));
                 }
-                return new Msg.Beat(d.reply() == 1, d.id(), d.stamp(), known, same, List.copyOf(list));
+                return new PeerMessage.Heartbeat(d.reply() == 1, d.id(), d.stamp(), known, same, List.copyOf(list));
             }
             case VoteAskFrameDecoder.TEMPLATE_ID -> {
                 final VoteAskFrameDecoder d = new VoteAskFrameDecoder().wrapAndApplyHeader(in, 0, headDec);
-                return new Msg.VoteAsk(
+                return new PeerMessage.VoteRequest(
                         d.group(),
                         d.groupVersion(),
-                        d.epoch(),
-                        d.endLsn(),
-                        d.endEpoch(),
+                        d.term(),
+                        d.endIndex(),
+                        d.endTerm(),
                         d.weight(),
                         d.goes(),
                         d.manual() == 1);
             }
             case VoteReplyFrameDecoder.TEMPLATE_ID -> {
                 final VoteReplyFrameDecoder d = new VoteReplyFrameDecoder().wrapAndApplyHeader(in, 0, headDec);
-                return new Msg.VoteReply(
-                        d.group(), d.epoch(), d.granted() == 1, d.epochSeen(), str(data(d.whyLength(), d::getWhy)));
+                return new PeerMessage.VoteReply(
+                        d.group(), d.term(), d.granted() == 1, d.termSeen(), str(data(d.whyLength(), d::getWhy)));
             }
             case PullFrameDecoder.TEMPLATE_ID -> {
                 final PullFrameDecoder d = new PullFrameDecoder().wrapAndApplyHeader(in, 0, headDec);
-                return new Msg.Pull(
+                return new PeerMessage.Pull(
                         d.group(),
                         d.groupVersion(),
-                        d.epoch(),
-                        d.nextLsn(),
-                        d.prevEpoch(),
-                        d.syncedLsn(),
-                        d.syncedEpoch(),
-                        d.accepted(),
+                        d.term(),
+                        d.nextIndex(),
+                        d.prevTerm(),
+                        d.syncedIndex(),
+                        d.syncedTerm(),
+                        d.committed(),
                         d.lost() == 1,
                         d.chain(),
-                        d.imageSum(),
-                        d.imageOffset());
+                        d.snapshotSum(),
+                        d.snapshotOffset());
             }
             case PullReplyFrameDecoder.TEMPLATE_ID -> {
                 final PullReplyFrameDecoder d = new PullReplyFrameDecoder().wrapAndApplyHeader(in, 0, headDec);
-                final List<Rec> recs = new ArrayList<>();
-                for (final PullReplyFrameDecoder.RecsDecoder g : d.recs()) {
-                    recs.add(rec(data(g.recLength(), g::getRec)));
+                final List<LogRecord> records = new ArrayList<>();
+                for (final PullReplyFrameDecoder.RecordsDecoder g : d.records()) {
+                    records.add(logRecord(data(g.recordLength(), g::getRecord)));
                 }
-                return new Msg.PullReply(
+                return new PeerMessage.PullReply(
                         d.group(),
                         d.groupVersion(),
-                        d.epoch(),
+                        d.term(),
                         d.kind(),
                         d.standing(),
-                        d.accepted(),
-                        d.askedLsn(),
-                        d.askedEpoch(),
-                        d.tryLsn(),
-                        data(d.imageLength(), d::getImage),
-                        recs,
-                        d.imageSum(),
-                        d.imageTotal(),
-                        d.imageOffset());
+                        d.committed(),
+                        d.askedIndex(),
+                        d.askedTerm(),
+                        d.tryIndex(),
+                        data(d.snapshotLength(), d::getSnapshot),
+                        records,
+                        d.snapshotSum(),
+                        d.snapshotTotal(),
+                        d.snapshotOffset());
             }
             case PublishFrameDecoder.TEMPLATE_ID -> {
                 final PublishFrameDecoder d = new PublishFrameDecoder().wrapAndApplyHeader(in, 0, headDec);
-                return new Msg.Publish(
-                        d.jobId(),
+                return new PeerMessage.Publish(
+                        d.requestId(),
                         d.group(),
-                        d.specVersion(),
+                        d.configurationVersion(),
                         d.seq(),
                         str(data(d.tenantLength(), d::getTenant)),
                         str(data(d.topicLength(), d::getTopic)),
@@ -379,21 +379,21 @@
             }
             case PublishReplyFrameDecoder.TEMPLATE_ID -> {
                 final PublishReplyFrameDecoder d = new PublishReplyFrameDecoder().wrapAndApplyHeader(in, 0, headDec);
-                return new Msg.PublishReply(
-                        d.jobId(),
+                return new PeerMessage.PublishReply(
+                        d.requestId(),
                         d.outcome(),
                         d.position(),
-                        d.masterHint(),
-                        d.epoch(),
+                        d.leaderHint(),
+                        d.term(),
                         str(data(d.whyLength(), d::getWhy)));
             }
             case FetchFrameDecoder.TEMPLATE_ID -> {
                 final FetchFrameDecoder d = new FetchFrameDecoder().wrapAndApplyHeader(in, 0, headDec);
-                final List<Msg.TopicAt> topics = new ArrayList<>();
+                final List<PeerMessage.TopicPosition> topics = new ArrayList<>();
                 for (final FetchFrameDecoder.TopicsDecoder g : d.topics()) {
-                    topics.add(new Msg.TopicAt(str(data(g.topicLength(), g::getTopic)), g.from()));
+                    topics.add(new PeerMessage.TopicPosition(str(data(g.topicLength(), g::getTopic)), g.from()));
                 }
-                return new Msg.Fetch(d.jobId(), d.group(), d.tail() == 1, d.hold() == 1, d.at(), d.edition(), topics);
+                return new PeerMessage.Fetch(d.requestId(), d.group(), d.tail() == 1, d.hold() == 1, d.at(), d.edition(), topics);
             }
             case FetchReplyFrameDecoder.TEMPLATE_ID -> {
                 final FetchReplyFrameDecoder d = new FetchReplyFrameDecoder().wrapAndApplyHeader(in, 0, headDec);
@@ -401,69 +401,69 @@
                 for (final FetchReplyFrameDecoder.GoneDecoder g : d.gone()) {
                     gone.add(str(data(g.topicLength(), g::getTopic)));
                 }
-                final List<Rec> recs = new ArrayList<>();
-                for (final FetchReplyFrameDecoder.RecsDecoder g : d.recs()) {
-                    recs.add(rec(data(g.recLength(), g::getRec)));
+                final List<LogRecord> records = new ArrayList<>();
+                for (final FetchReplyFrameDecoder.RecordsDecoder g : d.records()) {
+                    records.add(logRecord(data(g.recordLength(), g::getRecord)));
                 }
-                return new Msg.FetchReply(d.jobId(), d.group(), d.status(), d.scannedTo(), gone, recs);
+                return new PeerMessage.FetchReply(d.requestId(), d.group(), d.status(), d.scannedTo(), gone, records);
             }
-            case SpecPollFrameDecoder.TEMPLATE_ID -> {
-                final SpecPollFrameDecoder d = new SpecPollFrameDecoder().wrapAndApplyHeader(in, 0, headDec);
-                return new Msg.SpecPoll(
+            case ConfigurationPollFrameDecoder.TEMPLATE_ID -> {
+                final ConfigurationPollFrameDecoder d = new ConfigurationPollFrameDecoder().wrapAndApplyHeader(in, 0, headDec);
+                return new PeerMessage.ConfigurationPoll(
                         d.pollId(),
                         d.node(),
                         d.role(),
                         str(data(d.zoneLength(), d::getZone)),
                         str(data(d.addressLength(), d::getAddress)),
                         str(data(d.nameLength(), d::getName)),
-                        d.specVersion(),
-                        d.rosterVersion(),
+                        d.configurationVersion(),
+                        d.metadataVersion(),
                         d.drain() == 1,
                         d.relay() == 1,
                         d.wall(),
                         d.machine());
             }
-            case SpecReplyFrameDecoder.TEMPLATE_ID -> {
-                final SpecReplyFrameDecoder d = new SpecReplyFrameDecoder().wrapAndApplyHeader(in, 0, headDec);
-                return new Msg.SpecReply(
+            case ConfigurationReplyFrameDecoder.TEMPLATE_ID -> {
+                final ConfigurationReplyFrameDecoder d = new ConfigurationReplyFrameDecoder().wrapAndApplyHeader(in, 0, headDec);
+                return new PeerMessage.ConfigurationReply(
                         d.pollId(),
-                        d.master() == 1,
-                        d.masterHint(),
-                        d.epoch(),
-                        d.specVersion(),
-                        data(d.specLength(), d::getSpec),
-                        d.rosterVersion(),
-                        data(d.rosterLength(), d::getRoster),
+                        d.leader() == 1,
+                        d.leaderHint(),
+                        d.term(),
+                        d.configurationVersion(),
+                        data(d.configurationLength(), d::getConfiguration),
+                        d.metadataVersion(),
+                        data(d.metadataLength(), d::getMetadata),
                         d.node(),
                         d.wall());
             }
             case OpFrameDecoder.TEMPLATE_ID -> {
                 final OpFrameDecoder d = new OpFrameDecoder().wrapAndApplyHeader(in, 0, headDec);
-                return new Msg.Op(d.jobId(), str(data(d.kindLength(), d::getKind)), data(d.bodyLength(), d::getBody));
+                return new PeerMessage.ControlRequest(d.requestId(), str(data(d.kindLength(), d::getKind)), data(d.bodyLength(), d::getBody));
             }
             case OpReplyFrameDecoder.TEMPLATE_ID -> {
                 final OpReplyFrameDecoder d = new OpReplyFrameDecoder().wrapAndApplyHeader(in, 0, headDec);
-                return new Msg.OpReply(d.jobId(), d.status(), d.retryAfterMs(), data(d.bodyLength(), d::getBody));
+                return new PeerMessage.ControlReply(d.requestId(), d.status(), d.retryAfterMs(), data(d.bodyLength(), d::getBody));
             }
             case ListenFrameDecoder.TEMPLATE_ID -> {
                 final ListenFrameDecoder d = new ListenFrameDecoder().wrapAndApplyHeader(in, 0, headDec);
-                final List<Msg.TopicCount> counts = new ArrayList<>();
+                final List<PeerMessage.TopicCount> counts = new ArrayList<>();
                 for (final ListenFrameDecoder.CountsDecoder g : d.counts()) {
-                    counts.add(new Msg.TopicCount(str(data(g.topicLength(), g::getTopic)), g.sessions()));
+                    counts.add(new PeerMessage.TopicCount(str(data(g.topicLength(), g::getTopic)), g.sessions()));
                 }
-                return new Msg.Listen(d.group(), d.edition(), d.onto(), counts);
+                return new PeerMessage.ListenerReport(d.group(), d.edition(), d.onto(), counts);
             }
             case CountAskFrameDecoder.TEMPLATE_ID -> {
                 final CountAskFrameDecoder d = new CountAskFrameDecoder().wrapAndApplyHeader(in, 0, headDec);
-                return new Msg.CountAsk(d.jobId(), d.group(), str(data(d.topicLength(), d::getTopic)));
+                return new PeerMessage.ListenerCountRequest(d.requestId(), d.group(), str(data(d.topicLength(), d::getTopic)));
             }
             case CountReplyFrameDecoder.TEMPLATE_ID -> {
                 final CountReplyFrameDecoder d = new CountReplyFrameDecoder().wrapAndApplyHeader(in, 0, headDec);
-                return new Msg.CountReply(d.jobId(), d.status(), d.count());
+                return new PeerMessage.ListenerCountReply(d.requestId(), d.status(), d.count());
             }
             case StandNowFrameDecoder.TEMPLATE_ID -> {
                 final StandNowFrameDecoder d = new StandNowFrameDecoder().wrapAndApplyHeader(in, 0, headDec);
-                return new Msg.StandNow(d.group(), d.epoch());
+                return new PeerMessage.TimeoutNow(d.group(), d.term());
             }
             default -> throw new IllegalArgumentException("unknown template " + headDec.templateId());
         }
@@ -483,8 +483,8 @@
         return bytes;
     }
 
-    private static Rec rec(final byte[] bytes) {
-        return Rec.checked(bytes, 0);
+    private static LogRecord logRecord(final byte[] bytes) {
+        return LogRecord.checked(bytes, 0);
     }
 
     private static String str(final byte[] bytes) {
--- a/state/src/main/java/brookpath/state/record/Rec.java
+++ b/state/src/main/java/brookpath/state/record/LogRecord.java
@@ -6,10 +6,10 @@
 import org.agrona.concurrent.UnsafeBuffer;
 
 /**
- * Flyweight over one log record. The same bytes lie in memory, on disk and on the wire: lsn, epoch, stamp, kind, a
+ * Flyweight over one log record. The same bytes lie in memory, on disk and on the wire: lsn, term, stamp, kind, a
  * checksum of all of it, and for a publish seq, ReplSize, tenant, topic, sender, text.
  */
-public final class Rec {
+public final class LogRecord {
     public static final int OPEN = 1;
     public static final int PUBLISH = 2;
     public static final int CONTROL = 3;
@@ -18,8 +18,8 @@
     /** The members of its group from here on. */
     public static final int MEMBERS = 5;
 
-    private static final int LSN = 0;
-    private static final int EPOCH = 8;
+    private static final int INDEX = 0;
+    private static final int TERM = 8;
     private static final int STAMP = 16;
     private static final int KIND = 24;
     private static final int SUM = 28;
@@ -32,52 +32,52 @@
     /** When this copy learned of the record, by its own monotonic clock; never on disk. */
     private final long learnedAt;
 
-    private Rec(final byte[] bytes, final long learnedAt) {
+    private LogRecord(final byte[] bytes, final long learnedAt) {
         buf = new UnsafeBuffer(bytes);
         this.learnedAt = learnedAt;
     }
 
-    public static Rec wrap(final byte[] bytes, final long learnedAt) {
-        return new Rec(bytes, learnedAt);
+    public static LogRecord wrap(final byte[] bytes, final long learnedAt) {
+        return new LogRecord(bytes, learnedAt);
     }
 
     /** For bytes that come from outside: throws where they are no whole record. */
-    public static Rec checked(final byte[] bytes, final long learnedAt) {
+    public static LogRecord checked(final byte[] bytes, final long learnedAt) {
         if (bytes.length < BODY) {
             throw new IllegalArgumentException("record of " + bytes.length + " bytes");
         }
-        final Rec rec = new Rec(bytes, learnedAt);
-        if (!rec.whole()) {
-            throw new IllegalArgumentException("record " + rec.lsn() + " does not fit its checksum");
+        final LogRecord logRecord = new LogRecord(bytes, learnedAt);
+        if (!logRecord.whole()) {
+            throw new IllegalArgumentException("record " + logRecord.index() + " does not fit its checksum");
         }
-        if (rec.kind() == PUBLISH) {
+        if (logRecord.kind() == PUBLISH) {
             int pos = TENANT;
             for (int i = 0; i < 4; i++) {
-                final int len = pos + 4 <= bytes.length ? rec.buf.getInt(pos) : -1;
+                final int len = pos + 4 <= bytes.length ? logRecord.buf.getInt(pos) : -1;
                 if (len < 0 || len > bytes.length - pos - 4) {
                     throw new IllegalArgumentException("publish record with a field of " + len + " bytes at " + pos);
                 }
                 pos += 4 + len;
             }
         }
-        return rec;
+        return logRecord;
     }
 
-    public static Rec of(
-            final long lsn,
-            final long epoch,
+    public static LogRecord of(
+            final long index,
+            final long term,
             final long stamp,
             final int kind,
             final byte[] body,
             final long learnedAt) {
-        final Rec rec = new Rec(new byte[BODY + body.length], learnedAt);
-        rec.buf.putLong(LSN, lsn);
-        rec.buf.putLong(EPOCH, epoch);
-        rec.buf.putLong(STAMP, stamp);
-        rec.buf.putInt(KIND, kind);
-        rec.buf.putBytes(BODY, body);
-        rec.buf.putInt(SUM, rec.sum());
-        return rec;
+        final LogRecord logRecord = new LogRecord(new byte[BODY + body.length], learnedAt);
+        logRecord.buf.putLong(INDEX, index);
+        logRecord.buf.putLong(TERM, term);
+        logRecord.buf.putLong(STAMP, stamp);
+        logRecord.buf.putInt(KIND, kind);
+        logRecord.buf.putBytes(BODY, body);
+        logRecord.buf.putInt(SUM, logRecord.sum());
+        return logRecord;
     }
 
     private int sum() {
@@ -87,7 +87,7 @@
         return (int) crc.getValue();
     }
 
-    /** Whether these are still the bytes that the master made. */
+    /** Whether these are still the bytes that the leader made. */
     public boolean whole() {
         return buf.getInt(SUM) == sum();
     }
@@ -123,12 +123,12 @@
         return buf.byteArray();
     }
 
-    public long lsn() {
-        return buf.getLong(LSN);
+    public long index() {
+        return buf.getLong(INDEX);
     }
 
-    public long epoch() {
-        return buf.getLong(EPOCH);
+    public long term() {
+        return buf.getLong(TERM);
     }
 
     public long stamp() {
--- a/state/src/main/java/brookpath/state/record/Pack.java
+++ b/state/src/main/java/brookpath/state/record/PackedBuffer.java
@@ -6,38 +6,38 @@
 import org.agrona.concurrent.UnsafeBuffer;
 
 /** Writes and reads fields one after another over a buffer, for what is kept on disk. */
-public final class Pack {
+public final class PackedBuffer {
     private final ExpandableArrayBuffer out;
     private final UnsafeBuffer in;
     private int pos;
 
-    private Pack(final ExpandableArrayBuffer out, final UnsafeBuffer in) {
+    private PackedBuffer(final ExpandableArrayBuffer out, final UnsafeBuffer in) {
         this.out = out;
         this.in = in;
     }
 
-    public static Pack writer() {
-        return new Pack(new ExpandableArrayBuffer(256), null);
+    public static PackedBuffer writer() {
+        return new PackedBuffer(new ExpandableArrayBuffer(256), null);
     }
 
-    public static Pack reader(final byte[] bytes) {
-        return new Pack(null, new UnsafeBuffer(bytes));
+    public static PackedBuffer reader(final byte[] bytes) {
+        return new PackedBuffer(null, new UnsafeBuffer(bytes));
     }
 
-    public Pack num(final long v) {
+    public PackedBuffer num(final long v) {
         out.putLong(pos, v);
         pos += 8;
         return this;
     }
 
-    public Pack bytes(final byte[] v) {
+    public PackedBuffer bytes(final byte[] v) {
         out.putInt(pos, v.length);
         out.putBytes(pos + 4, v);
         pos += 4 + v.length;
         return this;
     }
 
-    public Pack str(final String v) {
+    public PackedBuffer str(final String v) {
         return bytes(v.getBytes(UTF_8));
     }
 
@@ -64,7 +64,7 @@
         return new String(bytes(), UTF_8);
     }
 
-    public Pack skip(final int bytes) {
+    public PackedBuffer skip(final int bytes) {
         pos += bytes;
         return this;
     }
--- a/state/src/main/java/brookpath/state/spool/Spool.java
+++ b/state/src/main/java/brookpath/state/wal/WriteAheadLog.java
@@ -1,11 +1,11 @@
-package brookpath.state.spool;
+package brookpath.state.wal;
 
 import static java.nio.ByteOrder.LITTLE_ENDIAN;
 
 import brookpath.state.disk.Disk;
 import brookpath.state.disk.DiskFile;
 import brookpath.state.disk.DiskFullException;
-import brookpath.state.record.Pack;
+import brookpath.state.record.PackedBuffer;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -18,14 +18,14 @@
  * {@code snap-N}. An entry is length, checksum, how many bytes of its file were synced when it was written, bytes. An
  * entry without bytes is a mark: it says only how much was synced.
  */
-public final class Spool {
+public final class WriteAheadLog {
     public static final int MAX_ENTRY = 64 << 20;
     private static final int HEAD = 16;
 
     /** What recovery found. A damaged folder yields no entries: its owner comes back as a member without a disk. */
-    public record Recovery(Spool spool, byte[] snapshot, List<byte[]> entries, List<String> findings, boolean damaged) {
+    public record Recovery(WriteAheadLog writeAheadLog, byte[] snapshot, List<byte[]> entries, List<String> findings, boolean damaged) {
         public List<byte[]> replayed() {
-            return Spool.replayed(snapshot, entries);
+            return WriteAheadLog.replayed(snapshot, entries);
         }
     }
 
@@ -33,7 +33,7 @@
     private static List<byte[]> replayed(final byte[] snapshot, final List<byte[]> entries) {
         final List<byte[]> all = new ArrayList<>();
         if (snapshot != null) {
-            for (final Pack in = Pack.reader(snapshot); in.more(); ) {
+            for (final PackedBuffer in = PackedBuffer.reader(snapshot); in.more(); ) {
                 all.add(in.bytes());
             }
         }
@@ -47,7 +47,7 @@
     private long size;
     private long synced;
 
-    private Spool(final Disk disk, final long seg) {
+    private WriteAheadLog(final Disk disk, final long seg) {
         this.disk = disk;
         this.seg = seg;
         file = disk.open(segName(seg));
@@ -106,18 +106,18 @@
             snaps.forEach(n -> disk.delete("snap-" + n));
             segs.forEach(n -> disk.delete(segName(n)));
             disk.syncFolder();
-            return new Recovery(new Spool(disk, 0), null, List.of(), findings, true);
+            return new Recovery(new WriteAheadLog(disk, 0), null, List.of(), findings, true);
         }
-        final Spool spool = new Spool(disk, at);
-        spool.dropBefore(at);
-        return new Recovery(spool, snapshot, entries, findings, false);
+        final WriteAheadLog writeAheadLog = new WriteAheadLog(disk, at);
+        writeAheadLog.dropBefore(at);
+        return new Recovery(writeAheadLog, snapshot, entries, findings, false);
     }
 
     /** What a folder holds, without changing anything in it. */
     public record Inspection(
             String snapshotName, byte[] snapshot, String segmentName, List<byte[]> entries, List<String> findings) {
         public List<byte[]> replayed() {
-            return Spool.replayed(snapshot, entries);
+            return WriteAheadLog.replayed(snapshot, entries);
         }
     }
 
--- a/trial/src/main/java/brookpath/trial/disk/TrialDisk.java
+++ b/testing/src/main/java/brookpath/testing/disk/FaultyDisk.java
@@ -1,9 +1,9 @@
-package brookpath.trial.disk;
+package brookpath.testing.disk;
 
 import brookpath.state.disk.Disk;
 import brookpath.state.disk.DiskFile;
 import brookpath.state.disk.DiskFullException;
-import brookpath.state.spool.Spool;
+import brookpath.state.wal.WriteAheadLog;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.ArrayList;
@@ -13,7 +13,7 @@
 import java.util.TreeMap;
 
 /** A disk in memory that loses, at a power loss, what was not synced: bytes, new names, renames and deletions alike. */
-public final class TrialDisk implements Disk {
+public final class FaultyDisk implements Disk {
     private static final class Data {
         byte[] bytes = new byte[256];
         int len;
@@ -57,12 +57,12 @@
      * Power goes: of each file the synced part stays, and by chance some of what followed: each write whole, torn or
      * missing.
      */
-    public void powerLoss(final SplittableRandom rnd) {
+    public void powerLoss(final SplittableRandom random) {
         names.clear();
         names.putAll(durable);
         for (final Data d : names.values()) {
-            final int kept = d.synced + (d.len > d.synced ? rnd.nextInt(d.len - d.synced + 1) : 0);
-            if (kept > d.synced && rnd.nextInt(3) == 0) {
+            final int kept = d.synced + (d.len > d.synced ? random.nextInt(d.len - d.synced + 1) : 0);
+            if (kept > d.synced && random.nextInt(3) == 0) {
                 // why: a file system may have grown the file without having written its blocks
                 Arrays.fill(d.bytes, d.synced, kept, (byte) 0);
             }
@@ -70,30 +70,30 @@
                 final int from = d.unsynced.get(i);
                 final int to = i + 1 < d.unsynced.size() ? d.unsynced.get(i + 1) : d.len;
                 // why: a later write may have reached the disk though an earlier one did not
-                final int lost = rnd.nextInt(4) == 0 ? rnd.nextInt(2) * (to - from) / 2 : to - from;
+                final int lost = random.nextInt(4) == 0 ? random.nextInt(2) * (to - from) / 2 : to - from;
                 Arrays.fill(d.bytes, from + lost, Math.max(to, from + lost), (byte) 0);
             }
             d.unsynced.clear();
-            d.len = rnd.nextBoolean() ? d.synced : kept;
+            d.len = random.nextBoolean() ? d.synced : kept;
             d.synced = d.len;
         }
     }
 
     /** As {@link #powerLoss}, and each name made or removed since the folder was synced is kept or lost by itself. */
-    public void powerLossByName(final SplittableRandom rnd) {
+    public void powerLossByName(final SplittableRandom random) {
         final TreeMap<String, Data> left = new TreeMap<>();
         names.forEach((name, d) -> {
-            if (durable.get(name) == d || rnd.nextBoolean()) {
+            if (durable.get(name) == d || random.nextBoolean()) {
                 left.put(name, d);
             }
         });
         durable.forEach((name, d) -> {
-            if (names.get(name) != d && rnd.nextBoolean()) {
+            if (names.get(name) != d && random.nextBoolean()) {
                 left.putIfAbsent(name, d);
             }
         });
         durable = left;
-        powerLoss(rnd);
+        powerLoss(random);
     }
 
     public void wipe() {
@@ -103,13 +103,13 @@
 
     /** Puts bytes in the place of others of the same length, with all sums right, as no disk does by itself. */
     public void replace(final byte[] was, final byte[] is) {
-        final Spool.Inspection now = Spool.inspect(this);
+        final WriteAheadLog.Inspection now = WriteAheadLog.inspect(this);
         wipe();
-        final Spool spool = Spool.recover(this).spool();
+        final WriteAheadLog writeAheadLog = WriteAheadLog.recover(this).writeAheadLog();
         for (final byte[] entry : now.replayed()) {
-            spool.append(swapped(entry, was, is));
+            writeAheadLog.append(swapped(entry, was, is));
         }
-        spool.sync();
+        writeAheadLog.sync();
     }
 
     private static byte[] swapped(final byte[] entry, final byte[] was, final byte[] is) {
@@ -124,12 +124,12 @@
     }
 
     /** Flips one bit amid the newest segment; false where there is none. */
-    public boolean corrupt(final SplittableRandom rnd) {
+    public boolean corrupt(final SplittableRandom random) {
         for (final String name : names.descendingKeySet()) {
             final Data d = names.get(name);
             if (name.startsWith("seg-") && d.synced > 64) {
-                final int at = rnd.nextInt(d.synced / 2);
-                d.bytes[at] = (byte) (d.bytes[at] ^ 1 << rnd.nextInt(8));
+                final int at = random.nextInt(d.synced / 2);
+                d.bytes[at] = (byte) (d.bytes[at] ^ 1 << random.nextInt(8));
                 return true;
             }
         }
--- a/trial/src/main/java/brookpath/trial/fleet/CallerContext.java
+++ b/testing/src/main/java/brookpath/testing/fleet/CallerContext.java
@@ -1,6 +1,6 @@
-package brookpath.trial.fleet;
+package brookpath.testing.fleet;
 
-import brookpath.trial.oracle.History;
+import brookpath.testing.oracle.History;
 import java.net.URI;
 import java.net.http.HttpClient;
 import java.net.http.HttpRequest;
--- a/trial/src/main/java/brookpath/trial/fleet/Fleet.java
+++ b/testing/src/main/java/brookpath/testing/fleet/Fleet.java
@@ -1,8 +1,8 @@
-package brookpath.trial.fleet;
+package brookpath.testing.fleet;
 
 import static java.util.concurrent.TimeUnit.SECONDS;
 
-import brookpath.trial.relay.Relay;
+import brookpath.testing.relay.Relay;
 import java.io.File;
 import java.io.IOException;
 import java.net.BindException;
@@ -43,7 +43,7 @@
     private static final int PEER_PORT_OFFSET = 1_000;
 
     /**
-     * The zone that a node of this fleet lies in, by its number alone; "" for callers, who are wherever the front is.
+     * The zone that a node of this fleet lies in, by its number alone; "" for callers, who are wherever the gateway is.
      */
     public static String zoneOf(final int node) {
         if (node <= 0) {
@@ -132,7 +132,7 @@
                     "java.base/jdk.internal.misc=ALL-UNNAMED",
                     "-cp",
                     System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")),
-                    controller ? "brookpath.programs.Controller" : "brookpath.programs.Creel",
+                    controller ? "brookpath.programs.Controller" : "brookpath.programs.DataNode",
                     "--settings",
                     settings.toString()));
             if (found) {
@@ -207,7 +207,7 @@
      * @param base HTTP ports begin here, other nodes' a thousand below; 0 takes any that are free
      * @param relay null for none between the processes
      */
-    public Fleet(final Path folder, final int base, final int fronts, final Relay relay, final String platform)
+    public Fleet(final Path folder, final int base, final int gateways, final Relay relay, final String platform)
             throws IOException, InterruptedException {
         this.relay = relay;
         this.platform = platform;
@@ -223,7 +223,7 @@
         for (int node = FIRST_STORAGE; node < FIRST_STORAGE + STORAGES; node++) {
             units.put(node, new Unit(node, zoneOf(node), "storage", portForPeers(node), port(base + node)));
         }
-        for (int node = FIRST_GATEWAY; node < FIRST_GATEWAY + fronts; node++) {
+        for (int node = FIRST_GATEWAY; node < FIRST_GATEWAY + gateways; node++) {
             units.put(node, new Unit(node, zoneOf(node), "front", NO_PORT, port(base + node)));
         }
     }
@@ -256,7 +256,7 @@
     }
 
     /** The gateways. */
-    public List<Unit> fronts() {
+    public List<Unit> gateways() {
         return units.values().stream().filter(u -> u.node >= FIRST_GATEWAY).toList();
     }
 
@@ -300,12 +300,12 @@
                 HttpResponse.BodyHandlers.ofString());
     }
 
-    /** Until every front is ready and sees a master for every founded group. */
+    /** Until every gateway is ready and sees a leader for every founded group. */
     public boolean awaitReady(final long millis) throws InterruptedException {
         final long end = System.nanoTime() + millis * 1_000_000;
         while (System.nanoTime() < end) {
             boolean ready = true;
-            for (final Unit u : fronts()) {
+            for (final Unit u : gateways()) {
                 final String status = get(u, "/v1/status");
                 ready &= !get(u, "/v1/ready").isEmpty()
                         && status.contains("\"group\":15")
--- a/trial/src/main/java/brookpath/trial/fleet/FleetDay.java
+++ b/testing/src/main/java/brookpath/testing/fleet/FleetDay.java
@@ -1,6 +1,6 @@
-package brookpath.trial.fleet;
+package brookpath.testing.fleet;
 
-import brookpath.trial.relay.Relay;
+import brookpath.testing.relay.Relay;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.util.List;
@@ -87,17 +87,17 @@
                 unit.start(false);
             }
         }
-        final double enough = accepted() + profile.perSecond();
-        while (load.clock() < healed + RECOVERY_TIMEOUT_MS && accepted() < enough) {
+        final double enough = committed() + profile.perSecond();
+        while (load.clock() < healed + RECOVERY_TIMEOUT_MS && committed() < enough) {
             Thread.sleep(POLL_MS);
         }
         System.out.println("healed: a second's worth of messages accepted again after " + (load.clock() - healed)
                 + " ms (bound 12000)");
     }
 
-    private int accepted() {
+    private int committed() {
         synchronized (load.history()) {
-            return load.history().accepted();
+            return load.history().committed();
         }
     }
 
@@ -119,7 +119,7 @@
         if (kind < 5) {
             return any(fleet.storages());
         }
-        return any(kind < 8 ? controllers : fleet.fronts());
+        return any(kind < 8 ? controllers : fleet.gateways());
     }
 
     private void strike(final Strike kind) throws IOException, InterruptedException {
--- a/trial/src/main/java/brookpath/trial/fleet/FleetMain.java
+++ b/testing/src/main/java/brookpath/testing/fleet/FleetMain.java
@@ -1,7 +1,7 @@
-package brookpath.trial.fleet;
+package brookpath.testing.fleet;
 
-import brookpath.trial.oracle.History;
-import brookpath.trial.relay.Relay;
+import brookpath.testing.oracle.History;
+import brookpath.testing.relay.Relay;
 import java.io.IOException;
 import java.net.http.HttpResponse;
 import java.nio.file.Files;
@@ -41,7 +41,7 @@
         relay = options.hasRelay() ? new Relay((from, to) -> delayUs(from, to, options.zoneUs())) : null;
         platform = options.isDay() ? new UsagePlatform() : null;
         final String platformUrl = platform == null ? "" : platform.url();
-        fleet = new Fleet(options.folder(), options.port(), options.fronts(), relay, platformUrl);
+        fleet = new Fleet(options.folder(), options.port(), options.gateways(), relay, platformUrl);
     }
 
     /** The zones of the two ends tell the delay; callers are in the zone of their gateway. */
@@ -104,7 +104,7 @@
         }
         System.out.println("fleet: ready after " + (System.nanoTime() - startedAt) / NANOS_PER_MILLI
                 + " ms; bailiffs on " + fleet.units().get(1).url("") + " and the next two, fronts from "
-                + fleet.fronts().get(0).url(""));
+                + fleet.gateways().get(0).url(""));
         if (!options.hasScenario()) {
             Thread.currentThread().join();
         }
@@ -168,7 +168,7 @@
         // a run in which nothing was done proves nothing
         final double published =
                 options.durationMs() / MILLIS_PER_SECOND * options.profile().perSecond();
-        final boolean worked = history.accepted() > published / 2 && history.delivered() > history.accepted();
+        final boolean worked = history.committed() > published / 2 && history.delivered() > history.committed();
         final boolean safe = history.violations().isEmpty();
         System.out.println("fleet: " + options.scenario() + verdict(safe, worked));
         return safe && worked;
--- a/trial/src/main/java/brookpath/trial/fleet/FleetOperators.java
+++ b/testing/src/main/java/brookpath/testing/fleet/FleetOperators.java
@@ -1,4 +1,4 @@
-package brookpath.trial.fleet;
+package brookpath.testing.fleet;
 
 import jakarta.json.JsonObject;
 import java.io.IOException;
--- a/trial/src/main/java/brookpath/trial/fleet/FleetOptions.java
+++ b/testing/src/main/java/brookpath/testing/fleet/FleetOptions.java
@@ -1,4 +1,4 @@
-package brookpath.trial.fleet;
+package brookpath.testing.fleet;
 
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -16,7 +16,7 @@
         Path folder,
         boolean keep,
         int port,
-        int fronts,
+        int gateways,
         Profile profile,
         String scenario,
         long zoneUs,
--- a/trial/src/main/java/brookpath/trial/fleet/FleetScenario.java
+++ b/testing/src/main/java/brookpath/testing/fleet/FleetScenario.java
@@ -1,8 +1,8 @@
-package brookpath.trial.fleet;
+package brookpath.testing.fleet;
 
-import brookpath.coordination.spec.Placement;
-import brookpath.coordination.spec.Spec;
-import brookpath.trial.sim.Callers;
+import brookpath.coordination.configuration.Placement;
+import brookpath.coordination.configuration.Configuration;
+import brookpath.testing.sim.Callers;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -33,8 +33,8 @@
     /** Any other name is a steady run, in which nothing happens. */
     void run(final String name) throws IOException, InterruptedException {
         switch (name) {
-            case "kill-master" -> killMaster();
-            case "freeze-master" -> freezeMaster();
+            case "kill-master" -> killLeader();
+            case "freeze-master" -> freezeLeader();
             case "retire" -> retire();
             case "rolling" -> restartOneByOne();
             case "all-restart" -> restartAll();
@@ -44,7 +44,7 @@
         }
     }
 
-    private void killMaster() throws IOException, InterruptedException {
+    private void killLeader() throws IOException, InterruptedException {
         final Fleet.Unit victim = busiest();
         final Set<Integer> groups = mastered(victim);
         final long at = load.clock();
@@ -55,7 +55,7 @@
         victim.start(false);
     }
 
-    private void freezeMaster() throws IOException, InterruptedException {
+    private void freezeLeader() throws IOException, InterruptedException {
         final Fleet.Unit victim = busiest();
         final Set<Integer> groups = mastered(victim);
         final long at = load.clock();
@@ -99,7 +99,7 @@
         printGaps(at, groups, "all restarted");
     }
 
-    /** Polls the members until each of the groups has an acting master again; says when, and why. */
+    /** Polls the members until each of the groups has an acting leader again; says when, and why. */
     private void awaitActing(final long at, final Set<Integer> groups) throws InterruptedException {
         final TreeMap<Integer, String> acting = new TreeMap<>();
         while (acting.size() < groups.size() && load.clock() < at + ACTING_TIMEOUT_MS) {
@@ -125,11 +125,11 @@
     }
 
     private static int groupOf(final String topic) {
-        final Spec.Space space = new Spec.Space(Callers.spaceOf(topic), 0, topic.startsWith("clues/"), 2);
+        final Configuration.Space space = new Configuration.Space(Callers.spaceOf(topic), 0, topic.startsWith("clues/"), 2);
         return Placement.groupOf(topic, space, GROUPS);
     }
 
-    /** The storage machine that masters most groups. */
+    /** The storage machine that leaders most groups. */
     private Fleet.Unit busiest() throws InterruptedException {
         Fleet.Unit best = null;
         int most = -1;
@@ -146,7 +146,7 @@
     private Set<Integer> mastered(final Fleet.Unit unit) throws InterruptedException {
         final Set<Integer> groups = new TreeSet<>();
         for (final GroupView view : groupsOf(unit)) {
-            if (view.isMaster()) {
+            if (view.isLeader()) {
                 groups.add(view.group());
             }
         }
--- a/trial/src/main/java/brookpath/trial/fleet/GroupView.java
+++ b/testing/src/main/java/brookpath/testing/fleet/GroupView.java
@@ -1,11 +1,11 @@
-package brookpath.trial.fleet;
+package brookpath.testing.fleet;
 
 import jakarta.json.JsonObject;
 import java.util.ArrayList;
 import java.util.List;
 
 /** A group as a storage machine's status page shows it. */
-record GroupView(int group, boolean isMaster, boolean mayAct, String why) {
+record GroupView(int group, boolean isLeader, boolean mayAct, String why) {
     /** The groups of a status page; none where the page is empty. */
     static List<GroupView> read(final String status) {
         final List<GroupView> views = new ArrayList<>();
--- a/trial/src/main/java/brookpath/trial/fleet/JsonText.java
+++ b/testing/src/main/java/brookpath/testing/fleet/JsonText.java
@@ -1,4 +1,4 @@
-package brookpath.trial.fleet;
+package brookpath.testing.fleet;
 
 import jakarta.json.Json;
 import jakarta.json.JsonObject;
--- a/trial/src/main/java/brookpath/trial/fleet/Load.java
+++ b/testing/src/main/java/brookpath/testing/fleet/Load.java
@@ -1,9 +1,9 @@
-package brookpath.trial.fleet;
+package brookpath.testing.fleet;
 
 import static java.util.concurrent.TimeUnit.MICROSECONDS;
 import static java.util.concurrent.TimeUnit.MILLISECONDS;
 
-import brookpath.trial.oracle.History;
+import brookpath.testing.oracle.History;
 import java.net.http.HttpClient;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -134,7 +134,7 @@
 
     /** The figures in a line. */
     public String report() {
-        return measurements.report(profile.name(), history.accepted(), history.delivered());
+        return measurements.report(profile.name(), history.committed(), history.delivered());
     }
 
     @Override
--- a/trial/src/main/java/brookpath/trial/fleet/Measurements.java
+++ b/testing/src/main/java/brookpath/testing/fleet/Measurements.java
@@ -1,4 +1,4 @@
-package brookpath.trial.fleet;
+package brookpath.testing.fleet;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -22,8 +22,8 @@
     private final Histogram delivery = new Histogram(MAX_LATENCY_US, DIGITS);
     private final Histogram acceptance = new Histogram(MAX_LATENCY_US, DIGITS);
     private final TreeMap<String, Integer> counts = new TreeMap<>();
-    /** The topics of the accepted messages, by the time of acceptance in milliseconds. */
-    private final TreeMap<Long, List<String>> acceptedTopics = new TreeMap<>();
+    /** The topics of the committed messages, by the time of acceptance in milliseconds. */
+    private final TreeMap<Long, List<String>> committedTopics = new TreeMap<>();
 
     private int late;
 
@@ -31,9 +31,9 @@
         counts.merge(event, 1, Integer::sum);
     }
 
-    synchronized void accepted(final String topic, final long latencyNanos, final long now) {
+    synchronized void committed(final String topic, final long latencyNanos, final long now) {
         acceptance.recordValue(latencyNanos / NANOS_PER_MICRO);
-        acceptedTopics.computeIfAbsent(now, k -> new ArrayList<>()).add(topic);
+        committedTopics.computeIfAbsent(now, k -> new ArrayList<>()).add(topic);
     }
 
     synchronized void delivered(final long latencyNanos) {
@@ -53,7 +53,7 @@
     /** How long after the given time the next acceptance on an affected topic came; -1 for never. */
     synchronized long gapAfter(final long time, final Predicate<String> affected) {
         for (final Map.Entry<Long, List<String>> entry :
-                acceptedTopics.tailMap(time + 1).entrySet()) {
+                committedTopics.tailMap(time + 1).entrySet()) {
             if (entry.getValue().stream().anyMatch(affected)) {
                 return entry.getKey() - time;
             }
@@ -61,12 +61,12 @@
         return -1;
     }
 
-    synchronized String report(final String profile, final int accepted, final int delivered) {
+    synchronized String report(final String profile, final int committed, final int delivered) {
         return String.format(
                 "%s: accepted %d, delivered %d, %d of them to listeners after more than 2 s; publish-to-delivery ms median %.1f p99 %.1f max %.1f (p99 %.2f of 150 ms, max %.2f of 2 s); "
                         + "acceptance ms median %.1f p99 %.1f max %.1f; %s",
                 profile,
-                accepted,
+                committed,
                 delivered,
                 late,
                 delivery.getValueAtPercentile(50) / MICROS_PER_MILLI,
--- a/trial/src/main/java/brookpath/trial/fleet/Profile.java
+++ b/testing/src/main/java/brookpath/testing/fleet/Profile.java
@@ -1,4 +1,4 @@
-package brookpath.trial.fleet;
+package brookpath.testing.fleet;
 
 /**
  * The rates of a user.
--- a/trial/src/main/java/brookpath/trial/fleet/Publisher.java
+++ b/testing/src/main/java/brookpath/testing/fleet/Publisher.java
@@ -1,9 +1,9 @@
-package brookpath.trial.fleet;
+package brookpath.testing.fleet;
 
 import static java.util.concurrent.TimeUnit.MILLISECONDS;
 
-import brookpath.trial.oracle.History;
-import brookpath.trial.oracle.History.Sent;
+import brookpath.testing.oracle.History;
+import brookpath.testing.oracle.History.Sent;
 import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
 import java.time.Duration;
@@ -118,7 +118,7 @@
             final HttpResponse<String> response) {
         final int status = response == null ? NO_RESPONSE : response.statusCode();
         if (status == OK) {
-            accepted(message, key, startedAt, response.body());
+            committed(message, key, startedAt, response.body());
             return;
         }
         if (status != SERVICE_UNAVAILABLE && status != UNAUTHORIZED) {
@@ -146,13 +146,13 @@
         return response.headers().firstValueAsLong("Brookpath-Retry-After-Ms").orElse(DEFAULT_RETRY_MS);
     }
 
-    private void accepted(final Sent message, final String key, final long startedAt, final String body) {
-        context.measurements().accepted(message.topic, System.nanoTime() - startedAt, context.now());
+    private void committed(final Sent message, final String key, final long startedAt, final String body) {
+        context.measurements().committed(message.topic, System.nanoTime() - startedAt, context.now());
         final History history = context.history();
         synchronized (history) {
             context.keys().worked(key, "published", context.now());
             final long position = JsonText.parse(body).getJsonNumber("position").longValue();
-            history.accepted(context.now(), message, position);
+            history.committed(context.now(), message, position);
         }
         done(message);
     }
--- a/trial/src/main/java/brookpath/trial/fleet/ReadyGateways.java
+++ b/testing/src/main/java/brookpath/testing/fleet/ReadyGateways.java
@@ -1,4 +1,4 @@
-package brookpath.trial.fleet;
+package brookpath.testing.fleet;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -18,7 +18,7 @@
     /** Asks each gateway whether it is ready. */
     void refresh() {
         final List<Fleet.Unit> found = new ArrayList<>();
-        for (final Fleet.Unit unit : fleet.fronts()) {
+        for (final Fleet.Unit unit : fleet.gateways()) {
             try {
                 if (unit.alive() && !fleet.get(unit, "/v1/ready").isEmpty()) {
                     found.add(unit);
@@ -33,7 +33,7 @@
 
     /** Any that is ready; any at all where none is. */
     synchronized Fleet.Unit any() {
-        final List<Fleet.Unit> candidates = ready.isEmpty() ? fleet.fronts() : ready;
+        final List<Fleet.Unit> candidates = ready.isEmpty() ? fleet.gateways() : ready;
         return candidates.get(random.nextInt(candidates.size()));
     }
 }
--- a/trial/src/main/java/brookpath/trial/fleet/RemovedKeys.java
+++ b/testing/src/main/java/brookpath/testing/fleet/RemovedKeys.java
@@ -1,6 +1,6 @@
-package brookpath.trial.fleet;
+package brookpath.testing.fleet;
 
-import brookpath.trial.oracle.History;
+import brookpath.testing.oracle.History;
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 
--- a/trial/src/main/java/brookpath/trial/fleet/Subscriber.java
+++ b/testing/src/main/java/brookpath/testing/fleet/Subscriber.java
@@ -1,10 +1,10 @@
-package brookpath.trial.fleet;
+package brookpath.testing.fleet;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static java.util.concurrent.TimeUnit.MILLISECONDS;
 
-import brookpath.trial.oracle.History;
-import brookpath.trial.oracle.History.Listener;
+import brookpath.testing.oracle.History;
+import brookpath.testing.oracle.History.Listener;
 import jakarta.json.JsonObject;
 import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
@@ -69,7 +69,7 @@
             refused(info.statusCode());
             return HttpResponse.BodySubscribers.replacing(null);
         }
-        return HttpResponse.BodySubscribers.fromLineSubscriber(new Lines());
+        return HttpResponse.BodySubscribers.fromLineSubscriber(new StreamedSession());
     }
 
     private void refused(final int status) {
@@ -151,7 +151,7 @@
         return positions;
     }
 
-    private final class Lines implements Flow.Subscriber<String> {
+    private final class StreamedSession implements Flow.Subscriber<String> {
         @Override
         public void onSubscribe(final Flow.Subscription subscription) {
             subscription.request(Long.MAX_VALUE);
--- a/trial/src/main/java/brookpath/trial/fleet/UsagePlatform.java
+++ b/testing/src/main/java/brookpath/testing/fleet/UsagePlatform.java
@@ -1,8 +1,8 @@
-package brookpath.trial.fleet;
+package brookpath.testing.fleet;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import brookpath.trial.oracle.History;
+import brookpath.testing.oracle.History;
 import com.sun.net.httpserver.HttpExchange;
 import com.sun.net.httpserver.HttpServer;
 import jakarta.json.JsonObject;
--- a/trial/src/main/java/brookpath/trial/fleet/package-info.java
+++ b/testing/src/main/java/brookpath/testing/fleet/package-info.java
@@ -2,4 +2,4 @@
  * Trials on real processes: a fleet on loopback, stand-in callers at a user's rates, scenarios and whole days with
  * failures. The simulator's oracle judges what the callers saw.
  */
-package brookpath.trial.fleet;
+package brookpath.testing.fleet;
--- a/trial/src/main/java/brookpath/trial/model/Choice.java
+++ b/testing/src/main/java/brookpath/testing/model/Choice.java
@@ -1,4 +1,4 @@
-package brookpath.trial.model;
+package brookpath.testing.model;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -34,7 +34,7 @@
         HEAL,
         FREEZE,
         THAW,
-        /** Messages of the group to this member stay in flight; beats are delivered. */
+        /** Messages of the group to this member stay in flight; heartbeats are delivered. */
         HOLD,
         RELEASE,
         /** The member's clock gets ahead by a little. */
--- a/trial/src/main/java/brookpath/trial/model/Choices.java
+++ b/testing/src/main/java/brookpath/testing/model/Choices.java
@@ -1,18 +1,18 @@
-package brookpath.trial.model;
+package brookpath.testing.model;
 
-import brookpath.coordination.Tempo;
+import brookpath.coordination.TimingBounds;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Member;
 import brookpath.coordination.group.Membership;
-import brookpath.trial.model.Choice.Kind;
+import brookpath.testing.model.Choice.Kind;
 import java.util.ArrayList;
 import java.util.List;
 
 /** What may happen next in a world. */
 final class Choices {
-    static final int TICK = (int) Tempo.DEFAULT.tick();
-    static final int BEAT = (int) Tempo.DEFAULT.beat();
-    static final int DOWN = (int) Tempo.DEFAULT.down() + 2 * TICK;
+    static final int TICK = (int) TimingBounds.DEFAULT.tick();
+    static final int HEARTBEAT = (int) TimingBounds.DEFAULT.heartbeat();
+    static final int DOWN = (int) TimingBounds.DEFAULT.down() + 2 * TICK;
 
     /** Two clocks differ by less than the detection time and the lease do. */
     private static final int MOST_SKEW = 50;
@@ -37,16 +37,16 @@
 
     static List<Choice> of(final ModelWorld world) {
         final Choices choices = new Choices(world);
-        for (final int milliseconds : new int[] {TICK, BEAT, DOWN}) {
+        for (final int milliseconds : new int[] {TICK, HEARTBEAT, DOWN}) {
             choices.list.add(Choice.run(milliseconds));
         }
         choices.messages();
         for (final ModelMember m : world.members) {
             choices.member(m);
         }
-        final ModelMember master = world.acting();
-        if (master != null) {
-            choices.master(master);
+        final ModelMember leader = world.acting();
+        if (leader != null) {
+            choices.leader(leader);
         }
         return choices.list;
     }
@@ -57,7 +57,7 @@
         for (int i = 0; i < world.flying.size() && told < MESSAGES; i++) {
             final ModelWorld.InFlight f = world.flying.get(i);
             late += f.late() ? 1 : 0;
-            if (!f.isBeat() && world.member(f.to()).runs()) {
+            if (!f.isHeartbeat() && world.member(f.to()).runs()) {
                 told++;
                 list.add(Choice.of(Kind.DELIVER, i));
                 list.add(Choice.of(Kind.DROP, i));
@@ -138,35 +138,35 @@
         return Membership.find(world.placed.voters(), m.id) != null;
     }
 
-    private void master(final ModelMember master) {
-        final GroupMachine g = master.group;
+    private void leader(final ModelMember leader) {
+        final GroupMachine g = leader.group;
         if (!History.full(world.appended)) {
-            list.add(Choice.of(Kind.APPEND, master.id));
+            list.add(Choice.of(Kind.APPEND, leader.id));
         }
         for (final Member voter : g.membership().voters()) {
-            if (voter.node() != master.id) {
-                list.add(new Choice(Kind.HAND_OVER, master.id, voter.node()));
+            if (voter.node() != leader.id) {
+                list.add(new Choice(Kind.HAND_OVER, leader.id, voter.node()));
             }
         }
-        // Why: the callers' part of the contract: the last step is accepted and the roster has it.
+        // Why: the callers' part of the contract: the last step is committed and the cluster metadata has it.
         if (g.membershipSettled()
                 && world.placed.version() >= g.membership().version()
                 && world.changes < MOST_CHANGES) {
-            steps(master);
+            steps(leader);
         }
     }
 
-    private void steps(final ModelMember master) {
-        final Membership present = master.group.membership();
+    private void steps(final ModelMember leader) {
+        final Membership present = leader.group.membership();
         for (final ModelMember m : world.members) {
             if (!present.holds(m.id)) {
-                list.add(new Choice(Kind.ADD_LEARNER, master.id, m.id));
+                list.add(new Choice(Kind.ADD_LEARNER, leader.id, m.id));
             } else if (Membership.find(present.learners(), m.id) != null) {
-                if (master.group.learnt(m.id) >= master.group.accepted()) {
-                    list.add(new Choice(Kind.PROMOTE, master.id, m.id));
+                if (leader.group.learnt(m.id) >= leader.group.committed()) {
+                    list.add(new Choice(Kind.PROMOTE, leader.id, m.id));
                 }
-            } else if (m != master && present.voters().size() > FEWEST_VOTERS) {
-                list.add(new Choice(Kind.REMOVE, master.id, m.id));
+            } else if (m != leader && present.voters().size() > FEWEST_VOTERS) {
+                list.add(new Choice(Kind.REMOVE, leader.id, m.id));
             }
         }
     }
--- /dev/null
+++ b/testing/src/main/java/brookpath/testing/model/DigestState.java
@@ -0,0 +1,40 @@
+package brookpath.testing.model;
+
+import brookpath.coordination.group.LogState;
+import brookpath.state.record.PackedBuffer;
+import brookpath.state.record.LogRecord;
+
+/** The smallest state that follows from a log: a digest of its records. */
+final class DigestState implements LogState {
+    private final long keepMs;
+    private long digest;
+
+    DigestState(final long keepMs) {
+        this.keepMs = keepMs;
+    }
+
+    @Override
+    public void apply(final LogRecord logRecord) {
+        digest = digest * 31 + logRecord.madeSum();
+    }
+
+    @Override
+    public void trimmed(final LogRecord logRecord) {
+        // Nothing is kept per record.
+    }
+
+    @Override
+    public byte[] save() {
+        return PackedBuffer.writer().num(digest).done();
+    }
+
+    @Override
+    public void load(final byte[] saved) {
+        digest = PackedBuffer.reader(saved).num();
+    }
+
+    @Override
+    public boolean keeps(final LogRecord logRecord, final long now, final int newerRecords, final long newerBytes) {
+        return now - logRecord.learnedAt() <= keepMs;
+    }
+}
--- a/trial/src/main/java/brookpath/trial/model/GuidedWalk.java
+++ b/testing/src/main/java/brookpath/testing/model/GuidedWalk.java
@@ -1,13 +1,13 @@
-package brookpath.trial.model;
+package brookpath.testing.model;
 
-import brookpath.trial.model.Choice.Kind;
+import brookpath.testing.model.Choice.Kind;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
 
 /**
  * A long random schedule that favours what hurts: a crash right after an append or a change, late messages, a frozen
- * master, a membership change amid an election. Ends with a rest, after which the group has to serve again.
+ * leader, a membership change amid an election. Ends with a rest, after which the group has to serve again.
  */
 final class GuidedWalk {
     private static final int COMMON = 24;
@@ -42,12 +42,12 @@
         }
     }
 
-    int masters() {
-        return world.invariants.masters();
+    int leaders() {
+        return world.invariants.leaders();
     }
 
-    int acceptedRecords() {
-        return world.invariants.acceptedRecords();
+    int committedRecords() {
+        return world.invariants.committedRecords();
     }
 
     int steps() {
--- a/trial/src/main/java/brookpath/trial/model/History.java
+++ b/testing/src/main/java/brookpath/testing/model/History.java
@@ -1,4 +1,4 @@
-package brookpath.trial.model;
+package brookpath.testing.model;
 
 import brookpath.coordination.group.GroupMachine;
 import java.util.ArrayList;
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** Records what callers of the group see: appends that are confirmed or stay unclear, and reads at acting masters. */
+/** Records what callers of the group see: appends that are confirmed or stay unclear, and reads at acting leaders. */
 final class History {
     /** Reads beyond these are left out; the search over a history grows with its length. */
     private static final int MOST_READS = 24;
@@ -16,15 +16,15 @@
     private static final class Append {
         final long invoked;
         final int member;
-        final long epoch;
-        final long lsn;
+        final long term;
+        final long index;
         long returned = Operation.UNCLEAR;
 
-        Append(final long invoked, final int member, final long epoch, final long lsn) {
+        Append(final long invoked, final int member, final long term, final long index) {
             this.invoked = invoked;
             this.member = member;
-            this.epoch = epoch;
-            this.lsn = lsn;
+            this.term = term;
+            this.index = index;
         }
     }
 
@@ -45,25 +45,25 @@
         stopped = true;
     }
 
-    void invoked(final long value, final ModelMember m, final long lsn) {
+    void invoked(final long value, final ModelMember m, final long index) {
         if (stopped) {
             return;
         }
-        appends.put(value, new Append(++position, m.id, m.group.epoch(), lsn));
+        appends.put(value, new Append(++position, m.id, m.group.term(), index));
     }
 
-    /** The master that took an append confirms it once it is accepted there in the same epoch. */
-    void accepted(final ModelMember m) {
+    /** The leader that took an append confirms it once it is committed there in the same term. */
+    void committed(final ModelMember m) {
         final GroupMachine g = m.group;
-        if (g.role() != GroupMachine.MASTER) {
+        if (g.role() != GroupMachine.LEADER) {
             return;
         }
         position++;
         for (final Append append : appends.values()) {
             if (append.returned == Operation.UNCLEAR
                     && append.member == m.id
-                    && append.epoch == g.epoch()
-                    && append.lsn <= g.accepted()) {
+                    && append.term == g.term()
+                    && append.index <= g.committed()) {
                 append.returned = position;
                 confirmed = true;
             }
@@ -72,7 +72,7 @@
 
     void read(final ModelMember m) {
         // Why: a trimmed log no longer tells its first values.
-        if (stopped || m.group.baseLsn() > 0) {
+        if (stopped || m.group.baseIndex() > 0) {
             return;
         }
         final List<Long> seen =
--- a/trial/src/main/java/brookpath/trial/model/Invariants.java
+++ b/testing/src/main/java/brookpath/testing/model/Invariants.java
@@ -1,10 +1,10 @@
-package brookpath.trial.model;
+package brookpath.testing.model;
 
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Member;
 import brookpath.coordination.group.Membership;
-import brookpath.coordination.message.Msg;
-import brookpath.state.record.Rec;
+import brookpath.coordination.message.PeerMessage;
+import brookpath.state.record.LogRecord;
 import java.util.Arrays;
 import java.util.HashSet;
 import java.util.Map;
@@ -13,10 +13,10 @@
 
 /** What must hold after every event, looked at from outside and from the inside of the members. */
 final class Invariants {
-    /** A record that a master accepted, and in which epoch. */
-    private record Accepted(byte[] bytes, long epoch) {}
+    /** A record that a leader committed, and in which term. */
+    private record Committed(byte[] bytes, long term) {}
 
-    private record Ballot(int voter, long epoch) {}
+    private record Ballot(int voter, long term) {}
 
     @NotHashed
     final History history = new History();
@@ -24,38 +24,38 @@
     @NotHashed
     private final ModelWorld world;
 
-    private final TreeMap<Long, Accepted> accepted = new TreeMap<>();
-    private final TreeMap<Long, Integer> masterOf = new TreeMap<>();
+    private final TreeMap<Long, Committed> committed = new TreeMap<>();
+    private final TreeMap<Long, Integer> leaderOf = new TreeMap<>();
     private final Map<Ballot, Integer> votes = new TreeMap<>((a, b) ->
-            a.voter() != b.voter() ? Integer.compare(a.voter(), b.voter()) : Long.compare(a.epoch(), b.epoch()));
+            a.voter() != b.voter() ? Integer.compare(a.voter(), b.voter()) : Long.compare(a.term(), b.term()));
     private Membership settled;
 
     Invariants(final ModelWorld world) {
         this.world = world;
     }
 
-    int masters() {
-        return masterOf.size();
+    int leaders() {
+        return leaderOf.size();
     }
 
-    int acceptedRecords() {
-        return accepted.size();
+    int committedRecords() {
+        return committed.size();
     }
 
     void afterEvent(final ModelMember m) {
         final GroupMachine g = m.group;
-        final boolean master = g.role() == GroupMachine.MASTER;
-        if (master && m.lastRole != GroupMachine.MASTER) {
-            becameMaster(m);
-        } else if (master && g.accepted() > m.lastAccepted) {
-            masterAccepted(m);
+        final boolean leader = g.role() == GroupMachine.LEADER;
+        if (leader && m.lastRole != GroupMachine.LEADER) {
+            becameLeader(m);
+        } else if (leader && g.committed() > m.lastCommitted) {
+            leaderCommitted(m);
         }
-        if (g.accepted() > m.lastAccepted) {
-            compareAccepted(m);
-            m.lastAccepted = g.accepted();
+        if (g.committed() > m.lastCommitted) {
+            compareCommitted(m);
+            m.lastCommitted = g.committed();
         }
         m.lastRole = g.role();
-        if (m.rebuildTo > 0 && m.durable().endLsn() >= m.rebuildTo) {
+        if (m.rebuildTo > 0 && m.durable().endIndex() >= m.rebuildTo) {
             m.rebuildTo = 0;
         }
         if (m.runs() && g.mayAct(world.clock(m))) {
@@ -89,38 +89,38 @@
         }
     }
 
-    private void becameMaster(final ModelMember m) {
+    private void becameLeader(final ModelMember m) {
         final GroupMachine g = m.group;
-        final Integer other = masterOf.put(g.epoch(), m.id);
+        final Integer other = leaderOf.put(g.term(), m.id);
         if (other != null && other != m.id) {
-            throw new Violation("epoch " + g.epoch() + " has two masters, " + other + " and " + m.id);
+            throw new Violation("epoch " + g.term() + " has two masters, " + other + " and " + m.id);
         }
-        accepted.forEach((lsn, record) -> {
-            // Why: a master of an older epoch that wins late may lack what a later one accepted; it cannot act.
-            if (record.epoch < g.epoch() && !holds(g, lsn, record.bytes)) {
-                throw new Violation("master " + m.id + " of epoch " + g.epoch() + " lacks accepted record " + lsn);
+        committed.forEach((index, record) -> {
+            // Why: a leader of an older term that wins late may lack what a later one committed; it cannot act.
+            if (record.term < g.term() && !holds(g, index, record.bytes)) {
+                throw new Violation("master " + m.id + " of epoch " + g.term() + " lacks accepted record " + index);
             }
         });
     }
 
-    private static boolean holds(final GroupMachine g, final long lsn, final byte[] bytes) {
-        return lsn <= g.baseLsn()
-                || (lsn <= g.endLsn() && Arrays.equals(g.rec(lsn).bytes(), bytes));
+    private static boolean holds(final GroupMachine g, final long index, final byte[] bytes) {
+        return index <= g.baseIndex()
+                || (index <= g.endIndex() && Arrays.equals(g.logRecord(index).bytes(), bytes));
     }
 
-    /** Whether a copy has all that the master accepted. */
-    private static boolean holdsAccepted(final GroupMachine copy, final GroupMachine master) {
-        final long lsn = master.accepted();
-        return lsn <= master.baseLsn()
-                ? copy.endLsn() >= lsn
-                : holds(copy, lsn, master.rec(lsn).bytes());
+    /** Whether a copy has all that the leader committed. */
+    private static boolean holdsCommitted(final GroupMachine copy, final GroupMachine leader) {
+        final long index = leader.committed();
+        return index <= leader.baseIndex()
+                ? copy.endIndex() >= index
+                : holds(copy, index, leader.logRecord(index).bytes());
     }
 
-    private void masterAccepted(final ModelMember m) {
+    private void leaderCommitted(final ModelMember m) {
         final GroupMachine g = m.group;
-        if (g.accepted() < g.openLsn()) {
+        if (g.committed() < g.openIndex()) {
             throw new Violation(
-                    "master " + m.id + " accepts " + g.accepted() + " before its own record at " + g.openLsn());
+                    "master " + m.id + " accepts " + g.committed() + " before its own record at " + g.openIndex());
         }
         final int voters = g.membership().voters().size();
         final int floor = Math.max(Math.min(voters, ModelMember.TOLERATED_LOSSES + 1), majority(voters));
@@ -128,34 +128,34 @@
         for (final Member voter : g.membership().voters()) {
             final ModelMember v = world.member(voter.node());
             // Why: a copy that was lost with its disk may have been counted before.
-            copies += v.wipes > 0 || holdsAccepted(v.durable(), g) ? 1 : 0;
+            copies += v.wipes > 0 || holdsCommitted(v.durable(), g) ? 1 : 0;
         }
         if (copies < floor) {
-            throw new Violation("master " + m.id + " accepts " + g.accepted() + " with " + copies + " of " + floor
+            throw new Violation("master " + m.id + " accepts " + g.committed() + " with " + copies + " of " + floor
                     + " synced copies among " + voters + " voters");
         }
     }
 
-    private void compareAccepted(final ModelMember m) {
+    private void compareCommitted(final ModelMember m) {
         final GroupMachine g = m.group;
-        final long first = Math.max(1, Math.max(g.baseLsn() + 1, m.lastAccepted + 1));
-        for (long lsn = first; lsn <= g.accepted(); lsn++) {
-            final Accepted known =
-                    accepted.putIfAbsent(lsn, new Accepted(g.rec(lsn).bytes(), g.epoch()));
-            if (known != null && !Arrays.equals(known.bytes, g.rec(lsn).bytes())) {
-                throw new Violation("member " + m.id + " holds another record as accepted at " + lsn);
+        final long first = Math.max(1, Math.max(g.baseIndex() + 1, m.lastCommitted + 1));
+        for (long index = first; index <= g.committed(); index++) {
+            final Committed known =
+                    committed.putIfAbsent(index, new Committed(g.logRecord(index).bytes(), g.term()));
+            if (known != null && !Arrays.equals(known.bytes, g.logRecord(index).bytes())) {
+                throw new Violation("member " + m.id + " holds another record as accepted at " + index);
             }
         }
-        history.accepted(m);
+        history.committed(m);
     }
 
     private void acts(final ModelMember m) {
         final GroupMachine g = m.group;
-        if (g.accepted() < g.openLsn()) {
-            throw new Violation("member " + m.id + " acts before its own record at " + g.openLsn() + " is accepted");
+        if (g.committed() < g.openIndex()) {
+            throw new Violation("member " + m.id + " acts before its own record at " + g.openIndex() + " is accepted");
         }
-        if (!accepted.isEmpty() && g.accepted() < accepted.lastKey()) {
-            throw new Violation("member " + m.id + " acts with " + g.accepted() + " accepted, " + accepted.lastKey()
+        if (!committed.isEmpty() && g.committed() < committed.lastKey()) {
+            throw new Violation("member " + m.id + " acts with " + g.committed() + " accepted, " + committed.lastKey()
                     + " was accepted before");
         }
         if (!g.tellsMembers() || !g.membershipSettled() || g.membership().equals(settled)) {
@@ -188,13 +188,13 @@
         return voters / 2 + 1;
     }
 
-    /** Votes are promises: durable before they are told, one for each epoch, and none by a copy that was lost. */
-    void onSend(final ModelMember m, final int to, final Msg msg) {
-        if (msg instanceof Msg.VoteReply reply && reply.granted()) {
-            voted(m, reply.epoch(), to);
-        } else if (msg instanceof Msg.VoteAsk ask) {
-            voted(m, ask.epoch(), m.id);
-        } else if (msg instanceof Msg.Pull pull
+    /** Votes are promises: durable before they are told, one for each term, and none by a copy that was lost. */
+    void onSend(final ModelMember m, final int to, final PeerMessage message) {
+        if (message instanceof PeerMessage.VoteReply reply && reply.granted()) {
+            voted(m, reply.term(), to);
+        } else if (message instanceof PeerMessage.VoteRequest ask) {
+            voted(m, ask.term(), m.id);
+        } else if (message instanceof PeerMessage.Pull pull
                 && m.wipes > 0
                 && !pull.lost()
                 && m.durable().lost()) {
@@ -202,13 +202,13 @@
         }
     }
 
-    private void voted(final ModelMember m, final long epoch, final int candidate) {
-        if (m.durable().epoch() < epoch) {
-            throw new Violation("member " + m.id + " tells of its vote in epoch " + epoch + " before it is synced");
+    private void voted(final ModelMember m, final long term, final int candidate) {
+        if (m.durable().term() < term) {
+            throw new Violation("member " + m.id + " tells of its vote in epoch " + term + " before it is synced");
         }
-        final Integer other = votes.put(new Ballot(m.id, epoch), candidate);
+        final Integer other = votes.put(new Ballot(m.id, term), candidate);
         if (other != null && other != candidate) {
-            throw new Violation("member " + m.id + " votes for " + other + " and " + candidate + " in epoch " + epoch);
+            throw new Violation("member " + m.id + " votes for " + other + " and " + candidate + " in epoch " + term);
         }
         if (m.rebuildTo > 0) {
             throw new Violation("member " + m.id + " lost its disk and votes before it has " + m.rebuildTo);
@@ -216,29 +216,29 @@
     }
 
     void beforeWipe(final ModelMember m) {
-        m.rebuildTo = accepted.isEmpty() ? 0 : accepted.lastKey();
+        m.rebuildTo = committed.isEmpty() ? 0 : committed.lastKey();
     }
 
-    void beforePromotion(final ModelMember master, final ModelMember learner) {
-        final GroupMachine g = master.group;
-        final boolean copied = holdsAccepted(learner.durable(), g);
+    void beforePromotion(final ModelMember leader, final ModelMember learner) {
+        final GroupMachine g = leader.group;
+        final boolean copied = holdsCommitted(learner.durable(), g);
         if (learner.wipes == 0 && !copied) {
-            throw new Violation("learner " + learner.id + " is promoted without a copy up to " + g.accepted());
+            throw new Violation("learner " + learner.id + " is promoted without a copy up to " + g.committed());
         }
     }
 
-    /** What still differs from one master that acts and whose log all voters have; null for nothing. */
+    /** What still differs from one leader that acts and whose log all voters have; null for nothing. */
     String discord() {
-        final ModelMember master = world.acting();
-        if (master == null) {
+        final ModelMember leader = world.acting();
+        if (leader == null) {
             return "no master acts though everything is healed; " + Schedule.describe(world);
         }
-        final GroupMachine g = master.group;
+        final GroupMachine g = leader.group;
         for (final Member voter : g.membership().voters()) {
             final GroupMachine other = world.member(voter.node()).group;
-            if (other.endLsn() != g.endLsn()
-                    || other.accepted() != g.accepted()
-                    || other.chainAt(other.endLsn()) != g.chainAt(g.endLsn())
+            if (other.endIndex() != g.endIndex()
+                    || other.committed() != g.committed()
+                    || other.chainAt(other.endIndex()) != g.chainAt(g.endIndex())
                     || other.lost()) {
                 return "member " + voter.node() + " never catches up; " + Schedule.describe(world);
             }
@@ -254,13 +254,13 @@
         }
     }
 
-    /** The application's records of a log up to its accepted position, oldest first. */
+    /** The application's records of a log up to its committed position, oldest first. */
     static long[] values(final GroupMachine g) {
-        final long[] values = new long[(int) (g.accepted() - g.baseLsn())];
+        final long[] values = new long[(int) (g.committed() - g.baseIndex())];
         int n = 0;
-        for (long lsn = g.baseLsn() + 1; lsn <= g.accepted(); lsn++) {
-            if (g.rec(lsn).kind() == Rec.PUBLISH) {
-                values[n++] = g.rec(lsn).seq();
+        for (long index = g.baseIndex() + 1; index <= g.committed(); index++) {
+            if (g.logRecord(index).kind() == LogRecord.PUBLISH) {
+                values[n++] = g.logRecord(index).seq();
             }
         }
         return Arrays.copyOf(values, n);
--- a/trial/src/main/java/brookpath/trial/model/MembershipSteps.java
+++ b/testing/src/main/java/brookpath/testing/model/MembershipSteps.java
@@ -1,4 +1,4 @@
-package brookpath.trial.model;
+package brookpath.testing.model;
 
 import brookpath.coordination.group.Member;
 import brookpath.coordination.group.Membership;
--- a/trial/src/main/java/brookpath/trial/model/ModelMain.java
+++ b/testing/src/main/java/brookpath/testing/model/ModelMain.java
@@ -1,4 +1,4 @@
-package brookpath.trial.model;
+package brookpath.testing.model;
 
 import java.util.Locale;
 
@@ -64,15 +64,15 @@
     private static void walk(final long first, final long seeds) {
         final long began = System.nanoTime();
         long steps = 0;
-        long masters = 0;
-        long accepted = 0;
+        long leaders = 0;
+        long committed = 0;
         for (long seed = first; seed < first + seeds; seed++) {
             for (final StartState start : StartState.values()) {
                 final GuidedWalk walk = new GuidedWalk(start, seed);
                 fail(walk.walk(WALK), (System.nanoTime() - began) / NANOS);
                 steps += walk.steps();
-                masters += walk.masters();
-                accepted += walk.acceptedRecords();
+                leaders += walk.leaders();
+                committed += walk.committedRecords();
             }
         }
         final double seconds = (System.nanoTime() - began) / NANOS;
@@ -84,8 +84,8 @@
                 WALK,
                 steps,
                 steps / seconds,
-                masters,
-                accepted);
+                leaders,
+                committed);
     }
 
     private static void fail(final Finding finding, final double seconds) {
--- a/trial/src/main/java/brookpath/trial/model/ModelMember.java
+++ b/testing/src/main/java/brookpath/testing/model/ModelMember.java
@@ -1,12 +1,12 @@
-package brookpath.trial.model;
+package brookpath.testing.model;
 
-import brookpath.coordination.Tempo;
+import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.beat.BeatMachine;
-import brookpath.coordination.beat.Pledges;
+import brookpath.coordination.heartbeat.HeartbeatMonitor;
+import brookpath.coordination.heartbeat.HeartbeatPromises;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Membership;
-import brookpath.state.record.Pack;
+import brookpath.state.record.PackedBuffer;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -37,15 +37,15 @@
     /** What the checks remember of this member. */
     int lastRole;
 
-    long lastAccepted;
+    long lastCommitted;
     int wipes;
     /** A wiped member may vote only once its durable log reaches this position; 0 where it was not wiped. */
     long rebuildTo;
 
     GroupMachine group;
-    BeatMachine beats;
+    HeartbeatMonitor heartbeats;
     Actions out;
-    Actions beatOut;
+    Actions heartbeatOut;
 
     ModelMember(final int id, final int members, final long keepMs) {
         this.id = id;
@@ -59,14 +59,14 @@
 
     void start(final Membership placed, final boolean first, final long now) {
         alive = true;
-        lastRole = GroupMachine.SLAVE;
+        lastRole = GroupMachine.FOLLOWER;
         entriesAtStart = entries.size();
         out = new Actions();
-        beatOut = new Actions();
-        final Pledges pledges = new Pledges(Tempo.DEFAULT.down());
-        beats = new BeatMachine(Tempo.DEFAULT, Tempo.DEFAULT.beat(), pledges);
-        beats.siblings(others);
-        group = machine(pledges, out);
+        heartbeatOut = new Actions();
+        final HeartbeatPromises promises = new HeartbeatPromises(TimingBounds.DEFAULT.down());
+        heartbeats = new HeartbeatMonitor(TimingBounds.DEFAULT, TimingBounds.DEFAULT.heartbeat(), promises);
+        heartbeats.peers(others);
+        group = machine(promises, out);
         replay(group, entries.size(), now);
         group.bornAt(now);
         if (first) {
@@ -76,7 +76,7 @@
         if (placed.holds(id)) {
             configure(placed, now);
         }
-        lastAccepted = group.accepted();
+        lastCommitted = group.committed();
     }
 
     void configure(final Membership placed, final long now) {
@@ -86,19 +86,19 @@
 
     /** What a restart right now would find on the synced part of the disk. */
     GroupMachine durable() {
-        final GroupMachine machine = machine(new Pledges(Tempo.DEFAULT.down()), new Actions());
+        final GroupMachine machine = machine(new HeartbeatPromises(TimingBounds.DEFAULT.down()), new Actions());
         replay(machine, syncedEntries, 0);
         return machine;
     }
 
-    private GroupMachine machine(final Pledges pledges, final Actions actions) {
+    private GroupMachine machine(final HeartbeatPromises promises, final Actions actions) {
         return new GroupMachine(
-                GROUP, id, Tempo.DEFAULT, TOLERATED_LOSSES, 1, () -> new DigestState(keepMs), pledges, actions);
+                GROUP, id, TimingBounds.DEFAULT, TOLERATED_LOSSES, 1, () -> new DigestState(keepMs), promises, actions);
     }
 
     private void replay(final GroupMachine machine, final int count, final long now) {
         for (final byte[] entry : entries.subList(0, count)) {
-            final Pack in = Pack.reader(entry);
+            final PackedBuffer in = PackedBuffer.reader(entry);
             in.num();
             machine.replay(in, now);
         }
--- a/trial/src/main/java/brookpath/trial/model/ModelWorld.java
+++ b/testing/src/main/java/brookpath/testing/model/ModelWorld.java
@@ -1,25 +1,25 @@
-package brookpath.trial.model;
+package brookpath.testing.model;
 
-import brookpath.coordination.Tempo;
+import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Action;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Member;
 import brookpath.coordination.group.Membership;
-import brookpath.coordination.message.Msg;
-import brookpath.state.record.Rec;
+import brookpath.coordination.message.PeerMessage;
+import brookpath.state.record.LogRecord;
 import java.util.ArrayList;
 import java.util.List;
 
 /** All members of one group, the messages in flight and the time. Does what a choice says, and nothing by itself. */
 final class ModelWorld {
     /** A message that was sent and is neither delivered nor lost. */
-    record InFlight(int from, int to, Msg msg, boolean late) {
+    record InFlight(int from, int to, PeerMessage message, boolean late) {
         InFlight delayed() {
-            return new InFlight(from, to, msg, true);
+            return new InFlight(from, to, message, true);
         }
 
-        boolean isBeat() {
-            return msg instanceof Msg.Beat;
+        boolean isHeartbeat() {
+            return message instanceof PeerMessage.Heartbeat;
         }
     }
 
@@ -140,8 +140,8 @@
     private void append(final ModelMember m) {
         event(m, () -> {
             final String text = "r" + ++appended;
-            final byte[] body = Rec.publishBody(appended, 0, "t", "s/t", "sender", text);
-            invariants.history.invoked(appended, m, m.group.append(Rec.PUBLISH, body, clock(m), now));
+            final byte[] body = LogRecord.publishBody(appended, 0, "t", "s/t", "sender", text);
+            invariants.history.invoked(appended, m, m.group.append(LogRecord.PUBLISH, body, clock(m), now));
         });
     }
 
@@ -158,7 +158,7 @@
         final long end = now + milliseconds;
         settle();
         while (now < end) {
-            now = Math.min(end, now + Tempo.DEFAULT.tick());
+            now = Math.min(end, now + TimingBounds.DEFAULT.tick());
             invariants.afterTime();
             for (final ModelMember m : members) {
                 if (m.runs()) {
@@ -170,7 +170,7 @@
     }
 
     private void pass(final ModelMember m) {
-        now += Tempo.DEFAULT.tick();
+        now += TimingBounds.DEFAULT.tick();
         invariants.afterTime();
         tick(m);
     }
@@ -178,12 +178,12 @@
     private void tick(final ModelMember m) {
         place(m);
         event(m, () -> {
-            m.beats.tick(clock(m), m.beatOut);
-            m.group.tick(clock(m), m.beats.table());
+            m.heartbeats.tick(clock(m), m.heartbeatOut);
+            m.group.tick(clock(m), m.heartbeats.table());
         });
     }
 
-    /** The roster follows the newest accepted membership, and each member is told of the roster. */
+    /** The cluster metadata follows the newest committed membership, and each member is told of the cluster metadata. */
     private void place(final ModelMember m) {
         final GroupMachine g = m.group;
         if (g.mayAct(clock(m))
@@ -234,7 +234,7 @@
 
     private boolean waits(final InFlight f) {
         final ModelMember to = member(f.to);
-        return to.alive && (f.late || to.frozen || (to.held && !f.isBeat()));
+        return to.alive && (f.late || to.frozen || (to.held && !f.isHeartbeat()));
     }
 
     private void deliver(final InFlight f) {
@@ -243,11 +243,11 @@
             return;
         }
         event(to, () -> {
-            if (f.msg instanceof Msg.Beat beat) {
-                to.beats.onBeat(f.from, beat, clock(to), to.beatOut);
-                to.group.tick(clock(to), to.beats.table());
+            if (f.message instanceof PeerMessage.Heartbeat heartbeat) {
+                to.heartbeats.onHeartbeat(f.from, heartbeat, clock(to), to.heartbeatOut);
+                to.group.tick(clock(to), to.heartbeats.table());
             } else {
-                to.group.on(f.from, f.msg, clock(to));
+                to.group.on(f.from, f.message, clock(to));
             }
         });
     }
@@ -258,37 +258,37 @@
     }
 
     private void event(final ModelMember m, final Runnable event) {
-        m.beats.own(List.of(m.group.entry(clock(m))));
+        m.heartbeats.own(List.of(m.group.entry(clock(m))));
         event.run();
         obey(m);
         invariants.afterEvent(m);
     }
 
     private void obey(final ModelMember m) {
-        boolean beatNow = false;
+        boolean heartbeatNow = false;
         final List<Action> actions = new ArrayList<>(m.out.drain());
-        actions.addAll(m.beatOut.drain());
+        actions.addAll(m.heartbeatOut.drain());
         for (final Action action : actions) {
             if (action instanceof Action.Send send) {
-                invariants.onSend(m, send.node(), send.msg());
+                invariants.onSend(m, send.node(), send.message());
                 send(m, send);
             } else if (action instanceof Action.Write write) {
                 m.entries.add(write.entry());
             } else if (action instanceof Action.Note note && note.grave()) {
                 throw new Violation(note.text());
             }
-            beatNow |= action instanceof Action.BeatNow;
+            heartbeatNow |= action instanceof Action.HeartbeatNow;
         }
-        if (beatNow) {
-            m.beats.own(List.of(m.group.entry(clock(m))));
-            m.beats.beatNow(clock(m), m.beatOut);
+        if (heartbeatNow) {
+            m.heartbeats.own(List.of(m.group.entry(clock(m))));
+            m.heartbeats.heartbeatNow(clock(m), m.heartbeatOut);
             obey(m);
         }
     }
 
     private void send(final ModelMember m, final Action.Send send) {
         if (!m.cutOutbound && member(send.node()).alive && flying.size() < MOST_IN_FLIGHT) {
-            flying.add(new InFlight(m.id, send.node(), send.msg(), false));
+            flying.add(new InFlight(m.id, send.node(), send.message(), false));
         }
     }
 }
--- a/trial/src/main/java/brookpath/trial/model/NotHashed.java
+++ b/testing/src/main/java/brookpath/testing/model/NotHashed.java
@@ -1,4 +1,4 @@
-package brookpath.trial.model;
+package brookpath.testing.model;
 
 import java.lang.annotation.ElementType;
 import java.lang.annotation.Retention;
--- a/trial/src/main/java/brookpath/trial/model/Operation.java
+++ b/testing/src/main/java/brookpath/testing/model/Operation.java
@@ -1,4 +1,4 @@
-package brookpath.trial.model;
+package brookpath.testing.model;
 
 /**
  * An operation on the shared log, as its caller saw it.
--- a/trial/src/main/java/brookpath/trial/model/Schedule.java
+++ b/testing/src/main/java/brookpath/testing/model/Schedule.java
@@ -1,4 +1,4 @@
-package brookpath.trial.model;
+package brookpath.testing.model;
 
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Member;
@@ -49,12 +49,12 @@
         for (final ModelMember m : world.members) {
             final GroupMachine g = m.group;
             text.append("\n  ").append(m.id).append(m.runs() ? " " : " (not running) ");
-            text.append("role ").append(g.role()).append(", epoch ").append(g.epoch());
-            text.append(", accepted ").append(g.accepted()).append(", synced ").append(g.syncedLsn());
-            text.append(", end ").append(g.endLsn()).append(g.lost() ? ", lost" : "");
+            text.append("role ").append(g.role()).append(", epoch ").append(g.term());
+            text.append(", accepted ").append(g.committed()).append(", synced ").append(g.syncedIndex());
+            text.append(", end ").append(g.endIndex()).append(g.lost() ? ", lost" : "");
             text.append(g.mayAct(world.clock(m)) ? ", acts" : "")
                     .append(", hears ")
-                    .append(g.masterHeard());
+                    .append(g.leaderHeard());
             text.append(", voters ")
                     .append(g.members().stream().map(Member::node).toList());
             text.append(": ").append(g.why()).append("; ").append(g.obstacle());
--- a/trial/src/main/java/brookpath/trial/model/StartState.java
+++ b/testing/src/main/java/brookpath/testing/model/StartState.java
@@ -1,19 +1,19 @@
-package brookpath.trial.model;
+package brookpath.testing.model;
 
-import brookpath.trial.model.Choice.Kind;
+import brookpath.testing.model.Choice.Kind;
 import java.util.function.Predicate;
 
 /** Where explorations begin. */
 enum StartState {
     /** Three members, nobody has stood yet. */
     FOUNDED(3, 0),
-    /** A master that acts, with two records. */
+    /** A leader that acts, with two records. */
     LED(3, 0),
     /** The same with five members. */
     LED_BY_FIVE(5, 0),
-    /** The master's last record is synced nowhere else: the others' disks stall. */
-    UNACCEPTED_TAIL(3, 0),
-    /** The master is cut off and its successor has accepted a record. */
+    /** The leader's last record is synced nowhere else: the others' disks stall. */
+    UNCOMMITTED_TAIL(3, 0),
+    /** The leader is cut off and its successor has committed a record. */
     DEPOSED(3, 0),
     /** A learner whose copy is whole. */
     LEARNER(3, 1),
@@ -41,7 +41,7 @@
         switch (this) {
             case FOUNDED -> {}
             case LED, LED_BY_FIVE -> lead(world);
-            case UNACCEPTED_TAIL -> appendUnaccepted(world);
+            case UNCOMMITTED_TAIL -> appendUncommitted(world);
             case DEPOSED -> depose(world);
             case LEARNER, LEARNER_OF_FOUR -> learn(world);
             case FOUR_VOTERS -> promote(world);
@@ -50,12 +50,12 @@
         return world;
     }
 
-    private static ModelMember master(final ModelWorld world) {
-        final ModelMember master = world.acting();
-        if (master == null) {
+    private static ModelMember leader(final ModelWorld world) {
+        final ModelMember leader = world.acting();
+        if (leader == null) {
             throw new IllegalStateException("no master in the start state");
         }
-        return master;
+        return leader;
     }
 
     private static void await(final ModelWorld world, final Predicate<ModelWorld> done) {
@@ -68,12 +68,12 @@
         world.apply(Choice.run(Choices.TICK));
     }
 
-    private static boolean settled(final ModelMember master) {
-        return master != null && master.group.accepted() == master.group.endLsn();
+    private static boolean settled(final ModelMember leader) {
+        return leader != null && leader.group.committed() == leader.group.endIndex();
     }
 
     private static void append(final ModelWorld world) {
-        world.apply(Choice.of(Kind.APPEND, master(world).id));
+        world.apply(Choice.of(Kind.APPEND, leader(world).id));
     }
 
     private static void lead(final ModelWorld world) {
@@ -83,20 +83,20 @@
         tick(world);
     }
 
-    private static void appendUnaccepted(final ModelWorld world) {
+    private static void appendUncommitted(final ModelWorld world) {
         lead(world);
-        final ModelMember master = master(world);
-        world.members.stream().filter(m -> m != master).forEach(m -> m.diskStalled = true);
+        final ModelMember leader = leader(world);
+        world.members.stream().filter(m -> m != leader).forEach(m -> m.diskStalled = true);
         append(world);
         tick(world);
     }
 
     private static void depose(final ModelWorld world) {
         lead(world);
-        final ModelMember master = master(world);
+        final ModelMember leader = leader(world);
         append(world);
-        world.apply(Choice.of(Kind.CUT, master.id));
-        await(world, w -> w.acting() != master && settled(w.acting()));
+        world.apply(Choice.of(Kind.CUT, leader.id));
+        await(world, w -> w.acting() != leader && settled(w.acting()));
         append(world);
         tick(world);
     }
@@ -104,11 +104,11 @@
     private static void learn(final ModelWorld world) {
         lead(world);
         final int spare = world.members.size();
-        world.apply(new Choice(Kind.ADD_LEARNER, master(world).id, spare));
+        world.apply(new Choice(Kind.ADD_LEARNER, leader(world).id, spare));
         await(
                 world,
                 w -> w.placed.holds(spare)
-                        && master(w).group.learnt(spare) >= master(w).group.accepted());
+                        && leader(w).group.learnt(spare) >= leader(w).group.committed());
         append(world);
         tick(world);
     }
@@ -116,7 +116,7 @@
     private static void promote(final ModelWorld world) {
         learn(world);
         final int members = world.members.size();
-        world.apply(new Choice(Kind.PROMOTE, master(world).id, members));
+        world.apply(new Choice(Kind.PROMOTE, leader(world).id, members));
         await(world, w -> w.placed.voters().size() == members);
         append(world);
         tick(world);
@@ -128,7 +128,7 @@
         for (int i = 0; i < LONG_LOG; i++) {
             append(world);
         }
-        await(world, w -> master(w).group.baseLsn() > 0);
+        await(world, w -> leader(w).group.baseIndex() > 0);
         world.appended = 0;
         tick(world);
     }
--- a/trial/src/main/java/brookpath/trial/model/StateHash.java
+++ b/testing/src/main/java/brookpath/testing/model/StateHash.java
@@ -1,6 +1,6 @@
-package brookpath.trial.model;
+package brookpath.testing.model;
 
-import brookpath.state.record.Rec;
+import brookpath.state.record.LogRecord;
 import java.lang.reflect.Array;
 import java.lang.reflect.Field;
 import java.lang.reflect.Modifier;
@@ -61,9 +61,9 @@
             mix(text.hashCode());
         } else if (value instanceof Enum<?> constant) {
             mix(constant.name().hashCode());
-        } else if (value instanceof Rec rec) {
-            mix(rec.lsn());
-            mix(rec.madeSum());
+        } else if (value instanceof LogRecord logRecord) {
+            mix(logRecord.index());
+            mix(logRecord.madeSum());
         } else {
             addContainer(value);
         }
--- a/trial/src/main/java/brookpath/trial/model/Violation.java
+++ b/testing/src/main/java/brookpath/testing/model/Violation.java
@@ -1,4 +1,4 @@
-package brookpath.trial.model;
+package brookpath.testing.model;
 
 /** A broken invariant. */
 final class Violation extends RuntimeException {
--- a/trial/src/main/java/brookpath/trial/mutate/Mutants.java
+++ b/testing/src/main/java/brookpath/testing/mutate/Mutants.java
@@ -1,4 +1,4 @@
-package brookpath.trial.mutate;
+package brookpath.testing.mutate;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
@@ -31,21 +31,21 @@
     /** The staged scenes, and the tests of single state machines that are as quick. */
     private static final String SCENES = String.join(
             ",",
-            "brookpath.trial.sim.ScenesTest",
-            "brookpath.trial.sim.ControlReadsTest",
-            "brookpath.trial.sim.OrderRepeatsTest",
-            "brookpath.trial.ControlStateTest",
-            "brookpath.trial.sim.GroupRepairTest",
-            "brookpath.trial.sim.ControlMembershipTest",
-            "brookpath.trial.sim.ControlStateSizeTest",
-            "brookpath.trial.sim.FullSyncTest",
-            "brookpath.trial.sim.FullDiskTest",
-            "brookpath.trial.sim.RejoinAfterManyChangesTest",
-            "brookpath.trial.sim.AddressReuseTest",
-            "brookpath.trial.sim.CallIdsTest",
-            "brookpath.trial.sim.ConfigurationUpdatesTest",
-            "brookpath.trial.sim.UsageRepeatTest",
-            "brookpath.trial.PublishForwarderTest");
+            "brookpath.testing.sim.ScenesTest",
+            "brookpath.testing.sim.ControlReadsTest",
+            "brookpath.testing.sim.OrderRepeatsTest",
+            "brookpath.testing.ControlStateTest",
+            "brookpath.testing.sim.GroupRepairTest",
+            "brookpath.testing.sim.ControlMembershipTest",
+            "brookpath.testing.sim.ControlStateSizeTest",
+            "brookpath.testing.sim.FullSyncTest",
+            "brookpath.testing.sim.FullDiskTest",
+            "brookpath.testing.sim.RejoinAfterManyChangesTest",
+            "brookpath.testing.sim.AddressReuseTest",
+            "brookpath.testing.sim.CallIdsTest",
+            "brookpath.testing.sim.ConfigurationUpdatesTest",
+            "brookpath.testing.sim.UsageRepeatTest",
+            "brookpath.testing.PublishForwarderTest");
 
     private Mutants() {}
 
@@ -79,7 +79,7 @@
 
     private static List<Mutant> read(final String file, final String part) throws IOException {
         final List<Mutant> mutants = new ArrayList<>();
-        try (InputStream in = Mutants.class.getResourceAsStream("/brookpath/trial/" + file)) {
+        try (InputStream in = Mutants.class.getResourceAsStream("/brookpath/testing/" + file)) {
             for (final String line : new String(in.readAllBytes(), UTF_8).split("\n")) {
                 if (!line.startsWith("#") && !line.isBlank() && line.contains(part)) {
                     final String[] p = line.replace("\\|", "\u0001").split(" \\| ");
@@ -107,7 +107,7 @@
     }
 
     private static String byModel(final Path work, final String classPath) throws IOException, InterruptedException {
-        return run(work, classPath, "^VIOLATION.*", "brookpath.trial.model.ModelMain", "150", "1", "4000");
+        return run(work, classPath, "^VIOLATION.*", "brookpath.testing.model.ModelMain", "150", "1", "4000");
     }
 
     private static String text(final String s) {
@@ -150,12 +150,12 @@
         if (seen != null) {
             return "| " + m.name + " | scene | " + seen + " |";
         }
-        seen = run(work, mutatedCp, "^  [0-9]+:.*", "brookpath.trial.sim.GroupFuzz", "1", "300");
+        seen = run(work, mutatedCp, "^  [0-9]+:.*", "brookpath.testing.sim.GroupFuzz", "1", "300");
         if (seen != null) {
             return "| " + m.name + " | group fuzz | " + seen + " |";
         }
         seen = run(
-                work, mutatedCp, "^(  [0-9]+:|seed [0-9]+: java).*", "brookpath.trial.sim.Sweep", "1", seeds, m.faults);
+                work, mutatedCp, "^(  [0-9]+:|seed [0-9]+: java).*", "brookpath.testing.sim.Sweep", "1", seeds, m.faults);
         return seen != null
                 ? "| " + m.name + " | sweep " + m.faults + " | " + seen + " |"
                 : "| " + m.name + " | NOT SEEN | |";
--- a/trial/src/main/java/brookpath/trial/oracle/History.java
+++ b/testing/src/main/java/brookpath/testing/oracle/History.java
@@ -1,4 +1,4 @@
-package brookpath.trial.oracle;
+package brookpath.testing.oracle;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -20,7 +20,7 @@
         /** When its first go began. */
         public long sentAt;
 
-        public long acceptedAt = -1;
+        public long committedAt = -1;
         public boolean maybeAppended;
         public boolean abandoned;
 
@@ -66,10 +66,10 @@
     private final Map<String, String> byPosition = new HashMap<>();
     private final List<Listener> listeners = new ArrayList<>();
     private final List<String> violations = new ArrayList<>();
-    private final TreeMap<Long, String> confirmedSpecs = new TreeMap<>();
+    private final TreeMap<Long, String> confirmedConfigurations = new TreeMap<>();
     private final List<Long> latencies = new ArrayList<>();
-    private int accepted;
-    public final UsageBook usage = new UsageBook(this);
+    private int committed;
+    public final UsageLedger usage = new UsageLedger(this);
 
     /** Notes that something was seen that may not be so; only the first ones are kept. */
     public void violation(final long now, final String what) {
@@ -82,8 +82,8 @@
         return violations;
     }
 
-    public int accepted() {
-        return accepted;
+    public int committed() {
+        return committed;
     }
 
     public int delivered() {
@@ -106,11 +106,11 @@
         return sent.computeIfAbsent(id(topic, sender, seq), k -> new Sent(topic, sender, seq, text));
     }
 
-    public void accepted(final long now, final Sent s, final long position) {
-        if (s.acceptedAt < 0) {
-            s.acceptedAt = now;
+    public void committed(final long now, final Sent s, final long position) {
+        if (s.committedAt < 0) {
+            s.committedAt = now;
             s.position = position;
-            accepted++;
+            committed++;
             final String other = byPosition.put(s.topic + "@" + position, id(s.topic, s.sender, s.seq));
             if (other != null && !other.equals(id(s.topic, s.sender, s.seq))) {
                 violation(
@@ -130,7 +130,7 @@
         return l;
     }
 
-    /** The first cursor: what is accepted from here on must arrive. */
+    /** The first cursor: what is committed from here on must arrive. */
     public void begun(final long now, final Listener l, final Map<String, Long> at) {
         if (!l.begun) {
             l.begun = true;
@@ -181,9 +181,9 @@
                     .computeIfAbsent(topic.substring(0, topic.indexOf('/')), k -> new ArrayList<>())
                     .add(id);
         }
-        // who was away when it was accepted gets it on coming back, which says nothing of the delivery
-        if (s.acceptedAt >= listeningSince && listeningSince >= 0) {
-            latencies.add(now - s.acceptedAt);
+        // who was away when it was committed gets it on coming back, which says nothing of the delivery
+        if (s.committedAt >= listeningSince && listeningSince >= 0) {
+            latencies.add(now - s.committedAt);
         }
     }
 
@@ -220,9 +220,9 @@
         long oldest = Long.MAX_VALUE;
         for (final Sent s : sent.values()) {
             if (l.topics.contains(s.topic) && !l.has(s)) {
-                if (s.acceptedAt >= 0 && s.position > l.from.getOrDefault(s.topic, Long.MAX_VALUE)) {
-                    oldest = Math.min(oldest, s.acceptedAt);
-                } else if (s.acceptedAt < 0 && s.maybeAppended) {
+                if (s.committedAt >= 0 && s.position > l.from.getOrDefault(s.topic, Long.MAX_VALUE)) {
+                    oldest = Math.min(oldest, s.committedAt);
+                } else if (s.committedAt < 0 && s.maybeAppended) {
                     // it may be in the log all the same, and no later than this
                     oldest = Math.min(oldest, s.sentAt);
                 }
@@ -235,7 +235,7 @@
         }
     }
 
-    /** After all is quiet: every accepted message has reached everyone who listened, and one-order spaces agree. */
+    /** After all is quiet: every committed message has reached everyone who listened, and one-order spaces agree. */
     public void settle(final long now) {
         for (final Listener l : listeners) {
             if (!l.begun) {
@@ -244,20 +244,20 @@
             for (final String id : l.got) {
                 // only now are all responses in; a message may reach a listener before its sender hears of it
                 final Sent s = sent.get(id);
-                if (!s.maybeAppended && s.acceptedAt < 0) {
+                if (!s.maybeAppended && s.committedAt < 0) {
                     violation(now, l.name + " got " + id + " that was refused every time");
                 }
             }
             for (final Sent s : sent.values()) {
                 if (l.entitled
-                        && s.acceptedAt >= 0
+                        && s.committedAt >= 0
                         && l.topics.contains(s.topic)
                         && s.position > l.from.getOrDefault(s.topic, Long.MAX_VALUE)
                         && !l.got.contains(id(s.topic, s.sender, s.seq))) {
                     violation(
                             now,
                             l.name + " never got accepted " + id(s.topic, s.sender, s.seq) + " at " + s.position
-                                    + ", accepted at time " + s.acceptedAt + "; it began at " + l.from.get(s.topic));
+                                    + ", accepted at time " + s.committedAt + "; it began at " + l.from.get(s.topic));
                 }
             }
         }
@@ -280,20 +280,20 @@
         }
     }
 
-    // ---- specs
+    // ---- configurations
 
     public void confirmed(final long now, final long version, final String changeId) {
-        final String other = confirmedSpecs.put(version, changeId);
+        final String other = confirmedConfigurations.put(version, changeId);
         if (other != null && !other.equals(changeId)) {
             violation(now, "changes " + other + " and " + changeId + " were both confirmed as version " + version);
         }
     }
 
     public long newestConfirmed() {
-        return confirmedSpecs.isEmpty() ? 0 : confirmedSpecs.lastKey();
+        return confirmedConfigurations.isEmpty() ? 0 : confirmedConfigurations.lastKey();
     }
 
     public String confirmedAs(final long version) {
-        return confirmedSpecs.get(version);
+        return confirmedConfigurations.get(version);
     }
 }
--- a/trial/src/main/java/brookpath/trial/oracle/UsageBook.java
+++ b/testing/src/main/java/brookpath/testing/oracle/UsageLedger.java
@@ -1,4 +1,4 @@
-package brookpath.trial.oracle;
+package brookpath.testing.oracle;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -10,7 +10,7 @@
  * What the platform was told, per window, against what the senders know, the clock on the wall, and what each
  * controller would tell.
  */
-public final class UsageBook {
+public final class UsageLedger {
     /** How far the fleet's clock may be from the true one. */
     private static final long MAX_CLOCK_ERROR_MS = 1_000;
 
@@ -26,7 +26,7 @@
     private int lateReports;
     private long latest;
 
-    public UsageBook(final History history) {
+    public UsageLedger(final History history) {
         this.history = history;
     }
 
@@ -108,29 +108,29 @@
 
     /**
      * Counts window by window: through each window no more is reported than had been sent, and no less than had been
-     * accepted, unless a later report says that it holds late counts. In the end everything accepted is counted once.
+     * committed, unless a later report says that it holds late counts. In the end everything committed is counted once.
      */
     public void settle(final long now, final String tenant, final Predicate<History.Sent> of) {
         final List<Long> sentAt = new ArrayList<>();
-        final List<Long> acceptedAt = new ArrayList<>();
+        final List<Long> committedAt = new ArrayList<>();
         for (final History.Sent s : history.sent()) {
-            if (of.test(s) && (s.acceptedAt >= 0 || s.maybeAppended)) {
+            if (of.test(s) && (s.committedAt >= 0 || s.maybeAppended)) {
                 sentAt.add(s.sentAt);
             }
-            if (of.test(s) && s.acceptedAt >= 0) {
-                acceptedAt.add(s.acceptedAt);
+            if (of.test(s) && s.committedAt >= 0) {
+                committedAt.add(s.committedAt);
             }
         }
         final TreeMap<Long, Report> reported = reports.getOrDefault(tenant, new TreeMap<>());
         long told = 0;
         for (final Map.Entry<Long, Report> entry : reported.entrySet()) {
             told += Math.max(0, entry.getValue().publishes);
-            settleWindow(now, tenant, entry.getKey(), told, sentAt, acceptedAt);
+            settleWindow(now, tenant, entry.getKey(), told, sentAt, committedAt);
         }
-        if (told < acceptedAt.size() || told > sentAt.size()) {
+        if (told < committedAt.size() || told > sentAt.size()) {
             history.violation(
                     now,
-                    "tenant " + tenant + " was reported " + told + " publishes, had " + acceptedAt.size()
+                    "tenant " + tenant + " was reported " + told + " publishes, had " + committedAt.size()
                             + " accepted and at most " + sentAt.size() + " in the logs");
         }
     }
@@ -141,7 +141,7 @@
             final long end,
             final long told,
             final List<Long> sentAt,
-            final List<Long> acceptedAt) {
+            final List<Long> committedAt) {
         final String through =
                 "tenant " + tenant + " was reported " + told + " publishes through the window ending " + end;
         final long most =
@@ -149,7 +149,7 @@
         if (told > most) {
             history.violation(now, through + ", at most " + most + " had been sent by then");
         }
-        final long least = acceptedAt.stream()
+        final long least = committedAt.stream()
                 .filter(time -> time < end - MAX_CLOCK_ERROR_MS)
                 .count();
         final boolean comesLate =
--- a/trial/src/main/java/brookpath/trial/oracle/control/CallHistory.java
+++ b/testing/src/main/java/brookpath/testing/oracle/control/CallHistory.java
@@ -1,4 +1,4 @@
-package brookpath.trial.oracle.control;
+package brookpath.testing.oracle.control;
 
 import java.util.HashMap;
 import java.util.Map;
--- a/trial/src/main/java/brookpath/trial/oracle/control/ControlRule.java
+++ b/testing/src/main/java/brookpath/testing/oracle/control/ControlRule.java
@@ -1,4 +1,4 @@
-package brookpath.trial.oracle.control;
+package brookpath.testing.oracle.control;
 
 /** What callers of the control plane must never see. */
 public enum ControlRule {
--- a/trial/src/main/java/brookpath/trial/oracle/package-info.java
+++ b/testing/src/main/java/brookpath/testing/oracle/package-info.java
@@ -1,2 +1,2 @@
 /** Judges what callers, operators and the platform saw. Knows nothing of the system's insides. */
-package brookpath.trial.oracle;
+package brookpath.testing.oracle;
--- a/trial/src/main/java/brookpath/trial/relay/Relay.java
+++ b/testing/src/main/java/brookpath/testing/relay/Relay.java
@@ -1,4 +1,4 @@
-package brookpath.trial.relay;
+package brookpath.testing.relay;
 
 import static java.util.concurrent.TimeUnit.MICROSECONDS;
 
@@ -26,7 +26,7 @@
 import java.util.function.LongBinaryOperator;
 
 /**
- * Stands between real processes, and between callers and fronts: delays, loses, cuts in one direction, stalls and
+ * Stands between real processes, and between callers and gateways: delays, loses, cuts in one direction, stalls and
  * resets what passes. A lost packet is felt as TCP lets it be felt: what follows waits for the repeat. Whoever dials a
  * peer says its number in its first frame; callers are node 0.
  */
@@ -196,8 +196,8 @@
         }
 
         @Override
-        public void channelRead(final ChannelHandlerContext ctx, final Object msg) {
-            final ByteBuf buf = (ByteBuf) msg;
+        public void channelRead(final ChannelHandlerContext ctx, final Object message) {
+            final ByteBuf buf = (ByteBuf) message;
             if (there && pipe.from < 0 && buf.readableBytes() >= 8) {
                 pipe.from = buf.getInt(buf.readerIndex() + 4);
             }
--- a/trial/src/main/java/brookpath/trial/relay/package-info.java
+++ b/testing/src/main/java/brookpath/testing/relay/package-info.java
@@ -1,2 +1,2 @@
 /** A relay between processes on loopback that delays, loses, cuts and counts what passes. */
-package brookpath.trial.relay;
+package brookpath.testing.relay;
--- a/trial/src/main/java/brookpath/trial/sim/Service.java
+++ b/testing/src/main/java/brookpath/testing/sim/AvailabilityOracle.java
@@ -1,39 +1,39 @@
-package brookpath.trial.sim;
+package brookpath.testing.sim;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
 
 /**
- * Judges, per kind of job, that service is not mostly down: once no machine has been away for the recovery bound, most
+ * Judges, per kind of request, that service is not mostly down: once no machine has been away for the recovery bound, most
  * of what is asked succeeds. Publishes and counts are judged per group; nothing is averaged over kinds.
  */
-final class Service {
+final class AvailabilityOracle {
     private static final long SPAN = 3_000;
 
-    private record Ask(long at, boolean good) {}
+    private record StatusClient(long at, boolean good) {}
 
-    private final World world;
-    private final TreeMap<String, List<Ask>> asks = new TreeMap<>();
+    private final SimulatedCluster world;
+    private final TreeMap<String, List<StatusClient>> asks = new TreeMap<>();
 
-    Service(final World world) {
+    AvailabilityOracle(final SimulatedCluster world) {
         this.world = world;
         world.at(SPAN, this::judge);
     }
 
     void asked(final String kind, final long at, final boolean good) {
-        asks.computeIfAbsent(kind, k -> new ArrayList<>()).add(new Ask(at, good));
+        asks.computeIfAbsent(kind, k -> new ArrayList<>()).add(new StatusClient(at, good));
     }
 
     private void judge() {
         // why: what was asked at the span's end may wait for its response as long as a caller is patient
         final long to = world.now() - Callers.PATIENCE - 100;
         final long from = to - SPAN;
-        final boolean due = world.wellness.machinesOutUntil() + world.tempo.recoverMs() < from;
+        final boolean due = world.wellness.machinesOutUntil() + world.timing.recoverMs() < from;
         asks.forEach((kind, list) -> {
             int good = 0;
             int all = 0;
-            for (final Ask a : list) {
+            for (final StatusClient a : list) {
                 if (a.at >= from && a.at < to) {
                     all++;
                     good += a.good ? 1 : 0;
--- a/trial/src/main/java/brookpath/trial/sim/Callers.java
+++ b/testing/src/main/java/brookpath/testing/sim/Callers.java
@@ -1,13 +1,13 @@
-package brookpath.trial.sim;
+package brookpath.testing.sim;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import brookpath.coordination.action.Action;
 import brookpath.coordination.message.Response;
-import brookpath.coordination.node.Job;
-import brookpath.coordination.spec.Placement;
-import brookpath.coordination.spec.Spec;
-import brookpath.trial.oracle.History.Sent;
+import brookpath.coordination.node.NodeRequest;
+import brookpath.coordination.configuration.Placement;
+import brookpath.coordination.configuration.Configuration;
+import brookpath.testing.oracle.History.Sent;
 import jakarta.json.Json;
 import jakarta.json.JsonObject;
 import java.io.ByteArrayInputStream;
@@ -27,26 +27,26 @@
     /** Tenants whose keys operators take away and give back; half of the sessions use the second. */
     static final List<String> SHAKY = List.of("guest", "half");
 
-    private final World world;
+    private final SimulatedCluster world;
     private final Map<Long, Consumer<Response>> waiting = new HashMap<>();
-    private final Map<Long, Integer> jobAt = new HashMap<>();
+    private final Map<Long, Integer> requestAt = new HashMap<>();
     final Map<Long, Subscriber> sessions = new TreeMap<>();
     private final List<Subscriber> subscribers = new ArrayList<>();
-    private final Punctual punctual;
-    final Service service;
+    private final DeliveryLatencyOracle punctual;
+    final AvailabilityOracle service;
     /** Who changes the configuration while these callers are about. */
     final DayOperators operators;
 
-    private long jobIds;
+    private long requestIds;
     /** Sees every answer before its caller does. */
-    AnswerObserver answers = (from, jobId, response) -> {};
+    AnswerObserver answers = (from, requestId, response) -> {};
 
     boolean quiet;
 
-    Callers(final World world) {
+    Callers(final SimulatedCluster world) {
         this.world = world;
-        punctual = new Punctual(world, this);
-        service = new Service(world);
+        punctual = new DeliveryLatencyOracle(world, this);
+        service = new AvailabilityOracle(world);
         operators = new DayOperators(world, this);
         world.at(1_000, this::roll);
         world.at(500, this::lookForReady);
@@ -94,7 +94,7 @@
     }
 
     int groupOf(final String topic) {
-        return Placement.groupOf(topic, new Spec.Space(spaceOf(topic), 0, oneOrder(topic), 0), world.groups);
+        return Placement.groupOf(topic, new Configuration.Space(spaceOf(topic), 0, oneOrder(topic), 0), world.groups);
     }
 
     private final Map<Integer, String> topicIn = new HashMap<>();
@@ -122,8 +122,8 @@
                 final long at = world.now();
                 final String topic = topicIn(g);
                 ask(
-                        anyFront(),
-                        id -> new Job.Count(id, "key-members", topic, ""),
+                        anyGateway(),
+                        id -> new NodeRequest.Count(id, "key-members", topic, ""),
                         r -> service.asked("count in group " + groupOf(topic), at, r.status() == 200));
             }
         }
@@ -132,16 +132,16 @@
 
     // ---- what the processes give back
 
-    void respond(final Proc from, final long jobId, final Response r) {
-        answers.answered(from, jobId, r);
-        final Consumer<Response> then = waiting.remove(jobId);
-        jobAt.remove(jobId);
+    void respond(final SimulatedProcess from, final long requestId, final Response r) {
+        answers.answered(from, requestId, r);
+        final Consumer<Response> then = waiting.remove(requestId);
+        requestAt.remove(requestId);
         if (then != null) {
             world.at(world.now(), () -> then.accept(r));
         }
     }
 
-    void deliver(final Proc from, final long sessionId, final byte[] line) {
+    void deliver(final SimulatedProcess from, final long sessionId, final byte[] line) {
         final Subscriber s = sessions.get(sessionId);
         if (s != null) {
             world.at(world.now(), () -> {
@@ -152,7 +152,7 @@
         }
     }
 
-    void closed(final Proc from, final long sessionId, final String why) {
+    void closed(final SimulatedProcess from, final long sessionId, final String why) {
         final Subscriber s = sessions.remove(sessionId);
         if (s != null) {
             world.count("sessions closed");
@@ -161,14 +161,14 @@
     }
 
     /** A process died: whatever was asked of it gets a reset. */
-    void frontGone(final Proc p) {
-        for (final long id : new ArrayList<>(jobAt.keySet())) {
-            if (jobAt.get(id) == p.id) {
+    void gatewayGone(final SimulatedProcess p) {
+        for (final long id : new ArrayList<>(requestAt.keySet())) {
+            if (requestAt.get(id) == p.id) {
                 respond(p, id, new Response(0, 0, "{\"outcome\":\"reset\"}"));
             }
         }
         for (final long id : new ArrayList<>(sessions.keySet())) {
-            if (sessions.get(id) != null && sessions.get(id).front == p.id) {
+            if (sessions.get(id) != null && sessions.get(id).gateway == p.id) {
                 closed(p, id, "reset");
             }
         }
@@ -178,25 +178,25 @@
     void resetAll() {
         world.count("mass resets");
         for (final long id : new ArrayList<>(sessions.keySet())) {
-            if (world.rnd.nextInt(20) != 0) {
+            if (world.random.nextInt(20) != 0) {
                 final Subscriber s = sessions.get(id);
-                world.procs.get(s.front).job(new Job.Unsubscribe(id));
-                closed(world.procs.get(s.front), id, "reset");
+                world.processes.get(s.gateway).request(new NodeRequest.Unsubscribe(id));
+                closed(world.processes.get(s.gateway), id, "reset");
             }
         }
     }
 
-    long ask(final Proc p, final java.util.function.LongFunction<Job> job, final Consumer<Response> then) {
-        final long id = ++jobIds;
+    long ask(final SimulatedProcess p, final java.util.function.LongFunction<NodeRequest> request, final Consumer<Response> then) {
+        final long id = ++requestIds;
         if (!p.alive) {
             world.at(world.now() + 1, () -> then.accept(new Response(-1, 0, "{}")));
             return id;
         }
         waiting.put(id, then);
-        jobAt.put(id, p.id);
-        world.at(world.now() + 1, () -> p.job(job.apply(id)));
+        requestAt.put(id, p.id);
+        world.at(world.now() + 1, () -> p.request(request.apply(id)));
         world.at(world.now() + PATIENCE, () -> {
-            if (jobAt.containsKey(id)) {
+            if (requestAt.containsKey(id)) {
                 respond(p, id, new Response(0, 0, "{\"outcome\":\"timed out\"}"));
             }
         });
@@ -204,37 +204,37 @@
     }
 
     /** Nobody waits for the answer any more. */
-    void forget(final long jobId) {
-        waiting.remove(jobId);
-        jobAt.remove(jobId);
+    void forget(final long requestId) {
+        waiting.remove(requestId);
+        requestAt.remove(requestId);
     }
 
-    /** One job by hand. */
-    void asked(final Proc p, final java.util.function.LongFunction<Job> job, final Consumer<Response> then) {
-        ask(p, job, then);
+    /** One request by hand. */
+    void asked(final SimulatedProcess p, final java.util.function.LongFunction<NodeRequest> request, final Consumer<Response> then) {
+        ask(p, request, then);
     }
 
     /** One of those that the platform holds for ready. */
-    Proc anyFront() {
-        final List<Integer> from = ready.isEmpty() ? world.fronts : ready;
-        return world.procs.get(from.get(world.rnd.nextInt(from.size())));
+    SimulatedProcess anyGateway() {
+        final List<Integer> from = ready.isEmpty() ? world.gateways : ready;
+        return world.processes.get(from.get(world.random.nextInt(from.size())));
     }
 
     /** One that takes connections at all. */
-    Proc anyController() {
+    SimulatedProcess anyController() {
         final List<Integer> from = world.controllers.stream()
-                .filter(id -> world.procs.get(id).alive)
+                .filter(id -> world.processes.get(id).alive)
                 .toList();
-        return world.procs.get(from.isEmpty() ? 1 : from.get(world.rnd.nextInt(from.size())));
+        return world.processes.get(from.isEmpty() ? 1 : from.get(world.random.nextInt(from.size())));
     }
 
     private List<Integer> ready = new ArrayList<>();
 
-    /** The platform's part: it asks each front, and hands nobody to those that say no or nothing. */
+    /** The platform's part: it asks each gateway, and hands nobody to those that say no or nothing. */
     private void lookForReady() {
         final List<Integer> now = new ArrayList<>();
-        for (final int id : world.fronts) {
-            ask(world.procs.get(id), Job.Ready::new, r -> {
+        for (final int id : world.gateways) {
+            ask(world.processes.get(id), NodeRequest.ReadinessProbe::new, r -> {
                 if (r.status() == 200) {
                     now.add(id);
                 }
@@ -277,14 +277,14 @@
                 0,
                 patience,
                 () -> world.at(
-                        world.now() + every / 2 + world.rnd.nextLong(every),
-                        () -> publishNext(sender, topic, key, every, patience, seq + 1 + world.rnd.nextInt(2))));
+                        world.now() + every / 2 + world.random.nextLong(every),
+                        () -> publishNext(sender, topic, key, every, patience, seq + 1 + world.random.nextInt(2))));
     }
 
     private void go(final Sent s, final String key, final int goes, final int patience, final Runnable next) {
         world.count("publish goes");
         final long at = world.now();
-        ask(anyFront(), id -> new Job.Publish(id, key, s.topic, s.sender, s.seq, s.text), r -> {
+        ask(anyGateway(), id -> new NodeRequest.Publish(id, key, s.topic, s.sender, s.seq, s.text), r -> {
             final long now = world.now();
             if (r.status() < 400 || r.status() >= 500) {
                 service.asked("publish to group " + groupOf(s.topic), at, r.status() == 200);
@@ -292,10 +292,10 @@
             switch (r.status()) {
                 case 200 -> {
                     operators.keyUsed(key, "published");
-                    final boolean first = s.acceptedAt < 0;
-                    world.history.accepted(now, s, json(r.json()).getInt("position"));
+                    final boolean first = s.committedAt < 0;
+                    world.history.committed(now, s, json(r.json()).getInt("position"));
                     if (first) {
-                        punctual.accepted(s);
+                        punctual.committed(s);
                         world.sendToAccept.add(now - s.sentAt);
                     }
                     next.run();
@@ -327,7 +327,7 @@
                         next.run();
                     } else {
                         world.at(
-                                now + Math.max(100, r.retryAfterMs()) + world.rnd.nextInt(100),
+                                now + Math.max(100, r.retryAfterMs()) + world.random.nextInt(100),
                                 () -> go(s, key, goes + 1, patience, next));
                     }
                 }
@@ -341,7 +341,7 @@
         final Subscriber s = new Subscriber(world, this, name, key, topics);
         subscribers.add(s);
         s.connect();
-        world.at(world.now() + 10_000 + world.rnd.nextLong(30_000), () -> s.nap(AWAY_MAX, 40_000));
+        world.at(world.now() + 10_000 + world.random.nextLong(30_000), () -> s.nap(AWAY_MAX, 40_000));
     }
 
     /** One that comes and goes all the time. */
--- a/trial/src/main/java/brookpath/trial/sim/ControlAnswer.java
+++ b/testing/src/main/java/brookpath/testing/sim/ControlAnswer.java
@@ -1,4 +1,4 @@
-package brookpath.trial.sim;
+package brookpath.testing.sim;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
--- a/trial/src/main/java/brookpath/trial/sim/ControlCall.java
+++ b/testing/src/main/java/brookpath/testing/sim/ControlCall.java
@@ -1,10 +1,10 @@
-package brookpath.trial.sim;
+package brookpath.testing.sim;
 
 import brookpath.coordination.message.Response;
-import brookpath.coordination.node.Job;
-import brookpath.trial.oracle.control.CallHistory;
-import brookpath.trial.oracle.control.CallHistory.Answer;
-import brookpath.trial.oracle.control.CallHistory.Call;
+import brookpath.coordination.node.NodeRequest;
+import brookpath.testing.oracle.control.CallHistory;
+import brookpath.testing.oracle.control.CallHistory.Answer;
+import brookpath.testing.oracle.control.CallHistory.Call;
 import java.util.HashSet;
 import java.util.Set;
 import java.util.function.Consumer;
@@ -17,14 +17,14 @@
     private static final long PATIENCE_MS = 1_000;
     private static final int REACHED = 100;
 
-    private final World world;
+    private final SimulatedCluster world;
     private final CallHistory history;
     /** Machines that callers cannot reach. */
     final Set<Integer> unreachable = new HashSet<>();
 
     private int lostPercent;
 
-    ControlCall(final World world, final CallHistory history) {
+    ControlCall(final SimulatedCluster world, final CallHistory history) {
         this.world = world;
         this.history = history;
         world.callers.answers = this::answered;
@@ -37,7 +37,7 @@
 
     /** By chance: is this acknowledgement lost? */
     boolean losesAnswer() {
-        return lostPercent > 0 && world.rnd.nextInt(100) < lostPercent;
+        return lostPercent > 0 && world.random.nextInt(100) < lostPercent;
     }
 
     /**
@@ -47,7 +47,7 @@
      * @param then hears of the answer, or of silence
      */
     void call(
-            final Proc proc,
+            final SimulatedProcess process,
             final String kind,
             final byte[] body,
             final String subject,
@@ -60,23 +60,23 @@
             }
         };
         world.at(world.now() + PATIENCE_MS, () -> once.accept(SILENCE));
-        if (unreachable.contains(proc.id)) {
+        if (unreachable.contains(process.id)) {
             return;
         }
         world.callers.asked(
-                proc,
+                process,
                 id -> {
-                    history.asked(id, new Call(proc.id, proc.life, kind, subject));
-                    return new Job.Operate(id, kind, body);
+                    history.asked(id, new Call(process.id, process.life, kind, subject));
+                    return new NodeRequest.Operate(id, kind, body);
                 },
                 response -> {
-                    if (!unreachable.contains(proc.id)) {
+                    if (!unreachable.contains(process.id)) {
                         once.accept(response);
                     }
                 });
     }
 
-    private void answered(final Proc from, final long callId, final Response response) {
+    private void answered(final SimulatedProcess from, final long callId, final Response response) {
         if (response.status() >= REACHED && history.knows(callId)) {
             final ControlAnswer told = ControlAnswer.of(response);
             history.answered(world.now(), callId, new Answer(from.id, from.life, told.kind(), told.subject()));
