--- a/trial/src/main/java/brookpath/trial/sim/ControlDay.java
+++ b/testing/src/main/java/brookpath/testing/sim/ControlDay.java
@@ -1,7 +1,7 @@
-package brookpath.trial.sim;
+package brookpath.testing.sim;
 
-import brookpath.trial.oracle.control.ControlHistory;
-import brookpath.trial.oracle.control.ControlRule;
+import brookpath.testing.oracle.control.ControlHistory;
+import brookpath.testing.oracle.control.ControlRule;
 import java.util.ArrayList;
 import java.util.EnumSet;
 import java.util.List;
@@ -9,12 +9,12 @@
 import java.util.TreeMap;
 
 /**
- * One seeded day for the control plane: four controllers, four storage machines and two fronts in virtual time,
+ * One seeded day for the control plane: four controllers, four storage machines and two gateways in virtual time,
  * operators with up to eight orders under way, troubles one after another, a last one right after an acknowledgement,
  * and a recovery after which everything is read back.
  */
 public final class ControlDay {
-    private static final Shape SHAPE = new Shape(2, 2, 4, 6, 6, 8, 2);
+    private static final FleetSize SHAPE = new FleetSize(2, 2, 4, 6, 6, 8, 2);
     private static final long START_MS = 4_000;
     private static final long FIRST_ORDER_MS = 20_000;
     private static final long ORDER_EVERY_MS = 700;
@@ -34,7 +34,7 @@
      * What a control day came to.
      *
      * @param violations of the rules of the control plane
-     * @param others what the fleet's other judges found: topics, usage, masters
+     * @param others what the fleet's other judges found: topics, usage, leaders
      */
     public record Outcome(
             long seed,
@@ -59,7 +59,7 @@
     }
 
     private final Plan plan;
-    private final World world;
+    private final SimulatedCluster world;
     private final ControlFleet fleet;
     private final ControlHistory history = new ControlHistory();
     private final ControlCall calls;
@@ -68,7 +68,7 @@
 
     private ControlDay(final Plan plan) {
         this.plan = plan;
-        world = new World(plan.seed(), SHAPE, EnumSet.noneOf(Mutation.class));
+        world = new SimulatedCluster(plan.seed(), SHAPE, EnumSet.noneOf(Mutation.class));
         fleet = new ControlFleet(world);
         calls = new ControlCall(world, history.calls);
         operators = new Operators(world, fleet, history, calls);
@@ -115,8 +115,8 @@
 
     private void watch() {
         final List<Integer> running = fleet.controllers().stream()
-                .filter(proc -> proc.alive && !proc.frozen())
-                .map(proc -> proc.id)
+                .filter(process -> process.alive && !process.frozen())
+                .map(process -> process.id)
                 .toList();
         history.watch(world.now(), running);
         world.at(world.now() + WATCH_EVERY_MS, this::watch);
@@ -127,9 +127,9 @@
         final List<ControlFault> kinds = new ArrayList<>(plan.faults());
         final long end = world.now() + plan.lengthMs();
         while (world.now() < end && !kinds.isEmpty()) {
-            final ControlFault kind = kinds.get(world.rnd.nextInt(kinds.size()));
+            final ControlFault kind = kinds.get(world.random.nextInt(kinds.size()));
             final boolean struck = faults.strike(kind);
-            final long pause = struck && world.rnd.nextBoolean() ? world.rnd.nextLong(PAUSE_MS) : WATCH_EVERY_MS;
+            final long pause = struck && world.random.nextBoolean() ? world.random.nextLong(PAUSE_MS) : WATCH_EVERY_MS;
             world.run(Math.min(end, world.now() + pause));
         }
         world.run(end);
--- a/trial/src/main/java/brookpath/trial/sim/ControlFault.java
+++ b/testing/src/main/java/brookpath/testing/sim/ControlFault.java
@@ -1,4 +1,4 @@
-package brookpath.trial.sim;
+package brookpath.testing.sim;
 
 import java.util.EnumSet;
 
@@ -10,11 +10,11 @@
     CUT_SENDING,
     /** What others send to a controller does not arrive; it is heard by all. */
     CUT_HEARING,
-    /** A controller is cut off from the other counted machines; callers and fronts reach it. */
+    /** A controller is cut off from the other counted machines; callers and gateways reach it. */
     CUT_FROM_CORE,
     /** A controller is cut off from half of the other counted machines. */
     CUT_FROM_HALF,
-    /** A controller is cut off from the core, new settings name it first, and fronts start again on these. */
+    /** A controller is cut off from the core, new settings name it first, and gateways start again on these. */
     CUT_SEEDS,
     /** A counted machine stands still. */
     FREEZE,
@@ -22,7 +22,7 @@
     KILL,
     /** A counted machine loses power. */
     POWER,
-    /** The controller that has just acknowledged a change, or the master behind it, loses power. */
+    /** The controller that has just acknowledged a change, or the leader behind it, loses power. */
     POWER_AFTER_ACK,
     /** The same, and the disk is lost. */
     WIPE_AFTER_ACK,
--- a/trial/src/main/java/brookpath/trial/sim/ControlFaults.java
+++ b/testing/src/main/java/brookpath/testing/sim/ControlFaults.java
@@ -1,11 +1,11 @@
-package brookpath.trial.sim;
+package brookpath.testing.sim;
 
-import static brookpath.trial.sim.ControlFault.KILL_AFTER_SEND;
-import static brookpath.trial.sim.MachineFaults.Direction.BOTH;
-import static brookpath.trial.sim.MachineFaults.Direction.HEARING;
-import static brookpath.trial.sim.MachineFaults.Direction.SENDING;
+import static brookpath.testing.sim.ControlFault.KILL_AFTER_SEND;
+import static brookpath.testing.sim.MachineFaults.Direction.BOTH;
+import static brookpath.testing.sim.MachineFaults.Direction.HEARING;
+import static brookpath.testing.sim.MachineFaults.Direction.SENDING;
 
-import brookpath.trial.oracle.control.ControlHistory;
+import brookpath.testing.oracle.control.ControlHistory;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
@@ -17,7 +17,7 @@
     private static final int REFUSED_ORDERS = 500;
     private static final int LOST_PERCENT = 70;
 
-    private final World world;
+    private final SimulatedCluster world;
     private final ControlFleet fleet;
     private final Operators operators;
     private final RetireOperator retirements;
@@ -31,7 +31,7 @@
     private boolean stopped;
 
     ControlFaults(
-            final World world,
+            final SimulatedCluster world,
             final ControlFleet fleet,
             final ControlHistory history,
             final Operators operators,
@@ -91,11 +91,11 @@
         disturbedUntil = world.now() + spanMs;
         switch (fault) {
             case CLOCK_STEP -> {
-                final long by = 1_000 + world.rnd.nextLong(9_000);
-                machines.clockStep(world.rnd.nextBoolean() ? by : -by, spanMs);
+                final long by = 1_000 + world.random.nextLong(9_000);
+                machines.clockStep(world.random.nextBoolean() ? by : -by, spanMs);
             }
             case RESETS -> machines.resets();
-            case STORM -> operators.storm(STORM_MOST / 3 + world.rnd.nextInt(STORM_MOST), 20L + world.rnd.nextInt(80));
+            case STORM -> operators.storm(STORM_MOST / 3 + world.random.nextInt(STORM_MOST), 20L + world.random.nextInt(80));
             case REFUSED_ORDERS -> operators.refusedOrders(REFUSED_ORDERS);
             case RACES -> {
                 for (int i = 0; i < 5; i++) {
@@ -137,7 +137,7 @@
             case CLOCK_REPEATS -> {
                 machines.clockRepeats(
                         controller(),
-                        any(world.fronts.stream().map(world.procs::get).toList()),
+                        any(world.gateways.stream().map(world.processes::get).toList()),
                         3,
                         span(400, 1_500));
                 operators.storm(20, 50);
@@ -147,41 +147,41 @@
         }
     }
 
-    private void cut(final ControlFault fault, final Proc proc, final long span) {
-        final List<Proc> core = machines.others(proc, fleet.counted());
-        final List<Proc> all = machines.others(proc, List.copyOf(world.procs.values()));
+    private void cut(final ControlFault fault, final SimulatedProcess process, final long span) {
+        final List<SimulatedProcess> core = machines.others(process, fleet.counted());
+        final List<SimulatedProcess> all = machines.others(process, List.copyOf(world.processes.values()));
         switch (fault) {
-            case CUT_OFF -> machines.cutFromCallersToo(proc, span);
-            case CUT_SENDING -> machines.cut(proc, all, SENDING, span);
-            case CUT_HEARING -> machines.cut(proc, all, HEARING, span);
-            case CUT_FROM_CORE -> machines.cut(proc, core, BOTH, span);
+            case CUT_OFF -> machines.cutFromCallersToo(process, span);
+            case CUT_SENDING -> machines.cut(process, all, SENDING, span);
+            case CUT_HEARING -> machines.cut(process, all, HEARING, span);
+            case CUT_FROM_CORE -> machines.cut(process, core, BOTH, span);
             case CUT_FROM_HALF -> {
-                final List<Proc> half =
-                        core.stream().filter(other -> world.rnd.nextBoolean()).toList();
-                machines.cut(proc, half, BOTH, span);
+                final List<SimulatedProcess> half =
+                        core.stream().filter(other -> world.random.nextBoolean()).toList();
+                machines.cut(process, half, BOTH, span);
             }
             default -> {
-                machines.cut(proc, core, BOTH, span);
-                startOnSeedsOf(proc);
+                machines.cut(process, core, BOTH, span);
+                startOnSeedsOf(process);
             }
         }
         operators.race();
     }
 
-    /** New settings name the one first that is cut off, and fronts start on them. */
-    private void startOnSeedsOf(final Proc proc) {
-        final List<Integer> seeds = new ArrayList<>(List.of(proc.id));
-        machines.others(proc, fleet.controllers()).forEach(other -> seeds.add(other.id));
+    /** New settings name the one first that is cut off, and gateways start on them. */
+    private void startOnSeedsOf(final SimulatedProcess process) {
+        final List<Integer> seeds = new ArrayList<>(List.of(process.id));
+        machines.others(process, fleet.controllers()).forEach(other -> seeds.add(other.id));
         fleet.seeds(seeds.subList(0, ControlFleet.SEEDS));
-        final Proc front = any(world.fronts.stream().map(world.procs::get).toList());
-        world.kill(front, false);
-        world.at(world.now() + span(200, 1_000), () -> world.restart(front));
+        final SimulatedProcess gateway = any(world.gateways.stream().map(world.processes::get).toList());
+        world.kill(gateway, false);
+        world.at(world.now() + span(200, 1_000), () -> world.restart(gateway));
     }
 
     /** One more storage machine comes, an old one is emptied, and is shut down for good once it holds nothing. */
-    private void retire(final Consumer<Proc> acknowledged, final Runnable then) {
+    private void retire(final Consumer<SimulatedProcess> acknowledged, final Runnable then) {
         retiringUntil = world.now() + 2 * RETIRE_MS;
-        final Proc leaving = any(fleet.storages());
+        final SimulatedProcess leaving = any(fleet.storages());
         machines.addStorage(leaving.zone);
         world.at(world.now() + MachineFaults.CATCH_UP_MS, () -> {
             if (leaving.goneForGood || stopped) {
@@ -205,51 +205,51 @@
         }
     }
 
-    /** The machine that has just acknowledged, the master behind it, or all machines lose power. */
-    private void powerLossAfter(final Proc by) {
+    /** The machine that has just acknowledged, the leader behind it, or all machines lose power. */
+    private void powerLossAfter(final SimulatedProcess by) {
         if (stopped || !machines.free()) {
             return;
         }
-        if (world.rnd.nextBoolean()) {
+        if (world.random.nextBoolean()) {
             machines.allDown(true, true);
         } else {
-            final Proc master = fleet.controlMaster();
-            machines.down(master == null ? by : master, true, span(300, 10_000));
+            final SimulatedProcess leader = fleet.controlLeader();
+            machines.down(leader == null ? by : leader, true, span(300, 10_000));
         }
     }
 
     // ---- troubles that come with an order
 
     @Override
-    public void acknowledged(final Proc by) {
+    public void acknowledged(final SimulatedProcess by) {
         if (armed == null || armed == KILL_AFTER_SEND || !machines.free()) {
             return;
         }
         final ControlFault fault = armed;
         armed = null;
-        final Proc master = fleet.controlMaster();
-        final Proc victim = master == null || world.rnd.nextBoolean() ? by : master;
-        world.at(world.now() + world.rnd.nextInt(5), () -> {
+        final SimulatedProcess leader = fleet.controlLeader();
+        final SimulatedProcess victim = leader == null || world.random.nextBoolean() ? by : leader;
+        world.at(world.now() + world.random.nextInt(5), () -> {
             switch (fault) {
                 case POWER_AFTER_ACK -> machines.down(victim, true, span(300, 10_000));
                 case WIPE_AFTER_ACK -> machines.wipe(victim, span(300, 10_000));
-                case KILL_ALL -> machines.allDown(false, world.rnd.nextBoolean());
+                case KILL_ALL -> machines.allDown(false, world.random.nextBoolean());
                 default -> machines.allDown(true, true);
             }
         });
     }
 
     @Override
-    public void sent(final Proc to) {
+    public void sent(final SimulatedProcess to) {
         if (armed != KILL_AFTER_SEND || !machines.free()) {
             return;
         }
         armed = null;
         world.at(world.now() + span(5, 400), () -> {
-            final Proc master = fleet.controlMaster();
-            final Proc victim = master == null || world.rnd.nextBoolean() ? to : master;
+            final SimulatedProcess leader = fleet.controlLeader();
+            final SimulatedProcess victim = leader == null || world.random.nextBoolean() ? to : leader;
             if (!stopped && machines.free() && !victim.goneForGood) {
-                machines.down(victim, world.rnd.nextBoolean(), span(300, 5_000));
+                machines.down(victim, world.random.nextBoolean(), span(300, 5_000));
             }
         });
     }
@@ -259,11 +259,11 @@
      * and then while all others lose power.
      */
     void close(final Runnable struck) {
-        final int kind = world.rnd.nextInt(4);
+        final int kind = world.random.nextInt(4);
         world.count("control: closed by kind " + kind);
         operators.observer(new Operators.Observer() {
             @Override
-            public void acknowledged(final Proc by) {
+            public void acknowledged(final SimulatedProcess by) {
                 operators.observer(null);
                 if (kind == 0) {
                     machines.allDown(false, false);
@@ -279,7 +279,7 @@
             }
 
             @Override
-            public void sent(final Proc to) {
+            public void sent(final SimulatedProcess to) {
                 // why: the last failure strikes at an acknowledgement
             }
         });
@@ -289,20 +289,20 @@
     // ---- draws
 
     private long span(final long least, final long most) {
-        return least + world.rnd.nextLong(most - least);
+        return least + world.random.nextLong(most - least);
     }
 
     private <T> T any(final List<T> list) {
-        return list.get(world.rnd.nextInt(list.size()));
+        return list.get(world.random.nextInt(list.size()));
     }
 
-    /** The control master in every other draw, else any controller. */
-    private Proc controller() {
-        final Proc master = fleet.controlMaster();
-        return master == null || world.rnd.nextBoolean() ? any(fleet.controllers()) : master;
+    /** The control leader in every other draw, else any controller. */
+    private SimulatedProcess controller() {
+        final SimulatedProcess leader = fleet.controlLeader();
+        return leader == null || world.random.nextBoolean() ? any(fleet.controllers()) : leader;
     }
 
-    private Proc counted() {
-        return world.rnd.nextInt(3) == 0 ? any(fleet.storages()) : controller();
+    private SimulatedProcess counted() {
+        return world.random.nextInt(3) == 0 ? any(fleet.storages()) : controller();
     }
 }
--- a/trial/src/main/java/brookpath/trial/sim/ControlFleet.java
+++ b/testing/src/main/java/brookpath/testing/sim/ControlFleet.java
@@ -1,12 +1,12 @@
-package brookpath.trial.sim;
+package brookpath.testing.sim;
 
 import brookpath.coordination.group.Member;
 import brookpath.coordination.node.ControllerNode;
-import brookpath.coordination.node.FrontNode;
+import brookpath.coordination.node.GatewayNode;
 import brookpath.coordination.node.Node;
 import brookpath.coordination.node.StorageNode;
 import brookpath.coordination.node.control.Founding;
-import brookpath.coordination.spec.Roster.NodeInfo;
+import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -29,7 +29,7 @@
     private static final int FIRST_NEW_STORAGE = 101;
     private static final int FIRST_NEW_CONTROLLER = 201;
 
-    private final World world;
+    private final SimulatedCluster world;
     private final Map<Integer, String> names = new HashMap<>();
     private final Map<Integer, Long> startedAt = new HashMap<>();
     /** The controllers that a settings file names which is written now. */
@@ -40,18 +40,18 @@
     private int machines;
 
     /** Takes over a world none of whose processes has started yet. */
-    ControlFleet(final World world) {
+    ControlFleet(final SimulatedCluster world) {
         this.world = world;
         seeds = List.copyOf(world.controllers);
         for (final int id : world.controllers) {
-            world.procs.get(id).maker = this::controllerNode;
+            world.processes.get(id).maker = this::controllerNode;
         }
         for (final int id : world.storages) {
             names.put(id, nextName());
-            world.procs.get(id).maker = this::storageNode;
+            world.processes.get(id).maker = this::storageNode;
         }
-        for (final int id : world.fronts) {
-            world.procs.get(id).maker = this::frontNode;
+        for (final int id : world.gateways) {
+            world.processes.get(id).maker = this::gatewayNode;
         }
         addController("d").start();
     }
@@ -60,54 +60,54 @@
         return "machine-" + ++machines;
     }
 
-    private Node controllerNode(final Proc proc, final List<byte[]> entries) {
-        startedAt.put(proc.id, world.now());
+    private Node controllerNode(final SimulatedProcess process, final List<byte[]> entries) {
+        startedAt.put(process.id, world.now());
         // why: only the settings of the very first start name founders, as on the users' machines
-        final boolean first = proc.foundOnStart;
+        final boolean first = process.foundOnStart;
         final List<Member> founders =
                 first ? seeds.stream().map(id -> new Member(id, WEIGHT, "")).toList() : List.of();
         final ControllerNode node = new ControllerNode(
-                info(proc, ""),
+                info(process, ""),
                 founders,
                 seeds,
                 new Founding(world.groups, COPIES, STORAGES, TOLERATED_LOSSES),
-                world.tempo,
-                world.rnd.nextLong(),
+                world.timing,
+                world.random.nextLong(),
                 firstId(),
                 ROLL_BYTES);
-        entries.forEach(entry -> node.replay(entry, proc.time()));
+        entries.forEach(entry -> node.replay(entry, process.time()));
         return node;
     }
 
-    private Node storageNode(final Proc proc, final List<byte[]> entries) {
+    private Node storageNode(final SimulatedProcess process, final List<byte[]> entries) {
         final StorageNode node = new StorageNode(
-                info(proc, name(proc.id)),
+                info(process, name(process.id)),
                 seeds,
-                world.tempo,
+                world.timing,
                 TOLERATED_LOSSES,
-                world.rnd.nextLong(),
+                world.random.nextLong(),
                 firstId(),
                 ROLL_BYTES);
-        entries.forEach(entry -> node.replay(entry, proc.time()));
+        entries.forEach(entry -> node.replay(entry, process.time()));
         return node;
     }
 
-    private Node frontNode(final Proc proc, final List<byte[]> entries) {
-        return new FrontNode(info(proc, ""), seeds, world.tempo, firstId());
+    private Node gatewayNode(final SimulatedProcess process, final List<byte[]> entries) {
+        return new GatewayNode(info(process, ""), seeds, world.timing, firstId());
     }
 
-    private static NodeInfo info(final Proc proc, final String name) {
-        final NodeInfo info = proc.info();
+    private static NodeInfo info(final SimulatedProcess process, final String name) {
+        final NodeInfo info = process.info();
         return new NodeInfo(info.node(), info.zone(), info.address(), name, info.machine());
     }
 
     /** Where the IDs of a life begin: drawn, as the product's own programs do. */
     private long firstId() {
-        return world.rnd.nextLong() >>> 2;
+        return world.random.nextLong() >>> 2;
     }
 
     /** When a controller started last. */
-    long startedAt(final Proc controller) {
+    long startedAt(final SimulatedProcess controller) {
         return startedAt.get(controller.id);
     }
 
@@ -127,26 +127,26 @@
     }
 
     /** An empty controller at a number that nobody had; it does not run yet. */
-    Proc addController(final String zone) {
-        final Proc added = new Proc(world, nextController++, zone, true, this::controllerNode);
-        world.procs.put(added.id, added);
+    SimulatedProcess addController(final String zone) {
+        final SimulatedProcess added = new SimulatedProcess(world, nextController++, zone, true, this::controllerNode);
+        world.processes.put(added.id, added);
         world.controllers.add(added.id);
         world.wellness.down(added);
         return added;
     }
 
     /** An empty storage machine at a number that nobody had; it does not run yet. */
-    Proc addStorage(final String zone) {
-        final Proc added = new Proc(world, nextStorage++, zone, true, this::storageNode);
+    SimulatedProcess addStorage(final String zone) {
+        final SimulatedProcess added = new SimulatedProcess(world, nextStorage++, zone, true, this::storageNode);
         names.put(added.id, nextName());
-        world.procs.put(added.id, added);
+        world.processes.put(added.id, added);
         world.storages.add(added.id);
         world.wellness.down(added);
         return added;
     }
 
     /** A machine is gone for good, with its disk. */
-    void remove(final Proc gone) {
+    void remove(final SimulatedProcess gone) {
         gone.goneForGood = true;
         world.kill(gone, true);
         gone.disk.wipe();
@@ -155,7 +155,7 @@
     }
 
     /** From the next start on there is another, empty machine at this number. */
-    void reuseAddress(final Proc gone) {
+    void reuseAddress(final SimulatedProcess gone) {
         world.kill(gone, true);
         gone.disk.wipe();
         if (names.containsKey(gone.id)) {
@@ -163,33 +163,33 @@
         }
     }
 
-    boolean isController(final Proc proc) {
-        return world.controllers.contains(proc.id);
+    boolean isController(final SimulatedProcess process) {
+        return world.controllers.contains(process.id);
     }
 
-    List<Proc> controllers() {
-        return world.controllers.stream().map(world.procs::get).toList();
+    List<SimulatedProcess> controllers() {
+        return world.controllers.stream().map(world.processes::get).toList();
     }
 
-    List<Proc> storages() {
-        return world.storages.stream().map(world.procs::get).toList();
+    List<SimulatedProcess> storages() {
+        return world.storages.stream().map(world.processes::get).toList();
     }
 
     /** The machines with disks, whose loss counts. */
-    List<Proc> counted() {
-        final List<Proc> all = new ArrayList<>(controllers());
+    List<SimulatedProcess> counted() {
+        final List<SimulatedProcess> all = new ArrayList<>(controllers());
         all.addAll(storages());
         return all;
     }
 
-    /** The controller that may act as the control group's master, null for none. */
-    Proc controlMaster() {
-        for (final Proc proc : controllers()) {
-            if (proc.alive
-                    && !proc.frozen()
-                    && proc.node() instanceof ControllerNode node
-                    && node.group().mayAct(proc.mono())) {
-                return proc;
+    /** The controller that may act as the control group's leader, null for none. */
+    SimulatedProcess controlLeader() {
+        for (final SimulatedProcess process : controllers()) {
+            if (process.alive
+                    && !process.frozen()
+                    && process.node() instanceof ControllerNode node
+                    && node.group().mayAct(process.mono())) {
+                return process;
             }
         }
         return null;
--- a/trial/src/main/java/brookpath/trial/sim/ControlSweep.java
+++ b/testing/src/main/java/brookpath/testing/sim/ControlSweep.java
@@ -1,7 +1,7 @@
-package brookpath.trial.sim;
+package brookpath.testing.sim;
 
-import brookpath.trial.sim.ControlDay.Outcome;
-import brookpath.trial.sim.ControlDay.Plan;
+import brookpath.testing.sim.ControlDay.Outcome;
+import brookpath.testing.sim.ControlDay.Plan;
 import java.util.EnumSet;
 import java.util.TreeMap;
 import java.util.stream.LongStream;
--- a/trial/src/main/java/brookpath/trial/sim/CrashPoint.java
+++ b/testing/src/main/java/brookpath/testing/sim/CrashPoint.java
@@ -1,16 +1,16 @@
-package brookpath.trial.sim;
+package brookpath.testing.sim;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import brookpath.coordination.action.Action;
 import brookpath.coordination.group.GroupMachine;
-import brookpath.coordination.message.Msg;
+import brookpath.coordination.message.PeerMessage;
 import brookpath.coordination.node.ControllerNode;
 import brookpath.coordination.node.Node;
 import brookpath.coordination.node.StorageNode;
-import brookpath.coordination.spec.ControlState;
-import brookpath.state.record.Pack;
-import brookpath.state.record.Rec;
+import brookpath.coordination.configuration.ControlState;
+import brookpath.state.record.PackedBuffer;
+import brookpath.state.record.LogRecord;
 
 /** Where in its work an owner is to die: a position, not a time. */
 enum CrashPoint {
@@ -18,7 +18,7 @@
     APPEND,
     /** A publish is synced here and nobody knows. */
     SYNC,
-    /** The accepted position has moved and nobody has been told. */
+    /** The committed position has moved and nobody has been told. */
     ACCEPT,
     /** The acceptance has just been sent. */
     ANSWER,
@@ -35,17 +35,17 @@
 
     /** The point that is reached with this write's append (APPEND) or its sync (the others), null for none. */
     static CrashPoint ofWrite(final byte[] entry) {
-        final Pack in = Pack.reader(entry);
+        final PackedBuffer in = PackedBuffer.reader(entry);
         in.num();
         if (in.num() != GROUP_RECORD) {
             return null;
         }
-        final Rec rec = Rec.wrap(in.bytes(), 0);
-        return switch (rec.kind()) {
-            case Rec.PUBLISH -> SYNC;
-            case Rec.CLOSE -> CLOSE;
-            case Rec.MEMBERS -> MEMBERS;
-            case Rec.CONTROL -> Pack.reader(rec.body()).num() == ControlState.USAGE ? USAGE : null;
+        final LogRecord logRecord = LogRecord.wrap(in.bytes(), 0);
+        return switch (logRecord.kind()) {
+            case LogRecord.PUBLISH -> SYNC;
+            case LogRecord.CLOSE -> CLOSE;
+            case LogRecord.MEMBERS -> MEMBERS;
+            case LogRecord.CONTROL -> PackedBuffer.reader(logRecord.body()).num() == ControlState.USAGE ? USAGE : null;
             default -> null;
         };
     }
@@ -53,20 +53,20 @@
     /** The point that is reached once this has left. */
     static CrashPoint ofAction(final Action action) {
         if (action instanceof Action.Send s
-                && s.msg() instanceof Msg.PublishReply r
-                && r.outcome() == Msg.PublishReply.ACCEPTED) {
+                && s.message() instanceof PeerMessage.PublishReply r
+                && r.outcome() == PeerMessage.PublishReply.ACCEPTED) {
             return ANSWER;
         }
         final String told = action instanceof Action.Respond r
                 ? r.response().json()
-                : action instanceof Action.Send s && s.msg() instanceof Msg.OpReply r
+                : action instanceof Action.Send s && s.message() instanceof PeerMessage.ControlReply r
                         ? new String(r.body(), UTF_8)
                         : "";
         return told.contains("\"confirmed\"") ? CONFIRM : null;
     }
 
-    /** The sum of what this process has accepted as a master. */
-    static long accepted(final Node node, final int groups) {
+    /** The sum of what this process has committed as a leader. */
+    static long committed(final Node node, final int groups) {
         long sum = 0;
         if (node instanceof StorageNode s) {
             for (int g = 0; g < groups; g++) {
@@ -79,10 +79,10 @@
     }
 
     private static long of(final GroupMachine g) {
-        return g.role() == GroupMachine.MASTER ? g.accepted() : 0;
+        return g.role() == GroupMachine.LEADER ? g.committed() : 0;
     }
 
     static boolean owns(final Node node, final int groups) {
-        return accepted(node, groups) > 0;
+        return committed(node, groups) > 0;
     }
 }
--- a/trial/src/main/java/brookpath/trial/sim/DayFaults.java
+++ b/testing/src/main/java/brookpath/testing/sim/DayFaults.java
@@ -1,11 +1,11 @@
-package brookpath.trial.sim;
+package brookpath.testing.sim;
 
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.node.ControllerNode;
-import brookpath.coordination.node.Job;
+import brookpath.coordination.node.NodeRequest;
 import brookpath.coordination.node.StorageNode;
-import brookpath.state.record.Pack;
-import brookpath.trial.sim.Day.Fault;
+import brookpath.state.record.PackedBuffer;
+import brookpath.testing.sim.SimulatedDay.Fault;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -18,17 +18,17 @@
     private static final int MAX_WRONG_CLOCKS = 2;
     private static final long USUAL_SYNC_MS = 2;
 
-    private final World world;
+    private final SimulatedCluster world;
     private long drainingUntil;
     /** What a failure had still in store does not come any more. */
     private boolean over;
 
-    DayFaults(final World world) {
+    DayFaults(final SimulatedCluster world) {
         this.world = world;
         world.mayCrash = p -> {
             final boolean may = !over && othersWell(p);
             if (may) {
-                back(p, 300 + world.rnd.nextLong(3_000));
+                back(p, 300 + world.random.nextLong(3_000));
             }
             return may;
         };
@@ -42,7 +42,7 @@
         world.net.heal();
         world.net.lossPerMille = 0;
         world.net.extraDelay = 0;
-        for (final Proc p : world.procs.values()) {
+        for (final SimulatedProcess p : world.processes.values()) {
             p.syncMs = USUAL_SYNC_MS;
             if (p.disk != null) {
                 p.disk.full(false);
@@ -56,11 +56,11 @@
 
     /** One machine with a disk is lost with all it had, right after it acted, and never comes back. */
     void loseOne() {
-        Proc p = null;
+        SimulatedProcess p = null;
         for (int i = 0; i < 200 && (p == null || !othersWell(p)); i++) {
             // why: never two at a time; the last failure's victim is waited for
             world.run(world.now() + 100);
-            p = world.rnd.nextInt(3) == 0 ? any(world.controllers) : owner();
+            p = world.random.nextInt(3) == 0 ? any(world.controllers) : owner();
         }
         if (p != null && othersWell(p)) {
             world.count("gone for good");
@@ -73,12 +73,12 @@
 
     /** Brings about one failure of this kind. */
     void strike(final Fault fault) {
-        final Proc p = victim();
-        final long span = 300 + world.rnd.nextLong(5_000);
+        final SimulatedProcess p = victim();
+        final long span = 300 + world.random.nextLong(5_000);
         switch (fault) {
             case KILL -> down(p, false, span, () -> {});
             case POWER -> down(p, true, span, () -> {});
-            case OWNER_DIES -> down(owner(), world.rnd.nextBoolean(), span, () -> {});
+            case OWNER_DIES -> down(owner(), world.random.nextBoolean(), span, () -> {});
             case DISK_LOST -> loseDisk(p, span);
             case CORRUPT -> corrupt(p, span);
             case SYNC_FAILS -> failSyncs(p, span);
@@ -98,8 +98,8 @@
             case RETIRE -> retireForAWhile(span);
             case SWITCHOVER -> switchover();
             case DRAIN -> drainForAWhile(span);
-            case FRONTS_RESTART -> restartFronts();
-            case RACE -> raceWhileTheMasterDies(span);
+            case GATEWAYS_RESTART -> restartGateways();
+            case RACE -> raceWhileTheLeaderDies(span);
             case ROT -> rot(p);
             case LAST_ACT -> armCrashPoint();
             case ROLLING -> restartAllInTurn();
@@ -107,23 +107,23 @@
         world.count("faults");
     }
 
-    private void loseDisk(final Proc p, final long span) {
+    private void loseDisk(final SimulatedProcess p, final long span) {
         if (p.disk != null) {
             down(p, true, span, p.disk::wipe);
         }
     }
 
-    private void corrupt(final Proc p, final long span) {
+    private void corrupt(final SimulatedProcess p, final long span) {
         if (p.disk != null) {
             down(p, false, span, () -> {
-                if (p.disk.corrupt(world.rnd)) {
+                if (p.disk.corrupt(world.random)) {
                     world.count("corruptions");
                 }
             });
         }
     }
 
-    private void failSyncs(final Proc p, final long span) {
+    private void failSyncs(final SimulatedProcess p, final long span) {
         if (p.disk != null && othersWell(p)) {
             p.disk.failing(true);
             back(p, span + 1_000);
@@ -131,18 +131,18 @@
         }
     }
 
-    private void freeze(final Proc p, final long span) {
+    private void freeze(final SimulatedProcess p, final long span) {
         if (othersWell(p)) {
             world.count("freezes");
             world.freeze(p, span);
         }
     }
 
-    private void cut(final Proc p, final boolean bothWays, final long span) {
+    private void cut(final SimulatedProcess p, final boolean bothWays, final long span) {
         world.count("cuts");
         final List<Integer> from = new ArrayList<>();
-        for (final Proc other : world.procs.values()) {
-            if (other != p && world.rnd.nextInt(3) > 0) {
+        for (final SimulatedProcess other : world.processes.values()) {
+            if (other != p && world.random.nextInt(3) > 0) {
                 from.add(other.id);
                 world.net.cut(p.id, other.id);
                 if (bothWays) {
@@ -155,46 +155,46 @@
     }
 
     private void losePackets(final long span) {
-        world.net.lossPerMille = 5 + world.rnd.nextInt(30);
+        world.net.lossPerMille = 5 + world.random.nextInt(30);
         world.at(world.now() + span, () -> world.net.lossPerMille = 0);
     }
 
     private void slowNetwork(final long span) {
-        world.net.extraDelay = 5L + world.rnd.nextInt(60);
+        world.net.extraDelay = 5L + world.random.nextInt(60);
         world.at(world.now() + span, () -> world.net.extraDelay = 0);
     }
 
-    private void slowDisk(final Proc p, final long span) {
-        p.syncMs = 20L + world.rnd.nextInt(800);
+    private void slowDisk(final SimulatedProcess p, final long span) {
+        p.syncMs = 20L + world.random.nextInt(800);
         world.at(world.now() + span, () -> p.syncMs = USUAL_SYNC_MS);
     }
 
-    private void setClockWrong(final Proc p) {
+    private void setClockWrong(final SimulatedProcess p) {
         // why: which clock is right is told by the most; a few wrong ones must not matter, wherever they are
-        final List<Proc> wrong = new ArrayList<>(
-                world.procs.values().stream().filter(o -> o.skew != 0).toList());
+        final List<SimulatedProcess> wrong = new ArrayList<>(
+                world.processes.values().stream().filter(o -> o.skew != 0).toList());
         if (wrong.size() >= MAX_WRONG_CLOCKS) {
             any(wrong.stream().map(o -> o.id).toList()).skew = 0;
         }
-        p.skew = world.rnd.nextLong(120_000) - 60_000;
+        p.skew = world.random.nextLong(120_000) - 60_000;
         world.count("wrong clocks");
     }
 
     private void blackout() {
-        // why: only synced bytes count, so even all machines losing power at once loses nothing accepted
+        // why: only synced bytes count, so even all machines losing power at once loses nothing committed
         world.count("blackouts");
-        for (final Proc each : world.procs.values()) {
+        for (final SimulatedProcess each : world.processes.values()) {
             world.kill(each, true);
-            back(each, 200 + world.rnd.nextInt(1_500));
+            back(each, 200 + world.random.nextInt(1_500));
         }
     }
 
     private void troublePlatform(final long span) {
         world.count("platform troubles");
-        world.platform.trouble(span * (world.rnd.nextInt(3) == 0 ? 8 : 2), world.rnd.nextBoolean());
+        world.platform.trouble(span * (world.random.nextInt(3) == 0 ? 8 : 2), world.random.nextBoolean());
     }
 
-    private void fillDisk(final Proc p, final long span) {
+    private void fillDisk(final SimulatedProcess p, final long span) {
         if (p.disk != null && othersWell(p)) {
             world.count("full disks");
             p.disk.full(true);
@@ -209,7 +209,7 @@
 
     private void stallDisksInTurn() {
         long at = 0;
-        for (final Proc each : world.procs.values()) {
+        for (final SimulatedProcess each : world.processes.values()) {
             if (each.disk != null) {
                 world.at(world.now() + at, () -> each.syncMs = over ? USUAL_SYNC_MS : 600);
                 at += 700;
@@ -218,72 +218,72 @@
         }
     }
 
-    private void loseLinks(final Proc p, final long span) {
+    private void loseLinks(final SimulatedProcess p, final long span) {
         for (int i = 0; i < 4; i++) {
-            final Proc to = any(new ArrayList<>(world.procs.keySet()));
-            world.net.linkLoss.put(Net.link(p.id, to.id), 50 + world.rnd.nextInt(250));
+            final SimulatedProcess to = any(new ArrayList<>(world.processes.keySet()));
+            world.net.linkLoss.put(SimulatedNetwork.link(p.id, to.id), 50 + world.random.nextInt(250));
         }
         world.at(world.now() + span, world.net.linkLoss::clear);
     }
 
     private void retireForAWhile(final long span) {
         final int node = any(world.storages).id;
-        world.callers.operators.operate("retire", Pack.writer().num(node).num(1).done());
+        world.callers.operators.operate("retire", PackedBuffer.writer().num(node).num(1).done());
         world.at(
                 world.now() + 3 * span,
                 () -> world.callers.operators.operate(
-                        "retire", Pack.writer().num(node).num(0).done()));
+                        "retire", PackedBuffer.writer().num(node).num(0).done()));
     }
 
     private void switchover() {
         world.callers.operators.operate(
                 "handover",
-                Pack.writer()
-                        .num(world.rnd.nextInt(world.groups))
+                PackedBuffer.writer()
+                        .num(world.random.nextInt(world.groups))
                         .num(any(world.storages).id)
                         .done());
     }
 
     private void drainForAWhile(final long span) {
-        // why: who drains all fronts at once has asked for it
+        // why: who drains all gateways at once has asked for it
         if (world.now() >= drainingUntil) {
-            final Proc front = any(world.fronts);
+            final SimulatedProcess gateway = any(world.gateways);
             drainingUntil = world.now() + 2 * span + 1_000;
-            world.callers.asked(front, id -> new Job.Drain(id, true), r -> world.count("drains"));
-            world.at(world.now() + 2 * span, () -> world.callers.asked(front, id -> new Job.Drain(id, false), r -> {}));
+            world.callers.asked(gateway, id -> new NodeRequest.Drain(id, true), r -> world.count("drains"));
+            world.at(world.now() + 2 * span, () -> world.callers.asked(gateway, id -> new NodeRequest.Drain(id, false), r -> {}));
         }
     }
 
-    private void restartFronts() {
+    private void restartGateways() {
         world.count("all fronts restarted");
-        for (final int id : world.fronts) {
-            world.at(world.now() + world.rnd.nextInt(200), () -> {
+        for (final int id : world.gateways) {
+            world.at(world.now() + world.random.nextInt(200), () -> {
                 if (!over) {
-                    world.kill(world.procs.get(id), false);
-                    back(world.procs.get(id), 400);
+                    world.kill(world.processes.get(id), false);
+                    back(world.processes.get(id), 400);
                 }
             });
         }
     }
 
-    private void raceWhileTheMasterDies(final long span) {
+    private void raceWhileTheLeaderDies(final long span) {
         world.callers.operators.race();
         world.at(
-                world.now() + 3 + world.rnd.nextInt(30),
-                () -> down(controlMaster(), world.rnd.nextBoolean(), span, () -> {}));
+                world.now() + 3 + world.random.nextInt(30),
+                () -> down(controlLeader(), world.random.nextBoolean(), span, () -> {}));
     }
 
-    private void rot(final Proc p) {
+    private void rot(final SimulatedProcess p) {
         // why: one copy goes bad on a running machine, on its disk or in its memory
-        if (p.disk != null && othersWell(p) && world.rnd.nextInt(3) == 0) {
-            world.count(p.disk.corrupt(world.rnd) ? "rotten disks" : "no rot");
+        if (p.disk != null && othersWell(p) && world.random.nextInt(3) == 0) {
+            world.count(p.disk.corrupt(world.random) ? "rotten disks" : "no rot");
         } else if (p.node() instanceof StorageNode s && othersWell(p)) {
-            final GroupMachine g = s.group(world.rnd.nextInt(world.groups));
-            if (g != null && g.accepted() > g.baseLsn()) {
-                final byte[] rec = g.rec(g.baseLsn() + 1 + world.rnd.nextLong(g.accepted() - g.baseLsn()))
+            final GroupMachine g = s.group(world.random.nextInt(world.groups));
+            if (g != null && g.committed() > g.baseIndex()) {
+                final byte[] logRecord = g.logRecord(g.baseIndex() + 1 + world.random.nextLong(g.committed() - g.baseIndex()))
                         .bytes();
-                final int at = rec.length - 1 - world.rnd.nextInt(8);
-                rec[at] = (byte) (rec[at] ^ 1 << world.rnd.nextInt(8));
+                final int at = logRecord.length - 1 - world.random.nextInt(8);
+                logRecord[at] = (byte) (logRecord[at] ^ 1 << world.random.nextInt(8));
                 world.count("rotten records");
             }
         }
@@ -291,33 +291,33 @@
 
     private void armCrashPoint() {
         final List<CrashPoint> points = List.of(CrashPoint.values());
-        world.armed = points.get(world.rnd.nextInt(points.size()));
+        world.armed = points.get(world.random.nextInt(points.size()));
     }
 
     private void restartAllInTurn() {
         world.count("rolling restarts");
         long at = 0;
-        for (final Proc each : world.procs.values()) {
+        for (final SimulatedProcess each : world.processes.values()) {
             at += 1_500;
             world.at(world.now() + at, () -> down(each, false, 700, () -> {}));
         }
     }
 
-    private Proc any(final List<Integer> of) {
-        return world.procs.get(of.get(world.rnd.nextInt(of.size())));
+    private SimulatedProcess any(final List<Integer> of) {
+        return world.processes.get(of.get(world.random.nextInt(of.size())));
     }
 
-    private Proc victim() {
-        final int kind = world.rnd.nextInt(10);
-        return kind < 6 ? any(world.storages) : kind < 8 ? any(world.controllers) : any(world.fronts);
+    private SimulatedProcess victim() {
+        final int kind = world.random.nextInt(10);
+        return kind < 6 ? any(world.storages) : kind < 8 ? any(world.controllers) : any(world.gateways);
     }
 
-    private boolean othersWell(final Proc p) {
+    private boolean othersWell(final SimulatedProcess p) {
         final List<Integer> kin = world.controllers.contains(p.id)
                 ? world.controllers
-                : world.storages.contains(p.id) ? world.storages : world.fronts;
+                : world.storages.contains(p.id) ? world.storages : world.gateways;
         for (final int id : kin) {
-            final Proc other = world.procs.get(id);
+            final SimulatedProcess other = world.processes.get(id);
             if (id != p.id && (!other.alive || other.frozen() || sick(other))) {
                 return false;
             }
@@ -326,7 +326,7 @@
     }
 
     /** A member that is being rebuilt is out, too. */
-    private boolean sick(final Proc p) {
+    private boolean sick(final SimulatedProcess p) {
         if (p.node() instanceof StorageNode s) {
             for (int g = 0; g < world.groups; g++) {
                 if (s.group(g) != null && s.group(g).lost()) {
@@ -337,7 +337,7 @@
         return p.node() instanceof ControllerNode b && b.group().lost();
     }
 
-    private void back(final Proc p, final long after) {
+    private void back(final SimulatedProcess p, final long after) {
         world.at(world.now() + after, () -> {
             if (!p.goneForGood) {
                 world.restart(p);
@@ -345,7 +345,7 @@
         });
     }
 
-    private void down(final Proc p, final boolean power, final long span, final Runnable meanwhile) {
+    private void down(final SimulatedProcess p, final boolean power, final long span, final Runnable meanwhile) {
         if (p == null || over || !othersWell(p)) {
             return;
         }
@@ -355,9 +355,9 @@
         back(p, span);
     }
 
-    private Proc controlMaster() {
+    private SimulatedProcess controlLeader() {
         for (final int id : world.controllers) {
-            final Proc p = world.procs.get(id);
+            final SimulatedProcess p = world.processes.get(id);
             if (p.alive && !p.frozen() && ((ControllerNode) p.node()).group().mayAct(p.mono())) {
                 return p;
             }
@@ -365,11 +365,11 @@
         return null;
     }
 
-    /** A member that masters something just now. */
-    private Proc owner() {
-        final List<Proc> owners = new ArrayList<>();
-        for (final Map.Entry<Integer, Proc> e : world.procs.entrySet()) {
-            final Proc p = e.getValue();
+    /** A member that leaders something just now. */
+    private SimulatedProcess owner() {
+        final List<SimulatedProcess> owners = new ArrayList<>();
+        for (final Map.Entry<Integer, SimulatedProcess> e : world.processes.entrySet()) {
+            final SimulatedProcess p = e.getValue();
             if (p.alive && !p.frozen() && p.node() instanceof StorageNode s) {
                 for (int g = 0; g < world.groups; g++) {
                     if (s.group(g) != null && s.group(g).mayAct(p.mono())) {
@@ -383,6 +383,6 @@
                 owners.add(p);
             }
         }
-        return owners.isEmpty() ? null : owners.get(world.rnd.nextInt(owners.size()));
+        return owners.isEmpty() ? null : owners.get(world.random.nextInt(owners.size()));
     }
 }
--- a/trial/src/main/java/brookpath/trial/sim/DayOperators.java
+++ b/testing/src/main/java/brookpath/testing/sim/DayOperators.java
@@ -1,12 +1,12 @@
-package brookpath.trial.sim;
+package brookpath.testing.sim;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import brookpath.coordination.message.Response;
-import brookpath.coordination.node.FrontNode;
-import brookpath.coordination.node.Job;
+import brookpath.coordination.node.GatewayNode;
+import brookpath.coordination.node.NodeRequest;
 import brookpath.coordination.node.StorageNode;
-import brookpath.coordination.spec.SpecClient;
+import brookpath.coordination.configuration.ConfigurationClient;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -19,7 +19,7 @@
 final class DayOperators {
     private static final long REMOVED_KEY_MS = 5_000;
 
-    private final World world;
+    private final SimulatedCluster world;
     private final Callers callers;
     private final Map<Integer, Long> shown = new HashMap<>();
     private final TreeMap<Long, Long> confirmedAt = new TreeMap<>();
@@ -28,7 +28,7 @@
     private final Set<String> refused = new LinkedHashSet<>();
     private int changes;
 
-    DayOperators(final World world, final Callers callers) {
+    DayOperators(final SimulatedCluster world, final Callers callers) {
         this.world = world;
         this.callers = callers;
     }
@@ -48,7 +48,7 @@
         }
     }
 
-    /** The whole spec; the keys that may come and go are there where their tenant is in the list. */
+    /** The whole configuration; the keys that may come and go are there where their tenant is in the list. */
     String document(final long basedOn, final String changeId, final List<String> withKeys) {
         final StringBuilder sb =
                 new StringBuilder("{\"basedOn\":" + basedOn + ",\"changeId\":\"" + changeId + "\",\"spaces\":[");
@@ -80,9 +80,9 @@
 
     /** Hands a document to any controller, again and again under the same ID until it gets a final outcome. */
     void change(final String doc, final String changeId, final Consumer<Response> then) {
-        final Proc p = callers.anyController();
+        final SimulatedProcess p = callers.anyController();
         final long at = world.now();
-        callers.ask(p, id -> new Job.Operate(id, "change", doc.getBytes(UTF_8)), r -> {
+        callers.ask(p, id -> new NodeRequest.Operate(id, "change", doc.getBytes(UTF_8)), r -> {
             callers.service.asked("change", at, r.status() == 200 || (r.status() >= 400 && r.status() < 500));
             if (r.status() == 200) {
                 final long version = Callers.json(r.json()).getInt("version");
@@ -93,7 +93,7 @@
                 refused.add(changeId);
                 then.accept(r);
             } else {
-                world.at(world.now() + 200 + world.rnd.nextInt(500), () -> change(doc, changeId, then));
+                world.at(world.now() + 200 + world.random.nextInt(500), () -> change(doc, changeId, then));
             }
         });
     }
@@ -110,22 +110,22 @@
         if (callers.quiet) {
             return;
         }
-        final Proc p = callers.anyController();
-        callers.ask(p, id -> new Job.Operate(id, "spec", new byte[0]), r -> {
+        final SimulatedProcess p = callers.anyController();
+        callers.ask(p, id -> new NodeRequest.Operate(id, "spec", new byte[0]), r -> {
             if (r.status() == 200 && !callers.quiet) {
                 final long version = Callers.json(r.json()).getInt("version");
-                final int racers = 1 + world.rnd.nextInt(2);
+                final int racers = 1 + world.random.nextInt(2);
                 for (int i = 0; i < racers; i++) {
-                    turn(version, world.rnd.nextInt(5) == 0);
+                    turn(version, world.random.nextInt(5) == 0);
                 }
             }
-            world.at(world.now() + every / 2 + world.rnd.nextLong(every), () -> raceOnAndOn(every));
+            world.at(world.now() + every / 2 + world.random.nextLong(every), () -> raceOnAndOn(every));
         });
     }
 
     /** Two operators hand over different documents made from the same version, at once. */
     void race() {
-        readSpec(r -> {
+        readConfiguration(r -> {
             if (r.status() == 200) {
                 world.count("staged races");
                 turn(Callers.json(r.json()).getInt("version"), false);
@@ -134,11 +134,11 @@
         });
     }
 
-    /** An operator's job that nobody waits for. */
+    /** An operator's request that nobody waits for. */
     void operate(final String kind, final byte[] body) {
         callers.ask(
                 callers.anyController(),
-                id -> new Job.Operate(id, kind, body),
+                id -> new NodeRequest.Operate(id, kind, body),
                 r -> world.count(kind + " said " + r.status()));
     }
 
@@ -146,7 +146,7 @@
     void turn(final long basedOn, final boolean nonsense) {
         final String changeId = "change-" + ++changes;
         final List<String> keys =
-                Callers.SHAKY.stream().filter(t -> world.rnd.nextInt(3) != 0).toList();
+                Callers.SHAKY.stream().filter(t -> world.random.nextInt(3) != 0).toList();
         final String doc = document(basedOn, changeId, keys);
         keys.forEach(t -> grantsUnderWay.merge("key-" + t, 1, Integer::sum));
         change(nonsense ? doc.replace("\"keepingSeconds\":30", "\"keepingSeconds\":-3") : doc, changeId, res -> {
@@ -169,26 +169,26 @@
         });
     }
 
-    void readSpec(final Consumer<Response> then) {
-        final Proc p = callers.anyController();
-        callers.ask(p, id -> new Job.Operate(id, "spec", new byte[0]), then);
+    void readConfiguration(final Consumer<Response> then) {
+        final SimulatedProcess p = callers.anyController();
+        callers.ask(p, id -> new NodeRequest.Operate(id, "spec", new byte[0]), then);
     }
 
     /** What every data-plane process shows, against what was confirmed. */
     void watch() {
-        for (final Proc p : world.procs.values()) {
-            final SpecClient c = !p.alive || p.frozen()
+        for (final SimulatedProcess p : world.processes.values()) {
+            final ConfigurationClient c = !p.alive || p.frozen()
                     ? null
-                    : p.node instanceof FrontNode f ? f.client() : p.node instanceof StorageNode s ? s.client() : null;
+                    : p.node instanceof GatewayNode f ? f.client() : p.node instanceof StorageNode s ? s.client() : null;
             if (c == null) {
                 continue;
             }
-            final long version = c.spec().version();
+            final long version = c.configuration().version();
             final Map.Entry<Long, Long> missing = confirmedAt.higherEntry(version);
             if (missing != null
                     && world.now()
-                            > Math.max(missing.getValue(), world.wellness.specExcusedUntil(p.id))
-                                    + world.tempo.changeMs()) {
+                            > Math.max(missing.getValue(), world.wellness.configurationExcusedUntil(p.id))
+                                    + world.timing.changeMs()) {
                 world.history.violation(
                         world.now(),
                         "node " + p.id + " has spec " + version + " still, " + (world.now() - missing.getValue())
@@ -208,11 +208,11 @@
                         "node " + p.id + " honours spec " + version + " while " + newest.getKey() + " was confirmed at "
                                 + newest.getValue());
             }
-            if (version > 0 && refused.contains(c.spec().changeId())) {
+            if (version > 0 && refused.contains(c.configuration().changeId())) {
                 world.history.violation(
                         world.now(),
                         "node " + p.id + " honours the refused change "
-                                + c.spec().changeId());
+                                + c.configuration().changeId());
             }
         }
     }
--- a/trial/src/main/java/brookpath/trial/sim/Wellness.java
+++ b/testing/src/main/java/brookpath/testing/sim/ExpectedOutages.java
@@ -1,4 +1,4 @@
-package brookpath.trial.sim;
+package brookpath.testing.sim;
 
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Member;
@@ -13,7 +13,7 @@
  * and nothing else. These are the only excuses that the judges take; a slow disk, a lossy link, a wrong clock or a mere
  * kill of somebody else excuses nothing.
  */
-final class Wellness {
+final class ExpectedOutages {
     /** What may excuse a judgement. */
     enum Excuse {
         DOWN,
@@ -22,7 +22,7 @@
         NO_GROUP
     }
 
-    private final World world;
+    private final SimulatedCluster world;
     private final TreeMap<Integer, Long> downUntil = new TreeMap<>();
     private final TreeMap<Integer, Long> cutOffUntil = new TreeMap<>();
     private final TreeMap<Integer, TreeMap<Integer, Long>> groupCutOffUntil = new TreeMap<>();
@@ -30,12 +30,12 @@
     private long noControlUntil;
     private long machinesOutUntil;
 
-    Wellness(final World world) {
+    ExpectedOutages(final SimulatedCluster world) {
         this.world = world;
     }
 
     private boolean works(final int id) {
-        final Proc p = world.procs.get(id);
+        final SimulatedProcess p = world.processes.get(id);
         return p.alive && !p.frozen();
     }
 
@@ -71,11 +71,11 @@
     }
 
     private boolean rebuilt(final int id) {
-        return world.procs.get(id).node instanceof ControllerNode b && b.group().lost();
+        return world.processes.get(id).node instanceof ControllerNode b && b.group().lost();
     }
 
     /** Seen between two looks. */
-    void down(final Proc p) {
+    void down(final SimulatedProcess p) {
         downUntil.put(p.id, world.now());
         machinesOutUntil = world.now();
     }
@@ -87,7 +87,7 @@
             noControlUntil = now;
         }
         final boolean cuts = world.net.anyCut();
-        for (final Proc p : world.procs.values()) {
+        for (final SimulatedProcess p : world.processes.values()) {
             if (!p.alive || p.frozen()) {
                 downUntil.put(p.id, now);
                 machinesOutUntil = p.goneForGood ? machinesOutUntil : now;
@@ -97,7 +97,7 @@
         }
         // why: one slow disk excuses nothing; two at once are more than the one machine whose loss must be survived
         final long slow = world.storages.stream()
-                .filter(id -> world.procs.get(id).syncMs > 50)
+                .filter(id -> world.processes.get(id).syncMs > 50)
                 .count();
         machinesOutUntil = cuts || slow > 1 ? now : machinesOutUntil;
         for (int g = 0; g < world.groups; g++) {
@@ -108,7 +108,7 @@
     private void watchGroup(final int g, final List<Integer> control, final boolean cuts, final long now) {
         List<Integer> members = List.of();
         for (final int id : world.storages) {
-            final GroupMachine m = world.procs.get(id).node instanceof StorageNode s ? s.group(g) : null;
+            final GroupMachine m = world.processes.get(id).node instanceof StorageNode s ? s.group(g) : null;
             if (m != null && members.isEmpty() && works(id)) {
                 members = m.members().stream().map(Member::node).toList();
             }
@@ -123,18 +123,18 @@
             noGroupUntil.put(g, now);
         }
         if (cuts) {
-            for (final int front : world.fronts) {
-                if (joinedTo(front, core).size() <= members.size() / 2) {
+            for (final int gateway : world.gateways) {
+                if (joinedTo(gateway, core).size() <= members.size() / 2) {
                     groupCutOffUntil
-                            .computeIfAbsent(front, k -> new TreeMap<>())
+                            .computeIfAbsent(gateway, k -> new TreeMap<>())
                             .put(g, now);
                 }
             }
         }
     }
 
-    /** The latest instant at which something excused this process from knowing the newest spec. */
-    long specExcusedUntil(final int id) {
+    /** The latest instant at which something excused this process from knowing the newest configuration. */
+    long configurationExcusedUntil(final int id) {
         return Math.max(noControlUntil, Math.max(downUntil.getOrDefault(id, 0L), cutOffUntil.getOrDefault(id, 0L)));
     }
 
@@ -142,15 +142,15 @@
         return noControlUntil;
     }
 
-    /** The latest instant at which something kept this front from delivering the group's records, by what. */
-    TreeMap<Excuse, Long> deliveryExcuses(final int front, final int group) {
+    /** The latest instant at which something kept this gateway from delivering the group's records, by what. */
+    TreeMap<Excuse, Long> deliveryExcuses(final int gateway, final int group) {
         final TreeMap<Excuse, Long> until = new TreeMap<>();
-        until.put(Excuse.DOWN, downUntil.getOrDefault(front, 0L));
+        until.put(Excuse.DOWN, downUntil.getOrDefault(gateway, 0L));
         until.put(
                 Excuse.CUT_OFF,
                 Math.max(
-                        cutOffUntil.getOrDefault(front, 0L),
-                        groupCutOffUntil.getOrDefault(front, new TreeMap<>()).getOrDefault(group, 0L)));
+                        cutOffUntil.getOrDefault(gateway, 0L),
+                        groupCutOffUntil.getOrDefault(gateway, new TreeMap<>()).getOrDefault(group, 0L)));
         until.put(Excuse.NO_CONTROL, noControlUntil);
         until.put(Excuse.NO_GROUP, noGroupUntil.getOrDefault(group, 0L));
         return until;
--- a/trial/src/main/java/brookpath/trial/sim/GroupFuzz.java
+++ b/testing/src/main/java/brookpath/testing/sim/GroupFuzz.java
@@ -1,18 +1,18 @@
-package brookpath.trial.sim;
+package brookpath.testing.sim;
 
-import brookpath.coordination.Tempo;
+import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Action;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.beat.BeatMachine;
-import brookpath.coordination.beat.Pledges;
-import brookpath.coordination.group.Copies;
+import brookpath.coordination.heartbeat.HeartbeatMonitor;
+import brookpath.coordination.heartbeat.HeartbeatPromises;
+import brookpath.coordination.group.Quorums;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Member;
 import brookpath.coordination.group.Membership;
-import brookpath.coordination.message.Msg;
+import brookpath.coordination.message.PeerMessage;
 import brookpath.coordination.topic.TopicState;
-import brookpath.state.record.Pack;
-import brookpath.state.record.Rec;
+import brookpath.state.record.PackedBuffer;
+import brookpath.state.record.LogRecord;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -23,8 +23,8 @@
 
 /**
  * One replication group alone, on a network that loses, delays and reorders far more than TCP would, with members that
- * freeze, lose power and come back, always in numbers that may happen. Looks at the inside: masters per epoch, accepted
- * records, acting masters.
+ * freeze, lose power and come back, always in numbers that may happen. Looks at the inside: leaders per term, committed
+ * records, acting leaders.
  */
 public final class GroupFuzz {
     private static final int GROUP = 0;
@@ -35,7 +35,7 @@
      * @param dropPerMille of messages
      * @param calmMs between failures
      * @param maxLag between threads
-     * @param spares nodes that are no members at first; where there are any, the masters change the membership
+     * @param spares nodes that are no members at first; where there are any, the leaders change the membership
      */
     public record Style(
             int members,
@@ -51,8 +51,8 @@
     public record Outcome(
             long seed,
             List<String> violations,
-            long accepted,
-            int masters,
+            long committed,
+            int leaders,
             int crashes,
             int changes,
             List<String> trace) {}
@@ -64,9 +64,9 @@
         final List<byte[]> disk = new ArrayList<>();
         final List<byte[]> unsynced = new ArrayList<>();
         Actions out;
-        Actions beatOut;
+        Actions heartbeatOut;
         GroupMachine g;
-        BeatMachine beats;
+        HeartbeatMonitor heartbeats;
         int life;
         boolean alive;
         long frozenUntil;
@@ -76,8 +76,8 @@
         long entriesLagUntil;
         int lastRole;
         String lastWhy = "";
-        long lastAccepted;
-        TreeSet<Integer> siblings;
+        long lastCommitted;
+        TreeSet<Integer> peers;
 
         Unit(final int id) {
             this.id = id;
@@ -87,16 +87,16 @@
             life++;
             alive = true;
             syncing = false;
-            lastRole = GroupMachine.SLAVE;
+            lastRole = GroupMachine.FOLLOWER;
             out = new Actions();
-            beatOut = new Actions();
-            final Pledges pledges = new Pledges(tempo.down());
-            beats = new BeatMachine(tempo, tempo.beat(), pledges);
-            siblings = null;
-            g = new GroupMachine(GROUP, id, tempo, 1, seed, () -> new TopicState(t -> 600_000, 10_000), pledges, out);
+            heartbeatOut = new Actions();
+            final HeartbeatPromises promises = new HeartbeatPromises(timing.down());
+            heartbeats = new HeartbeatMonitor(timing, timing.heartbeat(), promises);
+            peers = null;
+            g = new GroupMachine(GROUP, id, timing, 1, seed, () -> new TopicState(t -> 600_000, 10_000), promises, out);
             unsynced.clear();
             for (final byte[] entry : disk) {
-                final Pack in = Pack.reader(entry);
+                final PackedBuffer in = PackedBuffer.reader(entry);
                 in.num();
                 g.replay(in, now);
             }
@@ -113,7 +113,7 @@
         }
 
         void tick(final int ofLife) {
-            at(tempo.tick(), () -> {
+            at(timing.tick(), () -> {
                 if (alive && life == ofLife) {
                     run(() -> {});
                     tick(ofLife);
@@ -121,7 +121,7 @@
             });
         }
 
-        /** Beats go to whom the newest membership here names, as the nodes have it. */
+        /** Heartbeats go to whom the newest membership here names, as the nodes have it. */
         private void meetMembers() {
             final TreeSet<Integer> others = new TreeSet<>();
             if (g.membership().holds(id)) {
@@ -129,9 +129,9 @@
                 g.membership().learners().forEach(m -> others.add(m.node()));
             }
             others.remove(id);
-            if (!others.equals(siblings)) {
-                siblings = others;
-                beats.siblings(others);
+            if (!others.equals(peers)) {
+                peers = others;
+                heartbeats.peers(others);
             }
         }
 
@@ -149,7 +149,7 @@
                 return;
             }
             tellListener();
-            beats.tick(now, beatOut);
+            heartbeats.tick(now, heartbeatOut);
             event.run();
             takeTable();
             meetMembers();
@@ -161,40 +161,40 @@
         void takeTable() {
             if (now >= tableLagsUntil) {
                 tableLagsUntil = now + lag();
-                g.tick(now, beats.table());
+                g.tick(now, heartbeats.table());
             }
         }
 
         private void tellListener() {
             if (now >= entriesLagUntil) {
                 entriesLagUntil = now + lag();
-                beats.own(g.membership().holds(id) ? List.of(g.entry(now)) : List.of());
+                heartbeats.own(g.membership().holds(id) ? List.of(g.entry(now)) : List.of());
             }
         }
 
         private long lag() {
-            return rnd.nextInt(1000) < style.lagPerMille ? rnd.nextInt(style.maxLag) : 0;
+            return random.nextInt(1000) < style.lagPerMille ? random.nextInt(style.maxLag) : 0;
         }
 
         void obey() {
-            boolean beatNow = false;
+            boolean heartbeatNow = false;
             final List<Action> actions = new ArrayList<>(out.drain());
-            actions.addAll(beatOut.drain());
+            actions.addAll(heartbeatOut.drain());
             for (final Action a : actions) {
                 if (a instanceof Action.Send s) {
-                    send(id, s.node(), s.msg());
+                    send(id, s.node(), s.message());
                 } else if (a instanceof Action.Write w) {
                     unsynced.add(w.entry());
                     last = w.number();
-                } else if (a instanceof Action.BeatNow) {
-                    beatNow = true;
+                } else if (a instanceof Action.HeartbeatNow) {
+                    heartbeatNow = true;
                 } else if (a instanceof Action.Note n && n.grave()) {
                     violation(n.text());
                 }
             }
-            if (beatNow) {
+            if (heartbeatNow) {
                 tellListener();
-                beats.beatNow(now, beatOut);
+                heartbeats.heartbeatNow(now, heartbeatOut);
                 obey();
             }
             sync();
@@ -210,7 +210,7 @@
             final int ofLife = life;
             final int n = unsynced.size();
             final long upTo = last;
-            at(syncMs + rnd.nextInt(3), () -> {
+            at(syncMs + random.nextInt(3), () -> {
                 if (!alive || life != ofLife) {
                     return;
                 }
@@ -223,20 +223,20 @@
         }
     }
 
-    private final Tempo tempo = Tempo.DEFAULT;
+    private final TimingBounds timing = TimingBounds.DEFAULT;
     private final long seed;
     private final Style style;
-    private final SplittableRandom rnd;
+    private final SplittableRandom random;
     private final List<Member> members = new ArrayList<>();
     private final TreeMap<Integer, Unit> units = new TreeMap<>();
     private final PriorityQueue<Due> queue =
             new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
-    private final TreeMap<Long, Integer> masterOf = new TreeMap<>();
-    private final TreeMap<Long, byte[]> accepted = new TreeMap<>();
-    private final TreeMap<Long, Long> acceptedIn = new TreeMap<>();
+    private final TreeMap<Long, Integer> leaderOf = new TreeMap<>();
+    private final TreeMap<Long, byte[]> committed = new TreeMap<>();
+    private final TreeMap<Long, Long> committedIn = new TreeMap<>();
     private final List<String> violations = new ArrayList<>();
     private final List<String> trace = new ArrayList<>();
-    /** The newest membership that an acting master has accepted, as the other nodes are told of it. */
+    /** The newest membership that an acting leader has committed, as the other nodes are told of it. */
     private Membership told = Membership.NONE;
 
     private int crashes;
@@ -249,9 +249,9 @@
     private GroupFuzz(final long seed, final Style style) {
         this.seed = seed;
         this.style = style;
-        rnd = new SplittableRandom(seed);
+        random = new SplittableRandom(seed);
         for (int i = 1; i <= style.members; i++) {
-            members.add(new Member(i, 50 + 10 * rnd.nextInt(3), ""));
+            members.add(new Member(i, 50 + 10 * random.nextInt(3), ""));
         }
     }
 
@@ -270,22 +270,22 @@
         }
     }
 
-    private void send(final int from, final int to, final Msg msg) {
-        if (rnd.nextInt(1000) < style.dropPerMille
-                || (from == cutUnit && rnd.nextInt(3) > 0)
+    private void send(final int from, final int to, final PeerMessage message) {
+        if (random.nextInt(1000) < style.dropPerMille
+                || (from == cutUnit && random.nextInt(3) > 0)
                 || to == cutUnit
                 || cutPair == ((1 << from) | (1 << to))) {
             return;
         }
-        final long delay = rnd.nextInt(20) == 0 ? rnd.nextLong(style.maxDelay + 1) : rnd.nextInt(3);
+        final long delay = random.nextInt(20) == 0 ? random.nextLong(style.maxDelay + 1) : random.nextInt(3);
         at(delay, () -> {
             final Unit u = units.get(to);
             u.run(() -> {
-                if (msg instanceof Msg.Beat beat) {
-                    u.beats.onBeat(from, beat, now, u.beatOut);
+                if (message instanceof PeerMessage.Heartbeat heartbeat) {
+                    u.heartbeats.onHeartbeat(from, heartbeat, now, u.heartbeatOut);
                     u.takeTable();
                 } else {
-                    u.g.on(from, msg, now);
+                    u.g.on(from, message, now);
                 }
             });
         });
@@ -293,42 +293,42 @@
 
     private void look(final Unit u) {
         final GroupMachine g = u.g;
-        if (g.role() == GroupMachine.MASTER && u.lastRole != GroupMachine.MASTER) {
-            final Integer other = masterOf.put(g.epoch(), u.id);
+        if (g.role() == GroupMachine.LEADER && u.lastRole != GroupMachine.LEADER) {
+            final Integer other = leaderOf.put(g.term(), u.id);
             if (other != null && other != u.id) {
-                violation("epoch " + g.epoch() + " has two masters, " + other + " and " + u.id);
+                violation("epoch " + g.term() + " has two masters, " + other + " and " + u.id);
             }
-            accepted.forEach((lsn, bytes) -> {
-                // why: a go that was won late, in an older epoch, may lack what a later master accepted; it cannot act
-                if (acceptedIn.get(lsn) < g.epoch()
-                        && (lsn > g.endLsn()
-                                || (lsn > g.baseLsn()
-                                        && !Arrays.equals(g.rec(lsn).bytes(), bytes)))) {
-                    violation("master " + u.id + " of epoch " + g.epoch() + " lacks accepted record " + lsn);
+            committed.forEach((index, bytes) -> {
+                // why: a go that was won late, in an older term, may lack what a later leader committed; it cannot act
+                if (committedIn.get(index) < g.term()
+                        && (index > g.endIndex()
+                                || (index > g.baseIndex()
+                                        && !Arrays.equals(g.logRecord(index).bytes(), bytes)))) {
+                    violation("master " + u.id + " of epoch " + g.term() + " lacks accepted record " + index);
                 }
             });
         }
-        if (g.role() == GroupMachine.MASTER
-                && u.lastRole == GroupMachine.MASTER
-                && g.accepted() > u.lastAccepted
-                && g.accepted() < g.openLsn()) {
-            // why: what that can do shows only after three more changes of master, so the rule itself is looked at
-            violation("master " + u.id + " of epoch " + g.epoch() + " calls " + g.accepted()
-                    + " accepted before its own record at " + g.openLsn());
+        if (g.role() == GroupMachine.LEADER
+                && u.lastRole == GroupMachine.LEADER
+                && g.committed() > u.lastCommitted
+                && g.committed() < g.openIndex()) {
+            // why: what that can do shows only after three more changes of leader, so the rule itself is looked at
+            violation("master " + u.id + " of epoch " + g.term() + " calls " + g.committed()
+                    + " accepted before its own record at " + g.openIndex());
         }
-        u.lastAccepted = g.accepted();
+        u.lastCommitted = g.committed();
         u.lastRole = g.role();
         if (!g.why().equals(u.lastWhy)) {
             u.lastWhy = g.why();
-            trace.add(now + " member " + u.id + " epoch " + g.epoch() + " accepted " + g.accepted() + " synced "
-                    + g.syncedLsn() + " end " + g.endLsn() + ": " + g.why());
+            trace.add(now + " member " + u.id + " epoch " + g.term() + " accepted " + g.committed() + " synced "
+                    + g.syncedIndex() + " end " + g.endIndex() + ": " + g.why());
         }
-        for (long lsn = accepted.isEmpty() ? 1 : Math.max(1, accepted.lastKey() - 3); lsn <= g.accepted(); lsn++) {
-            if (lsn > g.baseLsn()) {
-                final byte[] other = accepted.putIfAbsent(lsn, g.rec(lsn).bytes());
-                acceptedIn.putIfAbsent(lsn, g.epoch());
-                if (other != null && !Arrays.equals(other, g.rec(lsn).bytes())) {
-                    violation("member " + u.id + " holds another record as accepted at " + lsn);
+        for (long index = committed.isEmpty() ? 1 : Math.max(1, committed.lastKey() - 3); index <= g.committed(); index++) {
+            if (index > g.baseIndex()) {
+                final byte[] other = committed.putIfAbsent(index, g.logRecord(index).bytes());
+                committedIn.putIfAbsent(index, g.term());
+                if (other != null && !Arrays.equals(other, g.logRecord(index).bytes())) {
+                    violation("member " + u.id + " holds another record as accepted at " + index);
                 }
             }
         }
@@ -342,14 +342,14 @@
     }
 
     private void publish() {
-        at(5 + rnd.nextInt(30), () -> {
+        at(5 + random.nextInt(30), () -> {
             for (final Unit u : units.values()) {
                 if (u.alive && now >= u.frozenUntil && u.g.mayAct(now)) {
                     u.run(() -> {
                         if (u.g.mayAct(now)) {
                             u.g.append(
-                                    Rec.PUBLISH,
-                                    Rec.publishBody(order, 2, "t", "s/t", "a" + u.id, "x" + order),
+                                    LogRecord.PUBLISH,
+                                    LogRecord.publishBody(order, 2, "t", "s/t", "a" + u.id, "x" + order),
                                     now,
                                     now);
                         }
@@ -361,34 +361,34 @@
     }
 
     private void fault() {
-        at(style.calmMs / 2 + rnd.nextLong(style.calmMs), () -> {
-            final Unit u = units.get(1 + rnd.nextInt(units.size()));
-            switch (rnd.nextInt(7)) {
+        at(style.calmMs / 2 + random.nextLong(style.calmMs), () -> {
+            final Unit u = units.get(1 + random.nextInt(units.size()));
+            switch (random.nextInt(7)) {
                 case 0, 1 -> {
                     // why: often everyone loses power, since what is synced must outlast even that
-                    for (final Unit each : rnd.nextInt(3) == 0 ? units.values() : List.of(u)) {
+                    for (final Unit each : random.nextInt(3) == 0 ? units.values() : List.of(u)) {
                         if (each.alive) {
                             crashes++;
-                            trace.add(now + " member " + each.id + " loses power at synced " + each.g.syncedLsn()
-                                    + " of " + each.g.endLsn());
+                            trace.add(now + " member " + each.id + " loses power at synced " + each.g.syncedIndex()
+                                    + " of " + each.g.endIndex());
                             each.alive = false;
                             each.life++;
                             // why: a member that is back at once has forgotten what it answered, and others still count
                             // on it
-                            at(rnd.nextLong(rnd.nextBoolean() ? 150 : 1_500), () -> each.start(false));
+                            at(random.nextLong(random.nextBoolean() ? 150 : 1_500), () -> each.start(false));
                         }
                     }
                 }
-                case 2 -> u.frozenUntil = now + (rnd.nextBoolean() ? rnd.nextLong(2_500) : 350 + rnd.nextLong(400));
-                case 3 -> u.syncMs = rnd.nextInt(400);
+                case 2 -> u.frozenUntil = now + (random.nextBoolean() ? random.nextLong(2_500) : 350 + random.nextLong(400));
+                case 3 -> u.syncMs = random.nextInt(400);
                 case 4 -> {
                     cutUnit = u.id;
-                    at(rnd.nextLong(3_000), () -> cutUnit = 0);
+                    at(random.nextLong(3_000), () -> cutUnit = 0);
                 }
                 case 5 -> {
                     // why: two that do not hear each other while a third hears both
-                    cutPair = (1 << u.id) | (1 << (1 + rnd.nextInt(units.size())));
-                    at(rnd.nextLong(3_000), () -> cutPair = 0);
+                    cutPair = (1 << u.id) | (1 << (1 + random.nextInt(units.size())));
+                    at(random.nextLong(3_000), () -> cutPair = 0);
                 }
                 default -> units.values().forEach(each -> each.syncMs = 1);
             }
@@ -396,15 +396,15 @@
         });
     }
 
-    /** Masters try one step after the other, sensible or not, and all nodes hear of what was accepted, late. */
+    /** Leaders try one step after the other, sensible or not, and all nodes hear of what was committed, late. */
     private void reshape() {
-        at(20 + rnd.nextInt(400), () -> {
+        at(20 + random.nextInt(400), () -> {
             for (final Unit u : units.values()) {
-                if (u.alive && now >= u.frozenUntil && u.g.role() == GroupMachine.MASTER) {
+                if (u.alive && now >= u.frozenUntil && u.g.role() == GroupMachine.LEADER) {
                     u.run(() -> step(u.g));
                 }
                 if (u.alive
-                        && rnd.nextInt(3) == 0
+                        && random.nextInt(3) == 0
                         && (told.holds(u.id) || u.g.membership().holds(u.id))) {
                     u.run(() -> {
                         if (told.version() > u.g.membership().version()) {
@@ -423,7 +423,7 @@
             told = m;
         }
         final Membership next = proposal(m);
-        final long before = g.accepted();
+        final long before = g.committed();
         if (next != null && next.voters().size() <= style.members + 1 && g.change(next, now, now)) {
             changes++;
             judge(m, next, before);
@@ -432,7 +432,7 @@
 
     /** Some next membership, good or bad; null for none. */
     private Membership proposal(final Membership m) {
-        final Member any = new Member(1 + rnd.nextInt(units.size()), 50, "");
+        final Member any = new Member(1 + random.nextInt(units.size()), 50, "");
         if (!m.holds(any.node())) {
             return m.withLearner(any);
         }
@@ -440,40 +440,40 @@
             return m.voters().size() > 3 ? m.withoutVoter(any.node()) : null;
         }
         final Membership promoted = m.promoted(any);
-        final int other = m.voters().get(rnd.nextInt(m.voters().size())).node();
-        return rnd.nextInt(4) > 0
+        final int other = m.voters().get(random.nextInt(m.voters().size())).node();
+        return random.nextInt(4) > 0
                 ? promoted
                 : new Membership(
                         promoted.version(), promoted.withoutVoter(other).voters(), promoted.learners());
     }
 
     /** What a change must not do, though its harm would show only after further failures. */
-    private void judge(final Membership from, final Membership to, final long acceptedBefore) {
+    private void judge(final Membership from, final Membership to, final long committedBefore) {
         final List<Member> joining = Membership.missing(to.voters(), from.voters());
         final List<Member> leaving = Membership.missing(from.voters(), to.voters());
         if (joining.size() + leaving.size() > 1) {
             violation("several voters change at once, from " + from + " to " + to);
         }
-        if (joining.stream().anyMatch(j -> !holds(j, acceptedBefore))) {
+        if (joining.stream().anyMatch(j -> !holds(j, committedBefore))) {
             violation("a voter joins without its copy, from " + from + " to " + to);
         }
         final long copies =
-                to.voters().stream().filter(v -> holds(v, acceptedBefore)).count();
-        if (copies < Copies.floor(to.voters().size(), 1)) {
+                to.voters().stream().filter(v -> holds(v, committedBefore)).count();
+        if (copies < Quorums.floor(to.voters().size(), 1)) {
             violation("only " + copies + " of the next voters hold what is accepted, from " + from + " to " + to);
         }
     }
 
-    private boolean holds(final Member member, final long lsn) {
+    private boolean holds(final Member member, final long index) {
         final GroupMachine g = units.get(member.node()).g;
-        return g != null && !g.lost() && g.syncedLsn() >= lsn;
+        return g != null && !g.lost() && g.syncedIndex() >= index;
     }
 
     private Outcome live() {
         for (int node = 1; node <= style.members + style.spares; node++) {
             final Unit u = new Unit(node);
             units.put(node, u);
-            at(rnd.nextInt(300), () -> u.start(true));
+            at(random.nextInt(300), () -> u.start(true));
         }
         at(400, () -> {
             publish();
@@ -488,7 +488,7 @@
             now = due.at;
             due.what.run();
         }
-        return new Outcome(seed, violations, accepted.size(), masterOf.size(), crashes, changes, trace);
+        return new Outcome(seed, violations, committed.size(), leaderOf.size(), crashes, changes, trace);
     }
 
     /** {@code FIRST COUNT}: many seeds in several styles; exits 1 where one had a violation. */
@@ -501,8 +501,8 @@
             for (final Style style : STYLES) {
                 final Outcome o = live(s, style);
                 synchronized (bad) {
-                    work[0] += o.accepted;
-                    work[1] += o.masters;
+                    work[0] += o.committed;
+                    work[1] += o.leaders;
                     work[2] += o.changes;
                     if (!o.violations.isEmpty()) {
                         bad[0]++;
--- a/trial/src/main/java/brookpath/trial/sim/MachineFaults.java
+++ b/testing/src/main/java/brookpath/testing/sim/MachineFaults.java
@@ -1,7 +1,7 @@
-package brookpath.trial.sim;
+package brookpath.testing.sim;
 
-import brookpath.coordination.node.Job;
-import brookpath.trial.oracle.control.ControlHistory;
+import brookpath.coordination.node.NodeRequest;
+import brookpath.testing.oracle.control.ControlHistory;
 import java.util.List;
 
 /**
@@ -18,13 +18,13 @@
     private static final long REPEATED_DOWN_MS = 200;
     private static final long RESTART_EVERY_MS = 1_000;
 
-    private final World world;
+    private final SimulatedCluster world;
     private final ControlFleet fleet;
     private final ControlHistory history;
     private final ControlCall calls;
     private long outUntil;
 
-    MachineFaults(final World world, final ControlFleet fleet, final ControlHistory history, final ControlCall calls) {
+    MachineFaults(final SimulatedCluster world, final ControlFleet fleet, final ControlHistory history, final ControlCall calls) {
         this.world = world;
         this.fleet = fleet;
         this.history = history;
@@ -41,12 +41,12 @@
     }
 
     /** A machine is out from now until it is back at that moment and has caught up. */
-    private void out(final Proc proc, final long spanMs) {
+    private void out(final SimulatedProcess process, final long spanMs) {
         final long backAt = world.now() + spanMs;
         outUntil = Math.max(outUntil, backAt + CATCH_UP_MS);
         trouble();
         world.at(backAt, this::trouble);
-        history.availability.excuse(proc.id, backAt);
+        history.availability.excuse(process.id, backAt);
     }
 
     /** The core is unsettled by what happens now. */
@@ -56,31 +56,31 @@
 
     // ---- down and back
 
-    void down(final Proc proc, final boolean powerLoss, final long spanMs) {
-        out(proc, spanMs);
-        world.kill(proc, powerLoss);
-        world.at(world.now() + spanMs, () -> back(proc));
+    void down(final SimulatedProcess process, final boolean powerLoss, final long spanMs) {
+        out(process, spanMs);
+        world.kill(process, powerLoss);
+        world.at(world.now() + spanMs, () -> back(process));
     }
 
     /** Starts what does not run, unless it was shut down for good meanwhile. */
-    private void back(final Proc proc) {
-        if (!proc.goneForGood) {
-            world.restart(proc);
+    private void back(final SimulatedProcess process) {
+        if (!process.goneForGood) {
+            world.restart(process);
         }
     }
 
-    void wipe(final Proc proc, final long spanMs) {
-        down(proc, true, spanMs);
-        proc.disk.wipe();
+    void wipe(final SimulatedProcess process, final long spanMs) {
+        down(process, true, spanMs);
+        process.disk.wipe();
     }
 
     /**
      * A controller restarts several times in a row, each time with the time of day of its last start, as without a
-     * battery; a front stands still meanwhile, so that changes wait for its lease and are under way at each restart.
+     * battery; a gateway stands still meanwhile, so that changes wait for its lease and are under way at each restart.
      */
-    void clockRepeats(final Proc controller, final Proc front, final int restarts, final long upMs) {
+    void clockRepeats(final SimulatedProcess controller, final SimulatedProcess gateway, final int restarts, final long upMs) {
         final long skew = controller.skew;
-        world.freeze(front, restarts * (REPEATED_DOWN_MS + upMs));
+        world.freeze(gateway, restarts * (REPEATED_DOWN_MS + upMs));
         for (int i = 0; i < restarts; i++) {
             world.at(world.now() + i * (REPEATED_DOWN_MS + upMs), () -> {
                 controller.skew -= world.now() + REPEATED_DOWN_MS - fleet.startedAt(controller);
@@ -92,25 +92,25 @@
         world.at(world.now() + spanMs, () -> controller.skew = skew);
     }
 
-    void freeze(final Proc proc, final long spanMs) {
-        out(proc, spanMs);
-        world.freeze(proc, spanMs);
+    void freeze(final SimulatedProcess process, final long spanMs) {
+        out(process, spanMs);
+        world.freeze(process, spanMs);
     }
 
     /** All counted machines, or all there are, go at once and come back one by one. */
-    void allDown(final boolean powerLoss, final boolean frontsToo) {
-        final List<Proc> all = frontsToo ? List.copyOf(world.procs.values()) : fleet.counted();
-        for (final Proc proc : all) {
-            if (!proc.goneForGood) {
-                down(proc, powerLoss, 200 + world.rnd.nextLong(1_500));
+    void allDown(final boolean powerLoss, final boolean gatewaysToo) {
+        final List<SimulatedProcess> all = gatewaysToo ? List.copyOf(world.processes.values()) : fleet.counted();
+        for (final SimulatedProcess process : all) {
+            if (!process.goneForGood) {
+                down(process, powerLoss, 200 + world.random.nextLong(1_500));
             }
         }
     }
 
     void rollingRestart(final long downMs) {
         long at = 0;
-        for (final Proc proc : fleet.controllers()) {
-            world.at(world.now() + at, () -> down(proc, false, downMs));
+        for (final SimulatedProcess process : fleet.controllers()) {
+            world.at(world.now() + at, () -> down(process, false, downMs));
             at += downMs + CATCH_UP_MS;
         }
         outUntil = Math.max(outUntil, world.now() + at);
@@ -125,16 +125,16 @@
         HEARING
     }
 
-    void cut(final Proc proc, final List<Proc> from, final Direction direction, final long spanMs) {
-        out(proc, spanMs);
+    void cut(final SimulatedProcess process, final List<SimulatedProcess> from, final Direction direction, final long spanMs) {
+        out(process, spanMs);
         excuseThoseCutFromCore(from, spanMs);
-        world.note(proc.id, "is cut off, " + direction + ", for " + spanMs, false);
-        for (final Proc other : from) {
+        world.note(process.id, "is cut off, " + direction + ", for " + spanMs, false);
+        for (final SimulatedProcess other : from) {
             if (direction != Direction.HEARING) {
-                world.net.cut(proc.id, other.id);
+                world.net.cut(process.id, other.id);
             }
             if (direction != Direction.SENDING) {
-                world.net.cut(other.id, proc.id);
+                world.net.cut(other.id, process.id);
             }
         }
         world.at(world.now() + spanMs, world.net::heal);
@@ -144,30 +144,30 @@
      * A controller is in touch only where it reaches every other that itself reaches more than half of them; whoever is
      * cut off from such a one is excused.
      */
-    private void excuseThoseCutFromCore(final List<Proc> from, final long spanMs) {
-        final List<Proc> cut = from.stream().filter(fleet::isController).toList();
+    private void excuseThoseCutFromCore(final List<SimulatedProcess> from, final long spanMs) {
+        final List<SimulatedProcess> cut = from.stream().filter(fleet::isController).toList();
         if (2 * (fleet.controllers().size() - cut.size()) > fleet.controllers().size()) {
             cut.forEach(other -> history.availability.excuse(other.id, world.now() + spanMs));
         }
     }
 
-    void cutFromCallersToo(final Proc proc, final long spanMs) {
-        cut(proc, others(proc, List.copyOf(world.procs.values())), Direction.BOTH, spanMs);
-        calls.unreachable.add(proc.id);
-        world.at(world.now() + spanMs, () -> calls.unreachable.remove(proc.id));
+    void cutFromCallersToo(final SimulatedProcess process, final long spanMs) {
+        cut(process, others(process, List.copyOf(world.processes.values())), Direction.BOTH, spanMs);
+        calls.unreachable.add(process.id);
+        world.at(world.now() + spanMs, () -> calls.unreachable.remove(process.id));
     }
 
-    List<Proc> others(final Proc proc, final List<Proc> all) {
-        return all.stream().filter(other -> other != proc).toList();
+    List<SimulatedProcess> others(final SimulatedProcess process, final List<SimulatedProcess> all) {
+        return all.stream().filter(other -> other != process).toList();
     }
 
     // ---- replacement
 
     /** The machine is gone for good, and an empty one comes at another number. */
-    void replace(final Proc gone) {
+    void replace(final SimulatedProcess gone) {
         final boolean controller = fleet.isController(gone);
         remove(gone);
-        final Proc next = controller ? fleet.addController(gone.zone) : fleet.addStorage(gone.zone);
+        final SimulatedProcess next = controller ? fleet.addController(gone.zone) : fleet.addStorage(gone.zone);
         fleet.freshSeeds();
         out(next, REPLACEMENT_GAP_MS);
         world.note(next.id, "is to replace node " + gone.id, false);
@@ -175,15 +175,15 @@
     }
 
     /** The new controller comes first; the old one is asked to hand over, and ends. */
-    void replaceAnnounced(final Proc gone) {
-        final Proc next = fleet.addController(gone.zone);
+    void replaceAnnounced(final SimulatedProcess gone) {
+        final SimulatedProcess next = fleet.addController(gone.zone);
         fleet.freshSeeds();
         next.start();
         out(next, CATCH_UP_MS);
         world.note(next.id, "is to replace node " + gone.id + ", announced", false);
         world.at(world.now() + CATCH_UP_MS, () -> {
             out(gone, RETREAT_MS);
-            world.callers.asked(gone, Job.Retreat::new, response -> world.count("control: retreats"));
+            world.callers.asked(gone, NodeRequest.Retreat::new, response -> world.count("control: retreats"));
             world.at(world.now() + RETREAT_MS, () -> {
                 remove(gone);
                 fleet.freshSeeds();
@@ -192,7 +192,7 @@
     }
 
     /** A machine never comes back, and nobody is to wait for it. */
-    void remove(final Proc gone) {
+    void remove(final SimulatedProcess gone) {
         trouble();
         if (!fleet.isController(gone)) {
             history.retirements.removed(fleet.name(gone.id));
@@ -201,7 +201,7 @@
     }
 
     /** Another, empty machine comes at the number of one that is gone. */
-    void reuseAddress(final Proc gone) {
+    void reuseAddress(final SimulatedProcess gone) {
         out(gone, REPLACEMENT_GAP_MS);
         if (!fleet.isController(gone)) {
             history.retirements.removed(fleet.name(gone.id));
@@ -212,42 +212,42 @@
 
     /** One more storage machine, before another one is emptied. */
     void addStorage(final String zone) {
-        final Proc added = fleet.addStorage(zone);
+        final SimulatedProcess added = fleet.addStorage(zone);
         out(added, 0);
         added.start();
     }
 
     // ---- disks
 
-    void slowDisk(final Proc proc, final long syncMs, final long spanMs) {
-        out(proc, spanMs);
+    void slowDisk(final SimulatedProcess process, final long syncMs, final long spanMs) {
+        out(process, spanMs);
         history.availability.trouble(world.now() + spanMs);
-        proc.syncMs = syncMs;
-        world.at(world.now() + spanMs, () -> proc.syncMs = DISK_SYNC_MS);
+        process.syncMs = syncMs;
+        world.at(world.now() + spanMs, () -> process.syncMs = DISK_SYNC_MS);
     }
 
     /** The disk takes no bytes; whoever looks after the process starts it again and again should it end. */
-    void fullDisk(final Proc proc, final long spanMs) {
-        out(proc, spanMs);
+    void fullDisk(final SimulatedProcess process, final long spanMs) {
+        out(process, spanMs);
         history.availability.trouble(world.now() + spanMs);
-        proc.disk.full(true);
+        process.disk.full(true);
         for (long at = RESTART_EVERY_MS; at < spanMs; at += RESTART_EVERY_MS) {
-            world.at(world.now() + at, () -> back(proc));
+            world.at(world.now() + at, () -> back(process));
         }
         world.at(world.now() + spanMs, () -> {
-            proc.disk.full(false);
-            back(proc);
+            process.disk.full(false);
+            back(process);
         });
     }
 
     // ---- without a loss
 
     void clockStep(final long byMs, final long spanMs) {
-        for (final Proc proc : world.procs.values()) {
-            if (world.rnd.nextInt(10) < 3) {
-                proc.skew += byMs;
+        for (final SimulatedProcess process : world.processes.values()) {
+            if (world.random.nextInt(10) < 3) {
+                process.skew += byMs;
                 world.at(world.now() + spanMs, () -> {
-                    proc.skew -= byMs;
+                    process.skew -= byMs;
                     trouble();
                 });
             }
@@ -257,11 +257,11 @@
 
     /** Most sessions between processes break, and those with callers. */
     void resets() {
-        final List<Proc> all =
-                world.procs.values().stream().filter(p -> p.alive).toList();
+        final List<SimulatedProcess> all =
+                world.processes.values().stream().filter(p -> p.alive).toList();
         for (int i = 0; i < all.size(); i++) {
             for (int j = i + 1; j < all.size(); j++) {
-                if (world.rnd.nextInt(5) != 0) {
+                if (world.random.nextInt(5) != 0) {
                     world.net.reset(all.get(i), all.get(j));
                 }
             }
@@ -274,12 +274,12 @@
     void mend() {
         world.net.heal();
         calls.unreachable.clear();
-        for (final Proc proc : world.procs.values()) {
-            proc.syncMs = DISK_SYNC_MS;
-            if (proc.disk != null) {
-                proc.disk.full(false);
+        for (final SimulatedProcess process : world.processes.values()) {
+            process.syncMs = DISK_SYNC_MS;
+            if (process.disk != null) {
+                process.disk.full(false);
             }
-            back(proc);
+            back(process);
         }
         trouble();
     }
--- a/trial/src/main/java/brookpath/trial/sim/Mutation.java
+++ b/testing/src/main/java/brookpath/testing/sim/Mutation.java
@@ -1,4 +1,4 @@
-package brookpath.trial.sim;
+package brookpath.testing.sim;
 
 /** Ways to break the system on purpose, outside the production code, to see that a check goes red. */
 public enum Mutation {
--- a/trial/src/main/java/brookpath/trial/sim/Operators.java
+++ b/testing/src/main/java/brookpath/testing/sim/Operators.java
@@ -1,10 +1,10 @@
-package brookpath.trial.sim;
+package brookpath.testing.sim;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import brookpath.coordination.message.Response;
-import brookpath.trial.oracle.control.ChangeHistory.Change;
-import brookpath.trial.oracle.control.ControlHistory;
+import brookpath.testing.oracle.control.ChangeHistory.Change;
+import brookpath.testing.oracle.control.ControlHistory;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -15,9 +15,9 @@
 final class Operators {
     /** Hears of acknowledgements and of changes that were just sent, so that failures can strike right then. */
     interface Observer {
-        void acknowledged(Proc by);
+        void acknowledged(SimulatedProcess by);
 
-        void sent(Proc to);
+        void sent(SimulatedProcess to);
     }
 
     private static final int MOST_UNDER_WAY = 8;
@@ -32,7 +32,7 @@
     private static final int TOO_LATE = 408;
     private static final int TOO_MANY = 429;
 
-    private final World world;
+    private final SimulatedCluster world;
     private final ControlFleet fleet;
     private final ControlHistory history;
     private final ControlCall calls;
@@ -44,7 +44,7 @@
     private boolean storming;
     private boolean quiet;
 
-    Operators(final World world, final ControlFleet fleet, final ControlHistory history, final ControlCall calls) {
+    Operators(final SimulatedCluster world, final ControlFleet fleet, final ControlHistory history, final ControlCall calls) {
         this.world = world;
         this.fleet = fleet;
         this.history = history;
@@ -76,13 +76,13 @@
         if (quiet) {
             return;
         }
-        switch (world.rnd.nextInt(10)) {
+        switch (world.random.nextInt(10)) {
             case 0 -> race();
             case 1 -> order(false);
             case 2 -> repeat();
             default -> order(true);
         }
-        world.at(world.now() + every / 2 + world.rnd.nextLong(every), () -> work(every));
+        world.at(world.now() + every / 2 + world.random.nextLong(every), () -> work(every));
     }
 
     /** Two operators make different changes from the same version, at once. */
@@ -138,7 +138,7 @@
     /** The newest order, or an older one, that was acknowledged is sent once more, as by one who did not hear of it. */
     private void repeat() {
         if (!acknowledged.isEmpty() && underWay < MOST_UNDER_WAY) {
-            final int back = world.rnd.nextBoolean() ? 1 : 1 + world.rnd.nextInt(acknowledged.size());
+            final int back = world.random.nextBoolean() ? 1 : 1 + world.random.nextInt(acknowledged.size());
             repeat(acknowledged.get(acknowledged.size() - Math.min(back, REPEATED_WITHIN)));
         }
     }
@@ -150,7 +150,7 @@
         send(change, anyController(null), 0);
     }
 
-    private void send(final Change change, final Proc to, final int tries) {
+    private void send(final Change change, final SimulatedProcess to, final int tries) {
         world.count(tries == 0 ? "control: orders" : "control: orders sent again");
         calls.call(
                 to,
@@ -163,7 +163,7 @@
         }
     }
 
-    private void answered(final Change change, final Proc by, final int tries, final Response response) {
+    private void answered(final Change change, final SimulatedProcess by, final int tries, final Response response) {
         if (!isFinal(response.status())) {
             world.note(by.id, change.changeId() + " got no clear answer: " + response, false);
             again(change, by, tries);
@@ -202,18 +202,18 @@
         }
     }
 
-    private void again(final Change change, final Proc last, final int tries) {
+    private void again(final Change change, final SimulatedProcess last, final int tries) {
         final long pause = Math.min(LONGEST_PAUSE_MS, PAUSE_MS << Math.min(tries, 4));
         world.at(
-                world.now() + pause / 2 + world.rnd.nextLong(pause),
+                world.now() + pause / 2 + world.random.nextLong(pause),
                 () -> send(change, anyController(last), tries + 1));
     }
 
     /** Any controller that is not known to be gone, the one that was tried last only where there is no other. */
-    private Proc anyController(final Proc last) {
-        final List<Proc> others =
-                fleet.controllers().stream().filter(proc -> proc != last).toList();
-        return others.get(world.rnd.nextInt(others.size()));
+    private SimulatedProcess anyController(final SimulatedProcess last) {
+        final List<SimulatedProcess> others =
+                fleet.controllers().stream().filter(process -> process != last).toList();
+        return others.get(world.random.nextInt(others.size()));
     }
 
     // ---- reads
@@ -221,10 +221,10 @@
     /** Reads from each controller, again and again, also after the last order. */
     void read(final long every) {
         fleet.controllers().forEach(this::read);
-        world.at(world.now() + every / 2 + world.rnd.nextLong(every), () -> read(every));
+        world.at(world.now() + every / 2 + world.random.nextLong(every), () -> read(every));
     }
 
-    private void read(final Proc from) {
+    private void read(final SimulatedProcess from) {
         final long startedAt = world.now();
         calls.call(from, ControlAnswer.READ, new byte[0], "", response -> {
             if (response.status() == OK) {
--- a/trial/src/main/java/brookpath/trial/sim/Platform.java
+++ b/testing/src/main/java/brookpath/testing/sim/Platform.java
@@ -1,12 +1,12 @@
-package brookpath.trial.sim;
+package brookpath.testing.sim;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import brookpath.coordination.action.Action;
 import brookpath.coordination.node.ControllerNode;
-import brookpath.coordination.node.Job;
+import brookpath.coordination.node.NodeRequest;
 import brookpath.coordination.node.usage.PostOutcome;
-import brookpath.coordination.spec.ControlState;
+import brookpath.coordination.configuration.ControlState;
 import jakarta.json.Json;
 import jakarta.json.JsonObject;
 import java.io.ByteArrayInputStream;
@@ -16,11 +16,11 @@
  * hears back.
  */
 public final class Platform {
-    private final World world;
+    private final SimulatedCluster world;
     private long troubleUntil;
     private boolean down;
 
-    Platform(final World world) {
+    Platform(final SimulatedCluster world) {
         this.world = world;
     }
 
@@ -34,12 +34,12 @@
         return troubleUntil;
     }
 
-    void post(final Proc from, final Action.Post post) {
+    void post(final SimulatedProcess from, final Action.Post post) {
         logged(from, post);
         final long life = from.life;
         final boolean trouble = world.now() < troubleUntil;
-        final int kind = !trouble ? 3 : down ? 0 : world.rnd.nextInt(4);
-        final long delay = trouble && kind != 0 ? 2_000 + world.rnd.nextInt(3_000) : 5;
+        final int kind = !trouble ? 3 : down ? 0 : world.random.nextInt(4);
+        final long delay = trouble && kind != 0 ? 2_000 + world.random.nextInt(3_000) : 5;
         world.at(world.now() + delay, () -> {
             // why: 0 fails before it takes the report, 1 and 2 take it and the response is lost or late, 3 works
             if (kind != 0) {
@@ -48,17 +48,17 @@
             final PostOutcome outcome =
                     kind == 0 ? PostOutcome.FAILED : kind == 1 ? PostOutcome.UNKNOWN : PostOutcome.ACCEPTED;
             if (from.alive && from.life == life) {
-                from.job(new Job.Posted(post.jobId(), outcome));
+                from.request(new NodeRequest.Posted(post.requestId(), outcome));
             }
         });
     }
 
-    /** What is posted is in the control log and accepted there: a successor must not be able to total anew. */
-    private void logged(final Proc from, final Action.Post post) {
+    /** What is posted is in the control log and committed there: a successor must not be able to total anew. */
+    private void logged(final SimulatedProcess from, final Action.Post post) {
         final ControllerNode b = (ControllerNode) from.node;
         final long window = Long.parseLong(post.key());
         for (final ControlState.Window w : ((ControlState) b.group().live()).windows()) {
-            if (w.window() == window && w.lsn() <= b.group().accepted()) {
+            if (w.window() == window && w.index() <= b.group().committed()) {
                 return;
             }
         }
@@ -76,7 +76,7 @@
                     .forEach(t -> world.history.usage.reported(
                             world.now(),
                             t.getString("tenant"),
-                            end - World.WALL,
+                            end - SimulatedCluster.WALL,
                             t.getJsonNumber("publishes").longValue(),
                             t.getJsonNumber("bytes").longValue(),
                             t.getBoolean("late")));
@@ -87,12 +87,12 @@
     void watch() {
         final long excused = Math.max(troubleUntil, world.wellness.noControlUntil());
         world.history.usage.punctual(
-                world.now(), world.callers.tenants(), world.tempo.windowMs(), Math.min(excused, world.now()));
+                world.now(), world.callers.tenants(), world.timing.windowMs(), Math.min(excused, world.now()));
         for (final int id : world.controllers) {
-            if (world.procs.get(id).alive && world.procs.get(id).node instanceof ControllerNode b) {
+            if (world.processes.get(id).alive && world.processes.get(id).node instanceof ControllerNode b) {
                 for (final ControlState.Window w : ((ControlState) b.group().live()).windows()) {
-                    final long end = (w.window() + 1) * world.tempo.windowMs() - World.WALL;
-                    if (w.lsn() <= b.group().accepted()) {
+                    final long end = (w.window() + 1) * world.timing.windowMs() - SimulatedCluster.WALL;
+                    if (w.index() <= b.group().committed()) {
                         w.used()
                                 .forEach(u -> world.history.usage.agrees(
                                         world.now(), "node " + id, u.tenant(), end, u.publishes(), u.bytes()));
--- a/trial/src/main/java/brookpath/trial/sim/RetireOperator.java
+++ b/testing/src/main/java/brookpath/testing/sim/RetireOperator.java
@@ -1,10 +1,10 @@
-package brookpath.trial.sim;
+package brookpath.testing.sim;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import brookpath.coordination.message.Response;
-import brookpath.trial.oracle.control.ControlHistory;
-import brookpath.trial.oracle.control.RetireHistory.Progress;
+import brookpath.testing.oracle.control.ControlHistory;
+import brookpath.testing.oracle.control.RetireHistory.Progress;
 import java.util.List;
 import java.util.function.Consumer;
 
@@ -21,14 +21,14 @@
      * @param acknowledged runs with the controller that acknowledges the order
      * @param emptied runs once a caller has been told that the machine holds nothing
      */
-    record Retirement(Proc storage, String name, long giveUpAt, Consumer<Proc> acknowledged, Runnable emptied) {}
+    record Retirement(SimulatedProcess storage, String name, long giveUpAt, Consumer<SimulatedProcess> acknowledged, Runnable emptied) {}
 
-    private final World world;
+    private final SimulatedCluster world;
     private final ControlFleet fleet;
     private final ControlHistory history;
     private final ControlCall calls;
 
-    RetireOperator(final World world, final ControlFleet fleet, final ControlHistory history, final ControlCall calls) {
+    RetireOperator(final SimulatedCluster world, final ControlFleet fleet, final ControlHistory history, final ControlCall calls) {
         this.world = world;
         this.fleet = fleet;
         this.history = history;
@@ -58,7 +58,7 @@
     /** Sends the order once; the next step comes a while after its answer. */
     private void send(final Retirement retirement, final Consumer<Boolean> next) {
         final long startedAt = world.now();
-        final Proc to = anyController();
+        final SimulatedProcess to = anyController();
         final String subject = String.valueOf(retirement.storage().id);
         calls.call(to, ControlAnswer.RETIRE, retirement.name().getBytes(UTF_8), subject, response -> {
             final boolean taken = response.status() / 100 == 2;
@@ -89,7 +89,7 @@
                 world.count("control: retirements completed");
                 retirement.emptied().run();
                 world.at(world.now() + AGAIN_MS, () -> send(retirement, taken -> {}));
-            } else if (progress == Progress.RUNNING && world.rnd.nextBoolean()) {
+            } else if (progress == Progress.RUNNING && world.random.nextBoolean()) {
                 send(retirement, taken -> look(retirement));
             } else {
                 world.at(world.now() + AGAIN_MS, () -> look(retirement));
@@ -108,8 +108,8 @@
         return ControlAnswer.of(response).empty() ? Progress.COMPLETED : Progress.RUNNING;
     }
 
-    private Proc anyController() {
-        final List<Proc> all = fleet.controllers();
-        return all.get(world.rnd.nextInt(all.size()));
+    private SimulatedProcess anyController() {
+        final List<SimulatedProcess> all = fleet.controllers();
+        return all.get(world.random.nextInt(all.size()));
     }
 }
--- a/trial/src/main/java/brookpath/trial/sim/World.java
+++ b/testing/src/main/java/brookpath/testing/sim/SimulatedCluster.java
@@ -1,13 +1,13 @@
-package brookpath.trial.sim;
+package brookpath.testing.sim;
 
-import brookpath.coordination.Tempo;
+import brookpath.coordination.TimingBounds;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Member;
 import brookpath.coordination.node.ControllerNode;
-import brookpath.coordination.node.FrontNode;
+import brookpath.coordination.node.GatewayNode;
 import brookpath.coordination.node.StorageNode;
 import brookpath.coordination.node.control.Founding;
-import brookpath.trial.oracle.History;
+import brookpath.testing.oracle.History;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.EnumSet;
@@ -17,7 +17,7 @@
 import java.util.TreeMap;
 
 /** A whole fleet under virtual time: one seed gives one history, always the same. */
-public final class World {
+public final class SimulatedCluster {
     static final long WALL = 1_700_000_000_000L;
     private static final long ROLL_BYTES = 64 << 10;
     private static final int NOTES = 4000;
@@ -26,29 +26,29 @@
 
     private static final List<Integer> SEEDS = List.of(1, 2, 3);
 
-    public final SplittableRandom rnd;
-    public final Tempo tempo;
-    private final Tempo controlTempo;
+    public final SplittableRandom random;
+    public final TimingBounds timing;
+    private final TimingBounds controlTiming;
     public final History history = new History();
-    public final TreeMap<Integer, Proc> procs = new TreeMap<>();
+    public final TreeMap<Integer, SimulatedProcess> processes = new TreeMap<>();
     public final TreeMap<String, Integer> counts = new TreeMap<>();
     public final EnumSet<Mutation> mutations;
-    final Net net = new Net(this);
+    final SimulatedNetwork net = new SimulatedNetwork(this);
     final Callers callers;
     public final Platform platform;
-    final Shape shape;
+    final FleetSize shape;
     final int groups;
-    final Wellness wellness = new Wellness(this);
+    final ExpectedOutages wellness = new ExpectedOutages(this);
     public final List<Long> sendToAccept = new ArrayList<>();
     final List<Integer> controllers = new ArrayList<>();
     final List<Integer> storages = new ArrayList<>();
-    final List<Integer> fronts = new ArrayList<>();
+    final List<Integer> gateways = new ArrayList<>();
     private final PriorityQueue<Due> queue =
             new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
     private final ArrayDeque<String> notes = new ArrayDeque<>();
     private final TreeMap<Integer, Long> actedAt = new TreeMap<>();
-    /** How long groups were without an acting master, each time. */
-    public final List<Long> masterless = new ArrayList<>();
+    /** How long groups were without an acting leader, each time. */
+    public final List<Long> leaderless = new ArrayList<>();
 
     /** Set before the first run: how many machines at once the fleet is founded to lose. */
     int toleratedLosses = 1;
@@ -56,20 +56,20 @@
     private long now;
     private long order;
 
-    public World(final long seed, final Shape shape, final EnumSet<Mutation> mutations) {
-        this(seed, shape, mutations, Tempo.DEFAULT, Tempo.DEFAULT);
+    public SimulatedCluster(final long seed, final FleetSize shape, final EnumSet<Mutation> mutations) {
+        this(seed, shape, mutations, TimingBounds.DEFAULT, TimingBounds.DEFAULT);
     }
 
-    /** @param controlTempo of the control plane's processes */
-    World(
+    /** @param controlTiming of the control plane's processes */
+    SimulatedCluster(
             final long seed,
-            final Shape shape,
+            final FleetSize shape,
             final EnumSet<Mutation> mutations,
-            final Tempo tempo,
-            final Tempo controlTempo) {
-        this.tempo = tempo;
-        this.controlTempo = controlTempo;
-        rnd = new SplittableRandom(seed);
+            final TimingBounds timing,
+            final TimingBounds controlTiming) {
+        this.timing = timing;
+        this.controlTiming = controlTiming;
+        random = new SplittableRandom(seed);
         this.mutations = mutations;
         this.shape = shape;
         groups = shape.groups();
@@ -79,91 +79,91 @@
         final List<Member> members = List.of(new Member(1, 50, ""), new Member(2, 50, ""), new Member(3, 50, ""));
         for (int i = 1; i <= 3; i++) {
             controllers.add(i);
-            final Proc p = new Proc(this, i, zones[i - 1], true, (proc, entries) -> {
+            final SimulatedProcess p = new SimulatedProcess(this, i, zones[i - 1], true, (process, entries) -> {
                 final ControllerNode node = new ControllerNode(
-                        proc.id,
+                        process.id,
                         members,
                         new Founding(groups, 3, 4, toleratedLosses),
-                        controlTempo,
-                        rnd.nextLong(),
-                        proc.life << 32,
+                        controlTiming,
+                        random.nextLong(),
+                        process.life << 32,
                         ROLL_BYTES);
-                entries.forEach(e -> node.replay(e, proc.time()));
+                entries.forEach(e -> node.replay(e, process.time()));
                 return node;
             });
             p.foundOnStart = true;
-            procs.put(i, p);
+            processes.put(i, p);
         }
         for (int i = 0; i < 4; i++) {
             storage(11 + i, zones[i]);
         }
-        for (int i = 0; i < shape.fronts(); i++) {
-            fronts.add(31 + i);
+        for (int i = 0; i < shape.gateways(); i++) {
+            gateways.add(31 + i);
             final String zone = zones[i % zones.length];
-            procs.put(
+            processes.put(
                     31 + i,
-                    new Proc(
+                    new SimulatedProcess(
                             this,
                             31 + i,
                             zone,
                             false,
-                            (proc, entries) -> new FrontNode(proc.info(), SEEDS, tempo, proc.life << 32)));
+                            (process, entries) -> new GatewayNode(process.info(), SEEDS, timing, process.life << 32)));
         }
-        procs.values().forEach(p -> at(rnd.nextInt(500), p::start));
+        processes.values().forEach(p -> at(random.nextInt(500), p::start));
         at(0, this::watch);
         at(1_000, platform::watch);
     }
 
     /** One more controller that no founding names, as an operator would add it: empty, with these to ask first. */
-    Proc addController(final int id, final String zone, final List<Integer> seeds) {
+    SimulatedProcess addController(final int id, final String zone, final List<Integer> seeds) {
         controllers.add(id);
-        final Proc added = new Proc(this, id, zone, true, (proc, entries) -> {
+        final SimulatedProcess added = new SimulatedProcess(this, id, zone, true, (process, entries) -> {
             final ControllerNode node = new ControllerNode(
-                    proc.info(),
+                    process.info(),
                     List.of(),
                     seeds,
                     new Founding(groups, 3, 4, toleratedLosses),
-                    controlTempo,
-                    rnd.nextLong(),
-                    proc.life << 32,
+                    controlTiming,
+                    random.nextLong(),
+                    process.life << 32,
                     ROLL_BYTES);
-            entries.forEach(e -> node.replay(e, proc.time()));
+            entries.forEach(e -> node.replay(e, process.time()));
             return node;
         });
-        procs.put(id, added);
+        processes.put(id, added);
         added.start();
         return added;
     }
 
-    private Proc storage(final int id, final String zone) {
+    private SimulatedProcess storage(final int id, final String zone) {
         storages.add(id);
-        final Proc added = new Proc(this, id, zone, true, (proc, entries) -> {
+        final SimulatedProcess added = new SimulatedProcess(this, id, zone, true, (process, entries) -> {
             final StorageNode node =
-                    new StorageNode(proc.info(), SEEDS, tempo, 1, rnd.nextLong(), proc.life << 32, ROLL_BYTES);
-            entries.forEach(e -> node.replay(e, proc.time()));
+                    new StorageNode(process.info(), SEEDS, timing, 1, random.nextLong(), process.life << 32, ROLL_BYTES);
+            entries.forEach(e -> node.replay(e, process.time()));
             return node;
         });
-        procs.put(id, added);
+        processes.put(id, added);
         return added;
     }
 
     /** An empty storage machine that comes later, at a number of its own; it starts at once. */
-    Proc addStorage(final int id, final String zone) {
-        final Proc added = storage(id, zone);
+    SimulatedProcess addStorage(final int id, final String zone) {
+        final SimulatedProcess added = storage(id, zone);
         note(id, "is added", false);
         wellness.down(added);
         added.start();
         return added;
     }
 
-    /** A small world whose first document is confirmed, and whose groups have masters. */
-    static World serving(final long seed) {
-        return serving(seed, Tempo.DEFAULT, Tempo.DEFAULT);
+    /** A small world whose first document is confirmed, and whose groups have leaders. */
+    static SimulatedCluster serving(final long seed) {
+        return serving(seed, TimingBounds.DEFAULT, TimingBounds.DEFAULT);
     }
 
     /** The same with other periods. */
-    static World serving(final long seed, final Tempo tempo, final Tempo controlTempo) {
-        final World world = new World(seed, Shape.SMALL, EnumSet.noneOf(Mutation.class), tempo, controlTempo);
+    static SimulatedCluster serving(final long seed, final TimingBounds timing, final TimingBounds controlTiming) {
+        final SimulatedCluster world = new SimulatedCluster(seed, FleetSize.SMALL, EnumSet.noneOf(Mutation.class), timing, controlTiming);
         world.run(4_000);
         world.callers.operators.change(world.callers.operators.document(0, "first", true), "first", r -> {
             if (r.status() != 200) {
@@ -179,8 +179,8 @@
     }
 
     /** The periods of one process. */
-    Tempo tempoOf(final int id) {
-        return controllers.contains(id) ? controlTempo : tempo;
+    TimingBounds timingOf(final int id) {
+        return controllers.contains(id) ? controlTiming : timing;
     }
 
     public void at(final long time, final Runnable what) {
@@ -227,10 +227,10 @@
         return List.copyOf(notes);
     }
 
-    /** Every few milliseconds: at most one member of a group may act as its master. */
+    /** Every few milliseconds: at most one member of a group may act as its leader. */
     private void watch() {
         final TreeMap<Integer, Integer> acting = new TreeMap<>();
-        for (final Proc p : procs.values()) {
+        for (final SimulatedProcess p : processes.values()) {
             // why: a frozen process does nothing until it wakes, and is looked at again then
             if (!p.alive || p.frozen()) {
                 continue;
@@ -248,8 +248,8 @@
         acting.keySet().forEach(g -> {
             final Long since = actedAt.put(g, now);
             if (since != null && now - since > 5) {
-                masterless.add(now - since);
-                if (now - since > tempo.lease() + 2 * tempo.down()) {
+                leaderless.add(now - since);
+                if (now - since > timing.lease() + 2 * timing.down()) {
                     note(0, "group " + g + " had no acting master for " + (now - since) + " ms", false);
                 }
             }
@@ -258,16 +258,16 @@
             if (now - since > 1_000 && (now - since) % 500 < 5) {
                 final StringBuilder sb = new StringBuilder("group " + g + " has no acting master:");
                 for (final int id : storages) {
-                    if (procs.get(id).alive && procs.get(id).node instanceof StorageNode s && s.group(g) != null) {
+                    if (processes.get(id).alive && processes.get(id).node instanceof StorageNode s && s.group(g) != null) {
                         final GroupMachine m = s.group(g);
                         sb.append(" [")
                                 .append(id)
                                 .append(" role ")
                                 .append(m.role())
                                 .append(" epoch ")
-                                .append(m.epoch())
+                                .append(m.term())
                                 .append(" hears ")
-                                .append(m.masterHeard())
+                                .append(m.leaderHeard())
                                 .append(": ")
                                 .append(m.why())
                                 .append("; ")
@@ -283,7 +283,7 @@
         at(now + 5, this::watch);
     }
 
-    private void acts(final TreeMap<Integer, Integer> acting, final GroupMachine g, final Proc p) {
+    private void acts(final TreeMap<Integer, Integer> acting, final GroupMachine g, final SimulatedProcess p) {
         if (g.mayAct(p.mono())) {
             final Integer other = acting.put(g.id(), p.id);
             if (other != null) {
@@ -297,9 +297,9 @@
     /** Where the next owner that gets there dies; null for nowhere. */
     CrashPoint armed;
     /** Says whether this one may die now, and sees to its return. */
-    java.util.function.Predicate<Proc> mayCrash = p -> false;
+    java.util.function.Predicate<SimulatedProcess> mayCrash = p -> false;
 
-    boolean crashes(final Proc p) {
+    boolean crashes(final SimulatedProcess p) {
         final CrashPoint point = armed;
         if (!mayCrash.test(p)) {
             return false;
@@ -307,11 +307,11 @@
         armed = null;
         count("died right after " + point);
         note(p.id, "dies right after " + point, false);
-        kill(p, rnd.nextBoolean());
+        kill(p, random.nextBoolean());
         return true;
     }
 
-    void kill(final Proc p, final boolean powerLoss) {
+    void kill(final SimulatedProcess p, final boolean powerLoss) {
         if (!p.alive) {
             return;
         }
@@ -319,25 +319,25 @@
         p.life++;
         wellness.down(p);
         if (powerLoss && p.disk != null) {
-            p.disk.powerLoss(rnd);
+            p.disk.powerLoss(random);
         }
         note(p.id, powerLoss ? "loses power" : "is killed", false);
-        callers.frontGone(p);
-        for (final Proc other : procs.values()) {
+        callers.gatewayGone(p);
+        for (final SimulatedProcess other : processes.values()) {
             if (other.alive) {
                 at(now + 1, () -> other.run(o -> o.node.sessionLost(p.id, o.time())));
             }
         }
     }
 
-    void restart(final Proc p) {
+    void restart(final SimulatedProcess p) {
         if (!p.alive) {
             note(p.id, "starts", false);
             p.start();
         }
     }
 
-    void freeze(final Proc p, final long forMs) {
+    void freeze(final SimulatedProcess p, final long forMs) {
         if (p.alive && !p.frozen()) {
             note(p.id, "freezes for " + forMs, false);
             p.frozenUntil = now + forMs;
--- a/trial/src/main/java/brookpath/trial/sim/Day.java
+++ b/testing/src/main/java/brookpath/testing/sim/SimulatedDay.java
@@ -1,9 +1,9 @@
-package brookpath.trial.sim;
+package brookpath.testing.sim;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import brookpath.coordination.node.StorageNode;
-import brookpath.state.record.Rec;
+import brookpath.state.record.LogRecord;
 import java.io.ByteArrayInputStream;
 import java.util.ArrayList;
 import java.util.EnumSet;
@@ -11,7 +11,7 @@
 import java.util.TreeMap;
 
 /** One seeded day: a fleet, its callers and operators, failures, and a morning after on which all is read back. */
-public final class Day {
+public final class SimulatedDay {
     private static final long LULL = 24_000;
 
     /** What may go wrong in a day. */
@@ -39,7 +39,7 @@
         RETIRE,
         SWITCHOVER,
         DRAIN,
-        FRONTS_RESTART,
+        GATEWAYS_RESTART,
         RACE,
         LAST_ACT,
         ROT
@@ -48,7 +48,7 @@
     /** What a day is made of. */
     public record Plan(
             long seed,
-            Shape shape,
+            FleetSize shape,
             long lengthMs,
             long faultEveryMs,
             EnumSet<Fault> faults,
@@ -57,7 +57,7 @@
         public static Plan of(final long seed, final EnumSet<Fault> faults) {
             return new Plan(
                     seed,
-                    Shape.SMALL,
+                    FleetSize.SMALL,
                     60_000,
                     4_000,
                     faults,
@@ -73,7 +73,7 @@
             return new Plan(seed, shape, lengthMs, faultEveryMs, faults, mutations, other);
         }
 
-        public Plan sized(final Shape other) {
+        public Plan sized(final FleetSize other) {
             return new Plan(seed, other, lengthMs, faultEveryMs, faults, mutations, ending);
         }
 
@@ -93,12 +93,12 @@
     public record Outcome(
             long seed,
             List<String> violations,
-            int accepted,
+            int committed,
             int delivered,
             TreeMap<String, Integer> counts,
             List<Long> latencies,
             List<Long> sendToAccept,
-            List<Long> masterless,
+            List<Long> leaderless,
             TreeMap<String, Long> crossZoneBytes,
             List<String> notes,
             long trace) {
@@ -108,29 +108,29 @@
 
         @Override
         public String toString() {
-            return "seed " + seed + ": accepted " + accepted + ", delivered " + delivered + ", " + counts
+            return "seed " + seed + ": accepted " + committed + ", delivered " + delivered + ", " + counts
                     + (violations.isEmpty() ? "" : "\n  " + String.join("\n  ", violations));
         }
     }
 
     private final Plan plan;
-    private final World world;
+    private final SimulatedCluster world;
     private int strikes;
     private final DayFaults failures;
 
-    private Day(final Plan plan) {
+    private SimulatedDay(final Plan plan) {
         this.plan = plan;
-        world = new World(plan.seed, plan.shape, plan.mutations);
+        world = new SimulatedCluster(plan.seed, plan.shape, plan.mutations);
         failures = new DayFaults(world);
     }
 
     public static Outcome live(final Plan plan) {
-        return new Day(plan).live();
+        return new SimulatedDay(plan).live();
     }
 
     /** A calm day's world after its people have been about for the plan's length, for measurements. */
-    static World calm(final Plan plan) {
-        final Day day = new Day(plan);
+    static SimulatedCluster calm(final Plan plan) {
+        final SimulatedDay day = new SimulatedDay(plan);
         day.begin();
         day.world.run(day.world.now() + plan.lengthMs);
         return day.world;
@@ -159,16 +159,16 @@
             // why: now and then a lull in which all machines are back, so that recovery is judged in mid-day, too
             next = world.now()
                     + plan.faultEveryMs / 2
-                    + world.rnd.nextLong(plan.faultEveryMs)
+                    + world.random.nextLong(plan.faultEveryMs)
                     + (++strikes % 6 == 0 ? LULL : 0);
-            failures.strike(faults.get(world.rnd.nextInt(faults.size())));
-            if (world.rnd.nextInt(4) == 0) {
-                failures.strike(faults.get(world.rnd.nextInt(faults.size())));
+            failures.strike(faults.get(world.random.nextInt(faults.size())));
+            if (world.random.nextInt(4) == 0) {
+                failures.strike(faults.get(world.random.nextInt(faults.size())));
             }
         }
         world.run(end);
         if (plan.ending != Ending.CALM && !faults.isEmpty()) {
-            failures.strike(faults.get(world.rnd.nextInt(faults.size())));
+            failures.strike(faults.get(world.random.nextInt(faults.size())));
             world.run(world.now() + 1_000);
         }
         if (plan.ending == Ending.ONE_GONE) {
@@ -182,7 +182,7 @@
      * comes and goes.
      */
     private void people() {
-        final Shape shape = plan.shape;
+        final FleetSize shape = plan.shape;
         final long every = (long) (2_000 * shape.topics() / shape.perSecond());
         final List<String> tenants = world.callers.tenants();
         for (int i = 0; i < shape.topics(); i++) {
@@ -197,7 +197,7 @@
             world.callers.subscriber(
                     "sub-" + i,
                     i % 2 == 0 ? "key-members" : "key-half",
-                    List.of(Callers.topic(i % shape.topics()), Callers.topic(world.rnd.nextInt(shape.topics())))
+                    List.of(Callers.topic(i % shape.topics()), Callers.topic(world.random.nextInt(shape.topics())))
                             .stream()
                             .distinct()
                             .toList());
@@ -213,21 +213,21 @@
     }
 
     /**
-     * Machines come back; within the bound service is back too, for each kind of job; then everything accepted is read
+     * Machines come back; within the bound service is back too, for each kind of request; then everything committed is read
      * back.
      */
     private Outcome morningAfter() {
         failures.end();
         final long healed = world.now();
         // why: the bound, the span that is judged, and the patience of those who asked last in it
-        world.run(healed + world.tempo.recoverMs() + 12_000);
+        world.run(healed + world.timing.recoverMs() + 12_000);
         world.callers.quiet = true;
         world.run(world.now() + 30_000);
         world.history.settle(world.now());
         readBack();
         sameLogs();
         // why: the last window of the day ends, and its report has its time
-        world.run(world.now() + world.tempo.windowMs() + 11_000);
+        world.run(world.now() + world.timing.windowMs() + 11_000);
         world.platform.settle();
         long trace = 17;
         for (final String note : world.notes()) {
@@ -236,12 +236,12 @@
         return new Outcome(
                 plan.seed,
                 world.history.violations(),
-                world.history.accepted(),
+                world.history.committed(),
                 world.history.delivered(),
                 world.counts,
                 world.history.latencies(),
                 world.sendToAccept,
-                world.masterless,
+                world.leaderless,
                 world.net.crossZoneBytes,
                 world.notes(),
                 trace);
@@ -251,7 +251,7 @@
     private void readBack() {
         final long newest = world.history.newestConfirmed();
         final boolean[] read = new boolean[1];
-        world.callers.operators.readSpec(r -> {
+        world.callers.operators.readConfiguration(r -> {
             read[0] = true;
             try (var rd = jakarta.json.Json.createReader(
                     new ByteArrayInputStream(r.json().getBytes(UTF_8)))) {
@@ -274,20 +274,20 @@
         }
     }
 
-    /** All members of a group hold the same record at the same accepted position. */
+    /** All members of a group hold the same record at the same committed position. */
     private void sameLogs() {
         for (int g = 0; g < world.groups; g++) {
             final TreeMap<Long, byte[]> all = new TreeMap<>();
             for (final int id : world.storages) {
-                if (!(world.procs.get(id).node() instanceof StorageNode s) || s.group(g) == null) {
+                if (!(world.processes.get(id).node() instanceof StorageNode s) || s.group(g) == null) {
                     continue;
                 }
-                for (long lsn = s.group(g).baseLsn() + 1; lsn <= s.group(g).accepted(); lsn++) {
-                    final Rec rec = s.group(g).rec(lsn);
-                    final byte[] other = all.putIfAbsent(lsn, rec.bytes());
-                    if (other != null && !java.util.Arrays.equals(other, rec.bytes())) {
+                for (long index = s.group(g).baseIndex() + 1; index <= s.group(g).committed(); index++) {
+                    final LogRecord logRecord = s.group(g).logRecord(index);
+                    final byte[] other = all.putIfAbsent(index, logRecord.bytes());
+                    if (other != null && !java.util.Arrays.equals(other, logRecord.bytes())) {
                         world.history.violation(
-                                world.now(), "group " + g + " has two records at accepted position " + lsn);
+                                world.now(), "group " + g + " has two records at accepted position " + index);
                     }
                 }
             }
--- a/trial/src/main/java/brookpath/trial/sim/Net.java
+++ b/testing/src/main/java/brookpath/testing/sim/SimulatedNetwork.java
@@ -1,6 +1,6 @@
-package brookpath.trial.sim;
+package brookpath.testing.sim;
 
-import brookpath.coordination.message.Msg;
+import brookpath.coordination.message.PeerMessage;
 import brookpath.protocol.frame.FrameCodec;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -10,10 +10,10 @@
 /**
  * The simulated network: ordered sessions with delay, cuts in one or both directions, and loss felt as late repeats.
  */
-final class Net {
+final class SimulatedNetwork {
     private static final long LENGTH_BYTES = 4;
 
-    private final World world;
+    private final SimulatedCluster world;
     private final FrameCodec codec = new FrameCodec();
     private final Map<Long, Long> lastAt = new HashMap<>();
     private final Set<Long> cuts = new HashSet<>();
@@ -30,7 +30,7 @@
     /** Bytes between zones so far, by what they were for. */
     final java.util.TreeMap<String, Long> crossZoneBytes = new java.util.TreeMap<>();
 
-    Net(final World world) {
+    SimulatedNetwork(final SimulatedCluster world) {
         this.world = world;
     }
 
@@ -55,12 +55,12 @@
     }
 
     /** Breaks the session between two processes: what is under way is lost, and both hear of it. */
-    void reset(final Proc one, final Proc other) {
+    void reset(final SimulatedProcess one, final SimulatedProcess other) {
         breakSession(one, other);
         breakSession(other, one);
     }
 
-    private void breakSession(final Proc from, final Proc to) {
+    private void breakSession(final SimulatedProcess from, final SimulatedProcess to) {
         resetAt.put(link(from.id, to.id), world.now());
         world.at(world.now() + 1, () -> to.run(p -> p.node.sessionLost(from.id, p.time())));
     }
@@ -70,26 +70,26 @@
     }
 
     /** False where the sender knows at once that nothing left: the other process is not running. */
-    boolean send(final Proc from, final int to, final Msg msg) {
-        final Proc target = world.procs.get(to);
+    boolean send(final SimulatedProcess from, final int to, final PeerMessage message) {
+        final SimulatedProcess target = world.processes.get(to);
         if (target == null || !target.alive) {
             return false;
         }
-        final byte[] frame = codec.encode(msg);
+        final byte[] frame = codec.encode(message);
         if (!from.zone.equals(target.zone)) {
             // why: four more bytes go on each frame, its length
-            crossZoneBytes.merge(msg.getClass().getSimpleName(), frame.length + LENGTH_BYTES, Long::sum);
+            crossZoneBytes.merge(message.getClass().getSimpleName(), frame.length + LENGTH_BYTES, Long::sum);
         }
         from.sentMessages++;
         from.sentBytes += frame.length + LENGTH_BYTES;
         target.gotBytes += frame.length + LENGTH_BYTES;
         final long link = link(from.id, to);
         // why: virtual time has whole milliseconds, so half of one is one by turns
-        final int zones = from.zone.equals(target.zone) ? 0 : (world.shape.halfMillis() + world.rnd.nextInt(2)) / 2;
-        long delay = zones + extraDelay + (world.rnd.nextInt(4) == 0 ? 1 : 0);
-        if (world.rnd.nextInt(1000) < Math.max(lossPerMille, linkLoss.isEmpty() ? 0 : linkLoss.getOrDefault(link, 0))) {
+        final int zones = from.zone.equals(target.zone) ? 0 : (world.shape.halfMillis() + world.random.nextInt(2)) / 2;
+        long delay = zones + extraDelay + (world.random.nextInt(4) == 0 ? 1 : 0);
+        if (world.random.nextInt(1000) < Math.max(lossPerMille, linkLoss.isEmpty() ? 0 : linkLoss.getOrDefault(link, 0))) {
             // why: to those above, a lost packet is one that comes late, and everything behind it waits
-            delay += 200L << world.rnd.nextInt(2);
+            delay += 200L << world.random.nextInt(2);
         }
         final long at = Math.max(lastAt.getOrDefault(link, 0L), world.now() + delay) + transmission(link, frame.length);
         lastAt.put(link, at);
@@ -104,9 +104,9 @@
     }
 
     private void arrive(
-            final Proc from,
+            final SimulatedProcess from,
             final long fromLife,
-            final Proc to,
+            final SimulatedProcess to,
             final long toLife,
             final long link,
             final byte[] frame,
--- a/trial/src/main/java/brookpath/trial/sim/Proc.java
+++ b/testing/src/main/java/brookpath/testing/sim/SimulatedProcess.java
@@ -1,20 +1,20 @@
-package brookpath.trial.sim;
+package brookpath.testing.sim;
 
 import brookpath.coordination.action.Action;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.beat.BeatMachine;
-import brookpath.coordination.beat.BeatTable;
-import brookpath.coordination.beat.StatusHandoff;
-import brookpath.coordination.message.Msg;
+import brookpath.coordination.heartbeat.HeartbeatMonitor;
+import brookpath.coordination.heartbeat.HeartbeatTable;
+import brookpath.coordination.heartbeat.StatusHandoff;
+import brookpath.coordination.message.PeerMessage;
 import brookpath.coordination.node.ControllerNode;
-import brookpath.coordination.node.Job;
+import brookpath.coordination.node.NodeRequest;
 import brookpath.coordination.node.Node;
 import brookpath.coordination.node.Node.Time;
-import brookpath.coordination.spec.Roster.NodeInfo;
+import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
 import brookpath.state.disk.MachineIdentity;
-import brookpath.state.spool.Spool;
+import brookpath.state.wal.WriteAheadLog;
 import brookpath.transport.loop.DiskWriter;
-import brookpath.trial.disk.TrialDisk;
+import brookpath.testing.disk.FaultyDisk;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
@@ -22,24 +22,24 @@
 import java.util.function.BiFunction;
 import java.util.function.Function;
 
-/** One process of the simulated fleet: the production node, its beats, and its spool on a disk that can fail. */
-public final class Proc {
-    final World world;
+/** One process of the simulated fleet: the production node, its heartbeats, and its write-ahead log on a disk that can fail. */
+public final class SimulatedProcess {
+    final SimulatedCluster world;
     final int id;
-    final TrialDisk disk;
+    final FaultyDisk disk;
     final String zone;
     /** Makes the node of each life; a fleet of another shape sets its own before the first start. */
-    BiFunction<Proc, List<byte[]>, Node> maker;
+    BiFunction<SimulatedProcess, List<byte[]>, Node> maker;
 
     Node node;
-    private BeatMachine beats;
-    private final Actions beatOut = new Actions();
-    private BeatTable seen = BeatTable.EMPTY;
+    private HeartbeatMonitor heartbeats;
+    private final Actions heartbeatOut = new Actions();
+    private HeartbeatTable seen = HeartbeatTable.EMPTY;
     private boolean tableLags;
     private boolean entriesLag;
     private final StatusHandoff handoff = new StatusHandoff();
-    private Set<Integer> siblings = Set.of();
-    private Spool spool;
+    private Set<Integer> peers = Set.of();
+    private WriteAheadLog writeAheadLog;
     private DiskWriter writer;
     private List<Action> pending = new ArrayList<>();
     private boolean diskBusy;
@@ -67,20 +67,20 @@
     long sentBytes;
     long gotBytes;
     long busyNanos;
-    private final ArrayDeque<Function<Proc, List<Action>>> backlog = new ArrayDeque<>();
+    private final ArrayDeque<Function<SimulatedProcess, List<Action>>> backlog = new ArrayDeque<>();
 
-    Proc(
-            final World world,
+    SimulatedProcess(
+            final SimulatedCluster world,
             final int id,
             final String zone,
             final boolean hasDisk,
-            final BiFunction<Proc, List<byte[]>, Node> maker) {
+            final BiFunction<SimulatedProcess, List<byte[]>, Node> maker) {
         this.world = world;
         this.id = id;
         this.zone = zone;
         name = "machine-" + id;
         this.maker = maker;
-        disk = hasDisk ? new TrialDisk() : null;
+        disk = hasDisk ? new FaultyDisk() : null;
     }
 
     /** The process as others are told of it. */
@@ -89,7 +89,7 @@
     }
 
     Time time() {
-        return new Time(world.now() + monoBase, world.now() + skew + World.WALL);
+        return new Time(world.now() + monoBase, world.now() + skew + SimulatedCluster.WALL);
     }
 
     long mono() {
@@ -109,41 +109,41 @@
         life++;
         alive = true;
         frozenUntil = 0;
-        monoBase = world.rnd.nextInt(1_000_000);
+        monoBase = world.random.nextInt(1_000_000);
         pending = new ArrayList<>();
         diskBusy = false;
         backlog.clear();
-        seen = BeatTable.EMPTY;
-        siblings = Set.of();
+        seen = HeartbeatTable.EMPTY;
+        peers = Set.of();
         tableLags = false;
         entriesLag = false;
         handoff.takeWish();
-        beatOut.drain();
+        heartbeatOut.drain();
         final List<byte[]> entries = new ArrayList<>();
         machine = (long) id << 32 | life;
         if (disk != null) {
             disk.failing(false);
-            final Spool.Recovery rec;
+            final WriteAheadLog.Recovery logRecord;
             try {
                 machine = MachineIdentity.of(disk, machine).number();
-                rec = Spool.recover(disk);
+                logRecord = WriteAheadLog.recover(disk);
             } catch (final java.io.UncheckedIOException ex) {
                 world.count("would not start");
                 alive = false;
                 return;
             }
-            spool = rec.spool();
-            writer = new DiskWriter(spool);
-            entries.addAll(rec.replayed());
-            world.count(rec.damaged() ? "damaged folders" : "recoveries");
+            writeAheadLog = logRecord.writeAheadLog();
+            writer = new DiskWriter(writeAheadLog);
+            entries.addAll(logRecord.replayed());
+            world.count(logRecord.damaged() ? "damaged folders" : "recoveries");
         }
         node = maker.apply(this, entries);
-        beats = new BeatMachine(world.tempoOf(id), node.beatPeriod(), node.pledges());
+        heartbeats = new HeartbeatMonitor(world.timingOf(id), node.heartbeatPeriod(), node.promises());
         if (node instanceof ControllerNode b) {
             obey(b.start(foundOnStart, time()));
             foundOnStart = false;
         }
-        wakeup(life);
+        timer(life);
         scrub(life);
     }
 
@@ -151,7 +151,7 @@
         if (disk != null) {
             world.at(world.now() + 10_000, () -> {
                 if (alive && life == ofLife) {
-                    if (!frozen() && !diskBusy && !spool.whole()) {
+                    if (!frozen() && !diskBusy && !writeAheadLog.whole()) {
                         world.count("damage found by the sweep of the disk");
                         run(p -> p.node.damaged(p.time()));
                     }
@@ -161,21 +161,21 @@
         }
     }
 
-    private void wakeup(final long ofLife) {
-        world.at(world.now() + world.tempoOf(id).tick(), () -> {
+    private void timer(final long ofLife) {
+        world.at(world.now() + world.timingOf(id).tick(), () -> {
             if (alive && life == ofLife) {
                 if (frozen()) {
-                    world.at(frozenUntil, () -> wakeup(ofLife));
+                    world.at(frozenUntil, () -> timer(ofLife));
                     return;
                 }
                 run(p -> p.node.tick(p.time(), p.seen));
-                wakeup(ofLife);
+                timer(ofLife);
             }
         });
     }
 
     /** One event, as the state thread would take it; a frozen process takes it when it wakes. */
-    void run(final Function<Proc, List<Action>> event) {
+    void run(final Function<SimulatedProcess, List<Action>> event) {
         if (!alive) {
             return;
         }
@@ -189,15 +189,15 @@
         }
         handoff.publish(node.entries(time()));
         tellListener();
-        beats.tick(mono(), beatOut);
+        heartbeats.tick(mono(), heartbeatOut);
         look();
-        final long before = world.armed == CrashPoint.ACCEPT ? CrashPoint.accepted(node, world.groups) : 0;
+        final long before = world.armed == CrashPoint.ACCEPT ? CrashPoint.committed(node, world.groups) : 0;
         final long began = System.nanoTime();
         final List<Action> actions = event.apply(this);
         busyNanos += System.nanoTime() - began;
         if (world.armed == CrashPoint.ACCEPT
                 && before > 0
-                && CrashPoint.accepted(node, world.groups) > before
+                && CrashPoint.committed(node, world.groups) > before
                 && world.crashes(this)) {
             return;
         }
@@ -220,7 +220,7 @@
      * meanwhile.
      */
     private void look() {
-        if (beats.table() != seen && !tableLags) {
+        if (heartbeats.table() != seen && !tableLags) {
             final long ofLife = life;
             final long lag = lag();
             if (lag == 0) {
@@ -237,16 +237,16 @@
                 });
             }
         }
-        flushBeats();
+        flushHeartbeats();
     }
 
     private void takeTable() {
-        seen = beats.table();
+        seen = heartbeats.table();
         obey(node.tick(time(), seen));
-        flushBeats();
+        flushHeartbeats();
     }
 
-    /** The listener takes the state thread's newest entries and its wish for a beat, now and then late. */
+    /** The listener takes the state thread's newest entries and its wish for a heartbeat, now and then late. */
     private void tellListener() {
         if (entriesLag) {
             return;
@@ -263,58 +263,58 @@
                 entriesLag = false;
                 handoff.publish(node.entries(time()));
                 listen();
-                flushBeats();
+                flushHeartbeats();
             }
         });
     }
 
     private void listen() {
         final boolean wished = handoff.takeWish();
-        beats.own(handoff.entries());
+        heartbeats.own(handoff.entries());
         if (wished) {
-            beats.beatNow(mono(), beatOut);
+            heartbeats.heartbeatNow(mono(), heartbeatOut);
         }
     }
 
     private long lag() {
-        return world.rnd.nextInt(32) == 0 ? 1 + world.rnd.nextInt(40) : 0;
+        return world.random.nextInt(32) == 0 ? 1 + world.random.nextInt(40) : 0;
     }
 
-    private void flushBeats() {
-        beatOut.drain().forEach(a -> {
+    private void flushHeartbeats() {
+        heartbeatOut.drain().forEach(a -> {
             if (a instanceof Action.Send s) {
-                world.net.send(this, s.node(), s.msg());
+                world.net.send(this, s.node(), s.message());
             }
         });
     }
 
-    void message(final int from, final Msg msg) {
-        if (msg instanceof Msg.Beat beat) {
+    void message(final int from, final PeerMessage message) {
+        if (message instanceof PeerMessage.Heartbeat heartbeat) {
             run(p -> {
-                p.beats.onBeat(from, beat, p.mono(), p.beatOut);
+                p.heartbeats.onHeartbeat(from, heartbeat, p.mono(), p.heartbeatOut);
                 return List.of();
             });
         } else {
-            run(p -> p.node.message(from, msg, p.time()));
+            run(p -> p.node.message(from, message, p.time()));
         }
     }
 
-    void job(final Job job) {
-        run(p -> p.node.job(job, p.time()));
+    void request(final NodeRequest request) {
+        run(p -> p.node.request(request, p.time()));
     }
 
     void obey(final List<Action> actions) {
-        boolean beatNow = false;
+        boolean heartbeatNow = false;
         for (final Action action : actions) {
             if (!alive) {
                 return;
             }
             if (action instanceof Action.Send a) {
-                if (!world.net.send(this, a.node(), a.msg())) {
+                if (!world.net.send(this, a.node(), a.message())) {
                     final long ofLife = life;
                     world.at(world.now(), () -> {
                         if (life == ofLife) {
-                            run(p -> p.node.unsent(a.node(), a.msg(), p.time()));
+                            run(p -> p.node.unsent(a.node(), a.message(), p.time()));
                         }
                     });
                 }
@@ -327,10 +327,10 @@
                         && world.crashes(this)) {
                     return;
                 }
-            } else if (action instanceof Action.BeatNow) {
-                beatNow = true;
+            } else if (action instanceof Action.HeartbeatNow) {
+                heartbeatNow = true;
             } else if (action instanceof Action.Respond a) {
-                world.callers.respond(this, a.jobId(), a.response().at(mono()));
+                world.callers.respond(this, a.requestId(), a.response().at(mono()));
             } else if (action instanceof Action.Deliver a) {
                 world.callers.deliver(this, a.sessionId(), a.line());
             } else if (action instanceof Action.Post a) {
@@ -346,16 +346,16 @@
                 return;
             }
         }
-        final Set<Integer> now = node.beatSiblings();
-        if (!now.equals(siblings)) {
-            siblings = now;
-            beats.siblings(now);
+        final Set<Integer> now = node.heartbeatPeers();
+        if (!now.equals(peers)) {
+            peers = now;
+            heartbeats.peers(now);
         }
-        if (beatNow) {
+        if (heartbeatNow) {
             handoff.publish(node.entries(time()));
             handoff.wish();
             tellListener();
-            flushBeats();
+            flushHeartbeats();
         }
         writeOut();
     }
@@ -380,7 +380,7 @@
             world.kill(this, false);
             return;
         }
-        world.at(world.now() + syncMs + world.rnd.nextInt(3), () -> {
+        world.at(world.now() + syncMs + world.random.nextInt(3), () -> {
             if (!alive || life != ofLife) {
                 return;
             }
@@ -414,7 +414,7 @@
         }
         if (writer.takeSnapshotRefused()) {
             world.count("snapshots without room");
-            world.at(world.now() + world.tempo.recoverMs() / 4, () -> {
+            world.at(world.now() + world.timing.recoverMs() / 4, () -> {
                 if (alive && life == ofLife) {
                     run(p -> p.node.snapshotRefused(p.time()));
                 }
@@ -422,7 +422,7 @@
         }
         if (!allWritten) {
             world.count("writes that found the disk full");
-            world.at(world.now() + world.tempo.diskPause(), () -> {
+            world.at(world.now() + world.timing.diskPause(), () -> {
                 if (alive && life == ofLife) {
                     final List<Action> since = pending;
                     pending = new ArrayList<>();
--- a/trial/src/main/java/brookpath/trial/sim/Slopes.java
+++ b/testing/src/main/java/brookpath/testing/sim/Slopes.java
@@ -1,6 +1,6 @@
-package brookpath.trial.sim;
+package brookpath.testing.sim;
 
-import brookpath.coordination.node.Job;
+import brookpath.coordination.node.NodeRequest;
 import java.util.EnumSet;
 import java.util.List;
 import java.util.Locale;
@@ -17,61 +17,61 @@
 
     public static void main(final String[] args) {
         memory();
-        for (final Shape shape : List.of(
-                new Shape(4, 11, 450, 400, 8, 95, 3),
-                new Shape(16, 11, 450, 400, 8, 95, 3),
-                new Shape(64, 11, 450, 400, 8, 95, 3),
-                new Shape(16, 44, 450, 400, 8, 95, 3),
-                new Shape(16, 176, 450, 400, 8, 95, 3),
-                new Shape(16, 11, 450, 1_600, 8, 95, 3),
-                new Shape(16, 11, 450, 400, 8, 380, 3))) {
-            final World world = Day.calm(
-                    Day.Plan.of(1, EnumSet.noneOf(Day.Fault.class)).sized(shape).lasting(WARM_MS));
-            for (final Proc p : world.procs.values()) {
+        for (final FleetSize shape : List.of(
+                new FleetSize(4, 11, 450, 400, 8, 95, 3),
+                new FleetSize(16, 11, 450, 400, 8, 95, 3),
+                new FleetSize(64, 11, 450, 400, 8, 95, 3),
+                new FleetSize(16, 44, 450, 400, 8, 95, 3),
+                new FleetSize(16, 176, 450, 400, 8, 95, 3),
+                new FleetSize(16, 11, 450, 1_600, 8, 95, 3),
+                new FleetSize(16, 11, 450, 400, 8, 380, 3))) {
+            final SimulatedCluster world = SimulatedDay.calm(
+                    SimulatedDay.Plan.of(1, EnumSet.noneOf(SimulatedDay.Fault.class)).sized(shape).lasting(WARM_MS));
+            for (final SimulatedProcess p : world.processes.values()) {
                 p.sentMessages = 0;
                 p.sentBytes = 0;
                 p.gotBytes = 0;
                 p.busyNanos = 0;
             }
-            final int accepted = world.history.accepted();
+            final int committed = world.history.committed();
             final int delivered = world.history.delivered();
             world.run(world.now() + MEASURED_MS);
             System.out.printf(
                     Locale.ROOT,
                     "groups %d, fronts %d, sessions %d: %d accepted/s, %d delivered/s%n",
                     shape.groups(),
-                    shape.fronts(),
+                    shape.gateways(),
                     shape.sessions(),
-                    (world.history.accepted() - accepted) * 1_000L / MEASURED_MS,
+                    (world.history.committed() - committed) * 1_000L / MEASURED_MS,
                     (world.history.delivered() - delivered) * 1_000L / MEASURED_MS);
-            tell("front", world, world.fronts);
+            tell("front", world, world.gateways);
             tell("storage", world, world.storages);
             tell("bailiff", world, world.controllers);
         }
     }
 
-    /** Heap of one front per session that listens to two topics of 1,000. */
+    /** Heap of one gateway per session that listens to two topics of 1,000. */
     private static void memory() {
-        final World world =
-                Day.calm(Day.Plan.of(1, EnumSet.noneOf(Day.Fault.class)).lasting(WARM_MS));
+        final SimulatedCluster world =
+                SimulatedDay.calm(SimulatedDay.Plan.of(1, EnumSet.noneOf(SimulatedDay.Fault.class)).lasting(WARM_MS));
         world.callers.quiet = true;
         world.run(world.now() + 5_000);
-        final Proc front = world.procs.get(world.fronts.get(0));
+        final SimulatedProcess gateway = world.processes.get(world.gateways.get(0));
         final long before = used();
         final int sessions = 4_000;
         for (int i = 0; i < sessions; i++) {
             final int n = i;
             world.callers.asked(
-                    front,
+                    gateway,
                     id -> {
                         for (int t = 0; t < 2; t++) {
                             final String topic = "permits/m" + (2 * n + t) % 1_000;
                             world.callers.asked(
-                                    front,
-                                    join -> new Job.Join(join, id, topic, null),
+                                    gateway,
+                                    join -> new NodeRequest.Join(join, id, topic, null),
                                     r -> world.count("joined " + r.status()));
                         }
-                        return new Job.Open(id, "key-members");
+                        return new NodeRequest.Open(id, "key-members");
                     },
                     r -> world.count("opened " + r.status()));
         }
@@ -89,13 +89,13 @@
         return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
     }
 
-    private static void tell(final String role, final World world, final List<Integer> ids) {
+    private static void tell(final String role, final SimulatedCluster world, final List<Integer> ids) {
         long messages = 0;
         long out = 0;
         long in = 0;
         long busy = 0;
         for (final int id : ids) {
-            final Proc p = world.procs.get(id);
+            final SimulatedProcess p = world.processes.get(id);
             messages += p.sentMessages;
             out += p.sentBytes;
             in += p.gotBytes;
--- a/trial/src/main/java/brookpath/trial/sim/Subscriber.java
+++ b/testing/src/main/java/brookpath/testing/sim/Subscriber.java
@@ -1,9 +1,9 @@
-package brookpath.trial.sim;
+package brookpath.testing.sim;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import brookpath.coordination.node.Job;
-import brookpath.trial.oracle.History.Listener;
+import brookpath.coordination.node.NodeRequest;
+import brookpath.testing.oracle.History.Listener;
 import jakarta.json.JsonObject;
 import java.util.Base64;
 import java.util.HashMap;
@@ -13,20 +13,20 @@
 
 /** A session of a day, on some topics: it comes back with its cursor whenever it was dropped or has been away. */
 final class Subscriber {
-    private final World world;
+    private final SimulatedCluster world;
     private final Callers callers;
     final String name;
     final String key;
     final List<String> topics;
     final Listener listener;
     String cursor;
-    int front;
+    int gateway;
     long sessionId;
     long listeningSince = -1;
     boolean naps;
 
     Subscriber(
-            final World world, final Callers callers, final String name, final String key, final List<String> topics) {
+            final SimulatedCluster world, final Callers callers, final String name, final String key, final List<String> topics) {
         this.world = world;
         this.callers = callers;
         this.name = name;
@@ -36,14 +36,14 @@
     }
 
     void connect() {
-        final Proc p = callers.anyFront();
-        front = p.id;
+        final SimulatedProcess p = callers.anyGateway();
+        gateway = p.id;
         listeningSince = -1;
         naps = false;
         final boolean resumes = cursor != null;
         final long at = world.now();
         final long[] mine = new long[1];
-        mine[0] = callers.ask(p, i -> new Job.Subscribe(i, key, topics, cursor), r -> {
+        mine[0] = callers.ask(p, i -> new NodeRequest.Subscribe(i, key, topics, cursor), r -> {
             if (resumes && (r.status() < 400 || r.status() >= 500)) {
                 callers.service.asked("resume", at, r.status() == 200);
             }
@@ -65,7 +65,7 @@
                 listener.entitled = false;
                 world.count("keys refused");
             }
-            world.at(world.now() + 100 + r.retryAfterMs() + world.rnd.nextInt(300), this::connect);
+            world.at(world.now() + 100 + r.retryAfterMs() + world.random.nextInt(300), this::connect);
         });
         sessionId = mine[0];
         callers.sessions.put(sessionId, this);
@@ -93,7 +93,7 @@
                     obj.getJsonNumber("sequence").longValue(),
                     obj.getString("message"),
                     Callers.oneOrder(obj.getString("topic")),
-                    listeningSince < 0 ? -1 : Math.max(listeningSince, world.procs.get(front).frozenUntil));
+                    listeningSince < 0 ? -1 : Math.max(listeningSince, world.processes.get(gateway).frozenUntil));
         } else {
             if (listeningSince < 0) {
                 listeningSince = world.now();
@@ -109,7 +109,7 @@
     void gone(final String why) {
         world.count("sessions gone");
         listeningSince = -1;
-        world.at(world.now() + 50 + world.rnd.nextInt(500), this::connect);
+        world.at(world.now() + 50 + world.random.nextInt(500), this::connect);
     }
 
     /** Drops off for a while and comes back, inside the keeping time. */
@@ -120,11 +120,11 @@
         if (callers.sessions.remove(sessionId) == this) {
             world.count("naps");
             naps = true;
-            final Proc p = world.procs.get(front);
-            p.job(new Job.Unsubscribe(sessionId));
+            final SimulatedProcess p = world.processes.get(gateway);
+            p.request(new NodeRequest.Unsubscribe(sessionId));
             callers.forget(sessionId);
-            world.at(world.now() + 100 + world.rnd.nextLong(away), this::connect);
+            world.at(world.now() + 100 + world.random.nextLong(away), this::connect);
         }
-        world.at(world.now() + every / 2 + world.rnd.nextLong(every), () -> nap(away, every));
+        world.at(world.now() + every / 2 + world.random.nextLong(every), () -> nap(away, every));
     }
 }
--- a/trial/src/main/java/brookpath/trial/sim/Sweep.java
+++ b/testing/src/main/java/brookpath/testing/sim/Sweep.java
@@ -1,4 +1,4 @@
-package brookpath.trial.sim;
+package brookpath.testing.sim;
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -13,13 +13,13 @@
     public static void main(final String[] args) {
         final long first = args.length > 0 ? Long.parseLong(args[0]) : 1;
         final long count = args.length > 1 ? Long.parseLong(args[1]) : 100;
-        final EnumSet<Day.Fault> faults = EnumSet.noneOf(Day.Fault.class);
+        final EnumSet<SimulatedDay.Fault> faults = EnumSet.noneOf(SimulatedDay.Fault.class);
         if (args.length > 2) {
             for (final String f : args[2].split(",")) {
-                faults.add(Day.Fault.valueOf(f));
+                faults.add(SimulatedDay.Fault.valueOf(f));
             }
         } else {
-            faults.addAll(EnumSet.allOf(Day.Fault.class));
+            faults.addAll(EnumSet.allOf(SimulatedDay.Fault.class));
         }
         final List<Long> gaps = Collections.synchronizedList(new ArrayList<>());
         final List<Long> latencies = Collections.synchronizedList(new ArrayList<>());
@@ -27,8 +27,8 @@
                 .parallel()
                 .filter(seed -> {
                     try {
-                        final Day.Outcome day = Day.live(Day.Plan.of(seed, faults));
-                        gaps.addAll(day.masterless());
+                        final SimulatedDay.Outcome day = SimulatedDay.live(SimulatedDay.Plan.of(seed, faults));
+                        gaps.addAll(day.leaderless());
                         latencies.addAll(day.latencies());
                         synchronized (Sweep.class) {
                             if (!day.good() || count == 1) {
--- a/trial/src/main/java/brookpath/trial/sim/ZoneBytes.java
+++ b/testing/src/main/java/brookpath/testing/sim/ZoneBytes.java
@@ -1,4 +1,4 @@
-package brookpath.trial.sim;
+package brookpath.testing.sim;
 
 import java.util.EnumSet;
 
@@ -13,13 +13,13 @@
 
     public static void main(final String[] args) {
         for (final String name : new String[] {"jadran", "sajha"}) {
-            final Day.Outcome day = Day.live(Day.Plan.of(1, EnumSet.noneOf(Day.Fault.class))
-                    .sized(name.equals("sajha") ? Shape.SAJHA : Shape.JADRAN)
+            final SimulatedDay.Outcome day = SimulatedDay.live(SimulatedDay.Plan.of(1, EnumSet.noneOf(SimulatedDay.Fault.class))
+                    .sized(name.equals("sajha") ? FleetSize.SAJHA : FleetSize.JADRAN)
                     .lasting(LENGTH));
             final long all = day.crossZoneBytes().values().stream()
                     .mapToLong(Long::longValue)
                     .sum();
-            System.out.println(name + ": " + all + " bytes between zones, " + all / day.accepted()
+            System.out.println(name + ": " + all + " bytes between zones, " + all / day.committed()
                     + " per accepted message; " + day.crossZoneBytes());
         }
     }
--- a/trial/src/test/java/brookpath/platform/control/DocumentsTest.java
+++ b/testing/src/test/java/brookpath/platform/control/DocumentsTest.java
@@ -7,8 +7,8 @@
 import static org.testng.Assert.assertThrows;
 import static org.testng.Assert.assertTrue;
 
-import brookpath.coordination.spec.Spec;
-import brookpath.coordination.spec.SpecReader;
+import brookpath.coordination.configuration.Configuration;
+import brookpath.coordination.configuration.ConfigurationReader;
 import org.testng.annotations.Test;
 
 /** Configurations of the platform as the product judges them. */
@@ -24,36 +24,36 @@
             + "],\"Services\":[],\"Limits\":{\"MaximumBodyBytes\":262144," + "\"Subscriptions\":200},\"Tenants\":["
             + TENANT + "]}";
 
-    private static SpecReader.Reading judged(final String configuration, final long based, final Spec present) {
-        return SpecReader.read(
+    private static ConfigurationReader.Reading judged(final String configuration, final long based, final Configuration present) {
+        return ConfigurationReader.read(
                 Documents.change(configuration.getBytes(UTF_8), based),
                 present.version() + 1,
-                new SpecReader.Limits(3, 2),
+                new ConfigurationReader.Limits(3, 2),
                 present);
     }
 
     @Test
     public void aGoodOneIsTakenAndReadBackAsItWas() {
-        final SpecReader.Reading reading = judged(GOOD, 0, Spec.NONE);
+        final ConfigurationReader.Reading reading = judged(GOOD, 0, Configuration.NONE);
         assertTrue(reading.findings().isEmpty(), reading.findings().toString());
-        final Spec spec = reading.spec();
-        assertEquals(spec.version(), 7);
-        assertEquals(spec.topicsPerSession(), 200);
-        assertEquals(spec.spaceOf("kafi810.2f").keepingMs(), 35_000);
-        assertEquals(spec.spaceOf("kafi810.2f").answerMs(), 1_500);
+        final Configuration configuration = reading.configuration();
+        assertEquals(configuration.version(), 7);
+        assertEquals(configuration.topicsPerSession(), 200);
+        assertEquals(configuration.spaceOf("kafi810.2f").keepingMs(), 35_000);
+        assertEquals(configuration.spaceOf("kafi810.2f").answerMs(), 1_500);
         assertTrue(
-                spec.spaceOf("kalo181.x").open() && !spec.spaceOf("kafi810.x").open());
-        assertTrue(spec.tenantOf("9wu3fexd9dnn2ctnfzs9").uses("r-2"));
+                configuration.spaceOf("kalo181.x").open() && !configuration.spaceOf("kafi810.x").open());
+        assertTrue(configuration.tenantOf("9wu3fexd9dnn2ctnfzs9").uses("r-2"));
         final String readBack =
                 "{\"version\":7,\"document\":" + new String(Documents.change(GOOD.getBytes(UTF_8), 0), UTF_8) + "}";
         assertEquals(new String(Documents.configuration(readBack), UTF_8), GOOD);
-        assertFalse(new String(SpecReader.lean(Documents.change(GOOD.getBytes(UTF_8), 0)), UTF_8)
+        assertFalse(new String(ConfigurationReader.lean(Documents.change(GOOD.getBytes(UTF_8), 0)), UTF_8)
                 .contains("TargetLatencyMs"));
     }
 
     @Test
     public void whatIsInvalidIsFound() {
-        final Spec present = judged(GOOD, 0, Spec.NONE).spec();
+        final Configuration present = judged(GOOD, 0, Configuration.NONE).configuration();
         final String next = GOOD.replace("\"Revision\":7", "\"Revision\":9");
         assertTrue(judged(next, 7, present).findings().isEmpty());
         for (final String wrong : new String[] {
@@ -81,22 +81,22 @@
 
     @Test
     public void theSameOnTheSameVersionIsTheSameChange() {
-        final String id = judged(GOOD, 0, Spec.NONE).spec().changeId();
-        assertEquals(judged(GOOD, 0, Spec.NONE).spec().changeId(), id);
-        assertNotEquals(judged(GOOD, 1, Spec.NONE).spec().changeId(), id);
-        assertNotEquals(judged(GOOD + " ", 0, Spec.NONE).spec().changeId(), id);
+        final String id = judged(GOOD, 0, Configuration.NONE).configuration().changeId();
+        assertEquals(judged(GOOD, 0, Configuration.NONE).configuration().changeId(), id);
+        assertNotEquals(judged(GOOD, 1, Configuration.NONE).configuration().changeId(), id);
+        assertNotEquals(judged(GOOD + " ", 0, Configuration.NONE).configuration().changeId(), id);
     }
 
     @Test
     public void theLargestConfigurationThatIsReadFitsAChange() {
         final StringBuilder routes = new StringBuilder(ROUTE);
-        for (int i = 2; routes.length() < HttpDesk.MOST_BODY - 1_000; i++) {
+        for (int i = 2; routes.length() < PlatformHttpServer.MOST_BODY - 1_000; i++) {
             routes.append(',').append(ROUTE.replace("r-1", "r-" + i).replace("kafi810.", "kafa" + i + "."));
         }
         final String largest = GOOD.replace(ROUTE + "," + OTHER, routes);
-        assertTrue(largest.length() <= HttpDesk.MOST_BODY, largest.length() + " bytes");
+        assertTrue(largest.length() <= PlatformHttpServer.MOST_BODY, largest.length() + " bytes");
         final byte[] change = Documents.change(largest.getBytes(UTF_8), 0);
-        assertTrue(change.length <= SpecReader.MAX_BYTES, change.length + " bytes as a change");
-        assertTrue(judged(largest, 0, Spec.NONE).findings().isEmpty());
+        assertTrue(change.length <= ConfigurationReader.MAX_BYTES, change.length + " bytes as a change");
+        assertTrue(judged(largest, 0, Configuration.NONE).findings().isEmpty());
     }
 }
--- a/trial/src/test/java/brookpath/platform/line/LineCodecTest.java
+++ b/testing/src/test/java/brookpath/platform/line/LineCodecTest.java
@@ -30,17 +30,17 @@
     @Test
     public void howeverTheBytesAreCutTheMessagesAreTheSame() {
         for (long seed = 0; seed < 300; seed++) {
-            final SplittableRandom rnd = new SplittableRandom(seed);
+            final SplittableRandom random = new SplittableRandom(seed);
             final StringBuilder sent = new StringBuilder();
             final List<String> expected = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
-                if (rnd.nextBoolean()) {
-                    final int len = switch (rnd.nextInt(5)) {
-                        case 0 -> rnd.nextInt(20);
-                        case 1 -> LineCodec.MOST_BODY + 1 + rnd.nextInt(50);
-                        default -> 20 + rnd.nextInt(300);
+                if (random.nextBoolean()) {
+                    final int len = switch (random.nextInt(5)) {
+                        case 0 -> random.nextInt(20);
+                        case 1 -> LineCodec.MOST_BODY + 1 + random.nextInt(50);
+                        default -> 20 + random.nextInt(300);
                     };
-                    final boolean odd = rnd.nextInt(6) == 0 && len > 0;
+                    final boolean odd = random.nextInt(6) == 0 && len > 0;
                     final String body = "b".repeat(Math.max(0, len - 1)) + (len == 0 ? "" : odd ? "\u0007" : "e");
                     sent.append("PUBLISH t.")
                             .append(i)
@@ -64,7 +64,7 @@
             final EmbeddedChannel ch = new EmbeddedChannel(new LineCodec());
             final byte[] bytes = sent.toString().getBytes(US_ASCII);
             for (int at = 0; at < bytes.length; ) {
-                final int n = Math.min(bytes.length - at, 1 + rnd.nextInt(700));
+                final int n = Math.min(bytes.length - at, 1 + random.nextInt(700));
                 ch.writeInbound(Unpooled.copiedBuffer(bytes, at, n));
                 at += n;
             }
@@ -91,9 +91,9 @@
     @Test
     public void noBytesMakeItThrow() {
         for (long seed = 0; seed < 500; seed++) {
-            final SplittableRandom rnd = new SplittableRandom(seed);
-            final byte[] bytes = new byte[rnd.nextInt(2_000)];
-            rnd.nextBytes(bytes);
+            final SplittableRandom random = new SplittableRandom(seed);
+            final byte[] bytes = new byte[random.nextInt(2_000)];
+            random.nextBytes(bytes);
             final EmbeddedChannel ch = new EmbeddedChannel(new LineCodec());
             ch.writeInbound(Unpooled.copiedBuffer("HELLO a b\r\n", US_ASCII), Unpooled.wrappedBuffer(bytes));
             assertEquals(read(ch).get(0), "HELLO a b|null|null", "seed " + seed);
--- a/trial/src/test/java/brookpath/platform/settings/NodeFileTest.java
+++ b/testing/src/test/java/brookpath/platform/settings/NodeFileTest.java
@@ -5,8 +5,8 @@
 import static org.testng.Assert.assertTrue;
 
 import brookpath.coordination.group.Member;
-import brookpath.programs.boot.Assembly.Plan;
-import brookpath.programs.boot.Assembly.Role;
+import brookpath.programs.boot.ProcessAssembly.Plan;
+import brookpath.programs.boot.ProcessAssembly.Role;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -55,8 +55,8 @@
                 one.seeds().keySet().stream().toList());
         assertEquals(one.seeds().get(one.info().node()), one.info().address());
         assertEquals(one.founding().copies(), 5);
-        assertEquals(one.tempo().leaseMs(), 4_500);
-        assertEquals(plan("10.1.0.3", Role.FRONT, true, data).info().address(), "10.1.0.3:8022");
+        assertEquals(one.timing().leaseMs(), 4_500);
+        assertEquals(plan("10.1.0.3", Role.GATEWAY, true, data).info().address(), "10.1.0.3:8022");
     }
 
     @Test
--- a/trial/src/test/java/brookpath/trial/ControlDayTest.java
+++ b/testing/src/test/java/brookpath/testing/ControlDayTest.java
@@ -1,21 +1,21 @@
-package brookpath.trial;
-
-import static brookpath.trial.sim.ControlFault.CLOCK_REPEATS;
-import static brookpath.trial.sim.ControlFault.CUT_FROM_HALF;
-import static brookpath.trial.sim.ControlFault.CUT_OFF;
-import static brookpath.trial.sim.ControlFault.POWER_AFTER_RETIRE;
-import static brookpath.trial.sim.ControlFault.REFUSED_ORDERS;
-import static brookpath.trial.sim.ControlFault.REPLACE_CONTROLLER;
-import static brookpath.trial.sim.ControlFault.REPLACE_CONTROLLER_ANNOUNCED;
-import static brookpath.trial.sim.ControlFault.REPLACE_STORAGE;
-import static brookpath.trial.sim.ControlFault.WIPE_DURING_RETIRE;
+package brookpath.testing;
+
+import static brookpath.testing.sim.ControlFault.CLOCK_REPEATS;
+import static brookpath.testing.sim.ControlFault.CUT_FROM_HALF;
+import static brookpath.testing.sim.ControlFault.CUT_OFF;
+import static brookpath.testing.sim.ControlFault.POWER_AFTER_RETIRE;
+import static brookpath.testing.sim.ControlFault.REFUSED_ORDERS;
+import static brookpath.testing.sim.ControlFault.REPLACE_CONTROLLER;
+import static brookpath.testing.sim.ControlFault.REPLACE_CONTROLLER_ANNOUNCED;
+import static brookpath.testing.sim.ControlFault.REPLACE_STORAGE;
+import static brookpath.testing.sim.ControlFault.WIPE_DURING_RETIRE;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import brookpath.trial.sim.ControlDay;
-import brookpath.trial.sim.ControlDay.Outcome;
-import brookpath.trial.sim.ControlDay.Plan;
-import brookpath.trial.sim.ControlFault;
+import brookpath.testing.sim.ControlDay;
+import brookpath.testing.sim.ControlDay.Outcome;
+import brookpath.testing.sim.ControlDay.Plan;
+import brookpath.testing.sim.ControlFault;
 import java.util.EnumSet;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
@@ -109,7 +109,7 @@
         assertGood(1, REPLACE_STORAGE);
     }
 
-    /** Needs: a retirement is acknowledged only once its record is accepted. */
+    /** Needs: a retirement is acknowledged only once its record is committed. */
     @Test
     public void aRetirementHoldsOnceItIsAcknowledged() {
         assertGood(1, POWER_AFTER_RETIRE);
@@ -134,15 +134,15 @@
         assertGood(1, REFUSED_ORDERS, LONG_MS);
     }
 
-    /** Needs: a controller that does not hear the master carries calls by way of one that does. */
+    /** Needs: a controller that does not hear the leader carries calls by way of one that does. */
     @Test
     public void allControllersInTouchServe() {
         assertGood(2, CUT_FROM_HALF);
     }
 
-    /** Needs: a controller outside the control group finds the new master soon after the old one is cut off. */
+    /** Needs: a controller outside the control group finds the new leader soon after the old one is cut off. */
     @Test
-    public void allControllersFindTheNewMaster() {
+    public void allControllersFindTheNewLeader() {
         assertGood(1, CUT_OFF, LONG_MS);
         assertGood(2, CUT_OFF);
     }
--- a/trial/src/test/java/brookpath/trial/ControlStateTest.java
+++ b/testing/src/test/java/brookpath/testing/ControlStateTest.java
@@ -1,4 +1,4 @@
-package brookpath.trial;
+package brookpath.testing;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.testng.Assert.assertEquals;
@@ -7,12 +7,12 @@
 
 import brookpath.coordination.group.Membership;
 import brookpath.coordination.message.Response;
-import brookpath.coordination.spec.ChangeOutcomes.Outcome;
-import brookpath.coordination.spec.ControlState;
-import brookpath.coordination.spec.Roster;
-import brookpath.coordination.spec.Roster.NodeInfo;
-import brookpath.state.record.Pack;
-import brookpath.state.record.Rec;
+import brookpath.coordination.configuration.ChangeOutcomes.Outcome;
+import brookpath.coordination.configuration.ControlState;
+import brookpath.coordination.configuration.ClusterMetadata;
+import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.state.record.PackedBuffer;
+import brookpath.state.record.LogRecord;
 import java.util.List;
 import org.testng.annotations.Test;
 
@@ -24,18 +24,18 @@
     private final NodeInfo leaving = new NodeInfo(11, "a", "sim:11", "storage-11");
     private final NodeInfo staying = new NodeInfo(12, "b", "sim:12", "storage-12");
 
-    private static Rec record(final long lsn, final byte[] body) {
-        return Rec.of(lsn, 1, 0, Rec.CONTROL, body, 0);
+    private static LogRecord record(final long index, final byte[] body) {
+        return LogRecord.of(index, 1, 0, LogRecord.CONTROL, body, 0);
     }
 
     private static byte[] change(final String changeId, final long version) {
         final String document =
                 "{\"basedOn\":" + (version - 1) + ",\"changeId\":\"" + changeId + "\",\"spaces\":[],\"tenants\":[]}";
-        return ControlState.specBody(changeId, 77, version, document.getBytes(UTF_8));
+        return ControlState.configurationBody(changeId, 77, version, document.getBytes(UTF_8));
     }
 
     private static byte[] metadata(final long version, final List<NodeInfo> nodes, final List<Integer> retiring) {
-        return ControlState.rosterBody(new Roster(version, nodes, List.of(), retiring, List.of(), Membership.NONE));
+        return ControlState.metadataBody(new ClusterMetadata(version, nodes, List.of(), retiring, List.of(), Membership.NONE));
     }
 
     private static ControlState reloaded(final ControlState state) {
@@ -63,7 +63,7 @@
         state.apply(record(1, change("taken", 1)));
         state.apply(record(
                 2,
-                Pack.writer()
+                PackedBuffer.writer()
                         .num(REFUSAL_OF_EARLIER_RELEASES)
                         .str("refused")
                         .num(78)
@@ -77,16 +77,16 @@
 
     @Test
     public void theSavedFormOfAnEarlierReleaseIsRead() {
-        final Pack pack = Pack.writer().num(0);
-        final Roster roster = new Roster(
+        final PackedBuffer buffer = PackedBuffer.writer().num(0);
+        final ClusterMetadata metadata = new ClusterMetadata(
                 3, List.of(leaving, staying), List.of(), List.of(leaving.node()), List.of(), Membership.NONE);
-        pack.num(1).num(5).bytes(roster.save());
-        pack.num(0).num(0).num(0);
-        pack.num(2);
-        pack.num(3).str("refused").num(78).num(409).num(1).str("");
-        pack.num(4).str("taken").num(77).num(200).num(2).str("");
+        buffer.num(1).num(5).bytes(metadata.save());
+        buffer.num(0).num(0).num(0);
+        buffer.num(2);
+        buffer.num(3).str("refused").num(78).num(409).num(1).str("");
+        buffer.num(4).str("taken").num(77).num(200).num(2).str("");
         final ControlState state = new ControlState();
-        state.load(pack.done());
+        state.load(buffer.done());
         assertNull(state.outcomes().of("refused"));
         assertEquals(state.outcomes().of("taken"), new Outcome(4, 77, 2));
         assertNotNull(state.retirements().named("storage-11", 5));
--- a/trial/src/test/java/brookpath/trial/CreelCheckTest.java
+++ b/testing/src/test/java/brookpath/testing/DataFolderCheckTest.java
@@ -1,20 +1,20 @@
-package brookpath.trial;
+package brookpath.testing;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import brookpath.coordination.Tempo;
+import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Action;
 import brookpath.coordination.group.Member;
 import brookpath.coordination.node.ControllerNode;
 import brookpath.coordination.node.Node.Time;
 import brookpath.coordination.node.control.Founding;
 import brookpath.state.disk.FolderDisk;
-import brookpath.state.record.Pack;
-import brookpath.state.record.Rec;
-import brookpath.state.spool.Spool;
-import brookpath.tools.creelcheck.CreelCheck;
+import brookpath.state.record.PackedBuffer;
+import brookpath.state.record.LogRecord;
+import brookpath.state.wal.WriteAheadLog;
+import brookpath.tools.datafolder.DataFolderCheck;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
 import java.nio.file.Files;
@@ -23,33 +23,33 @@
 import org.testng.annotations.Test;
 
 /** A folder written by the production code, whole, torn and damaged. */
-public final class CreelCheckTest {
+public final class DataFolderCheckTest {
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
 
     private int check(final Path... folders) {
         out.reset();
-        return CreelCheck.run(
+        return DataFolderCheck.run(
                 java.util.Arrays.stream(folders).map(Path::toString).toArray(String[]::new),
                 new PrintStream(out),
                 new PrintStream(out));
     }
 
-    /** A folder with one topic group's records of these epochs, the texts as given. */
-    private static Path copy(final long[] epochs, final String[] texts) throws Exception {
+    /** A folder with one topic group's records of these terms, the texts as given. */
+    private static Path copy(final long[] terms, final String[] texts) throws Exception {
         final Path folder = Files.createTempDirectory("creel-copy");
         try (FolderDisk disk = new FolderDisk(folder)) {
-            final Spool spool = Spool.recover(disk).spool();
-            for (int i = 0; i < epochs.length; i++) {
-                final Rec rec = Rec.of(
+            final WriteAheadLog writeAheadLog = WriteAheadLog.recover(disk).writeAheadLog();
+            for (int i = 0; i < terms.length; i++) {
+                final LogRecord logRecord = LogRecord.of(
                         i + 1,
-                        epochs[i],
+                        terms[i],
                         1_000,
-                        Rec.PUBLISH,
-                        Rec.publishBody(i + 1, 2, "t", "s/a", "ana", texts[i]),
+                        LogRecord.PUBLISH,
+                        LogRecord.publishBody(i + 1, 2, "t", "s/a", "ana", texts[i]),
                         0);
-                spool.append(Pack.writer().num(3).num(1).bytes(rec.bytes()).done());
+                writeAheadLog.append(PackedBuffer.writer().num(3).num(1).bytes(logRecord.bytes()).done());
             }
-            spool.sync();
+            writeAheadLog.sync();
         }
         return folder;
     }
@@ -72,24 +72,24 @@
                         && out.toString(UTF_8).contains("agree on 2"),
                 out.toString(UTF_8));
         assertEquals(
-                CreelCheck.run(new String[] {"--all", one.toString()}, new PrintStream(out), new PrintStream(out)), 2);
+                DataFolderCheck.run(new String[] {"--all", one.toString()}, new PrintStream(out), new PrintStream(out)), 2);
     }
 
     @Test
     public void wholeTornAndDamagedFoldersAreToldApart() throws Exception {
         final Path folder = Files.createTempDirectory("creel-check");
         try (FolderDisk disk = new FolderDisk(folder)) {
-            final Spool spool = Spool.recover(disk).spool();
+            final WriteAheadLog writeAheadLog = WriteAheadLog.recover(disk).writeAheadLog();
             final ControllerNode node = new ControllerNode(
-                    1, List.of(new Member(1, 50, "")), new Founding(2, 1, 1, 0), Tempo.DEFAULT, 1, 1, 1 << 20);
-            long written = obey(spool, node.start(true, new Time(0, 0)));
+                    1, List.of(new Member(1, 50, "")), new Founding(2, 1, 1, 0), TimingBounds.DEFAULT, 1, 1, 1 << 20);
+            long written = obey(writeAheadLog, node.start(true, new Time(0, 0)));
             for (long now = 100; now < 3_000; now += 100) {
                 written = Math.max(
                         written,
-                        obey(spool, node.tick(new Time(now, now), brookpath.coordination.beat.BeatTable.EMPTY)));
-                written = Math.max(written, obey(spool, node.synced(written, new Time(now, now))));
+                        obey(writeAheadLog, node.tick(new Time(now, now), brookpath.coordination.heartbeat.HeartbeatTable.EMPTY)));
+                written = Math.max(written, obey(writeAheadLog, node.synced(written, new Time(now, now))));
             }
-            spool.sync();
+            writeAheadLog.sync();
         }
         assertEquals(check(folder), 0, out.toString(UTF_8));
         assertTrue(out.toString(UTF_8).contains("group 1000000: epoch 1, records 1 to 3"), out.toString(UTF_8));
@@ -105,14 +105,14 @@
         assertTrue(out.toString(UTF_8).contains("seg-0: bad checksum at byte 0"), out.toString(UTF_8));
         assertEquals(Files.readAllBytes(seg), damaged, "the folder was changed");
         assertEquals(check(folder.resolve("none")), 1);
-        assertEquals(CreelCheck.run(new String[0], new PrintStream(out), new PrintStream(out)), 2);
+        assertEquals(DataFolderCheck.run(new String[0], new PrintStream(out), new PrintStream(out)), 2);
     }
 
-    private static long obey(final Spool spool, final List<Action> actions) {
+    private static long obey(final WriteAheadLog writeAheadLog, final List<Action> actions) {
         long n = 0;
         for (final Action a : actions) {
             if (a instanceof Action.Write w) {
-                spool.append(w.entry());
+                writeAheadLog.append(w.entry());
                 n = w.number();
             }
         }
