--- a/trial/src/test/java/brookpath/trial/DayTest.java
+++ b/testing/src/test/java/brookpath/testing/DayTest.java
@@ -1,20 +1,20 @@
-package brookpath.trial;
+package brookpath.testing;
 
-import static brookpath.trial.sim.Day.Fault.BLACKOUT;
-import static brookpath.trial.sim.Day.Fault.KILL;
-import static brookpath.trial.sim.Day.Fault.OWNER_DIES;
-import static brookpath.trial.sim.Day.Fault.POWER;
+import static brookpath.testing.sim.SimulatedDay.Fault.BLACKOUT;
+import static brookpath.testing.sim.SimulatedDay.Fault.KILL;
+import static brookpath.testing.sim.SimulatedDay.Fault.OWNER_DIES;
+import static brookpath.testing.sim.SimulatedDay.Fault.POWER;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import brookpath.trial.sim.Day;
-import brookpath.trial.sim.Day.Ending;
-import brookpath.trial.sim.Day.Fault;
-import brookpath.trial.sim.Day.Outcome;
-import brookpath.trial.sim.Day.Plan;
-import brookpath.trial.sim.Mutation;
-import brookpath.trial.sim.Shape;
+import brookpath.testing.sim.SimulatedDay;
+import brookpath.testing.sim.SimulatedDay.Ending;
+import brookpath.testing.sim.SimulatedDay.Fault;
+import brookpath.testing.sim.SimulatedDay.Outcome;
+import brookpath.testing.sim.SimulatedDay.Plan;
+import brookpath.testing.sim.Mutation;
+import brookpath.testing.sim.FleetSize;
 import java.util.EnumSet;
 import java.util.List;
 import java.util.TreeMap;
@@ -37,7 +37,7 @@
     @Test(dataProvider = "faults")
     public void nothingForbiddenHappens(final EnumSet<Fault> faults) {
         for (long seed = 1; seed <= 2; seed++) {
-            final Outcome day = Day.live(Plan.of(seed, faults));
+            final Outcome day = SimulatedDay.live(Plan.of(seed, faults));
             assertTrue(day.good(), day.toString());
             // why: a day on which nothing was done would be good as well
             for (final String kind :
@@ -46,7 +46,7 @@
                         day.counts().getOrDefault("service judged: " + kind, 0) > 0, kind + " was not judged: " + day);
             }
             assertTrue(day.counts().get("deliveries judged") > 3_000, day.toString());
-            assertTrue(day.accepted() > 800 && day.delivered() > 3 * day.accepted(), day.toString());
+            assertTrue(day.committed() > 800 && day.delivered() > 3 * day.committed(), day.toString());
             assertTrue(
                     day.counts().get("changes confirmed") >= 3 && day.counts().get("faults") >= 8, day.toString());
         }
@@ -54,8 +54,8 @@
 
     @Test
     public void onACalmDayMessagesArriveInTheUsualTime() {
-        for (final Shape shape : List.of(Shape.SMALL, Shape.JADRAN, Shape.SAJHA)) {
-            final Outcome day = Day.live(
+        for (final FleetSize shape : List.of(FleetSize.SMALL, FleetSize.JADRAN, FleetSize.SAJHA)) {
+            final Outcome day = SimulatedDay.live(
                     Plan.of(3, EnumSet.noneOf(Fault.class)).sized(shape).lasting(20_000));
             assertTrue(day.good(), day.toString());
             assertTrue(
@@ -69,7 +69,7 @@
     public void allIsReadBackThoughTheLastFailuresVictimNeverReturns() {
         for (long seed = 1; seed <= 4; seed++) {
             final Outcome day =
-                    Day.live(Plan.of(seed, EnumSet.allOf(Fault.class)).ending(Ending.ONE_GONE));
+                    SimulatedDay.live(Plan.of(seed, EnumSet.allOf(Fault.class)).ending(Ending.ONE_GONE));
             assertTrue(day.good(), day.toString());
             assertEquals((int) day.counts().get("gone for good"), 1, day.toString());
         }
@@ -79,7 +79,7 @@
     public void theOwnerThatActedLastDiesRightAfterEachKindOfAct() {
         final TreeMap<String, Integer> died = new TreeMap<>();
         for (long seed = 1; seed <= 12; seed++) {
-            final Outcome day = Day.live(Plan.of(seed, EnumSet.of(Fault.LAST_ACT, Fault.RETIRE)));
+            final Outcome day = SimulatedDay.live(Plan.of(seed, EnumSet.of(Fault.LAST_ACT, Fault.RETIRE)));
             assertTrue(day.good(), day.toString());
             day.counts().forEach((what, n) -> died.merge(what, n, Integer::sum));
         }
@@ -91,28 +91,28 @@
 
     @Test
     public void aDayOfTheUsersOwnSizes() {
-        for (final Shape shape : List.of(Shape.JADRAN, Shape.SAJHA)) {
+        for (final FleetSize shape : List.of(FleetSize.JADRAN, FleetSize.SAJHA)) {
             final Outcome day =
-                    Day.live(Plan.of(5, EnumSet.allOf(Fault.class)).sized(shape).lasting(40_000));
+                    SimulatedDay.live(Plan.of(5, EnumSet.allOf(Fault.class)).sized(shape).lasting(40_000));
             assertTrue(day.good(), day.toString());
-            assertTrue(day.accepted() > 1_500 && day.counts().get("faults") >= 8, day.toString());
+            assertTrue(day.committed() > 1_500 && day.counts().get("faults") >= 8, day.toString());
         }
     }
 
     @Test
     public void sameSeedSameDay() {
         final Plan plan = Plan.of(7, EnumSet.of(KILL, POWER, OWNER_DIES));
-        assertEquals(Day.live(plan).trace(), Day.live(plan).trace());
+        assertEquals(SimulatedDay.live(plan).trace(), SimulatedDay.live(plan).trace());
     }
 
     @Test
     public void leftOutSyncIsSeen() {
         boolean seen = false;
         for (long seed = 1; seed <= 6 && !seen; seed++) {
-            seen = !Day.live(Plan.of(seed, EnumSet.of(BLACKOUT)).broken(Mutation.NO_FSYNC))
+            seen = !SimulatedDay.live(Plan.of(seed, EnumSet.of(BLACKOUT)).broken(Mutation.NO_FSYNC))
                     .good();
         }
         assertTrue(seen, "a disk that never syncs went unnoticed");
-        assertFalse(Day.live(Plan.of(1, EnumSet.of(BLACKOUT))).counts().isEmpty());
+        assertFalse(SimulatedDay.live(Plan.of(1, EnumSet.of(BLACKOUT))).counts().isEmpty());
     }
 }
--- a/trial/src/test/java/brookpath/trial/DeltaTest.java
+++ b/testing/src/test/java/brookpath/testing/DeltaTest.java
@@ -1,4 +1,4 @@
-package brookpath.trial;
+package brookpath.testing;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.testng.Assert.assertEquals;
@@ -17,25 +17,25 @@
     private static final int LARGEST = 4_000;
     private static final int ALPHABET = 4;
 
-    private static byte[] random(final Random rnd, final int length) {
+    private static byte[] random(final Random random, final int length) {
         final byte[] bytes = new byte[length];
         for (int i = 0; i < length; i++) {
-            bytes[i] = (byte) ('a' + rnd.nextInt(ALPHABET));
+            bytes[i] = (byte) ('a' + random.nextInt(ALPHABET));
         }
         return bytes;
     }
 
     /** Removes, inserts, overwrites or moves a piece. */
-    private static byte[] edited(final Random rnd, final byte[] from) {
-        final int at = rnd.nextInt(from.length + 1);
-        final int until = at + rnd.nextInt(Math.min(200, from.length - at) + 1);
+    private static byte[] edited(final Random random, final byte[] from) {
+        final int at = random.nextInt(from.length + 1);
+        final int until = at + random.nextInt(Math.min(200, from.length - at) + 1);
         final byte[] head = Arrays.copyOf(from, at);
         final byte[] piece = Arrays.copyOfRange(from, at, until);
         final byte[] tail = Arrays.copyOfRange(from, until, from.length);
-        return switch (rnd.nextInt(4)) {
+        return switch (random.nextInt(4)) {
             case 0 -> join(head, tail);
-            case 1 -> join(head, random(rnd, rnd.nextInt(200)), piece, tail);
-            case 2 -> join(head, random(rnd, piece.length), tail);
+            case 1 -> join(head, random(random, random.nextInt(200)), piece, tail);
+            case 2 -> join(head, random(random, piece.length), tail);
             default -> join(piece, head, tail);
         };
     }
@@ -52,12 +52,12 @@
 
     @Test
     public void editsAreReproduced() throws Delta.MismatchException {
-        final Random rnd = new Random(1);
+        final Random random = new Random(1);
         for (int round = 0; round < ROUNDS; round++) {
-            final byte[] base = random(rnd, rnd.nextInt(LARGEST));
+            final byte[] base = random(random, random.nextInt(LARGEST));
             byte[] result = base;
-            for (int edits = rnd.nextInt(4); edits > 0; edits--) {
-                result = edited(rnd, result);
+            for (int edits = random.nextInt(4); edits > 0; edits--) {
+                result = edited(random, result);
             }
             assertEquals(Delta.apply(base, Delta.between(base, result)), result, "round " + round);
         }
@@ -91,9 +91,9 @@
 
     @Test
     public void anotherBaseIsRefused() {
-        final Random rnd = new Random(4);
-        final byte[] base = random(rnd, 1_000);
-        final byte[] delta = Delta.between(base, edited(rnd, base));
+        final Random random = new Random(4);
+        final byte[] base = random(random, 1_000);
+        final byte[] delta = Delta.between(base, edited(random, base));
         final byte[] other = base.clone();
         other[500] ^= 1;
         assertThrows(Delta.MismatchException.class, () -> Delta.apply(other, delta));
@@ -103,14 +103,14 @@
 
     @Test
     public void aDamagedDifferenceNeverGivesAnotherResult() {
-        final Random rnd = new Random(5);
+        final Random random = new Random(5);
         for (int round = 0; round < ROUNDS; round++) {
-            final byte[] base = random(rnd, 1 + rnd.nextInt(300));
-            final byte[] result = edited(rnd, base);
+            final byte[] base = random(random, 1 + random.nextInt(300));
+            final byte[] result = edited(random, base);
             final byte[] delta = Delta.between(base, result);
-            final byte[] damaged = rnd.nextBoolean() ? delta.clone() : Arrays.copyOf(delta, rnd.nextInt(delta.length));
+            final byte[] damaged = random.nextBoolean() ? delta.clone() : Arrays.copyOf(delta, random.nextInt(delta.length));
             if (damaged.length == delta.length) {
-                damaged[rnd.nextInt(delta.length)] ^= (byte) (1 << rnd.nextInt(8));
+                damaged[random.nextInt(delta.length)] ^= (byte) (1 << random.nextInt(8));
             }
             try {
                 assertEquals(Delta.apply(base, damaged), result, "round " + round);
--- a/trial/src/test/java/brookpath/trial/FleetSmokeTest.java
+++ b/testing/src/test/java/brookpath/testing/FleetSmokeTest.java
@@ -1,4 +1,4 @@
-package brookpath.trial;
+package brookpath.testing;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.testng.Assert.assertEquals;
@@ -7,8 +7,8 @@
 
 import brookpath.tools.explain.Explain;
 import brookpath.tools.plan.Plan;
-import brookpath.trial.fleet.Fleet;
-import brookpath.trial.fleet.Fleet.Unit;
+import brookpath.testing.fleet.Fleet;
+import brookpath.testing.fleet.Fleet.Unit;
 import java.io.ByteArrayOutputStream;
 import java.io.OutputStream;
 import java.io.PrintStream;
@@ -57,10 +57,10 @@
         return fleet.post(fleet.units().get(2), "/v1/changes", doc);
     }
 
-    private HttpResponse<String> publish(final int front, final String topic, final String auth, final String body)
+    private HttpResponse<String> publish(final int gateway, final String topic, final String auth, final String body)
             throws Exception {
         return http.send(
-                HttpRequest.newBuilder(URI.create(fleet.fronts().get(front).url("/v1/topics/" + topic + "/messages")))
+                HttpRequest.newBuilder(URI.create(fleet.gateways().get(gateway).url("/v1/topics/" + topic + "/messages")))
                         .header("Authorization", auth)
                         .POST(HttpRequest.BodyPublishers.ofString(body))
                         .build(),
@@ -71,10 +71,10 @@
         return "{\"sender\":\"ana\",\"sequence\":" + seq + ",\"message\":\"no " + seq + "\"}";
     }
 
-    private Iterator<String> listen(final int front, final String cursor) throws Exception {
+    private Iterator<String> listen(final int gateway, final String cursor) throws Exception {
         final HttpResponse<Stream<String>> r = http.send(
                 HttpRequest.newBuilder(URI.create(
-                                fleet.fronts().get(front).url("/v1/stream?topic=permits/north&cursor=" + cursor)))
+                                fleet.gateways().get(gateway).url("/v1/stream?topic=permits/north&cursor=" + cursor)))
                         .header("Authorization", KEY)
                         .build(),
                 BodyHandlers.ofLines());
@@ -95,7 +95,7 @@
     }
 
     @Test
-    public void acceptedMessagesOutliveTheirMaster() throws Exception {
+    public void committedMessagesOutliveTheirLeader() throws Exception {
         final Iterator<String> lines = listen(1, "");
         final String begin = cursor(lines.next());
         for (int seq = 1; seq <= 5; seq++) {
@@ -107,7 +107,7 @@
             assertTrue(last.contains("\"sequence\":" + seq + ","), last);
         }
         final String middle = cursor(last);
-        // why: whoever masters the topic is among them; each in turn is killed with -9 and comes back
+        // why: whoever leaders the topic is among them; each in turn is killed with -9 and comes back
         long seq = 5;
         for (final Unit u : fleet.storages().subList(0, 2)) {
             u.kill();
@@ -131,7 +131,7 @@
         assertTrue(sixth.contains("\"sequence\":6,"), sixth);
     }
 
-    /** A machine that came back counts again once it hears a master in each of its groups. */
+    /** A machine that came back counts again once it hears a leader in each of its groups. */
     private void awaitWhole(final Unit u) throws Exception {
         final long end = System.nanoTime() + PATIENCE_MS * 1_000_000L;
         String status = "";
@@ -231,7 +231,7 @@
     public void clueTellsWhereAPublishGoesAndWhoIsMissing() throws Exception {
         final StringBuilder at = new StringBuilder();
         for (final Unit u : new Unit[] {
-            fleet.fronts().get(0), fleet.storages().get(3), fleet.units().get(1)
+            fleet.gateways().get(0), fleet.storages().get(3), fleet.units().get(1)
         }) {
             at.append(at.length() == 0 ? "" : ",")
                     .append(Fleet.HOST)
--- a/trial/src/test/java/brookpath/trial/FrameCodecTest.java
+++ b/testing/src/test/java/brookpath/testing/FrameCodecTest.java
@@ -1,11 +1,11 @@
-package brookpath.trial;
+package brookpath.testing;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import brookpath.coordination.message.Msg;
+import brookpath.coordination.message.PeerMessage;
 import brookpath.protocol.frame.FrameCodec;
-import brookpath.state.record.Rec;
+import brookpath.state.record.LogRecord;
 import java.lang.reflect.RecordComponent;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -21,11 +21,11 @@
     public void everyMessageComesBackEqual() throws Exception {
         int n = 0;
         for (int seed = 0; seed < 200; seed++) {
-            final SplittableRandom rnd = new SplittableRandom(seed);
+            final SplittableRandom random = new SplittableRandom(seed);
             for (final Class<?> type : messages()) {
-                final Msg msg = (Msg) make(type, rnd);
-                final byte[] frame = codec.encode(msg);
-                assertEquals(text(codec.decode(frame, 0, frame.length)), text(msg));
+                final PeerMessage message = (PeerMessage) make(type, random);
+                final byte[] frame = codec.encode(message);
+                assertEquals(text(codec.decode(frame, 0, frame.length)), text(message));
                 n++;
             }
         }
@@ -36,14 +36,14 @@
     public void malformedFramesThrowAndDoNothingElse() throws Exception {
         int thrown = 0;
         for (int seed = 0; seed < 500; seed++) {
-            final SplittableRandom rnd = new SplittableRandom(seed);
+            final SplittableRandom random = new SplittableRandom(seed);
             for (final Class<?> type : messages()) {
-                byte[] frame = codec.encode((Msg) make(type, rnd));
-                for (int flips = 1 + rnd.nextInt(4); flips > 0; flips--) {
-                    frame[rnd.nextInt(frame.length)] ^= (byte) (1 + rnd.nextInt(255));
+                byte[] frame = codec.encode((PeerMessage) make(type, random));
+                for (int flips = 1 + random.nextInt(4); flips > 0; flips--) {
+                    frame[random.nextInt(frame.length)] ^= (byte) (1 + random.nextInt(255));
                 }
-                if (rnd.nextBoolean()) {
-                    frame = Arrays.copyOf(frame, rnd.nextInt(frame.length));
+                if (random.nextBoolean()) {
+                    frame = Arrays.copyOf(frame, random.nextInt(frame.length));
                 }
                 try {
                     codec.decode(frame, 0, frame.length);
@@ -56,64 +56,64 @@
     }
 
     private static List<Class<?>> messages() {
-        return Arrays.stream(Msg.class.getPermittedSubclasses())
+        return Arrays.stream(PeerMessage.class.getPermittedSubclasses())
                 .sorted((a, b) -> a.getName().compareTo(b.getName()))
                 .toList();
     }
 
-    private static Object make(final Class<?> type, final SplittableRandom rnd) throws Exception {
+    private static Object make(final Class<?> type, final SplittableRandom random) throws Exception {
         final RecordComponent[] comps = type.getRecordComponents();
         final Object[] args = new Object[comps.length];
         final Class<?>[] types = new Class<?>[comps.length];
         for (int i = 0; i < comps.length; i++) {
             types[i] = comps[i].getType();
-            args[i] = value(comps[i], rnd);
+            args[i] = value(comps[i], random);
         }
         return type.getDeclaredConstructor(types).newInstance(args);
     }
 
-    private static Object value(final RecordComponent comp, final SplittableRandom rnd) throws Exception {
+    private static Object value(final RecordComponent comp, final SplittableRandom random) throws Exception {
         final Class<?> type = comp.getType();
         if (type == int.class) {
             return List.of("role", "sync", "kind", "standing", "outcome").contains(comp.getName())
-                            || (comp.getName().equals("status") && comp.getDeclaringRecord() != Msg.OpReply.class)
-                    ? rnd.nextInt(4)
-                    : rnd.nextInt();
+                            || (comp.getName().equals("status") && comp.getDeclaringRecord() != PeerMessage.ControlReply.class)
+                    ? random.nextInt(4)
+                    : random.nextInt();
         } else if (type == long.class) {
-            return rnd.nextLong();
+            return random.nextLong();
         } else if (type == boolean.class) {
-            return rnd.nextBoolean();
+            return random.nextBoolean();
         } else if (type == String.class) {
-            return word(rnd);
+            return word(random);
         } else if (type == byte[].class) {
-            final byte[] v = new byte[rnd.nextInt(40)];
-            rnd.nextBytes(v);
+            final byte[] v = new byte[random.nextInt(40)];
+            random.nextBytes(v);
             return v;
         }
         final List<Object> list = new ArrayList<>();
         final String item = comp.getGenericType().getTypeName();
-        for (int n = rnd.nextInt(5); n > 0; n--) {
+        for (int n = random.nextInt(5); n > 0; n--) {
             if (item.contains("Rec>")) {
-                list.add(Rec.of(
-                        rnd.nextLong(),
-                        rnd.nextLong(),
-                        rnd.nextLong(),
-                        Rec.PUBLISH,
-                        Rec.publishBody(rnd.nextLong(), 2, word(rnd), word(rnd), word(rnd), word(rnd)),
+                list.add(LogRecord.of(
+                        random.nextLong(),
+                        random.nextLong(),
+                        random.nextLong(),
+                        LogRecord.PUBLISH,
+                        LogRecord.publishBody(random.nextLong(), 2, word(random), word(random), word(random), word(random)),
                         0));
             } else if (item.contains("String>")) {
-                list.add(word(rnd));
+                list.add(word(random));
             } else {
-                list.add(make(Class.forName(item.substring(item.indexOf('<') + 1, item.indexOf('>'))), rnd));
+                list.add(make(Class.forName(item.substring(item.indexOf('<') + 1, item.indexOf('>'))), random));
             }
         }
         return list;
     }
 
-    private static String word(final SplittableRandom rnd) {
+    private static String word(final SplittableRandom random) {
         final StringBuilder sb = new StringBuilder();
-        for (int n = rnd.nextInt(12); n > 0; n--) {
-            sb.appendCodePoint(rnd.nextInt(5) == 0 ? 0x400 + rnd.nextInt(200) : 'a' + rnd.nextInt(26));
+        for (int n = random.nextInt(12); n > 0; n--) {
+            sb.appendCodePoint(random.nextInt(5) == 0 ? 0x400 + random.nextInt(200) : 'a' + random.nextInt(26));
         }
         return sb.toString();
     }
@@ -122,7 +122,7 @@
     private static String text(final Object v) throws Exception {
         if (v instanceof byte[] b) {
             return Arrays.toString(b);
-        } else if (v instanceof Rec r) {
+        } else if (v instanceof LogRecord r) {
             return Arrays.toString(r.bytes());
         } else if (v instanceof List<?> l) {
             final StringBuilder sb = new StringBuilder("[");
--- a/trial/src/test/java/brookpath/trial/KnownRed.java
+++ b/testing/src/test/java/brookpath/testing/KnownRed.java
@@ -1,4 +1,4 @@
-package brookpath.trial;
+package brookpath.testing;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
--- a/trial/src/test/java/brookpath/trial/MachineIdentityTest.java
+++ b/testing/src/test/java/brookpath/testing/MachineIdentityTest.java
@@ -1,4 +1,4 @@
-package brookpath.trial;
+package brookpath.testing;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -9,14 +9,14 @@
 
 import brookpath.coordination.group.Member;
 import brookpath.coordination.group.Membership;
-import brookpath.coordination.spec.Roster;
-import brookpath.coordination.spec.Roster.GroupInfo;
-import brookpath.coordination.spec.Roster.NodeInfo;
+import brookpath.coordination.configuration.ClusterMetadata;
+import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
+import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
 import brookpath.state.disk.DiskFile;
 import brookpath.state.disk.MachineIdentity;
-import brookpath.state.record.Pack;
-import brookpath.state.spool.Spool;
-import brookpath.trial.disk.TrialDisk;
+import brookpath.state.record.PackedBuffer;
+import brookpath.state.wal.WriteAheadLog;
+import brookpath.testing.disk.FaultyDisk;
 import java.util.List;
 import java.util.SplittableRandom;
 import org.testng.annotations.Test;
@@ -28,18 +28,18 @@
     @Test
     public void itOutlivesALossOfPowerRightAfterTheFirstStart() {
         for (int seed = 0; seed < 50; seed++) {
-            final TrialDisk disk = new TrialDisk();
+            final FaultyDisk disk = new FaultyDisk();
             assertEquals(MachineIdentity.of(disk, 7), new MachineIdentity(7, null));
             disk.powerLoss(new SplittableRandom(seed));
             assertEquals(MachineIdentity.of(disk, 8), new MachineIdentity(7, null), "seed " + seed);
-            Spool.recover(disk);
+            WriteAheadLog.recover(disk);
             assertEquals(MachineIdentity.of(disk, 9), new MachineIdentity(7, null));
         }
     }
 
     @Test
     public void aMachineWithoutItsDiskIsAnotherOne() {
-        final TrialDisk disk = new TrialDisk();
+        final FaultyDisk disk = new FaultyDisk();
         MachineIdentity.of(disk, 7);
         disk.wipe();
         assertEquals(MachineIdentity.of(disk, 8).number(), 8);
@@ -48,7 +48,7 @@
     @Test
     public void aDamagedIdentityCountsAsThatOfANewMachine() {
         for (int length = 0; length <= 24; length++) {
-            final TrialDisk disk = new TrialDisk();
+            final FaultyDisk disk = new FaultyDisk();
             MachineIdentity.of(disk, 7);
             final DiskFile file = disk.open(FILE);
             final byte[] bytes = file.readAll();
@@ -64,7 +64,7 @@
 
     @Test
     public void anUnfinishedWriteIsNoIdentity() {
-        final TrialDisk disk = new TrialDisk();
+        final FaultyDisk disk = new FaultyDisk();
         final DiskFile file = disk.open(FILE + ".tmp");
         file.append(new byte[5], 0, 5);
         assertEquals(MachineIdentity.of(disk, 8), new MachineIdentity(8, null));
@@ -76,23 +76,23 @@
 
     @Test
     public void theMetadataKeepsIdentities() {
-        final Roster roster = new Roster(
+        final ClusterMetadata metadata = new ClusterMetadata(
                 5,
                 List.of(STORAGE),
                 List.of(new GroupInfo(0, true, MEMBERS)),
                 List.of(11),
                 List.of(new NodeInfo(1, "a", "y:1", "two", 88)),
                 MEMBERS);
-        assertEquals(Roster.load(roster.save()), roster);
+        assertEquals(ClusterMetadata.load(metadata.save()), metadata);
     }
 
     @Test
     public void metadataOfTheFirstFormatIsReadWithoutIdentities() {
-        final Pack old = Pack.writer().num(5).num(1).num(11).str("a").str("x:1").str("one");
-        MEMBERS.pack(old.num(1).num(0).num(1));
+        final PackedBuffer old = PackedBuffer.writer().num(5).num(1).num(11).str("a").str("x:1").str("one");
+        MEMBERS.buffer(old.num(1).num(0).num(1));
         old.num(1).num(11);
         old.num(1).num(1).str("a").str("y:1").str("two");
-        final Roster read = Roster.load(MEMBERS.pack(old).done());
+        final ClusterMetadata read = ClusterMetadata.load(MEMBERS.buffer(old).done());
         assertEquals(read.version(), 5);
         assertEquals(read.nodes(), List.of(new NodeInfo(11, "a", "x:1", "one")));
         assertEquals(read.controllers(), List.of(new NodeInfo(1, "a", "y:1", "two")));
@@ -102,8 +102,8 @@
 
     @Test
     public void metadataOfANewerFormatIsRefused() {
-        final byte[] newer = Pack.writer().num(-3).num(5).num(0).done();
-        assertThrows(IllegalStateException.class, () -> Roster.load(newer));
+        final byte[] newer = PackedBuffer.writer().num(-3).num(5).num(0).done();
+        assertThrows(IllegalStateException.class, () -> ClusterMetadata.load(newer));
     }
 
     @Test
@@ -115,7 +115,7 @@
         assertFalse(other.replaces(STORAGE.on(NodeInfo.UNKNOWN_MACHINE)));
         assertFalse(other.on(NodeInfo.UNKNOWN_MACHINE).replaces(STORAGE));
         assertFalse(new NodeInfo(12, "a", "x:1", "two", 78).replaces(STORAGE));
-        assertNull(MachineIdentity.of(new TrialDisk(), 1).finding());
+        assertNull(MachineIdentity.of(new FaultyDisk(), 1).finding());
     }
 
     @Test
--- a/trial/src/test/java/brookpath/trial/MembershipPlanTest.java
+++ b/testing/src/test/java/brookpath/testing/MembershipPlanTest.java
@@ -1,4 +1,4 @@
-package brookpath.trial;
+package brookpath.testing;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNotNull;
@@ -16,7 +16,7 @@
 import java.util.SplittableRandom;
 import org.testng.annotations.Test;
 
-/** The plan alone: which step it names for what the master sees. */
+/** The plan alone: which step it names for what the leader sees. */
 public final class MembershipPlanTest {
     private static final long QUIET = 2_001;
     private static final Limits THREE = new Limits(3, 2_000, 10_000);
@@ -135,18 +135,18 @@
 
     @Test
     public void eachStepIsSingleAndAllStepsEnd() {
-        final SplittableRandom rnd = new SplittableRandom(1);
+        final SplittableRandom random = new SplittableRandom(1);
         for (int run = 0; run < 2_000; run++) {
-            final Limits limits = rnd.nextBoolean() ? THREE : FIVE;
+            final Limits limits = random.nextBoolean() ? THREE : FIVE;
             final List<Candidate> seen = new ArrayList<>(List.of(well(1)));
             for (int node = 2; node <= 8; node++) {
-                final boolean up = rnd.nextInt(4) > 0;
+                final boolean up = random.nextInt(4) > 0;
                 seen.add(new Candidate(
                         node,
-                        "z" + rnd.nextInt(4),
-                        up ? 0 : QUIET + rnd.nextInt(20_000),
-                        up && rnd.nextInt(4) > 0,
-                        up && rnd.nextBoolean()));
+                        "z" + random.nextInt(4),
+                        up ? 0 : QUIET + random.nextInt(20_000),
+                        up && random.nextInt(4) > 0,
+                        up && random.nextBoolean()));
             }
             Membership group = group(members(1, 2, 3), members(4, 5));
             for (int step = 0; group != null; step++) {
--- a/trial/src/test/java/brookpath/trial/MovePlanTest.java
+++ b/testing/src/test/java/brookpath/testing/MovePlanTest.java
@@ -1,16 +1,16 @@
-package brookpath.trial;
+package brookpath.testing;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
 import brookpath.coordination.group.Member;
-import brookpath.coordination.spec.MovePlan;
-import brookpath.coordination.spec.MovePlan.Move;
-import brookpath.coordination.spec.Placement;
-import brookpath.coordination.spec.Roster;
-import brookpath.coordination.spec.Roster.GroupInfo;
-import brookpath.coordination.spec.Roster.NodeInfo;
+import brookpath.coordination.configuration.MovePlan;
+import brookpath.coordination.configuration.MovePlan.Move;
+import brookpath.coordination.configuration.Placement;
+import brookpath.coordination.configuration.ClusterMetadata;
+import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
+import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -24,7 +24,7 @@
  * forth.
  */
 public final class MovePlanTest {
-    private static int load(final Roster r, final int node) {
+    private static int load(final ClusterMetadata r, final int node) {
         return (int) r.groups().stream().filter(g -> g.membership().holds(node)).count();
     }
 
@@ -32,19 +32,19 @@
     public void plansEndSpreadAndNeverTakeCopiesAway() {
         int moved = 0;
         for (long seed = 0; seed < 300; seed++) {
-            final SplittableRandom rnd = new SplittableRandom(seed);
+            final SplittableRandom random = new SplittableRandom(seed);
             final List<NodeInfo> nodes = new ArrayList<>();
-            final int n = 4 + rnd.nextInt(5);
+            final int n = 4 + random.nextInt(5);
             for (int i = 0; i < n; i++) {
                 nodes.add(new NodeInfo(11 + i, String.valueOf((char) ('a' + i % 4)), "x"));
             }
             // why: founded on fewer machines than there are now, and one of them may be on its way out
-            final int first = 3 + rnd.nextInt(n - 3);
-            final List<GroupInfo> groups = Placement.found(nodes.subList(0, first), 1 + rnd.nextInt(24), 3).stream()
+            final int first = 3 + random.nextInt(n - 3);
+            final List<GroupInfo> groups = Placement.found(nodes.subList(0, first), 1 + random.nextInt(24), 3).stream()
                     .map(g -> new GroupInfo(g.id(), true, g.membership()))
                     .toList();
-            final List<Integer> retiring = n > 4 && rnd.nextBoolean() ? List.of(11 + rnd.nextInt(first)) : List.of();
-            Roster r = new Roster(1, nodes, groups, retiring);
+            final List<Integer> retiring = n > 4 && random.nextBoolean() ? List.of(11 + random.nextInt(first)) : List.of();
+            ClusterMetadata r = new ClusterMetadata(1, nodes, groups, retiring);
             final Set<Integer> all = new HashSet<>();
             nodes.forEach(x -> all.add(x.node()));
             final Set<String> seen = new HashSet<>();
@@ -88,10 +88,10 @@
     }
 
     @Test
-    public void aMasterGoesBackToTheHighestRankOnlyWhereThatIsSteady() {
+    public void aLeaderGoesBackToTheHighestRankOnlyWhereThatIsSteady() {
         final List<NodeInfo> nodes =
                 List.of(new NodeInfo(11, "a", "x"), new NodeInfo(12, "b", "x"), new NodeInfo(13, "c", "x"));
-        final Roster r = new Roster(
+        final ClusterMetadata r = new ClusterMetadata(
                 1,
                 nodes,
                 Placement.found(nodes, 3, 3).stream()
--- a/trial/src/test/java/brookpath/trial/NamesTest.java
+++ b/testing/src/test/java/brookpath/testing/NamesTest.java
@@ -1,4 +1,4 @@
-package brookpath.trial;
+package brookpath.testing;
 
 import static org.testng.Assert.assertTrue;
 
@@ -25,7 +25,7 @@
         final List<String> found = new ArrayList<>();
         int read = 0;
         for (final String layer :
-                new String[] {"state", "coordination", "protocol", "transport", "programs", "tools", "trial/src/main"
+                new String[] {"state", "coordination", "protocol", "transport", "programs", "tools", "testing/src/main"
                 }) {
             try (Stream<Path> files = Files.walk(root.resolve(layer))) {
                 for (final Path file : files.filter(f -> f.toString().matches(".*/src/.*\\.(java|xml|properties)"))
--- a/trial/src/test/java/brookpath/trial/HttpDeskTest.java
+++ b/testing/src/test/java/brookpath/testing/PlatformHttpServerTest.java
@@ -1,13 +1,13 @@
-package brookpath.trial;
+package brookpath.testing;
 
 import static java.nio.charset.StandardCharsets.US_ASCII;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import brookpath.platform.control.HttpDesk;
-import brookpath.platform.control.HttpDesk.Answer;
-import brookpath.platform.control.HttpDesk.Call;
+import brookpath.platform.control.PlatformHttpServer;
+import brookpath.platform.control.PlatformHttpServer.Answer;
+import brookpath.platform.control.PlatformHttpServer.Call;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.embedded.EmbeddedChannel;
@@ -19,12 +19,12 @@
 import org.testng.annotations.Test;
 
 /** Each answer on a connection belongs to the call that stands at its place, whatever is done first. */
-public final class HttpDeskTest {
+public final class PlatformHttpServerTest {
     private static final Pattern STATUS = Pattern.compile("HTTP/1\\.1 (\\d{3})");
-    private static final int MOST_BODY = HttpDesk.MOST_BODY;
+    private static final int MOST_BODY = PlatformHttpServer.MOST_BODY;
 
     /** Answers nothing by itself: the test completes each call when it likes. */
-    private static final class SlowDesk implements HttpDesk.Desk {
+    private static final class SlowDesk implements PlatformHttpServer.RequestDispatcher {
         final List<Call> calls = new ArrayList<>();
         final List<CompletableFuture<Answer>> answers = new ArrayList<>();
 
@@ -40,9 +40,9 @@
         }
     }
 
-    private static EmbeddedChannel connect(final SlowDesk desk) {
+    private static EmbeddedChannel connect(final SlowDesk dispatcher) {
         final EmbeddedChannel channel = new EmbeddedChannel();
-        HttpDesk.install(channel.pipeline(), desk);
+        PlatformHttpServer.install(channel.pipeline(), dispatcher);
         return channel;
     }
 
@@ -86,11 +86,11 @@
     public void callsBeyondTheBoundAreNotTakenUntilOthersAreAnswered() {
         final SlowDesk slow = new SlowDesk();
         final EmbeddedChannel ch = connect(slow);
-        final int calls = 3 * HttpDesk.MOST_PENDING;
+        final int calls = 3 * PlatformHttpServer.MOST_PENDING;
         for (int i = 0; i < calls; i++) {
             say(ch, get("/" + i));
         }
-        assertEquals(slow.calls.size(), HttpDesk.MOST_PENDING);
+        assertEquals(slow.calls.size(), PlatformHttpServer.MOST_PENDING);
         assertFalse(ch.config().isAutoRead(), "the connection is still read");
         final List<Integer> heard = new ArrayList<>();
         for (int i = 0; i < calls; i++) {
--- a/trial/src/test/java/brookpath/trial/PrefixTest.java
+++ b/testing/src/test/java/brookpath/testing/PrefixTest.java
@@ -1,28 +1,28 @@
-package brookpath.trial;
+package brookpath.testing;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import brookpath.coordination.spec.Spec;
-import brookpath.coordination.spec.SpecReader;
+import brookpath.coordination.configuration.Configuration;
+import brookpath.coordination.configuration.ConfigurationReader;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import org.testng.annotations.Test;
 
 /** Spaces by longest prefix, against a search through all of them. */
 public final class PrefixTest {
-    private static final SpecReader.Limits LIMITS = new SpecReader.Limits(3, 2);
+    private static final ConfigurationReader.Limits LIMITS = new ConfigurationReader.Limits(3, 2);
 
     @Test
     public void theLongestPrefixWins() {
         for (long seed = 0; seed < 200; seed++) {
-            final SplittableRandom rnd = new SplittableRandom(seed);
+            final SplittableRandom random = new SplittableRandom(seed);
             final TreeMap<String, String> spaces = new TreeMap<>();
             final StringBuilder doc =
                     new StringBuilder("{\"basedOn\":0,\"changeId\":\"x\",\"tenants\":[],\"spaces\":[");
-            for (int i = 0; i < 1 + rnd.nextInt(8); i++) {
-                final String prefix = word(rnd, 1 + rnd.nextInt(4));
+            for (int i = 0; i < 1 + random.nextInt(8); i++) {
+                final String prefix = word(random, 1 + random.nextInt(4));
                 if (spaces.putIfAbsent(prefix, "s" + i) == null) {
                     doc.append(spaces.size() == 1 ? "" : ",")
                             .append("{\"name\":\"s")
@@ -32,18 +32,18 @@
                             .append("\",\"keepingSeconds\":30}");
                 }
             }
-            final SpecReader.Reading reading =
-                    SpecReader.read(doc.append("]}").toString().getBytes(UTF_8), 1, LIMITS, Spec.NONE);
+            final ConfigurationReader.Reading reading =
+                    ConfigurationReader.read(doc.append("]}").toString().getBytes(UTF_8), 1, LIMITS, Configuration.NONE);
             assertTrue(reading.findings().isEmpty(), reading.findings().toString());
             for (int i = 0; i < 50; i++) {
-                final String topic = word(rnd, 1 + rnd.nextInt(6));
+                final String topic = word(random, 1 + random.nextInt(6));
                 String best = null;
                 for (final String prefix : spaces.keySet()) {
                     best = topic.startsWith(prefix) && (best == null || prefix.length() > best.length())
                             ? prefix
                             : best;
                 }
-                final Spec.Space found = reading.spec().spaceOf(topic);
+                final Configuration.Space found = reading.configuration().spaceOf(topic);
                 assertEquals(
                         found == null ? null : found.name(),
                         best == null ? null : spaces.get(best),
@@ -59,9 +59,9 @@
                         + "{\"name\":\"a\",\"prefix\":\"p.\",\"keepingSeconds\":30,\"open\":\"yes\",\"answerMs\":0},"
                         + "{\"name\":\"b\",\"prefix\":\"p.\",\"keepingSeconds\":30},{\"name\":\"c\",\"prefix\":\"p q\",\"keepingSeconds\":30}],"
                         + "\"tenants\":[{\"name\":\"t\",\"spaces\":[\"*\"],\"keys\":[\"key-12345\"]},{\"name\":\"u\",\"spaces\":[\"*\"],\"keys\":[\"key-12345\"]}]}";
-        final Spec present =
-                SpecReader.stored("{\"basedOn\":0,\"changeId\":\"y\",\"spaces\":[],\"tenants\":[]}".getBytes(UTF_8), 3);
-        final String all = SpecReader.read(doc.getBytes(UTF_8), 4, LIMITS, present)
+        final Configuration present =
+                ConfigurationReader.stored("{\"basedOn\":0,\"changeId\":\"y\",\"spaces\":[],\"tenants\":[]}".getBytes(UTF_8), 3);
+        final String all = ConfigurationReader.read(doc.getBytes(UTF_8), 4, LIMITS, present)
                 .findings()
                 .toString();
         for (final String place : new String[] {
@@ -78,10 +78,10 @@
         }
     }
 
-    private static String word(final SplittableRandom rnd, final int length) {
+    private static String word(final SplittableRandom random, final int length) {
         final StringBuilder sb = new StringBuilder();
         for (int i = 0; i < length; i++) {
-            sb.append((char) ('a' + rnd.nextInt(3)));
+            sb.append((char) ('a' + random.nextInt(3)));
         }
         return sb.toString();
     }
--- a/trial/src/test/java/brookpath/trial/SettingsTest.java
+++ b/testing/src/test/java/brookpath/testing/SettingsTest.java
@@ -1,4 +1,4 @@
-package brookpath.trial;
+package brookpath.testing;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -97,17 +97,17 @@
                 new SettingsWatch(args, true, SettingsReader.read(args, true).settings(), taken::add);
         // why: seeds are chosen so that each kind of wrong file follows each other kind; the oracle is what the last
         // whole good file said
-        final SplittableRandom rnd = new SplittableRandom(5);
+        final SplittableRandom random = new SplittableRandom(5);
         String platform = "http://127.0.0.1:9/a";
         int changes = 0;
         for (int i = 0; i < 400; i++) {
             final String next = "http://127.0.0.1:9/" + i;
             final String fresh = good.replace("http://127.0.0.1:9/a", next);
-            final int kind = rnd.nextInt(7);
+            final int kind = random.nextInt(7);
             boolean fine = kind == 0;
             switch (kind) {
                 case 0 -> Files.writeString(file, fresh);
-                case 1 -> Files.writeString(file, fresh.substring(0, 1 + rnd.nextInt(fresh.length() - 1)));
+                case 1 -> Files.writeString(file, fresh.substring(0, 1 + random.nextInt(fresh.length() - 1)));
                 case 2 -> Files.deleteIfExists(file);
                 case 3 -> Files.writeString(file, fresh.replace("\"zone\":\"a\"", "\"zone\":\"b\""));
                 case 4 -> Files.writeString(file, fresh.replace("100000", "-3"));
@@ -116,7 +116,7 @@
                     Files.writeString(other, fresh.replace("\"node\":1", "\"node\":7"));
                     Files.move(other, file, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
                 }
-                default -> Files.write(file, new byte[] {(byte) rnd.nextInt(256), 0, 1, (byte) rnd.nextInt(256)});
+                default -> Files.write(file, new byte[] {(byte) random.nextInt(256), 0, 1, (byte) random.nextInt(256)});
             }
             final boolean atOnce = watch.look();
             assertFalse(atOnce, "a file was judged at first sight, it may be half written");
--- a/trial/src/test/java/brookpath/trial/StorageSilenceTest.java
+++ b/testing/src/test/java/brookpath/testing/StorageFailureDetectorTest.java
@@ -1,24 +1,24 @@
-package brookpath.trial;
+package brookpath.testing;
 
 import static org.testng.Assert.assertEquals;
 
-import brookpath.coordination.Tempo;
-import brookpath.coordination.spec.Placement;
-import brookpath.coordination.spec.Roster;
-import brookpath.coordination.spec.Roster.GroupInfo;
-import brookpath.coordination.spec.Roster.NodeInfo;
-import brookpath.coordination.spec.StorageSilence;
+import brookpath.coordination.TimingBounds;
+import brookpath.coordination.configuration.Placement;
+import brookpath.coordination.configuration.ClusterMetadata;
+import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
+import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.configuration.StorageFailureDetector;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import org.testng.annotations.Test;
 
 /** When a storage machine that is silent is taken for gone. */
-public final class StorageSilenceTest {
-    private static final Tempo TEMPO = Tempo.DEFAULT;
+public final class StorageFailureDetectorTest {
+    private static final TimingBounds TIMING = TimingBounds.DEFAULT;
     private static final long LONG_AGO = 0;
     private static final long NOW = 100_000;
-    private static final long SILENT = NOW - TEMPO.goneAfter() - 1;
+    private static final long SILENT = NOW - TIMING.goneAfter() - 1;
 
     private static final List<NodeInfo> NODES = List.of(
             new NodeInfo(11, "a", "x"),
@@ -28,8 +28,8 @@
     private static final List<GroupInfo> GROUPS = Placement.found(NODES, 4, 3);
 
     private static Set<Integer> gone(final Map<Integer, Long> heardAt, final long dutySince) {
-        final Roster roster = new Roster(1, NODES, GROUPS, List.of());
-        return new StorageSilence(TEMPO, roster, heardAt, NOW).gone(dutySince, Set.of());
+        final ClusterMetadata metadata = new ClusterMetadata(1, NODES, GROUPS, List.of());
+        return new StorageFailureDetector(TIMING, metadata, heardAt, NOW).gone(dutySince, Set.of());
     }
 
     @Test
@@ -41,15 +41,15 @@
 
     @Test
     public void anEmptyMachineThatWaitsMakesItSooner() {
-        final long silent = NOW - TEMPO.replacedAfter() - 1;
+        final long silent = NOW - TIMING.replacedAfter() - 1;
         assertEquals(gone(Map.of(11, silent, 12, NOW, 13, NOW, 14, NOW), LONG_AGO), Set.of());
         assertEquals(gone(Map.of(11, silent, 12, NOW, 13, NOW, 14, NOW, 15, NOW), LONG_AGO), Set.of(11));
     }
 
     @Test
-    public void aNewControlMasterWaitsUntilAllHaveHadTimeToFindIt() {
+    public void aNewControlLeaderWaitsUntilAllHaveHadTimeToFindIt() {
         final Map<Integer, Long> heardAt = Map.of(12, NOW, 13, NOW, 14, NOW);
-        final long justEnough = NOW - TEMPO.specHorizon() - TEMPO.goneAfter();
+        final long justEnough = NOW - TIMING.configurationDeadline() - TIMING.goneAfter();
         assertEquals(gone(heardAt, justEnough), Set.of());
         assertEquals(gone(heardAt, justEnough - 1), Set.of(11));
     }
--- a/trial/src/test/java/brookpath/trial/UsagePosterTest.java
+++ b/testing/src/test/java/brookpath/testing/UsagePosterTest.java
@@ -1,4 +1,4 @@
-package brookpath.trial;
+package brookpath.testing;
 
 import static java.nio.charset.StandardCharsets.US_ASCII;
 import static org.testng.Assert.assertEquals;
@@ -20,7 +20,7 @@
 
 /** How a call to the platform may end, and what is known then. */
 public final class UsagePosterTest {
-    private static final long HORIZON_MS = 1_000;
+    private static final long DEADLINE_MS = 1_000;
     private static final String ADDRESS = "10.0.0.9:80";
     private static final Action.Post REPORT = new Action.Post(
             5,
@@ -29,7 +29,7 @@
                     + "{\"tenant\":\"t\",\"publishes\":4,\"bytes\":9,\"late\":false},"
                     + "{\"tenant\":\"\",\"publishes\":1,\"bytes\":2,\"late\":false}]}");
 
-    private final UsagePoster poster = new UsagePoster("front-1", ADDRESS, HORIZON_MS, () -> null);
+    private final UsagePoster poster = new UsagePoster("front-1", ADDRESS, DEADLINE_MS, () -> null);
 
     /** One call, to a platform that the test plays. */
     private final class Played {
@@ -88,7 +88,7 @@
     public void afterSilenceItsEndIsUnknownAndNoLateAnswerIsTaken() {
         final Played call = new Played();
         call.heard();
-        call.channel.advanceTimeBy(HORIZON_MS + 1, TimeUnit.MILLISECONDS);
+        call.channel.advanceTimeBy(DEADLINE_MS + 1, TimeUnit.MILLISECONDS);
         call.channel.runScheduledPendingTasks();
         call.ends(PostOutcome.UNKNOWN);
         final Played next = new Played();
--- a/trial/src/test/java/brookpath/trial/WireIdentityTest.java
+++ b/testing/src/test/java/brookpath/testing/WireIdentityTest.java
@@ -1,4 +1,4 @@
-package brookpath.trial;
+package brookpath.testing;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -6,7 +6,7 @@
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
-import brookpath.coordination.message.Msg;
+import brookpath.coordination.message.PeerMessage;
 import brookpath.protocol.frame.FrameCodec;
 import brookpath.transport.identity.ProcessIdentity;
 import brookpath.transport.identity.RandomNumbers;
@@ -27,7 +27,7 @@
     private static final long REDIAL_NEVER_MS = TimeUnit.HOURS.toMillis(1);
     private static final long DEAD_MS = TimeUnit.HOURS.toMillis(1);
 
-    private record Frame(int from, Msg msg) {}
+    private record Frame(int from, PeerMessage message) {}
 
     /** One process's end: what it hears. */
     private static final class End implements Wire.Inbox, AutoCloseable {
@@ -43,8 +43,8 @@
         }
 
         @Override
-        public void frame(final int from, final Msg msg) {
-            frames.add(new Frame(from, msg));
+        public void frame(final int from, final PeerMessage message) {
+            frames.add(new Frame(from, message));
         }
 
         @Override
@@ -87,14 +87,14 @@
         final End three = end(3, 33, REDIAL_SOON_MS);
         one.wire.dial(2, three.address);
         assertEquals(next(three.lost), Integer.valueOf(1), "the session with the wrong node was kept");
-        assertFalse(one.wire.send(2, new Msg.StandNow(1, 1)), "sent to whoever was there");
+        assertFalse(one.wire.send(2, new PeerMessage.TimeoutNow(1, 1)), "sent to whoever was there");
         assertNull(one.up.poll());
         assertTrue(one.wire.wrongNodes() > 0);
         assertNull(three.frames.poll(), "a frame reached a node that it was not meant for");
         final End two = end(2, 22, REDIAL_SOON_MS);
         one.wire.dial(2, two.address);
         assertEquals(next(one.up), Integer.valueOf(2));
-        assertTrue(one.wire.send(2, new Msg.StandNow(1, 1)));
+        assertTrue(one.wire.send(2, new PeerMessage.TimeoutNow(1, 1)));
         assertNotNull(next(two.frames));
     }
 
@@ -104,16 +104,16 @@
         final End former = end(2, 21, REDIAL_NEVER_MS);
         former.wire.dial(1, one.address);
         assertEquals(next(former.up), Integer.valueOf(1));
-        assertTrue(former.wire.send(1, new Msg.StandNow(1, 1)));
+        assertTrue(former.wire.send(1, new PeerMessage.TimeoutNow(1, 1)));
         assertNotNull(next(one.frames));
         final End newer = end(2, 22, REDIAL_NEVER_MS);
         newer.wire.dial(1, one.address);
         assertEquals(next(newer.up), Integer.valueOf(1));
         assertEquals(next(one.lost), Integer.valueOf(2), "what was under way with the former life is in doubt");
         assertEquals(next(former.lost), Integer.valueOf(1), "the former life still has a session");
-        assertFalse(former.wire.send(1, new Msg.StandNow(2, 2)));
-        assertTrue(one.wire.send(2, new Msg.StandNow(3, 3)));
-        assertEquals(next(newer.frames), new Frame(1, new Msg.StandNow(3, 3)));
+        assertFalse(former.wire.send(1, new PeerMessage.TimeoutNow(2, 2)));
+        assertTrue(one.wire.send(2, new PeerMessage.TimeoutNow(3, 3)));
+        assertEquals(next(newer.frames), new Frame(1, new PeerMessage.TimeoutNow(3, 3)));
         assertNull(former.frames.poll(), "a frame for the new life reached the former one");
         assertNull(one.lost.poll(), "the end of the former life's session was told as that of the new one's");
     }
@@ -124,7 +124,7 @@
         final int port = Integer.parseInt(one.address.substring(one.address.indexOf(':') + 1));
         try (Socket socket = new Socket("127.0.0.1", port)) {
             socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_S));
-            final byte[] frame = new FrameCodec().encode(new Msg.StandNow(1, 1));
+            final byte[] frame = new FrameCodec().encode(new PeerMessage.TimeoutNow(1, 1));
             final DataOutputStream out = new DataOutputStream(socket.getOutputStream());
             out.writeInt(frame.length);
             out.write(frame);
--- a/trial/src/test/java/brookpath/trial/WireTest.java
+++ b/testing/src/test/java/brookpath/testing/WireTest.java
@@ -1,8 +1,8 @@
-package brookpath.trial;
+package brookpath.testing;
 
 import static org.testng.Assert.assertTrue;
 
-import brookpath.coordination.message.Msg;
+import brookpath.coordination.message.PeerMessage;
 import brookpath.transport.identity.ProcessIdentity;
 import brookpath.transport.wire.Wire;
 import java.util.concurrent.LinkedBlockingQueue;
@@ -12,12 +12,12 @@
 /** Two nodes that each dial the other have two sessions, and each uses its own. */
 public final class WireTest {
     private static final class Box implements Wire.Inbox {
-        final LinkedBlockingQueue<Msg> got = new LinkedBlockingQueue<>();
+        final LinkedBlockingQueue<PeerMessage> got = new LinkedBlockingQueue<>();
         final LinkedBlockingQueue<Integer> up = new LinkedBlockingQueue<>();
 
         @Override
-        public void frame(final int from, final Msg msg) {
-            got.add(msg);
+        public void frame(final int from, final PeerMessage message) {
+            got.add(message);
         }
 
         @Override
@@ -48,9 +48,9 @@
                     one.up.poll(10, TimeUnit.SECONDS) != null && two.up.poll(10, TimeUnit.SECONDS) != null,
                     "no sessions");
             for (int i = 0; i < 20; i++) {
-                assertTrue(a.send(2, new Msg.StandNow(i, i)), "message " + i + " was not sent");
+                assertTrue(a.send(2, new PeerMessage.TimeoutNow(i, i)), "message " + i + " was not sent");
                 assertTrue(two.got.poll(10, TimeUnit.SECONDS) != null, "message " + i + " did not arrive");
-                assertTrue(b.send(1, new Msg.StandNow(i, i)), "answer " + i + " was not sent");
+                assertTrue(b.send(1, new PeerMessage.TimeoutNow(i, i)), "answer " + i + " was not sent");
                 assertTrue(one.got.poll(10, TimeUnit.SECONDS) != null, "answer " + i + " did not arrive");
             }
         } finally {
--- a/trial/src/test/java/brookpath/trial/SpoolRoomTest.java
+++ b/testing/src/test/java/brookpath/testing/WriteAheadLogSpaceTest.java
@@ -1,4 +1,4 @@
-package brookpath.trial;
+package brookpath.testing;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -8,9 +8,9 @@
 import brookpath.state.disk.Disk;
 import brookpath.state.disk.DiskFile;
 import brookpath.state.disk.DiskFullException;
-import brookpath.state.spool.Spool;
-import brookpath.state.spool.Spool.Recovery;
-import brookpath.trial.disk.TrialDisk;
+import brookpath.state.wal.WriteAheadLog;
+import brookpath.state.wal.WriteAheadLog.Recovery;
+import brookpath.testing.disk.FaultyDisk;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
@@ -23,8 +23,8 @@
 import org.testng.SkipException;
 import org.testng.annotations.Test;
 
-/** The spool on a disk that has too little room, and a power loss at each step of a roll. */
-public final class SpoolRoomTest {
+/** The write-ahead log on a disk that has too little room, and a power loss at each step of a roll. */
+public final class WriteAheadLogSpaceTest {
     private static final byte[] FIRST = filled(1, 100);
     private static final byte[] SECOND = filled(2, 300);
     private static final byte[] THIRD = filled(3, 50);
@@ -33,55 +33,55 @@
 
     @Test
     public void aWriteWithoutRoomLeavesWhatWasThereAndIsTriedAgain() {
-        final TrialDisk disk = new TrialDisk();
-        final Spool spool = Spool.recover(disk).spool();
-        spool.append(FIRST);
-        spool.sync();
+        final FaultyDisk disk = new FaultyDisk();
+        final WriteAheadLog writeAheadLog = WriteAheadLog.recover(disk).writeAheadLog();
+        writeAheadLog.append(FIRST);
+        writeAheadLog.sync();
         disk.capacity(300);
-        assertThrows(DiskFullException.class, () -> spool.append(SECOND));
-        spool.sync();
+        assertThrows(DiskFullException.class, () -> writeAheadLog.append(SECOND));
+        writeAheadLog.sync();
         disk.capacity(Long.MAX_VALUE);
-        spool.append(SECOND);
-        spool.sync();
-        spool.append(THIRD);
-        spool.sync();
+        writeAheadLog.append(SECOND);
+        writeAheadLog.sync();
+        writeAheadLog.append(THIRD);
+        writeAheadLog.sync();
         disk.powerLoss(new SplittableRandom(1));
-        final Recovery after = Spool.recover(disk);
+        final Recovery after = WriteAheadLog.recover(disk);
         assertFalse(after.damaged(), after.findings().toString());
         assertEquals(texts(after), List.of(text(FIRST), text(SECOND), text(THIRD)));
     }
 
     @Test
     public void aSyncCountsThoughThereIsNoRoomForItsMark() {
-        final TrialDisk disk = new TrialDisk();
-        final Spool spool = Spool.recover(disk).spool();
-        spool.append(FIRST);
+        final FaultyDisk disk = new FaultyDisk();
+        final WriteAheadLog writeAheadLog = WriteAheadLog.recover(disk).writeAheadLog();
+        writeAheadLog.append(FIRST);
         disk.full(true);
-        spool.sync();
+        writeAheadLog.sync();
         disk.powerLoss(new SplittableRandom(2));
         disk.full(false);
-        assertEquals(texts(Spool.recover(disk)), List.of(text(FIRST)));
+        assertEquals(texts(WriteAheadLog.recover(disk)), List.of(text(FIRST)));
     }
 
     @Test
     public void aSnapshotWithoutRoomIsLeftOutAndTheSegmentGoesOn() {
-        final TrialDisk disk = new TrialDisk();
-        final Spool spool = Spool.recover(disk).spool();
-        spool.roll(filled(9, 400));
-        spool.append(FIRST);
-        spool.sync();
+        final FaultyDisk disk = new FaultyDisk();
+        final WriteAheadLog writeAheadLog = WriteAheadLog.recover(disk).writeAheadLog();
+        writeAheadLog.roll(filled(9, 400));
+        writeAheadLog.append(FIRST);
+        writeAheadLog.sync();
         disk.capacity(900);
-        assertThrows(DiskFullException.class, () -> spool.roll(filled(10, 600)));
-        spool.append(THIRD);
-        spool.sync();
+        assertThrows(DiskFullException.class, () -> writeAheadLog.roll(filled(10, 600)));
+        writeAheadLog.append(THIRD);
+        writeAheadLog.sync();
         disk.powerLoss(new SplittableRandom(3));
-        final Recovery after = Spool.recover(disk);
+        final Recovery after = WriteAheadLog.recover(disk);
         assertFalse(after.damaged(), after.findings().toString());
         assertEquals(text(after.snapshot()), text(filled(9, 400)));
         assertEquals(texts(after), List.of(text(FIRST), text(THIRD)));
         disk.capacity(Long.MAX_VALUE);
-        after.spool().roll(filled(10, 600));
-        assertEquals(text(Spool.recover(disk).snapshot()), text(filled(10, 600)));
+        after.writeAheadLog().roll(filled(10, 600));
+        assertEquals(text(WriteAheadLog.recover(disk).snapshot()), text(filled(10, 600)));
     }
 
     @Test
@@ -91,13 +91,13 @@
         for (int step = 0; step < ROLL_STEPS; step++) {
             for (int seed = 0; seed < SEEDS; seed++) {
                 final StoppingDisk disk = new StoppingDisk();
-                final Spool spool = Spool.recover(disk).spool();
-                spool.roll(filled(7, 200));
-                spool.append(FIRST);
-                spool.sync();
+                final WriteAheadLog writeAheadLog = WriteAheadLog.recover(disk).writeAheadLog();
+                writeAheadLog.roll(filled(7, 200));
+                writeAheadLog.append(FIRST);
+                writeAheadLog.sync();
                 disk.stepsLeft = step;
                 try {
-                    spool.roll(filled(8, 200));
+                    writeAheadLog.roll(filled(8, 200));
                 } catch (final Stopped ex) {
                     before++;
                 }
@@ -107,19 +107,19 @@
                 } else {
                     disk.disk.powerLossByName(new SplittableRandom(seed));
                 }
-                final Recovery after = Spool.recover(disk);
+                final Recovery after = WriteAheadLog.recover(disk);
                 assertFalse(after.damaged(), "step " + step + ": " + after.findings());
                 final boolean isOld = text(after.snapshot()).equals(text(filled(7, 200)));
                 assertTrue(isOld || text(after.snapshot()).equals(text(filled(8, 200))), "step " + step);
                 assertEquals(texts(after), isOld ? List.of(text(FIRST)) : List.of(), "step " + step);
                 rolled += isOld ? 0 : 1;
                 // why: what a roll that was broken off left behind must not come into the next one
-                after.spool().append(THIRD);
-                after.spool().sync();
-                after.spool().roll(filled(11, 100));
-                after.spool().append(SECOND);
-                after.spool().sync();
-                final Recovery again = Spool.recover(disk);
+                after.writeAheadLog().append(THIRD);
+                after.writeAheadLog().sync();
+                after.writeAheadLog().roll(filled(11, 100));
+                after.writeAheadLog().append(SECOND);
+                after.writeAheadLog().sync();
+                final Recovery again = WriteAheadLog.recover(disk);
                 assertEquals(text(again.snapshot()), text(filled(11, 100)));
                 assertEquals(texts(again), List.of(text(SECOND)));
             }
@@ -147,9 +147,9 @@
         private static final long serialVersionUID = 1L;
     }
 
-    /** A trial disk on which the process dies after so many operations. */
+    /** A disk on which the process dies after so many operations. */
     private static final class StoppingDisk implements Disk {
-        private final TrialDisk disk = new TrialDisk();
+        private final FaultyDisk disk = new FaultyDisk();
         private int stepsLeft = Integer.MAX_VALUE;
 
         private void step() {
@@ -240,6 +240,6 @@
     }
 
     private static List<String> texts(final Recovery recovery) {
-        return recovery.entries().stream().map(SpoolRoomTest::text).toList();
+        return recovery.entries().stream().map(WriteAheadLogSpaceTest::text).toList();
     }
 }
--- a/trial/src/test/java/brookpath/trial/model/ModelFindingsTest.java
+++ b/testing/src/test/java/brookpath/testing/model/ModelFindingsTest.java
@@ -1,4 +1,4 @@
-package brookpath.trial.model;
+package brookpath.testing.model;
 
 import static org.testng.Assert.assertNull;
 
--- a/trial/src/test/java/brookpath/trial/model/ModelTest.java
+++ b/testing/src/test/java/brookpath/testing/model/ModelTest.java
@@ -1,4 +1,4 @@
-package brookpath.trial.model;
+package brookpath.testing.model;
 
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
@@ -40,20 +40,20 @@
     public void guidedWalksHold() {
         final long began = System.nanoTime();
         long steps = 0;
-        int masters = 0;
-        int accepted = 0;
+        int leaders = 0;
+        int committed = 0;
         for (int seed = 1; seed <= SEEDS; seed++) {
             for (final StartState start : StartState.values()) {
                 final GuidedWalk walk = new GuidedWalk(start, seed);
                 assertNull(walk.walk(WALK));
                 steps += walk.steps();
-                masters += walk.masters();
-                accepted += walk.acceptedRecords();
+                leaders += walk.leaders();
+                committed += walk.committedRecords();
             }
         }
         final double seconds = (System.nanoTime() - began) / NANOS;
         System.out.printf(Locale.ROOT, "model walks: %d steps, %.0f steps/s%n", steps, steps / seconds);
-        assertTrue(masters > 600 && accepted > 3_000, masters + " masters, " + accepted + " accepted");
+        assertTrue(leaders > 600 && committed > 3_000, leaders + " masters, " + committed + " accepted");
     }
 
     @Test
--- a/trial/src/test/java/brookpath/trial/oracle/control/ControlHistoryTest.java
+++ b/testing/src/test/java/brookpath/testing/oracle/control/ControlHistoryTest.java
@@ -1,23 +1,23 @@
-package brookpath.trial.oracle.control;
-
-import static brookpath.trial.oracle.control.ControlRule.INVALID_IN_FORCE;
-import static brookpath.trial.oracle.control.ControlRule.NOT_ANSWERED;
-import static brookpath.trial.oracle.control.ControlRule.ONE_CHANGE_PER_VERSION;
-import static brookpath.trial.oracle.control.ControlRule.READ_BACK;
-import static brookpath.trial.oracle.control.ControlRule.REFUSED_WITHOUT_CAUSE;
-import static brookpath.trial.oracle.control.ControlRule.REPEAT_REFUSED;
-import static brookpath.trial.oracle.control.ControlRule.RETIREMENT;
-import static brookpath.trial.oracle.control.ControlRule.STALE_READ;
-import static brookpath.trial.oracle.control.ControlRule.UNAVAILABLE;
-import static brookpath.trial.oracle.control.ControlRule.WRONG_ANSWER;
+package brookpath.testing.oracle.control;
+
+import static brookpath.testing.oracle.control.ControlRule.INVALID_IN_FORCE;
+import static brookpath.testing.oracle.control.ControlRule.NOT_ANSWERED;
+import static brookpath.testing.oracle.control.ControlRule.ONE_CHANGE_PER_VERSION;
+import static brookpath.testing.oracle.control.ControlRule.READ_BACK;
+import static brookpath.testing.oracle.control.ControlRule.REFUSED_WITHOUT_CAUSE;
+import static brookpath.testing.oracle.control.ControlRule.REPEAT_REFUSED;
+import static brookpath.testing.oracle.control.ControlRule.RETIREMENT;
+import static brookpath.testing.oracle.control.ControlRule.STALE_READ;
+import static brookpath.testing.oracle.control.ControlRule.UNAVAILABLE;
+import static brookpath.testing.oracle.control.ControlRule.WRONG_ANSWER;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import brookpath.trial.oracle.History;
-import brookpath.trial.oracle.control.CallHistory.Answer;
-import brookpath.trial.oracle.control.CallHistory.Call;
-import brookpath.trial.oracle.control.ChangeHistory.Change;
-import brookpath.trial.oracle.control.RetireHistory.Progress;
+import brookpath.testing.oracle.History;
+import brookpath.testing.oracle.control.CallHistory.Answer;
+import brookpath.testing.oracle.control.CallHistory.Call;
+import brookpath.testing.oracle.control.ChangeHistory.Change;
+import brookpath.testing.oracle.control.RetireHistory.Progress;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -334,11 +334,11 @@
     // ---- (i) topics
 
     @Test
-    public void anAcceptedMessageThatNeverArrivesIsSeen() {
+    public void anCommittedMessageThatNeverArrivesIsSeen() {
         final History topics = new History();
         final History.Listener listener = topics.listener("listener", Set.of("clues/t2"));
         topics.begun(1, listener, Map.of("clues/t2", 0L));
-        topics.accepted(20, topics.sending("clues/t2", "ana", 1, "a message"), 1);
+        topics.committed(20, topics.sending("clues/t2", "ana", 1, "a message"), 1);
         assertTrue(topics.violations().isEmpty());
         topics.settle(100);
         assertEquals(topics.violations().size(), 1, topics.violations().toString());
--- a/trial/src/test/java/brookpath/trial/sim/ConfigurationUpdatesTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ConfigurationUpdatesTest.java
@@ -1,4 +1,4 @@
-package brookpath.trial.sim;
+package brookpath.testing.sim;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.testng.Assert.assertEquals;
@@ -6,20 +6,20 @@
 import static org.testng.Assert.assertNotNull;
 import static org.testng.Assert.assertTrue;
 
-import brookpath.coordination.Tempo;
+import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Action;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.message.Msg.SpecPoll;
-import brookpath.coordination.message.Msg.SpecReply;
+import brookpath.coordination.message.PeerMessage.ConfigurationPoll;
+import brookpath.coordination.message.PeerMessage.ConfigurationReply;
 import brookpath.coordination.message.Response;
-import brookpath.coordination.node.FrontNode;
+import brookpath.coordination.node.GatewayNode;
 import brookpath.coordination.node.Node.Time;
-import brookpath.coordination.spec.ControlState;
-import brookpath.coordination.spec.Roster.NodeInfo;
-import brookpath.coordination.spec.SpecClient;
-import brookpath.coordination.spec.VersionUpdates;
+import brookpath.coordination.configuration.ControlState;
+import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.configuration.ConfigurationClient;
+import brookpath.coordination.configuration.VersionUpdates;
 import brookpath.state.record.Delta;
-import brookpath.state.record.Rec;
+import brookpath.state.record.LogRecord;
 import java.util.List;
 import java.util.Map;
 import org.testng.annotations.DataProvider;
@@ -73,7 +73,7 @@
     @Test(dataProvider = "sizes")
     public void aStormOfChangesCarriesWhatChangedAndNotTheWhole(final int spaces) {
         begin(61);
-        long version = version(answered(askSpec(master())).response);
+        long version = version(answered(askConfiguration(leader())).response);
         version = changed(version, "larger", 0, spaces);
         final long before = carried();
         final long from = world.now();
@@ -91,35 +91,35 @@
                 + " ms, and as long a time without changes "
                 + usual);
         assertTrue(bytes < CHANGES * document, bytes + " bytes: more than one whole document a change");
-        for (final int id : world.fronts) {
-            final FrontNode front = (FrontNode) world.procs.get(id).node;
-            assertEquals(front.client().spec().version(), version);
+        for (final int id : world.gateways) {
+            final GatewayNode gateway = (GatewayNode) world.processes.get(id).node;
+            assertEquals(gateway.client().configuration().version(), version);
         }
     }
 
     @Test
     public void aConfigurationOfThousandsOfSpacesIsTakenAndGrowsOn() {
         begin(63);
-        long version = version(answered(askSpec(master())).response);
+        long version = version(answered(askConfiguration(leader())).response);
         version = changed(version, "thousands", 0, MOST_SPACES);
         final long before = carried();
         version = changed(version, "one-more", 1, MOST_SPACES + 1);
         assertTrue(carried() - before < 100_000, "a space more carried " + (carried() - before) + " bytes");
-        for (final int id : world.fronts) {
-            final FrontNode front = (FrontNode) world.procs.get(id).node;
-            assertEquals(front.client().spec().version(), version);
+        for (final int id : world.gateways) {
+            final GatewayNode gateway = (GatewayNode) world.processes.get(id).node;
+            assertEquals(gateway.client().configuration().version(), version);
         }
     }
 
     @Test
-    public void aNewMasterTellsFollowersOfVersionsThatItNeverTold() {
+    public void aNewLeaderTellsFollowersOfVersionsThatItNeverTold() {
         begin(62);
-        long version = version(answered(askSpec(master())).response);
+        long version = version(answered(askConfiguration(leader())).response);
         for (int i = 0; i < 6; i++) {
             version = changed(version, "before-" + i, i);
-            world.kill(master(), true);
+            world.kill(leader(), true);
             world.run(world.now() + 1_500);
-            others(actingMaster()).forEach(p -> {
+            others(actingLeader()).forEach(p -> {
                 if (!p.alive) {
                     world.restart(p);
                 }
@@ -134,21 +134,21 @@
         final ControlState state = new ControlState();
         final byte[] first = "x".repeat(1_000).getBytes(UTF_8);
         final byte[] second = ("x".repeat(500) + "y" + "x".repeat(500)).getBytes(UTF_8);
-        state.apply(record(1, ControlState.specBody(state.specAt(1), "one", 1, 1, first)));
-        final byte[] body = ControlState.specBody(state.specAt(1), "two", 2, 2, second);
+        state.apply(record(1, ControlState.configurationBody(state.configurationAt(1), "one", 1, 1, first)));
+        final byte[] body = ControlState.configurationBody(state.configurationAt(1), "two", 2, 2, second);
         assertTrue(body.length < 200, "a record of " + body.length + " bytes");
         state.apply(record(2, body));
-        assertEquals(state.specAt(1).doc(), first);
-        assertEquals(state.specAt(2).doc(), second);
+        assertEquals(state.configurationAt(1).doc(), first);
+        assertEquals(state.configurationAt(2).doc(), second);
         final ControlState loaded = new ControlState();
         loaded.load(state.save());
-        assertEquals(loaded.specAt(2).doc(), second);
-        loaded.apply(record(3, ControlState.specBody(loaded.specAt(2), "three", 3, 3, first)));
-        assertEquals(loaded.specAt(3).doc(), first);
+        assertEquals(loaded.configurationAt(2).doc(), second);
+        loaded.apply(record(3, ControlState.configurationBody(loaded.configurationAt(2), "three", 3, 3, first)));
+        assertEquals(loaded.configurationAt(3).doc(), first);
     }
 
-    private static Rec record(final long lsn, final byte[] body) {
-        return Rec.of(lsn, 1, 0, Rec.CONTROL, body, 0);
+    private static LogRecord record(final long index, final byte[] body) {
+        return LogRecord.of(index, 1, 0, LogRecord.CONTROL, body, 0);
     }
 
     @Test
@@ -207,33 +207,33 @@
     @Test
     public void aDifferenceThatDoesNotFitIsAskedForWhole() {
         final Actions out = new Actions();
-        final SpecClient client = new SpecClient(
-                new NodeInfo(31, "a", "sim:31", "", 31), SpecPoll.FRONT, List.of(1), 100, Tempo.DEFAULT, out);
+        final ConfigurationClient client = new ConfigurationClient(
+                new NodeInfo(31, "a", "sim:31", "", 31), ConfigurationPoll.GATEWAY, List.of(1), 100, TimingBounds.DEFAULT, out);
         client.tick(NOW);
         assertTrue(client.onReply(reply(poll(out), 1, Delta.whole(text(1))), NOW));
-        assertEquals(client.spec().version(), 1);
-        final SpecPoll second = poll(out);
-        assertEquals(second.specVersion(), 1);
+        assertEquals(client.configuration().version(), 1);
+        final ConfigurationPoll second = poll(out);
+        assertEquals(second.configurationVersion(), 1);
         assertFalse(client.onReply(reply(second, 2, Delta.between(text(9), text(2))), NOW));
-        assertEquals(client.spec().version(), 1, "a difference from another document was taken");
-        final SpecPoll third = poll(out);
-        assertEquals(third.specVersion(), -1, "the whole was not asked for");
+        assertEquals(client.configuration().version(), 1, "a difference from another document was taken");
+        final ConfigurationPoll third = poll(out);
+        assertEquals(third.configurationVersion(), -1, "the whole was not asked for");
         assertTrue(client.onReply(reply(third, 2, Delta.whole(text(2))), NOW));
-        assertEquals(client.spec().version(), 2);
-        assertEquals(poll(out).specVersion(), 2);
+        assertEquals(client.configuration().version(), 2);
+        assertEquals(poll(out).configurationVersion(), 2);
     }
 
-    private static SpecPoll poll(final Actions out) {
-        final SpecPoll poll = out.drain().stream()
-                .filter(a -> a instanceof Action.Send s && s.msg() instanceof SpecPoll)
-                .map(a -> (SpecPoll) ((Action.Send) a).msg())
+    private static ConfigurationPoll poll(final Actions out) {
+        final ConfigurationPoll poll = out.drain().stream()
+                .filter(a -> a instanceof Action.Send s && s.message() instanceof ConfigurationPoll)
+                .map(a -> (ConfigurationPoll) ((Action.Send) a).message())
                 .reduce((first, second) -> second)
                 .orElse(null);
         assertNotNull(poll, "no poll was sent");
         return poll;
     }
 
-    private static SpecReply reply(final SpecPoll poll, final long version, final byte[] spec) {
-        return new SpecReply(poll.pollId(), true, 1, 1, version, spec, 0, new byte[0], 31, NOW.wall());
+    private static ConfigurationReply reply(final ConfigurationPoll poll, final long version, final byte[] configuration) {
+        return new ConfigurationReply(poll.pollId(), true, 1, 1, version, configuration, 0, new byte[0], 31, NOW.wall());
     }
 }
--- a/trial/src/test/java/brookpath/trial/sim/ControlMembershipTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ControlMembershipTest.java
@@ -1,4 +1,4 @@
-package brookpath.trial.sim;
+package brookpath.testing.sim;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -11,8 +11,8 @@
 import brookpath.coordination.group.Membership;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.node.ControllerNode;
-import brookpath.coordination.node.Job;
-import brookpath.state.record.Pack;
+import brookpath.coordination.node.NodeRequest;
+import brookpath.state.record.PackedBuffer;
 import java.util.EnumSet;
 import java.util.List;
 import java.util.TreeSet;
@@ -24,29 +24,29 @@
     /** A new machine counts as lost for this long after its start, on the users' days. */
     private static final long CATCH_UP_MS = 4_000;
 
-    /** The kind of a group's entry on disk that holds an epoch and a vote. */
+    /** The kind of a group's entry on disk that holds a term and a vote. */
     private static final int WRITTEN_VOTE = 3;
 
     private static final long SUCCESSOR_AFTER_MS = 1_000;
     private static final long ACKNOWLEDGED_WITHIN_MS = 6_000;
 
-    private World world;
+    private SimulatedCluster world;
     private int version;
     private String newestChange;
 
     private void begin(final long seed) {
-        world = World.serving(seed);
+        world = SimulatedCluster.serving(seed);
         version = 1;
         newestChange = "first";
     }
 
-    private static GroupMachine group(final Proc p) {
+    private static GroupMachine group(final SimulatedProcess p) {
         return ((ControllerNode) p.node).group();
     }
 
-    private Proc master() {
+    private SimulatedProcess leader() {
         for (final int id : world.controllers) {
-            final Proc p = world.procs.get(id);
+            final SimulatedProcess p = world.processes.get(id);
             if (p.alive && !p.frozen() && group(p).mayAct(p.mono())) {
                 return p;
             }
@@ -55,8 +55,8 @@
     }
 
     private Membership membership() {
-        final Proc master = master();
-        return master == null ? Membership.NONE : group(master).membership();
+        final SimulatedProcess leader = leader();
+        return leader == null ? Membership.NONE : group(leader).membership();
     }
 
     private static TreeSet<Integer> nodes(final List<Member> members) {
@@ -94,9 +94,9 @@
     }
 
     private void send(final String document, final boolean[] done, final int turn) {
-        final Proc asked = world.procs.get(world.controllers.get(turn % world.controllers.size()));
+        final SimulatedProcess asked = world.processes.get(world.controllers.get(turn % world.controllers.size()));
         final byte[] body = document.getBytes(java.nio.charset.StandardCharsets.UTF_8);
-        world.callers.asked(asked, id -> new Job.Operate(id, "change", body), r -> {
+        world.callers.asked(asked, id -> new NodeRequest.Operate(id, "change", body), r -> {
             assertFalse(r.status() == 409 || r.status() == 422, r.toString());
             done[0] |= r.status() == 200;
             if (!done[0]) {
@@ -105,17 +105,17 @@
         });
     }
 
-    private Response read(final Proc from) {
+    private Response read(final SimulatedProcess from) {
         final Response[] got = new Response[1];
-        world.callers.asked(from, id -> new Job.Operate(id, "spec", new byte[0]), r -> got[0] = r);
+        world.callers.asked(from, id -> new NodeRequest.Operate(id, "spec", new byte[0]), r -> got[0] = r);
         until("an answer", 4_000, () -> got[0] != null);
         return got[0];
     }
 
     private void readBackEverywhere() {
         for (final int id : world.controllers) {
-            if (world.procs.get(id).alive) {
-                final Response r = read(world.procs.get(id));
+            if (world.processes.get(id).alive) {
+                final Response r = read(world.processes.get(id));
                 assertTrue(r.status() == 200 && r.json().contains('"' + newestChange + '"'), id + ": " + r);
             }
         }
@@ -123,23 +123,23 @@
                 world.history.violations().isEmpty(), world.history.violations().toString());
     }
 
-    private Proc replace(final Proc old, final int successor) {
+    private SimulatedProcess replace(final SimulatedProcess old, final int successor) {
         world.kill(old, true);
         old.goneForGood = true;
         world.run(world.now() + SUCCESSOR_AFTER_MS);
         final int live = world.controllers.stream()
-                .filter(id -> world.procs.get(id).alive)
+                .filter(id -> world.processes.get(id).alive)
                 .findFirst()
                 .orElseThrow();
         return world.addController(successor, old.zone, List.of(old.id, live));
     }
 
     private void everybodyLosesPower() {
-        final List<Proc> all = List.copyOf(world.procs.values());
+        final List<SimulatedProcess> all = List.copyOf(world.processes.values());
         all.forEach(p -> world.kill(p, true));
         world.run(world.now() + 1_000);
         all.stream().filter(p -> !p.goneForGood).forEach(world::restart);
-        until("a master", 10_000, () -> master() != null);
+        until("a master", 10_000, () -> leader() != null);
         world.run(world.now() + 3_000);
     }
 
@@ -150,7 +150,7 @@
             world.addController(4, "d", List.of(1, 2, 3));
             until("the fourth as a learner", 3_000, () -> membership().holds(4));
             for (int i = 0; i < 4; i++) {
-                final Proc successor = replace(world.procs.get(1 + i), 5 + i);
+                final SimulatedProcess successor = replace(world.processes.get(1 + i), 5 + i);
                 acknowledged("while-" + i + "-is-replaced");
                 world.run(world.now() + CATCH_UP_MS);
                 assertTrue(membership().holds(successor.id), lastNotes());
@@ -174,13 +174,13 @@
                     world.addController(4, "d", List.of(1));
                     world.run(world.now() + CATCH_UP_MS);
                 }
-                final Proc first = seed % 2 == 0 ? master() : world.procs.get(voters().last());
+                final SimulatedProcess first = seed % 2 == 0 ? leader() : world.processes.get(voters().last());
                 final long startedAt = replace(first, 5).mono();
                 acknowledged("between-the-losses");
-                final Proc fifth = world.procs.get(5);
+                final SimulatedProcess fifth = world.processes.get(5);
                 world.run(world.now() + CATCH_UP_MS - (fifth.mono() - startedAt));
                 assertFalse(voters().contains(first.id), "seed " + seed + ": " + lastNotes());
-                world.kill(seed % 3 == 0 ? world.procs.get(voters().first()) : master(), true);
+                world.kill(seed % 3 == 0 ? world.processes.get(voters().first()) : leader(), true);
                 acknowledged("after-the-second-loss");
                 readBackEverywhere();
             }
@@ -193,15 +193,15 @@
             begin(seed);
             world.addController(4, "d", List.of(1, 2, 3));
             world.run(world.now() + CATCH_UP_MS);
-            final Proc dead = world.procs.get(voters().stream()
-                    .filter(id -> id != master().id)
+            final SimulatedProcess dead = world.processes.get(voters().stream()
+                    .filter(id -> id != leader().id)
                     .findFirst()
                     .orElseThrow());
             world.kill(dead, true);
             final long noticed = until("the promotion", 3_000, () -> voters().contains(4));
             final long window = until("the removal", 1_000, () -> !voters().contains(dead.id));
             assertTrue(noticed <= 3_000 && window <= 50, "noticed in " + noticed + " ms, window " + window + " ms");
-            until("its acceptance", 50, () -> group(master()).membershipSettled());
+            until("its acceptance", 50, () -> group(leader()).membershipSettled());
         }
     }
 
@@ -209,10 +209,10 @@
     public void anAnnouncedReplacementBringsTheNewOneFirst() {
         begin(31);
         for (int i = 0; i < 3; i++) {
-            final Proc leaving = world.procs.get(1 + i);
+            final SimulatedProcess leaving = world.processes.get(1 + i);
             world.addController(4 + i, leaving.zone, List.of(1, 2, 3));
             world.run(world.now() + CATCH_UP_MS);
-            world.callers.asked(leaving, Job.Retreat::new, r -> assertEquals(r.status(), 200));
+            world.callers.asked(leaving, NodeRequest.Retreat::new, r -> assertEquals(r.status(), 200));
             world.run(world.now() + 1_000);
             world.kill(leaving, false);
             leaving.goneForGood = true;
@@ -225,19 +225,19 @@
         readBackEverywhere();
     }
 
-    /** As if it had stood in this epoch, heard by nobody who counts. */
-    private static void stoodInVain(final Proc p, final long epoch) {
+    /** As if it had stood in this term, heard by nobody who counts. */
+    private static void stoodInVain(final SimulatedProcess p, final long term) {
         group(p).replay(
-                        Pack.reader(Pack.writer()
+                        PackedBuffer.reader(PackedBuffer.writer()
                                 .num(WRITTEN_VOTE)
-                                .num(epoch)
+                                .num(term)
                                 .num(p.id)
                                 .done()),
                         p.mono());
     }
 
-    private void cut(final Proc p) {
-        world.procs.keySet().forEach(other -> {
+    private void cut(final SimulatedProcess p) {
+        world.processes.keySet().forEach(other -> {
             world.net.cut(p.id, other);
             world.net.cut(other, p.id);
         });
@@ -249,19 +249,19 @@
             begin(seed);
             world.addController(4, "d", List.of(1, 2, 3));
             world.run(world.now() + CATCH_UP_MS);
-            final Proc away = seed % 2 == 0 ? master() : world.procs.get(voters().last());
+            final SimulatedProcess away = seed % 2 == 0 ? leader() : world.processes.get(voters().last());
             cut(away);
-            until("another master", 5_000, () -> master() != null && master() != away);
+            until("another master", 5_000, () -> leader() != null && leader() != away);
             until("its replacement", CATCH_UP_MS, () -> voters().contains(4) && !voters().contains(away.id));
             acknowledged("while-one-is-cut-off");
             for (int i = 0; i < 20; i++) {
                 assertFalse(read(away).status() == 200, "a controller that is cut off serves");
                 world.run(world.now() + 1_000);
             }
-            final Proc before = master();
-            final long epoch = group(before).epoch();
+            final SimulatedProcess before = leader();
+            final long term = group(before).term();
             if (seed % 4 > 1) {
-                stoodInVain(away, epoch + 5);
+                stoodInVain(away, term + 5);
             }
             world.net.heal();
             until(
@@ -270,25 +270,25 @@
                     () -> membership().learners().stream().anyMatch(m -> m.node() == away.id));
             acknowledged("after-its-return");
             world.run(world.now() + 3_000);
-            assertEquals(master(), before, lastNotes());
-            assertEquals(group(before).epoch(), epoch, lastNotes());
-            assertEquals(group(away).accepted(), group(before).accepted());
+            assertEquals(leader(), before, lastNotes());
+            assertEquals(group(before).term(), term, lastNotes());
+            assertEquals(group(away).committed(), group(before).committed());
             readBackEverywhere();
         }
     }
 
     @Test
-    public void aFormerVoterFindsTheMasterThoughAllItsPeersAreGone() {
+    public void aFormerVoterFindsTheLeaderThoughAllItsPeersAreGone() {
         begin(51);
         world.addController(4, "d", List.of(1, 2, 3));
         world.run(world.now() + CATCH_UP_MS);
-        final Proc former = world.procs.get(voters().first());
+        final SimulatedProcess former = world.processes.get(voters().first());
         world.kill(former, true);
         world.run(world.now() + CATCH_UP_MS);
         int successor = 5;
         for (final int id : List.of(1, 2, 3)) {
             if (id != former.id) {
-                replace(world.procs.get(id), successor++);
+                replace(world.processes.get(id), successor++);
                 world.run(world.now() + CATCH_UP_MS);
             }
         }
@@ -298,8 +298,8 @@
                 "its return",
                 8_000,
                 () -> membership().holds(former.id)
-                        && group(former).accepted() == group(master()).accepted());
-        assertEquals(former.node.beatSiblings().size(), membership().voters().size(), "it still beats the dead");
+                        && group(former).committed() == group(leader()).committed());
+        assertEquals(former.node.heartbeatPeers().size(), membership().voters().size(), "it still beats the dead");
         readBackEverywhere();
     }
 
@@ -311,11 +311,11 @@
             // why: the founders' zones are unknown, so the newcomer's is a further one, and it joins once all are
             // steady
             until("the promotion", 60_000, () -> voters().size() == 4);
-            final Proc master = master();
+            final SimulatedProcess leader = leader();
             acknowledged("in-between");
             final boolean diskLost = seed % 2 == 0;
-            final Proc victim = world.procs.get(nodes(membership().voters()).stream()
-                    .filter(id -> id != master.id && (diskLost ? id != 4 : id < 4))
+            final SimulatedProcess victim = world.processes.get(nodes(membership().voters()).stream()
+                    .filter(id -> id != leader.id && (diskLost ? id != 4 : id < 4))
                     .reduce((a, b) -> b)
                     .orElseThrow());
             world.kill(victim, true);
@@ -329,7 +329,7 @@
             until(
                     "an odd number of voters",
                     6_000,
-                    () -> voters().size() == 3 && group(master()).membershipSettled());
+                    () -> voters().size() == 3 && group(leader()).membershipSettled());
             readBackEverywhere();
             everybodyLosesPower();
             readBackEverywhere();
@@ -338,7 +338,7 @@
 
     @Test
     public void withTwoToleratedLossesTheGroupGrowsToFive() {
-        world = new World(71, Shape.SMALL, EnumSet.noneOf(Mutation.class));
+        world = new SimulatedCluster(71, FleetSize.SMALL, EnumSet.noneOf(Mutation.class));
         world.toleratedLosses = 2;
         world.run(4_000);
         version = 0;
@@ -346,11 +346,11 @@
         world.addController(4, "d", List.of(1));
         world.addController(5, "e", List.of(2));
         until("five voters", 5_000, () -> voters().size() == 5);
-        until("their acceptance", 1_000, () -> group(master()).membershipSettled());
+        until("their acceptance", 1_000, () -> group(leader()).membershipSettled());
         acknowledged("with-five");
-        world.kill(master(), true);
+        world.kill(leader(), true);
         acknowledged("with-four");
-        world.kill(master(), true);
+        world.kill(leader(), true);
         acknowledged("with-three");
         readBackEverywhere();
     }
@@ -360,16 +360,16 @@
         begin(81);
         world.addController(4, "d", List.of(1, 2, 3));
         world.run(world.now() + 60_000);
-        final Proc master = master();
-        assertNotNull(master);
-        final int groupVersion = group(master).groupVersion();
-        final long end = group(master).endLsn();
+        final SimulatedProcess leader = leader();
+        assertNotNull(leader);
+        final int groupVersion = group(leader).groupVersion();
+        final long end = group(leader).endIndex();
         world.run(world.now() + 60_000);
-        assertEquals(master(), master);
-        assertEquals(group(master).groupVersion(), groupVersion, lastNotes());
+        assertEquals(leader(), leader);
+        assertEquals(group(leader).groupVersion(), groupVersion, lastNotes());
         assertTrue(
-                group(master).endLsn() - end <= 20,
-                "the log grew by " + (group(master).endLsn() - end));
+                group(leader).endIndex() - end <= 20,
+                "the log grew by " + (group(leader).endIndex() - end));
         assertNull(Membership.find(membership().voters(), 99));
     }
 }
--- a/trial/src/test/java/brookpath/trial/sim/ControlReadsTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ControlReadsTest.java
@@ -1,4 +1,4 @@
-package brookpath.trial.sim;
+package brookpath.testing.sim;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.testng.Assert.assertEquals;
@@ -14,7 +14,7 @@
 public final class ControlReadsTest extends ControlScene {
     private static final long CUT_MS = 20_000;
 
-    /** How the control master loses its contact. */
+    /** How the control leader loses its contact. */
     enum Loss {
         BOTH_WAYS,
         NOT_HEARD,
@@ -29,7 +29,7 @@
         };
     }
 
-    private void lose(final Proc p, final Loss loss) {
+    private void lose(final SimulatedProcess p, final Loss loss) {
         if (loss == Loss.FROZEN) {
             world.freeze(p, CUT_MS);
         }
@@ -42,9 +42,9 @@
     }
 
     @Test(dataProvider = "losses")
-    public void aMasterWithoutContactServesNothingOldForTwentySeconds(final Loss loss, final int seed) {
+    public void aLeaderWithoutContactServesNothingOldForTwentySeconds(final Loss loss, final int seed) {
         begin(seed);
-        final Proc lost = master();
+        final SimulatedProcess lost = leader();
         final long healedAt = world.now() + CUT_MS;
         world.at(healedAt, world.net::heal);
         lose(lost, loss);
@@ -56,10 +56,10 @@
         Asked change = null;
         for (int i = 0; world.now() < healedAt + 5_000; i++) {
             for (final int id : world.controllers) {
-                reads.add(askSpec(world.procs.get(id)));
+                reads.add(askConfiguration(world.processes.get(id)));
                 confirmedBefore.add(confirmed);
             }
-            askedOfLost.add(askSpec(lost));
+            askedOfLost.add(askConfiguration(lost));
             askedOfLost.add(askChange(lost, document(newest, "lost-" + i)));
             askedOfLost.add(askChange(lost, document(0, "stale-" + i)));
             askedOfLost.add(askRetireNamed(lost, "nobody"));
@@ -93,17 +93,17 @@
         assertTrue(served > 100, served + " reads served");
     }
 
-    /** The lease of a master that has just been cut off still runs, but no answer may rest on it. */
+    /** The lease of a leader that has just been cut off still runs, but no answer may rest on it. */
     @Test
     public void aReadNeedsContactWithAMajorityThatBeganAfterIt() {
         begin(110);
-        final Proc master = master();
-        cutFrom(master);
-        cutTo(master);
-        final Asked read = askSpec(master);
-        final Asked retired = ask(master, "retired", "machine-11".getBytes(UTF_8));
-        final Asked unknown = askRetireNamed(master, "nobody");
-        final Asked outcome = ask(master, "outcome", "never".getBytes(UTF_8));
+        final SimulatedProcess leader = leader();
+        cutFrom(leader);
+        cutTo(leader);
+        final Asked read = askConfiguration(leader);
+        final Asked retired = ask(leader, "retired", "machine-11".getBytes(UTF_8));
+        final Asked unknown = askRetireNamed(leader, "nobody");
+        final Asked outcome = ask(leader, "outcome", "never".getBytes(UTF_8));
         world.run(world.now() + 300);
         for (final Asked asked : List.of(read, retired, unknown, outcome)) {
             assertNull(asked.response, "answered without a majority: " + asked);
@@ -116,45 +116,45 @@
     }
 
     @Test
-    public void aReadIsAnsweredWithinOneRoundTripAndNotWithTheNextBeat() {
+    public void aReadIsAnsweredWithinOneRoundTripAndNotWithTheNextHeartbeat() {
         begin(111);
-        final Proc master = master();
+        final SimulatedProcess leader = leader();
         long longest = 0;
         for (int i = 0; i < 50; i++) {
-            final Asked read = answered(askSpec(master));
+            final Asked read = answered(askConfiguration(leader));
             assertEquals(read.status(), 200, read.toString());
             longest = Math.max(longest, read.answeredAt - read.at);
         }
-        assertTrue(longest < world.tempo.beat() / 2, "a read took " + longest + " ms");
+        assertTrue(longest < world.timing.heartbeat() / 2, "a read took " + longest + " ms");
     }
 
-    /** Thousands of reads may not push their own beats out of what is remembered, nor cost the master its lease. */
+    /** Thousands of reads may not push their own heartbeats out of what is remembered, nor cost the leader its lease. */
     @Test
     public void manyReadsAtOnceAreAllAnswered() {
         begin(112);
-        final Proc master = master();
+        final SimulatedProcess leader = leader();
         world.net.extraDelay = 20;
-        final long epoch = group(master).epoch();
+        final long term = group(leader).term();
         final List<Asked> reads = new ArrayList<>();
         for (int i = 0; i < 1_000; i++) {
-            reads.add(askSpec(master));
+            reads.add(askConfiguration(leader));
             world.run(world.now() + 1);
         }
         world.run(world.now() + 2_000);
         reads.forEach(r -> assertEquals(r.status(), 200, r.toString()));
-        assertEquals(group(master).epoch(), epoch, "the master lost its mastership");
+        assertEquals(group(leader).term(), term, "the master lost its mastership");
     }
 
     /** A carried answer that was held up on its way says how things were, not how they are. */
     @Test
     public void anAnswerThatWasHeldUpOnTheWireIsDropped() {
         begin(113);
-        final Proc master = master();
-        final Proc carrier = others(master).get(0);
-        world.net.cut(master.id, carrier.id);
-        final Asked read = askSpec(carrier);
+        final SimulatedProcess leader = leader();
+        final SimulatedProcess carrier = others(leader).get(0);
+        world.net.cut(leader.id, carrier.id);
+        final Asked read = askConfiguration(carrier);
         world.run(world.now() + 10);
-        assertEquals(answered(askChange(master, document(1, "newer"))).status(), 200);
+        assertEquals(answered(askChange(leader, document(1, "newer"))).status(), 200);
         final long confirmedAt = world.now();
         world.run(read.at + 2_100);
         world.net.heal();
@@ -167,13 +167,13 @@
     @Test
     public void aCarrierThatWasFrozenGivesNoAnswerFromBeforeItsFreeze() {
         begin(114);
-        final Proc master = master();
-        final Proc carrier = others(master).get(0);
-        final Asked read = askSpec(carrier);
+        final SimulatedProcess leader = leader();
+        final SimulatedProcess carrier = others(leader).get(0);
+        final Asked read = askConfiguration(carrier);
         world.run(world.now() + 1);
         world.freeze(carrier, 2_500);
         world.run(world.now() + 10);
-        assertEquals(answered(askChange(master, document(1, "newer"))).status(), 200);
+        assertEquals(answered(askChange(leader, document(1, "newer"))).status(), 200);
         final long confirmedAt = world.now();
         world.run(read.at + 2_900);
         assertTrue(read.status() >= 500, read + ", though version 2 was confirmed at " + confirmedAt);
@@ -182,13 +182,13 @@
     @Test
     public void anOrderWhoseSessionBrokeHasAnUnknownEnd() {
         begin(115);
-        final Proc master = master();
-        final Proc carrier = others(master).get(0);
-        world.net.cut(master.id, carrier.id);
+        final SimulatedProcess leader = leader();
+        final SimulatedProcess carrier = others(leader).get(0);
+        world.net.cut(leader.id, carrier.id);
         final Asked order = askRetire(carrier, 11);
-        final Asked read = askSpec(carrier);
+        final Asked read = askConfiguration(carrier);
         world.run(world.now() + 20);
-        world.kill(master, true);
+        world.kill(leader, true);
         answered(order);
         answered(read);
         assertEquals(order.status(), 504, order.toString());
@@ -200,14 +200,14 @@
     @Test
     public void aMachineThatIsCutOffSaysSoAtOnce() {
         begin(116);
-        final Proc master = master();
-        final Proc slave = others(master).get(0);
-        for (final Proc lost : List.of(slave, master)) {
+        final SimulatedProcess leader = leader();
+        final SimulatedProcess follower = others(leader).get(0);
+        for (final SimulatedProcess lost : List.of(follower, leader)) {
             cutFrom(lost);
             cutTo(lost);
-            world.run(world.now() + 2 * world.tempo.down() + world.tempo.beat());
+            world.run(world.now() + 2 * world.timing.down() + world.timing.heartbeat());
             for (final Asked asked :
-                    List.of(askSpec(lost), askChange(lost, document(1, "cut-" + lost.id)), askRetire(lost, 11))) {
+                    List.of(askConfiguration(lost), askChange(lost, document(1, "cut-" + lost.id)), askRetire(lost, 11))) {
                 world.run(world.now() + 20);
                 assertEquals(asked.status(), 503, asked.toString());
                 assertTrue(asked.response.retryAfterMs() > 0, asked.toString());
--- a/trial/src/test/java/brookpath/trial/sim/ControlScene.java
+++ b/testing/src/test/java/brookpath/testing/sim/ControlScene.java
@@ -1,4 +1,4 @@
-package brookpath.trial.sim;
+package brookpath.testing.sim;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.testng.Assert.assertNotNull;
@@ -6,10 +6,10 @@
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.node.ControllerNode;
-import brookpath.coordination.node.Job;
-import brookpath.coordination.spec.ControlState;
-import brookpath.coordination.spec.Roster;
-import brookpath.state.record.Pack;
+import brookpath.coordination.node.NodeRequest;
+import brookpath.coordination.configuration.ControlState;
+import brookpath.coordination.configuration.ClusterMetadata;
+import brookpath.state.record.PackedBuffer;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.regex.Matcher;
@@ -19,7 +19,7 @@
 abstract class ControlScene {
     private static final Pattern VERSION = Pattern.compile("\"version\":([0-9]+)");
 
-    World world;
+    SimulatedCluster world;
 
     /** An answer that may not have come yet. */
     static final class Asked {
@@ -48,13 +48,13 @@
     }
 
     void begin(final long seed) {
-        world = World.serving(seed);
+        world = SimulatedCluster.serving(seed);
     }
 
-    /** The process that acts as the control master just now, null for none. */
-    Proc actingMaster() {
+    /** The process that acts as the control leader just now, null for none. */
+    SimulatedProcess actingLeader() {
         for (final int id : world.controllers) {
-            final Proc p = world.procs.get(id);
+            final SimulatedProcess p = world.processes.get(id);
             if (p.alive && !p.frozen() && group(p).mayAct(p.mono())) {
                 return p;
             }
@@ -62,64 +62,64 @@
         return null;
     }
 
-    Proc master() {
-        for (int i = 0; i < 1_000 && actingMaster() == null; i++) {
+    SimulatedProcess leader() {
+        for (int i = 0; i < 1_000 && actingLeader() == null; i++) {
             world.run(world.now() + 10);
         }
-        assertNotNull(actingMaster(), "no control master within 10 s");
-        return actingMaster();
+        assertNotNull(actingLeader(), "no control master within 10 s");
+        return actingLeader();
     }
 
     /** Members of the control group other than this one. */
-    List<Proc> others(final Proc p) {
-        final List<Proc> others = new ArrayList<>();
+    List<SimulatedProcess> others(final SimulatedProcess p) {
+        final List<SimulatedProcess> others = new ArrayList<>();
         world.controllers.forEach(id -> {
             if (id != p.id) {
-                others.add(world.procs.get(id));
+                others.add(world.processes.get(id));
             }
         });
         return others;
     }
 
-    static GroupMachine group(final Proc p) {
+    static GroupMachine group(final SimulatedProcess p) {
         return ((ControllerNode) p.node).group();
     }
 
-    static Roster roster(final Proc p) {
-        return ((ControlState) group(p).live()).rosterAt(group(p).accepted());
+    static ClusterMetadata metadata(final SimulatedProcess p) {
+        return ((ControlState) group(p).live()).metadataAt(group(p).committed());
     }
 
-    void cutFrom(final Proc p) {
+    void cutFrom(final SimulatedProcess p) {
         others(p).forEach(o -> world.net.cut(p.id, o.id));
     }
 
-    void cutTo(final Proc p) {
+    void cutTo(final SimulatedProcess p) {
         others(p).forEach(o -> world.net.cut(o.id, p.id));
     }
 
     /** Asks one process, and goes on without waiting for the answer. */
-    Asked ask(final Proc p, final String kind, final byte[] body) {
+    Asked ask(final SimulatedProcess p, final String kind, final byte[] body) {
         final Asked asked = new Asked(p.id, world.now());
-        world.callers.asked(p, id -> new Job.Operate(id, kind, body), r -> {
+        world.callers.asked(p, id -> new NodeRequest.Operate(id, kind, body), r -> {
             asked.response = r;
             asked.answeredAt = world.now();
         });
         return asked;
     }
 
-    Asked askSpec(final Proc p) {
+    Asked askConfiguration(final SimulatedProcess p) {
         return ask(p, "spec", new byte[0]);
     }
 
-    Asked askChange(final Proc p, final String document) {
+    Asked askChange(final SimulatedProcess p, final String document) {
         return ask(p, "change", document.getBytes(UTF_8));
     }
 
-    Asked askRetire(final Proc p, final int node) {
-        return ask(p, "retire", Pack.writer().num(node).num(1).done());
+    Asked askRetire(final SimulatedProcess p, final int node) {
+        return ask(p, "retire", PackedBuffer.writer().num(node).num(1).done());
     }
 
-    Asked askRetireNamed(final Proc p, final String name) {
+    Asked askRetireNamed(final SimulatedProcess p, final String name) {
         return ask(p, "retireNamed", name.getBytes(UTF_8));
     }
 
--- a/trial/src/test/java/brookpath/trial/sim/ControlStateSizeTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ControlStateSizeTest.java
@@ -1,62 +1,62 @@
-package brookpath.trial.sim;
+package brookpath.testing.sim;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import brookpath.coordination.Tempo;
+import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Action;
-import brookpath.coordination.beat.BeatTable;
+import brookpath.coordination.heartbeat.HeartbeatTable;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Member;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.node.ControllerNode;
-import brookpath.coordination.node.Job;
+import brookpath.coordination.node.NodeRequest;
 import brookpath.coordination.node.Node.Time;
 import brookpath.coordination.node.control.Founding;
-import brookpath.coordination.spec.ControlState;
+import brookpath.coordination.configuration.ControlState;
 import java.util.ArrayList;
 import java.util.List;
 import org.testng.annotations.Test;
 
 /**
- * The control state keeps what is accepted however much follows it, and stays small however many changes there were.
+ * The control state keeps what is committed however much follows it, and stays small however many changes there were.
  */
 public final class ControlStateSizeTest {
     private static final int CHANGES_BEYOND_ANY_BOUND = 40;
     private static final int MANY_CHANGES = 2_000;
     private static final int DOCUMENT_BYTES = 100 << 10;
-    /** One accepted document, those not yet accepted, the log kept for slaves that lag, and the outcomes. */
-    private static final int MAX_IMAGE_BYTES = 3 << 20;
+    /** One committed document, those not yet committed, the log kept for followers that lag, and the outcomes. */
+    private static final int MAX_SNAPSHOT_BYTES = 3 << 20;
 
     private static final int MAX_LOG_BYTES = 2 << 20;
 
     @Test
-    public void theAcceptedVersionStaysThoughManyNewerOnesWaitForCopies() {
-        final World world = World.serving(11);
-        final Proc master = controlMaster(world);
-        final long accepted = acceptedVersion(master);
-        assertTrue(accepted > 0);
+    public void theCommittedVersionStaysThoughManyNewerOnesWaitForCopies() {
+        final SimulatedCluster world = SimulatedCluster.serving(11);
+        final SimulatedProcess leader = controlLeader(world);
+        final long committed = committedVersion(leader);
+        assertTrue(committed > 0);
         for (final int id : world.controllers) {
-            if (id != master.id) {
-                // why: the slaves answer beats, so the master leads on, but nothing that it appends reaches a disk
+            if (id != leader.id) {
+                // why: the followers answer heartbeats, so the leader leads on, but nothing that it appends reaches a disk
                 // there
-                world.procs.get(id).syncMs = 1_000_000;
+                world.processes.get(id).syncMs = 1_000_000;
             }
         }
         final List<Response> responses = new ArrayList<>();
         for (int i = 0; i < CHANGES_BEYOND_ANY_BOUND; i++) {
-            final String doc = world.callers.operators.document(accepted + i, "waits-" + i, true);
-            world.callers.asked(master, id -> new Job.Operate(id, "change", doc.getBytes(UTF_8)), responses::add);
+            final String doc = world.callers.operators.document(committed + i, "waits-" + i, true);
+            world.callers.asked(leader, id -> new NodeRequest.Operate(id, "change", doc.getBytes(UTF_8)), responses::add);
             world.run(world.now() + 20);
-            assertEquals(acceptedVersion(master), accepted, "after " + (i + 1) + " changes that are not accepted");
-            assertTrue(acceptedRosterVersion(master) > 0, "no roster after " + (i + 1) + " changes");
+            assertEquals(committedVersion(leader), committed, "after " + (i + 1) + " changes that are not accepted");
+            assertTrue(committedMetadataVersion(leader) > 0, "no roster after " + (i + 1) + " changes");
         }
         assertTrue(
                 responses.stream().anyMatch(r -> r.status() == 503 && r.retryAfterMs() > 0),
                 "none was refused at once for the many that wait: " + responses);
         for (final int id : world.controllers) {
-            world.procs.get(id).syncMs = 2;
+            world.processes.get(id).syncMs = 2;
         }
     }
 
@@ -66,24 +66,24 @@
         long mono = 0;
         for (int i = 0; i < 400; i++) {
             mono += 10;
-            obey(node, node.tick(time(mono), BeatTable.EMPTY), mono);
+            obey(node, node.tick(time(mono), HeartbeatTable.EMPTY), mono);
         }
-        assertEquals(node.group().role(), GroupMachine.MASTER, node.group().obstacle());
+        assertEquals(node.group().role(), GroupMachine.LEADER, node.group().obstacle());
         int largest = 0;
         for (int i = 0; i < MANY_CHANGES; i++) {
             mono += 25;
             final byte[] doc = document(i);
-            obey(node, node.job(new Job.Operate(i + 1, "change", doc), time(mono)), mono);
-            obey(node, node.tick(time(mono + 20), BeatTable.EMPTY), mono + 20);
+            obey(node, node.request(new NodeRequest.Operate(i + 1, "change", doc), time(mono)), mono);
+            obey(node, node.tick(time(mono + 20), HeartbeatTable.EMPTY), mono + 20);
             largest = Math.max(largest, logBytes(node.group()));
         }
         final ControlState state = (ControlState) node.group().live();
-        assertEquals(state.specAt(node.group().accepted()).version(), MANY_CHANGES);
+        assertEquals(state.configurationAt(node.group().committed()).version(), MANY_CHANGES);
         assertTrue(largest <= MAX_LOG_BYTES, "the log in memory grew to " + largest + " bytes");
-        final int image =
+        final int snapshot =
                 node.group().checkpoint().stream().mapToInt(e -> e.length).sum();
-        assertTrue(image <= MAX_IMAGE_BYTES, "the snapshot has " + image + " bytes");
-        System.out.println("after " + MANY_CHANGES + " changes: log at most " + largest + " bytes, snapshot " + image);
+        assertTrue(snapshot <= MAX_SNAPSHOT_BYTES, "the snapshot has " + snapshot + " bytes");
+        System.out.println("after " + MANY_CHANGES + " changes: log at most " + largest + " bytes, snapshot " + snapshot);
     }
 
     private static byte[] document(final int basedOn) {
@@ -94,7 +94,7 @@
 
     private static ControllerNode alone() {
         final ControllerNode node = new ControllerNode(
-                1, List.of(new Member(1, 50, "")), new Founding(1, 1, 1, 0), Tempo.DEFAULT, 1, 0, Long.MAX_VALUE);
+                1, List.of(new Member(1, 50, "")), new Founding(1, 1, 1, 0), TimingBounds.DEFAULT, 1, 0, Long.MAX_VALUE);
         obey(node, node.start(true, time(0)), 0);
         return node;
     }
@@ -109,32 +109,32 @@
     }
 
     private static Time time(final long mono) {
-        return new Time(mono, World.WALL + mono);
+        return new Time(mono, SimulatedCluster.WALL + mono);
     }
 
     private static int logBytes(final GroupMachine group) {
         int bytes = 0;
-        for (long lsn = group.baseLsn() + 1; lsn <= group.endLsn(); lsn++) {
-            bytes += group.rec(lsn).bytes().length;
+        for (long index = group.baseIndex() + 1; index <= group.endIndex(); index++) {
+            bytes += group.logRecord(index).bytes().length;
         }
         return bytes;
     }
 
-    private static Proc controlMaster(final World world) {
+    private static SimulatedProcess controlLeader(final SimulatedCluster world) {
         return world.controllers.stream()
-                .map(world.procs::get)
+                .map(world.processes::get)
                 .filter(p -> p.alive && ((ControllerNode) p.node).group().mayAct(p.mono()))
                 .findFirst()
                 .orElseThrow();
     }
 
-    private static long acceptedVersion(final Proc p) {
+    private static long committedVersion(final SimulatedProcess p) {
         final GroupMachine group = ((ControllerNode) p.node).group();
-        return ((ControlState) group.live()).specAt(group.accepted()).version();
+        return ((ControlState) group.live()).configurationAt(group.committed()).version();
     }
 
-    private static long acceptedRosterVersion(final Proc p) {
+    private static long committedMetadataVersion(final SimulatedProcess p) {
         final GroupMachine group = ((ControllerNode) p.node).group();
-        return ((ControlState) group.live()).rosterAt(group.accepted()).version();
+        return ((ControlState) group.live()).metadataAt(group.committed()).version();
     }
 }
--- a/trial/src/test/java/brookpath/trial/sim/FullDiskTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/FullDiskTest.java
@@ -1,4 +1,4 @@
-package brookpath.trial.sim;
+package brookpath.testing.sim;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -9,10 +9,10 @@
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.node.ControllerNode;
-import brookpath.coordination.node.Job;
+import brookpath.coordination.node.NodeRequest;
 import brookpath.coordination.node.StorageNode;
-import brookpath.coordination.spec.Placement;
-import brookpath.coordination.spec.Spec;
+import brookpath.coordination.configuration.Placement;
+import brookpath.coordination.configuration.Configuration;
 import java.util.List;
 import org.testng.annotations.Test;
 
@@ -22,72 +22,72 @@
     private static final int GROUPS = 4;
     private static final String TOPIC = "permits/t0";
 
-    private World world;
+    private SimulatedCluster world;
 
     @Test
-    public void aMasterWhoseDiskIsFullHandsOverAndComesBack() {
-        masterInTrouble(31, (p, on) -> p.disk.full(on));
+    public void aLeaderWhoseDiskIsFullHandsOverAndComesBack() {
+        leaderInTrouble(31, (p, on) -> p.disk.full(on));
     }
 
     @Test
-    public void aMasterWhoseDiskHangsHandsOverAndComesBack() {
-        masterInTrouble(32, (p, on) -> p.syncMs = on ? FULL_MS : 2);
+    public void aLeaderWhoseDiskHangsHandsOverAndComesBack() {
+        leaderInTrouble(32, (p, on) -> p.syncMs = on ? FULL_MS : 2);
     }
 
     private interface Trouble {
-        void set(Proc p, boolean on);
+        void set(SimulatedProcess p, boolean on);
     }
 
-    private void masterInTrouble(final long seed, final Trouble trouble) {
-        world = World.serving(seed);
+    private void leaderInTrouble(final long seed, final Trouble trouble) {
+        world = SimulatedCluster.serving(seed);
         world.callers.publisher("ana", TOPIC, "key-members", 200, 400);
         world.callers.subscriber("sub", "key-members", List.of(TOPIC));
         world.run(world.now() + 3_000);
-        final int g = Placement.groupOf(TOPIC, new Spec.Space("permits", 30_000, false, 2), GROUPS);
-        final Proc master = acting(g);
-        final long life = master.life;
-        trouble.set(master, true);
+        final int g = Placement.groupOf(TOPIC, new Configuration.Space("permits", 30_000, false, 2), GROUPS);
+        final SimulatedProcess leader = acting(g);
+        final long life = leader.life;
+        trouble.set(leader, true);
         world.run(world.now() + FULL_MS);
-        assertTrue(master.alive && master.life == life, "the process ended");
-        final Proc next = acting(g);
+        assertTrue(leader.alive && leader.life == life, "the process ended");
+        final SimulatedProcess next = acting(g);
         assertNotNull(next, "no master while one disk is in trouble: " + world.notes());
-        assertNotEquals(next.id, master.id, "a member without a disk still leads");
-        trouble.set(master, false);
+        assertNotEquals(next.id, leader.id, "a member without a disk still leads");
+        trouble.set(leader, false);
         world.run(world.now() + FULL_MS + 5_000);
-        assertTrue(master.alive && master.life == life, "the process ended");
-        final GroupMachine copy = ((StorageNode) master.node).group(g);
-        assertEquals(copy.syncedLsn(), ((StorageNode) acting(g).node).group(g).syncedLsn());
+        assertTrue(leader.alive && leader.life == life, "the process ended");
+        final GroupMachine copy = ((StorageNode) leader.node).group(g);
+        assertEquals(copy.syncedIndex(), ((StorageNode) acting(g).node).group(g).syncedIndex());
         world.callers.quiet = true;
         world.run(world.now() + 20_000);
         world.history.settle(world.now());
         assertTrue(world.history.violations().isEmpty(), String.join("\n", world.history.violations()));
-        assertTrue(world.history.accepted() > 80, world.counts.toString());
+        assertTrue(world.history.committed() > 80, world.counts.toString());
     }
 
     @Test
     public void aFullDiskOfAControlMemberStopsNoChange() {
-        world = World.serving(33);
-        final Proc master = controlMaster();
-        final Proc full = world.procs.get(master.id == 1 ? 2 : 1);
+        world = SimulatedCluster.serving(33);
+        final SimulatedProcess leader = controlLeader();
+        final SimulatedProcess full = world.processes.get(leader.id == 1 ? 2 : 1);
         final long life = full.life;
         full.disk.full(true);
         for (int i = 0; i < 5; i++) {
             change(i + 1, "while-full-" + i);
         }
         assertTrue(full.alive && full.life == life, "the process ended");
-        assertNotEquals(((ControllerNode) full.node).group().role(), GroupMachine.MASTER);
+        assertNotEquals(((ControllerNode) full.node).group().role(), GroupMachine.LEADER);
         full.disk.full(false);
         world.run(world.now() + 3_000);
         assertEquals(
-                ((ControllerNode) full.node).group().syncedLsn(),
-                ((ControllerNode) controlMaster().node).group().syncedLsn());
+                ((ControllerNode) full.node).group().syncedIndex(),
+                ((ControllerNode) controlLeader().node).group().syncedIndex());
         assertTrue(world.history.violations().isEmpty(), String.join("\n", world.history.violations()));
     }
 
     @Test
     public void aMemberStartsOnAFullDisk() {
-        world = World.serving(34);
-        final Proc member = world.procs.get(controlMaster().id == 1 ? 2 : 1);
+        world = SimulatedCluster.serving(34);
+        final SimulatedProcess member = world.processes.get(controlLeader().id == 1 ? 2 : 1);
         member.disk.full(true);
         world.kill(member, false);
         world.run(world.now() + 500);
@@ -98,34 +98,34 @@
         member.disk.full(false);
         world.run(world.now() + 3_000);
         assertEquals(
-                ((ControllerNode) member.node).group().syncedLsn(),
-                ((ControllerNode) controlMaster().node).group().syncedLsn());
+                ((ControllerNode) member.node).group().syncedIndex(),
+                ((ControllerNode) controlLeader().node).group().syncedIndex());
     }
 
     @Test
     public void whatWaitsForAFullDiskIsBoundedAndRefusedAtOnce() {
-        world = World.serving(35);
+        world = SimulatedCluster.serving(35);
         for (final int id : world.storages) {
             // why: where all disks are full there is nobody to hand over to
-            world.procs.get(id).disk.full(true);
+            world.processes.get(id).disk.full(true);
         }
         final String large = "y".repeat(30_000);
         final Response[] last = new Response[1];
         for (int i = 0; i < 300; i++) {
             final int seq = i + 1;
-            final int front = 31 + i % 3;
+            final int gateway = 31 + i % 3;
             world.callers.asked(
-                    world.procs.get(front),
-                    id -> new Job.Publish(id, "key-members", TOPIC, "big", seq, large),
+                    world.processes.get(gateway),
+                    id -> new NodeRequest.Publish(id, "key-members", TOPIC, "big", seq, large),
                     r -> last[0] = r);
             world.run(world.now() + 50);
         }
-        final int g = Placement.groupOf(TOPIC, new Spec.Space("permits", 30_000, false, 2), GROUPS);
+        final int g = Placement.groupOf(TOPIC, new Configuration.Space("permits", 30_000, false, 2), GROUPS);
         for (final int id : world.storages) {
-            final Proc p = world.procs.get(id);
+            final SimulatedProcess p = world.processes.get(id);
             assertTrue(p.alive, "the process ended");
             final GroupMachine group = ((StorageNode) p.node).group(g);
-            final long unsynced = group == null ? 0 : group.endLsn() - group.syncedLsn();
+            final long unsynced = group == null ? 0 : group.endIndex() - group.syncedIndex();
             assertTrue(unsynced * large.length() < 2 << 20, unsynced + " records wait");
         }
         assertNotNull(last[0]);
@@ -143,18 +143,18 @@
         assertEquals(got[0].status(), 200, got[0].toString());
     }
 
-    private Proc acting(final int g) {
+    private SimulatedProcess acting(final int g) {
         return world.storages.stream()
-                .map(world.procs::get)
+                .map(world.processes::get)
                 .filter(p -> p.alive && p.node instanceof StorageNode s && s.group(g) != null)
                 .filter(p -> ((StorageNode) p.node).group(g).mayAct(p.mono()))
                 .findFirst()
                 .orElse(null);
     }
 
-    private Proc controlMaster() {
+    private SimulatedProcess controlLeader() {
         return world.controllers.stream()
-                .map(world.procs::get)
+                .map(world.processes::get)
                 .filter(p -> p.alive && ((ControllerNode) p.node).group().mayAct(p.mono()))
                 .findFirst()
                 .orElseThrow();
--- a/trial/src/test/java/brookpath/trial/sim/FullSyncTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/FullSyncTest.java
@@ -1,4 +1,4 @@
-package brookpath.trial.sim;
+package brookpath.testing.sim;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertNotEquals;
@@ -6,8 +6,8 @@
 
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.node.StorageNode;
-import brookpath.state.record.Pack;
-import brookpath.state.record.Rec;
+import brookpath.state.record.PackedBuffer;
+import brookpath.state.record.LogRecord;
 import java.util.Arrays;
 import org.testng.annotations.Test;
 
@@ -20,16 +20,16 @@
     /** What the link carries in its time, without loss: 20 MB at 350 kB a second take 59 s. */
     private static final long TRANSFER_MS = 59_000;
 
-    private World world;
+    private SimulatedCluster world;
 
     @Test
-    public void aLargeImageGoesInPartsAndTheBeatsComeBetweenThem() {
-        final Proc joiner = wipedMemberBehindASlowLink(21);
+    public void aLargeSnapshotGoesInPartsAndTheHeartbeatsComeBetweenThem() {
+        final SimulatedProcess joiner = wipedMemberBehindASlowLink(21);
         final long from = world.now();
         long unheard = 0;
         while (group(joiner).lost() && world.now() < from + 2 * TRANSFER_MS) {
             world.run(world.now() + 10);
-            unheard += world.now() > from + 3_000 && group(joiner).masterHeard() == 0 ? 10 : 0;
+            unheard += world.now() > from + 3_000 && group(joiner).leaderHeard() == 0 ? 10 : 0;
         }
         System.out.println("MEASURED full sync of 20 MB: " + (world.now() - from) + " ms, master unheard " + unheard);
         assertTrue(
@@ -41,7 +41,7 @@
 
     @Test
     public void aTransferGoesOnWhereItWasAfterALostSession() {
-        final Proc joiner = wipedMemberBehindASlowLink(22);
+        final SimulatedProcess joiner = wipedMemberBehindASlowLink(22);
         final long from = world.now();
         world.run(from + TRANSFER_MS / 2);
         cutOff(joiner);
@@ -58,39 +58,39 @@
 
     /** Without a machine that could take its place the member stays one, however long it is away. */
     private void retireSpare() {
-        final Proc spare = world.storages.stream()
-                .map(world.procs::get)
+        final SimulatedProcess spare = world.storages.stream()
+                .map(world.processes::get)
                 .filter(p -> group(p) == null)
                 .findFirst()
                 .orElseThrow();
         world.callers.operators.operate(
-                "retire", Pack.writer().num(spare.id).num(1).done());
+                "retire", PackedBuffer.writer().num(spare.id).num(1).done());
         world.run(world.now() + 8_000);
     }
 
-    private Proc wipedMemberBehindASlowLink(final long seed) {
-        world = World.serving(seed);
+    private SimulatedProcess wipedMemberBehindASlowLink(final long seed) {
+        world = SimulatedCluster.serving(seed);
         retireSpare();
-        final Proc master = master();
+        final SimulatedProcess leader = leader();
         // why: the log has to be trimmed, else the joiner takes it record by record
         for (int i = 0; i < 200; i++) {
-            append(master, i, 10);
+            append(leader, i, 10);
         }
         world.run(world.now() + 60_000);
-        assertNotEquals(group(master()).baseLsn(), 0L, "nothing was trimmed");
+        assertNotEquals(group(leader()).baseIndex(), 0L, "nothing was trimmed");
         for (int i = 0; i < RECORDS; i++) {
-            append(master(), 1_000 + i, RECORD_BYTES);
+            append(leader(), 1_000 + i, RECORD_BYTES);
         }
         world.run(world.now() + 3_000);
-        final Proc joiner = world.procs.get(group(master()).members().stream()
+        final SimulatedProcess joiner = world.processes.get(group(leader()).members().stream()
                 .map(m -> m.node())
-                .filter(n -> n != master().id)
+                .filter(n -> n != leader().id)
                 .findFirst()
                 .orElseThrow());
         world.kill(joiner, false);
         joiner.disk.wipe();
-        for (final int id : world.procs.keySet()) {
-            world.net.linkBitsPerSecond.put(Net.link(id, joiner.id), SLOW_BITS_PER_SECOND);
+        for (final int id : world.processes.keySet()) {
+            world.net.linkBitsPerSecond.put(SimulatedNetwork.link(id, joiner.id), SLOW_BITS_PER_SECOND);
         }
         world.run(world.now() + 500);
         world.restart(joiner);
@@ -99,36 +99,36 @@
         return joiner;
     }
 
-    private void append(final Proc master, final int seq, final int bytes) {
+    private void append(final SimulatedProcess leader, final int seq, final int bytes) {
         final char[] text = new char[bytes];
         Arrays.fill(text, 'x');
-        group(master)
+        group(leader)
                 .append(
-                        Rec.PUBLISH,
-                        Rec.publishBody(seq + 1, 2, "members", "permits/large", "ana", new String(text)),
-                        master.mono(),
-                        World.WALL + world.now());
+                        LogRecord.PUBLISH,
+                        LogRecord.publishBody(seq + 1, 2, "members", "permits/large", "ana", new String(text)),
+                        leader.mono(),
+                        SimulatedCluster.WALL + world.now());
         if (seq % 10 == 0) {
             world.run(world.now() + 1);
         }
     }
 
-    private void cutOff(final Proc joiner) {
-        for (final int id : world.procs.keySet()) {
+    private void cutOff(final SimulatedProcess joiner) {
+        for (final int id : world.processes.keySet()) {
             world.net.cut(id, joiner.id);
             world.net.cut(joiner.id, id);
         }
     }
 
-    private Proc master() {
+    private SimulatedProcess leader() {
         return world.storages.stream()
-                .map(world.procs::get)
+                .map(world.processes::get)
                 .filter(p -> p.alive && group(p) != null && group(p).mayAct(p.mono()))
                 .findFirst()
                 .orElseThrow();
     }
 
-    private static GroupMachine group(final Proc p) {
+    private static GroupMachine group(final SimulatedProcess p) {
         return ((StorageNode) p.node).group(GROUP);
     }
 }
--- a/trial/src/test/java/brookpath/trial/sim/GroupRepairTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/GroupRepairTest.java
@@ -1,18 +1,18 @@
-package brookpath.trial.sim;
+package brookpath.testing.sim;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertNotNull;
 import static org.testng.Assert.assertTrue;
 
-import brookpath.coordination.Tempo;
+import brookpath.coordination.TimingBounds;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Member;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.node.ControllerNode;
-import brookpath.coordination.node.Job;
+import brookpath.coordination.node.NodeRequest;
 import brookpath.coordination.node.StorageNode;
-import brookpath.state.record.Pack;
+import brookpath.state.record.PackedBuffer;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
@@ -23,22 +23,22 @@
     private static final int GROUPS = 4;
     private static final int COPIES = 3;
     private static final int NEWCOMER = 15;
-    private static final int FRONT = 32;
+    private static final int GATEWAY = 32;
     /** A new machine counts as lost for this long after its start. */
     private static final long CATCH_UP_MS = 4_000;
 
     private static final long REPAIR_BOUND_MS = 1_500;
     private static final int MEASURED_SEEDS = 104;
 
-    private World world;
+    private SimulatedCluster world;
     /** First answers by topic, to be got again by a repeat. */
     private final TreeMap<String, String> answers = new TreeMap<>();
 
     private void begin(final long seed) {
-        begin(World.serving(seed));
+        begin(SimulatedCluster.serving(seed));
     }
 
-    private void begin(final World serving) {
+    private void begin(final SimulatedCluster serving) {
         world = serving;
         answers.clear();
         for (int i = 0; i < 9; i++) {
@@ -50,23 +50,23 @@
     }
 
     private GroupMachine copy(final int node, final int group) {
-        final Proc p = world.procs.get(node);
+        final SimulatedProcess p = world.processes.get(node);
         return p.alive && !p.frozen() && p.node instanceof StorageNode s ? s.group(group) : null;
     }
 
     private GroupMachine acting(final int group) {
         for (final int id : world.storages) {
             final GroupMachine g = copy(id, group);
-            if (g != null && g.mayAct(world.procs.get(id).mono())) {
+            if (g != null && g.mayAct(world.processes.get(id).mono())) {
                 return g;
             }
         }
         return null;
     }
 
-    private Proc controlMaster() {
+    private SimulatedProcess controlLeader() {
         for (final int id : world.controllers) {
-            final Proc p = world.procs.get(id);
+            final SimulatedProcess p = world.processes.get(id);
             if (p.alive && ((ControllerNode) p.node).group().mayAct(p.mono())) {
                 return p;
             }
@@ -74,15 +74,15 @@
         return null;
     }
 
-    /** Three voters, all up, each with a synced copy of what is accepted, none of them the node named. */
+    /** Three voters, all up, each with a synced copy of what is committed, none of them the node named. */
     private boolean whole(final int group, final int without) {
-        final GroupMachine master = acting(group);
-        if (master == null || !master.membershipSettled() || master.members().size() != COPIES) {
+        final GroupMachine leader = acting(group);
+        if (leader == null || !leader.membershipSettled() || leader.members().size() != COPIES) {
             return false;
         }
-        for (final Member m : master.members()) {
+        for (final Member m : leader.members()) {
             final GroupMachine copy = copy(m.node(), group);
-            final boolean counts = copy != null && !copy.lost() && copy.syncedLsn() >= master.membershipLsn();
+            final boolean counts = copy != null && !copy.lost() && copy.syncedIndex() >= leader.membershipIndex();
             if (m.node() == without || !counts) {
                 return false;
             }
@@ -111,8 +111,8 @@
     private Response publish(final String topic, final String sender, final long seq) {
         final Response[] got = new Response[1];
         world.callers.asked(
-                world.procs.get(FRONT),
-                id -> new Job.Publish(id, "key-members", topic, sender, seq, "x"),
+                world.processes.get(GATEWAY),
+                id -> new NodeRequest.Publish(id, "key-members", topic, sender, seq, "x"),
                 r -> got[0] = r);
         for (int i = 0; i < 400 && got[0] == null; i++) {
             world.run(world.now() + 10);
@@ -131,7 +131,7 @@
         }
     }
 
-    /** What was accepted has its place still, and new publishes are accepted. */
+    /** What was committed has its place still, and new publishes are committed. */
     private void readBack(final String what) {
         answers.forEach((key, json) -> {
             final String[] parts = key.split(" ");
@@ -147,14 +147,14 @@
     }
 
     private void lose(final int node) {
-        final Proc p = world.procs.get(node);
+        final SimulatedProcess p = world.processes.get(node);
         world.kill(p, true);
         p.disk.wipe();
     }
 
     private void loseDiskAndReturn(final int node, final long downMs) {
         lose(node);
-        world.at(world.now() + downMs, () -> world.restart(world.procs.get(node)));
+        world.at(world.now() + downMs, () -> world.restart(world.processes.get(node)));
     }
 
     private String notes() {
@@ -169,7 +169,7 @@
             final int gone = 11 + (int) seed % 4;
             lose(gone);
             world.run(world.now() + 2_000);
-            world.addStorage(NEWCOMER, world.procs.get(gone).zone);
+            world.addStorage(NEWCOMER, world.processes.get(gone).zone);
             world.run(world.now() + CATCH_UP_MS);
             assertTrue(allWhole(gone), "seed " + seed + " is not whole:\n" + notes());
             publishAll("second");
@@ -206,7 +206,7 @@
             begin(seed);
             publishAll("first");
             final int cutOff = 11 + (int) seed % 4;
-            world.procs.keySet().forEach(id -> {
+            world.processes.keySet().forEach(id -> {
                 world.net.cut(id, cutOff);
                 world.net.cut(cutOff, id);
             });
@@ -247,9 +247,9 @@
         final Response[] got = new Response[1];
         for (int i = 0; i < 20 && (got[0] == null || got[0].status() == 503); i++) {
             world.callers.asked(
-                    controlMaster(),
-                    id -> new Job.Operate(
-                            id, "retire", Pack.writer().num(node).num(1).done()),
+                    controlLeader(),
+                    id -> new NodeRequest.Operate(
+                            id, "retire", PackedBuffer.writer().num(node).num(1).done()),
                     r -> got[0] = r);
             world.run(world.now() + 10);
         }
@@ -257,15 +257,15 @@
     }
 
     private boolean completed(final int node) {
-        final Proc master = controlMaster();
-        final ControllerNode control = master == null ? null : (ControllerNode) master.node;
+        final SimulatedProcess leader = controlLeader();
+        final ControllerNode control = leader == null ? null : (ControllerNode) leader.node;
         return control != null
-                && !control.statusJson(master.time()).contains("\"placement\":[]")
-                && placedGroups(control, master, node) == 0;
+                && !control.statusJson(leader.time()).contains("\"placement\":[]")
+                && placedGroups(control, leader, node) == 0;
     }
 
-    private int placedGroups(final ControllerNode control, final Proc master, final int node) {
-        return control.statusJson(master.time()).split("\\{\"node\":" + node + ",\"zone\":\"[a-d]\",\"weight\"").length
+    private int placedGroups(final ControllerNode control, final SimulatedProcess leader, final int node) {
+        return control.statusJson(leader.time()).split("\\{\"node\":" + node + ",\"zone\":\"[a-d]\",\"weight\"").length
                 - 1;
     }
 
@@ -276,9 +276,9 @@
         }
         assertTrue(completed(leaving), what + " does not end:\n" + notes());
         for (int g = 0; g < GROUPS; g++) {
-            final GroupMachine master = acting(g);
+            final GroupMachine leader = acting(g);
             assertTrue(
-                    master == null || !master.membership().holds(leaving),
+                    leader == null || !leader.membership().holds(leaving),
                     what + ": group " + g + " still counts on it");
         }
     }
@@ -326,7 +326,7 @@
             publishAll("first");
             final int gone = 11 + step % 4;
             lose(gone);
-            world.addStorage(NEWCOMER, world.procs.get(gone).zone);
+            world.addStorage(NEWCOMER, world.processes.get(gone).zone);
             world.run(world.now() + 1_000 + 20L * step);
             lose(NEWCOMER);
             world.run(world.now() + 7_000);
@@ -336,34 +336,34 @@
     }
 
     @Test
-    public void aNewOrAFrozenControlMasterTakesNobodyForGone() {
+    public void aNewOrAFrozenControlLeaderTakesNobodyForGone() {
         for (long seed = 400; seed < 412; seed++) {
             begin(seed);
             final List<Integer> versions = versions();
-            final Proc master = controlMaster();
+            final SimulatedProcess leader = controlLeader();
             if (seed % 2 == 0) {
-                world.kill(master, true);
+                world.kill(leader, true);
             } else {
-                world.freeze(master, 3_000);
+                world.freeze(leader, 3_000);
             }
             world.run(world.now() + 10_000);
             assertEquals(versions(), versions, "seed " + seed + ": copies moved:\n" + notes());
             assertFalse(notes().contains("taken for gone: [1"), "seed " + seed + ":\n" + notes());
-            world.restart(master);
+            world.restart(leader);
             readBack("seed " + seed);
         }
     }
 
-    /** With the periods of the deployments, from the loss and from the control master's judgement. */
+    /** With the periods of the deployments, from the loss and from the control leader's judgement. */
     @Test
     public void allGroupsAreWholeSoonAfterTheJudgement() {
-        final Tempo storages = new Tempo(2_000, 12_000, 3_000, 5_000, 4_500);
-        final Tempo control = new Tempo(3_000, 12_000, 3_000, 5_000, 4_500);
+        final TimingBounds storages = new TimingBounds(2_000, 12_000, 3_000, 5_000, 4_500);
+        final TimingBounds control = new TimingBounds(3_000, 12_000, 3_000, 5_000, 4_500);
         for (final boolean newcomer : List.of(false, true)) {
             final List<Long> fromLoss = new ArrayList<>();
             final List<Long> fromJudgement = new ArrayList<>();
             for (long seed = 0; seed < MEASURED_SEEDS; seed++) {
-                begin(World.serving(seed, storages, control));
+                begin(SimulatedCluster.serving(seed, storages, control));
                 final int gone = 11 + (int) seed % 4;
                 lose(gone);
                 if (newcomer) {
--- a/trial/src/test/java/brookpath/trial/sim/JoinedSessionsTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/JoinedSessionsTest.java
@@ -1,4 +1,4 @@
-package brookpath.trial.sim;
+package brookpath.testing.sim;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -10,31 +10,31 @@
 import brookpath.coordination.message.Response;
 import brookpath.coordination.node.ControllerNode;
 import brookpath.coordination.node.Cursor;
-import brookpath.coordination.node.FrontNode;
-import brookpath.coordination.node.Job;
+import brookpath.coordination.node.GatewayNode;
+import brookpath.coordination.node.NodeRequest;
 import brookpath.coordination.node.StorageNode;
 import brookpath.coordination.node.control.Founding;
-import brookpath.coordination.spec.Placement;
-import brookpath.coordination.spec.Roster.NodeInfo;
-import brookpath.coordination.spec.Spec;
+import brookpath.coordination.configuration.Placement;
+import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.configuration.Configuration;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.LongFunction;
 import org.testng.annotations.Test;
 
-/** Sessions whose topics come and go, publishes that outlive a master, and processes that leave in good order. */
+/** Sessions whose topics come and go, publishes that outlive a leader, and processes that leave in good order. */
 public final class JoinedSessionsTest {
     private static final String TOPIC = "permits/a";
 
-    private World world;
+    private SimulatedCluster world;
 
     private void begin(final long seed) {
-        world = World.serving(seed);
+        world = SimulatedCluster.serving(seed);
     }
 
-    private Response ask(final int node, final LongFunction<Job> job) {
+    private Response ask(final int node, final LongFunction<NodeRequest> request) {
         final Response[] got = new Response[1];
-        world.callers.asked(world.procs.get(node), job, r -> got[0] = r);
+        world.callers.asked(world.processes.get(node), request, r -> got[0] = r);
         for (int i = 0; i < 400 && got[0] == null; i++) {
             world.run(world.now() + 10);
         }
@@ -42,24 +42,24 @@
         return got[0];
     }
 
-    private long open(final int front, final String key) {
+    private long open(final int gateway, final String key) {
         final long[] id = new long[1];
         assertEquals(
-                ask(front, i -> {
+                ask(gateway, i -> {
                             id[0] = i;
-                            return new Job.Open(i, key);
+                            return new NodeRequest.Open(i, key);
                         })
                         .status(),
                 200);
         return id[0];
     }
 
-    private Response join(final int front, final long session, final String topic, final String cursor) {
-        return ask(front, i -> new Job.Join(i, session, topic, cursor));
+    private Response join(final int gateway, final long session, final String topic, final String cursor) {
+        return ask(gateway, i -> new NodeRequest.Join(i, session, topic, cursor));
     }
 
-    private Response publish(final int front, final long seq) {
-        return ask(front, i -> new Job.Publish(i, "key-members", TOPIC, "ana", seq, "says " + seq));
+    private Response publish(final int gateway, final long seq) {
+        return ask(gateway, i -> new NodeRequest.Publish(i, "key-members", TOPIC, "ana", seq, "says " + seq));
     }
 
     private List<Action.Hand> handed(final long session) {
@@ -73,13 +73,13 @@
     }
 
     private List<Long> heard(final long session) {
-        return handed(session).stream().map(h -> h.rec().seq()).toList();
+        return handed(session).stream().map(h -> h.logRecord().seq()).toList();
     }
 
-    private Proc master() {
-        final int g = Placement.groupOf(TOPIC, new Spec.Space("permits", 30_000, false, 2), Shape.SMALL.groups());
+    private SimulatedProcess leader() {
+        final int g = Placement.groupOf(TOPIC, new Configuration.Space("permits", 30_000, false, 2), FleetSize.SMALL.groups());
         for (final int id : world.storages) {
-            final Proc p = world.procs.get(id);
+            final SimulatedProcess p = world.processes.get(id);
             final GroupMachine m = p.alive && p.node instanceof StorageNode s ? s.group(g) : null;
             if (m != null && m.mayAct(p.mono())) {
                 return p;
@@ -89,7 +89,7 @@
     }
 
     @Test
-    public void aTopicGoesOnAtAnotherFrontFromTheCursorOfItsLastMessageThoughTheFirstIsGone() {
+    public void aTopicGoesOnAtAnotherGatewayFromTheCursorOfItsLastMessageThoughTheFirstIsGone() {
         begin(21);
         final long first = open(31, "key-members");
         assertTrue(Cursor.readOne(join(31, first, TOPIC, null).json()) >= 0);
@@ -98,8 +98,8 @@
         }
         world.run(world.now() + 300);
         assertEquals(heard(first), List.of(1L, 2L, 3L));
-        final String cursor = Cursor.one(handed(first).get(1).rec().lsn());
-        world.kill(world.procs.get(31), true);
+        final String cursor = Cursor.one(handed(first).get(1).logRecord().index());
+        world.kill(world.processes.get(31), true);
         assertEquals(publish(32, 4).status(), 200);
         final long second = open(33, "key-members");
         final Response joined = join(33, second, TOPIC, cursor);
@@ -107,7 +107,7 @@
         assertEquals(publish(32, 5).status(), 200);
         world.run(world.now() + 300);
         assertEquals(heard(second), List.of(3L, 4L, 5L));
-        assertEquals(ask(33, i -> new Job.Leave(i, second, TOPIC)).status(), 200);
+        assertEquals(ask(33, i -> new NodeRequest.Leave(i, second, TOPIC)).status(), 200);
         assertEquals(publish(32, 6).status(), 200);
         world.run(world.now() + 300);
         assertEquals(heard(second), List.of(3L, 4L, 5L), "it has left the topic");
@@ -120,7 +120,7 @@
         assertEquals(join(31, session, TOPIC, "nonsense!").status(), 400);
         assertEquals(join(31, session, "nowhere", null).code(), "space");
         assertEquals(join(31, session, "two words", null).status(), 400);
-        assertEquals(ask(31, i -> new Job.Open(i, "key-nobody")).status(), 401);
+        assertEquals(ask(31, i -> new NodeRequest.Open(i, "key-nobody")).status(), 401);
         assertEquals(join(31, open(31, ""), TOPIC, null).status(), 401, "the space is not open");
     }
 
@@ -148,19 +148,19 @@
     }
 
     @Test
-    public void aPublishOutlivesItsMasterWithoutItsCallersHelp() {
+    public void aPublishOutlivesItsLeaderWithoutItsCallersHelp() {
         for (long seed = 31; seed < 37; seed++) {
             begin(seed);
             final long session = open(32, "key-members");
             join(32, session, TOPIC, null);
             assertEquals(publish(31, 1).status(), 200);
-            final Proc master = master();
+            final SimulatedProcess leader = leader();
             final List<Response> got = new ArrayList<>();
             world.callers.asked(
-                    world.procs.get(31), i -> new Job.Publish(i, "key-members", TOPIC, "ana", 2, "x"), got::add);
+                    world.processes.get(31), i -> new NodeRequest.Publish(i, "key-members", TOPIC, "ana", 2, "x"), got::add);
             // why: a little later each time, so that the publish has come further each time
             world.run(world.now() + seed - 30);
-            world.kill(master, true);
+            world.kill(leader, true);
             world.run(world.now() + 3_000);
             assertEquals(got.size(), 1, "seed " + seed);
             assertEquals(got.get(0).status(), 200, "seed " + seed + ": " + got);
@@ -174,17 +174,17 @@
             begin(seed);
             final long session = open(32, "key-members");
             join(32, session, TOPIC, null);
-            final Proc master = master();
+            final SimulatedProcess leader = leader();
             final Response[] got = new Response[9];
             for (int seq = 1; seq <= 8; seq++) {
                 final int n = seq;
                 world.callers.asked(
-                        world.procs.get(31),
-                        i -> new Job.Publish(i, "key-members", TOPIC, "ana", n, "x" + n),
+                        world.processes.get(31),
+                        i -> new NodeRequest.Publish(i, "key-members", TOPIC, "ana", n, "x" + n),
                         r -> got[n] = r);
             }
             world.run(world.now() + 1 + seed % 6);
-            world.kill(master, true);
+            world.kill(leader, true);
             world.run(world.now() + 3_000);
             final List<Long> heard = heard(session);
             assertEquals(heard, heard.stream().sorted().distinct().toList(), "seed " + seed);
@@ -201,13 +201,13 @@
     }
 
     @Test
-    public void aRepeatIsAcceptedAgainAndALowerNumberNever() {
+    public void aRepeatIsCommittedAgainAndALowerNumberNever() {
         begin(24);
         assertEquals(publish(31, 5).status(), 200);
         assertEquals(publish(33, 5).status(), 200);
         assertEquals(publish(32, 4).status(), 409);
-        final Proc master = master();
-        world.kill(master, true);
+        final SimulatedProcess leader = leader();
+        world.kill(leader, true);
         world.run(world.now() + 2_000);
         assertEquals(publish(31, 5).status(), 200);
         assertEquals(publish(31, 4).status(), 409);
@@ -216,31 +216,31 @@
     @Test
     public void aStorageMachineThatRetreatsHandsItsMastershipsOver() {
         begin(25);
-        final Proc leaving = master();
+        final SimulatedProcess leaving = leader();
         final long asked = world.now();
-        assertEquals(ask(leaving.id, Job.Retreat::new).status(), 200);
-        assertTrue(world.now() - asked < world.tempo.down(), "it took " + (world.now() - asked) + " ms");
-        // why: it leaves once another is elected, which then opens its epoch
+        assertEquals(ask(leaving.id, NodeRequest.Retreat::new).status(), 200);
+        assertTrue(world.now() - asked < world.timing.down(), "it took " + (world.now() - asked) + " ms");
+        // why: it leaves once another is elected, which then opens its term
         world.run(world.now() + 50);
-        assertTrue(master() != leaving);
+        assertTrue(leader() != leaving);
         assertEquals(publish(31, 1).status(), 200);
         world.run(world.now() + 2_000);
-        assertTrue(master() != leaving, "it was elected again though it is about to leave");
+        assertTrue(leader() != leaving, "it was elected again though it is about to leave");
     }
 
     @Test
-    public void aFrontThatRetreatsSendsEachSessionToAnotherAndThenSaysThatItIsDone() {
+    public void aGatewayThatRetreatsSendsEachSessionToAnotherAndThenSaysThatItIsDone() {
         begin(26);
         final long session = open(31, "key-members");
         join(31, session, TOPIC, null);
-        assertEquals(ask(31, Job.Retreat::new).status(), 200);
+        assertEquals(ask(31, NodeRequest.Retreat::new).status(), 200);
         final Action.Move move = (Action.Move) world.callers.told.stream()
                 .filter(a -> a instanceof Action.Move)
                 .findFirst()
                 .orElseThrow();
         assertEquals(move.sessionId(), session);
         assertTrue(List.of("sim:32", "sim:33").contains(move.address()), move.toString());
-        assertEquals(ask(31, Job.Ready::new).status(), 503);
+        assertEquals(ask(31, NodeRequest.ReadinessProbe::new).status(), 503);
     }
 
     @Test
@@ -249,47 +249,47 @@
         final String doc = world.callers.operators.document(1, "numbered", true);
         final String numbered = "{\"version\":17,\"annotation\":\"as it was: {\\\"x\\\":35.0}\"," + doc.substring(1);
         final Response r =
-                ask(1, i -> new Job.Operate(i, "change", numbered.getBytes(java.nio.charset.StandardCharsets.UTF_8)));
+                ask(1, i -> new NodeRequest.Operate(i, "change", numbered.getBytes(java.nio.charset.StandardCharsets.UTF_8)));
         assertEquals(r.status(), 200, r.toString());
         assertTrue(r.json().contains("\"version\":17"), r.toString());
-        final Response read = ask(2, i -> new Job.Operate(i, "spec", new byte[0]));
+        final Response read = ask(2, i -> new NodeRequest.Operate(i, "spec", new byte[0]));
         assertTrue(
                 read.json().contains("\"version\":17") && read.json().contains("as it was: {\\\"x\\\":35.0}"),
                 read.json());
-        assertEquals(((FrontNode) world.procs.get(31).node).client().spec().version(), 17);
+        assertEquals(((GatewayNode) world.processes.get(31).node).client().configuration().version(), 17);
         final String again = numbered.replace("numbered", "lower")
                 .replace("\"basedOn\":1", "\"basedOn\":17")
                 .replace("\"version\":17", "\"version\":16");
         assertEquals(
-                ask(3, i -> new Job.Operate(i, "change", again.getBytes(java.nio.charset.StandardCharsets.UTF_8)))
+                ask(3, i -> new NodeRequest.Operate(i, "change", again.getBytes(java.nio.charset.StandardCharsets.UTF_8)))
                         .status(),
                 422);
     }
 
     @Test
-    public void aControllerThatIsNoMemberCarriesJobsAndKnowsTheOthers() {
+    public void aControllerThatIsNoMemberCarriesRequestsAndKnowsTheOthers() {
         begin(28);
-        final Proc attendant = new Proc(
+        final SimulatedProcess attendant = new SimulatedProcess(
                 world,
                 4,
                 "d",
                 true,
-                (proc, entries) -> new ControllerNode(
+                (process, entries) -> new ControllerNode(
                         new NodeInfo(4, "d", "sim:4", "four"),
                         List.of(),
                         List.of(1, 2, 3),
                         new Founding(4, 3, 4, 1),
-                        world.tempo,
+                        world.timing,
                         7,
-                        proc.life << 32,
+                        process.life << 32,
                         1 << 20));
-        world.procs.put(4, attendant);
+        world.processes.put(4, attendant);
         attendant.start();
         world.run(world.now() + 2_000);
-        final Response read = ask(4, i -> new Job.Operate(i, "spec", new byte[0]));
+        final Response read = ask(4, i -> new NodeRequest.Operate(i, "spec", new byte[0]));
         assertEquals(read.status(), 200, read.toString());
-        assertEquals(ask(4, Job.Ready::new).status(), 200);
+        assertEquals(ask(4, NodeRequest.ReadinessProbe::new).status(), 200);
         assertEquals(((ControllerNode) attendant.node).addresses().keySet(), java.util.Set.of(1, 2, 3));
-        assertEquals(((ControllerNode) attendant.node).group().role(), GroupMachine.SLAVE);
+        assertEquals(((ControllerNode) attendant.node).group().role(), GroupMachine.FOLLOWER);
     }
 }
--- a/trial/src/test/java/brookpath/trial/sim/OrderRepeatsTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/OrderRepeatsTest.java
@@ -1,4 +1,4 @@
-package brookpath.trial.sim;
+package brookpath.testing.sim;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.testng.Assert.assertEquals;
@@ -6,10 +6,10 @@
 import static org.testng.Assert.assertTrue;
 
 import brookpath.coordination.message.Response;
-import brookpath.coordination.spec.ControlState;
-import brookpath.coordination.spec.Roster;
-import brookpath.coordination.spec.Roster.GroupInfo;
-import brookpath.state.record.Rec;
+import brookpath.coordination.configuration.ControlState;
+import brookpath.coordination.configuration.ClusterMetadata;
+import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
+import brookpath.state.record.LogRecord;
 import java.util.ArrayList;
 import java.util.List;
 import org.testng.annotations.Test;
@@ -21,7 +21,7 @@
 
     private void retireNamed(final String name) {
         for (int i = 0; i < 20; i++) {
-            if (answered(askRetireNamed(master(), name)).status() == 202) {
+            if (answered(askRetireNamed(leader(), name)).status() == 202) {
                 return;
             }
             world.run(world.now() + 200);
@@ -32,7 +32,7 @@
     private void untilEmpty(final int node) {
         for (int i = 0; i < 300; i++) {
             world.run(world.now() + 100);
-            if (roster(master()).groups().stream().noneMatch(g -> g.membership().holds(node))) {
+            if (metadata(leader()).groups().stream().noneMatch(g -> g.membership().holds(node))) {
                 return;
             }
         }
@@ -47,35 +47,35 @@
     public void aRetirementThatWasAcknowledgedOutlivesALossOfPower() {
         begin(120);
         world.run(world.now() + 3_000);
-        final Proc master = master();
-        // why: the record is on no second disk for a while, though beats are answered and the lease runs
-        others(master).forEach(p -> p.syncMs = 400);
-        final Asked order = askRetire(master, LEAVING);
+        final SimulatedProcess leader = leader();
+        // why: the record is on no second disk for a while, though heartbeats are answered and the lease runs
+        others(leader).forEach(p -> p.syncMs = 400);
+        final Asked order = askRetire(leader, LEAVING);
         for (int i = 0; i < 2_000 && order.response == null; i++) {
             world.run(world.now() + 1);
         }
-        world.controllers.forEach(id -> world.kill(world.procs.get(id), true));
-        others(master).forEach(p -> {
+        world.controllers.forEach(id -> world.kill(world.processes.get(id), true));
+        others(leader).forEach(p -> {
             p.syncMs = 2;
             world.restart(p);
         });
-        final Proc next = master();
+        final SimulatedProcess next = leader();
         world.run(world.now() + 500);
         assertEquals(order.status(), 202, order.toString());
-        assertTrue(roster(next).retiring().contains(LEAVING), "acknowledged and lost: " + order);
+        assertTrue(metadata(next).retiring().contains(LEAVING), "acknowledged and lost: " + order);
     }
 
     @Test
     public void aRetirementIsAcknowledgedAgainWhileItIsUnderWay() {
         begin(121);
         world.run(world.now() + 3_000);
-        assertEquals(answered(askRetire(master(), LEAVING)).status(), 202);
+        assertEquals(answered(askRetire(leader(), LEAVING)).status(), 202);
         // why: now no live machine can take the copies, which must not turn the order into a refused one
-        world.kill(world.procs.get(12), false);
-        world.kill(world.procs.get(13), false);
+        world.kill(world.processes.get(12), false);
+        world.kill(world.processes.get(13), false);
         world.run(world.now() + 4_000);
         for (int i = 0; i < 3; i++) {
-            final Asked again = answered(askRetire(world.procs.get(world.controllers.get(i)), LEAVING));
+            final Asked again = answered(askRetire(world.processes.get(world.controllers.get(i)), LEAVING));
             assertEquals(again.status(), 202, again.toString());
         }
     }
@@ -86,56 +86,56 @@
         world.run(world.now() + 3_000);
         retireNamed(LEAVING_NAME);
         untilEmpty(LEAVING);
-        world.kill(world.procs.get(LEAVING), true);
+        world.kill(world.processes.get(LEAVING), true);
         world.run(world.now() + 6_000);
         forget(LEAVING);
         world.run(world.now() + 500);
-        assertEquals(roster(master()).node(LEAVING), null, "nothing was staged");
+        assertEquals(metadata(leader()).node(LEAVING), null, "nothing was staged");
         for (int round = 0; round < 2; round++) {
             for (final int id : world.controllers) {
-                final Proc p = world.procs.get(id);
+                final SimulatedProcess p = world.processes.get(id);
                 assertEquals(answered(askRetireNamed(p, LEAVING_NAME)).status(), 202);
                 final Asked state = answered(ask(p, "retired", LEAVING_NAME.getBytes(UTF_8)));
                 assertEquals(state.status(), 200, state.toString());
                 assertTrue(state.response.json().contains("true"), state.toString());
                 assertEquals(answered(askRetireNamed(p, "nobody")).status(), 404);
             }
-            // why: what is remembered must come back from the disks, and from another master
-            world.controllers.forEach(id -> world.kill(world.procs.get(id), true));
-            world.controllers.forEach(id -> world.restart(world.procs.get(id)));
-            master();
+            // why: what is remembered must come back from the disks, and from another leader
+            world.controllers.forEach(id -> world.kill(world.processes.get(id), true));
+            world.controllers.forEach(id -> world.restart(world.processes.get(id)));
+            leader();
             world.run(world.now() + 4_000);
         }
     }
 
     /** The cluster metadata names the machine no more. */
     private void forget(final int node) {
-        final Proc master = master();
-        final Roster was = roster(master);
+        final SimulatedProcess leader = leader();
+        final ClusterMetadata was = metadata(leader);
         final List<GroupInfo> groups = was.groups();
-        final Roster then = was.with(
+        final ClusterMetadata then = was.with(
                 was.nodes().stream().filter(n -> n.node() != node).toList(),
                 groups,
                 was.retiring().stream().filter(n -> n != node).toList());
-        master.run(p -> {
-            group(p).append(Rec.CONTROL, ControlState.rosterBody(then), p.mono(), world.now());
+        leader.run(p -> {
+            group(p).append(LogRecord.CONTROL, ControlState.metadataBody(then), p.mono(), world.now());
             return List.of();
         });
     }
 
     @Test
-    public void aMasterThatHasNotHeardTheStorageMachinesYetRefusesNoRetirement() {
+    public void aLeaderThatHasNotHeardTheStorageMachinesYetRefusesNoRetirement() {
         begin(123);
         world.run(world.now() + 3_000);
-        world.kill(master(), false);
-        for (int i = 0; i < 2_000 && actingMaster() == null; i++) {
+        world.kill(leader(), false);
+        for (int i = 0; i < 2_000 && actingLeader() == null; i++) {
             world.run(world.now() + 1);
         }
-        final Asked order = askRetire(master(), LEAVING);
+        final Asked order = askRetire(leader(), LEAVING);
         world.run(world.now() + 2_900);
         assertTrue(order.status() == 202 || order.unclear(), order.toString());
         world.run(world.now() + 3_000);
-        assertEquals(answered(askRetire(master(), LEAVING)).status(), 202);
+        assertEquals(answered(askRetire(leader(), LEAVING)).status(), 202);
     }
 
     @Test
@@ -147,7 +147,7 @@
         for (int batch = 0; batch < 100; batch++) {
             final List<Asked> stale = new ArrayList<>();
             for (int i = 0; i < 50; i++) {
-                stale.add(askChange(master(), document(0, "stale-" + batch + "-" + i)));
+                stale.add(askChange(leader(), document(0, "stale-" + batch + "-" + i)));
             }
             for (final Asked asked : stale) {
                 refused += answered(asked).status() == 409 ? 1 : 0;
@@ -155,7 +155,7 @@
         }
         assertEquals(refused, 5_000);
         for (final int id : world.controllers) {
-            final Asked again = answered(askChange(world.procs.get(id), newest));
+            final Asked again = answered(askChange(world.processes.get(id), newest));
             assertEquals(again.status(), 200, again.toString());
             assertEquals(version(again.response), 2);
         }
@@ -164,12 +164,12 @@
     @Test
     public void refusalsLeaveNothingInTheControlLog() {
         begin(125);
-        final Proc master = master();
-        final long end = group(master).endLsn();
-        assertEquals(answered(askChange(master, document(0, "stale"))).status(), 409);
+        final SimulatedProcess leader = leader();
+        final long end = group(leader).endIndex();
+        assertEquals(answered(askChange(leader, document(0, "stale"))).status(), 409);
         final String odd = document(1, "odd").replace("\"sender\"", "\"sideways\"");
-        assertEquals(answered(askChange(master, odd)).status(), 422);
-        assertEquals(group(master).endLsn(), end, "a refusal was appended");
+        assertEquals(answered(askChange(leader, odd)).status(), 422);
+        assertEquals(group(leader).endIndex(), end, "a refusal was appended");
     }
 
     @Test
@@ -182,13 +182,13 @@
         }
         for (int round = 0; round < 2; round++) {
             for (final int id : world.controllers) {
-                final Asked again = answered(askChange(world.procs.get(id), first));
+                final Asked again = answered(askChange(world.processes.get(id), first));
                 assertEquals(again.status(), 200, again.toString());
                 assertEquals(version(again.response), 2, again.toString());
             }
-            world.controllers.forEach(id -> world.kill(world.procs.get(id), true));
-            world.controllers.forEach(id -> world.restart(world.procs.get(id)));
-            master();
+            world.controllers.forEach(id -> world.kill(world.processes.get(id), true));
+            world.controllers.forEach(id -> world.restart(world.processes.get(id)));
+            leader();
             world.run(world.now() + 4_000);
         }
         assertNoViolations();
@@ -200,10 +200,10 @@
             begin(seed);
             final String document = document(1, "same");
             final List<Asked> asked = new ArrayList<>();
-            world.controllers.forEach(id -> asked.add(askChange(world.procs.get(id), document)));
+            world.controllers.forEach(id -> asked.add(askChange(world.processes.get(id), document)));
             if (seed % 2 == 0) {
-                final Proc master = master();
-                world.at(world.now() + (seed - 130) / 2, () -> world.kill(master, true));
+                final SimulatedProcess leader = leader();
+                world.at(world.now() + (seed - 130) / 2, () -> world.kill(leader, true));
             }
             world.run(world.now() + 6_000);
             for (final Asked a : asked) {
@@ -216,22 +216,22 @@
         }
     }
 
-    /** Whenever the master dies, one of the two is confirmed, now and later, and the other is not. */
+    /** Whenever the leader dies, one of the two is confirmed, now and later, and the other is not. */
     @Test
-    public void ofTwoChangesOnOneVersionOneIsConfirmedThoughTheMasterDiesAtAnyStep() {
+    public void ofTwoChangesOnOneVersionOneIsConfirmedThoughTheLeaderDiesAtAnyStep() {
         for (int step = 0; step < 24; step++) {
             begin(200 + step);
             final List<String> documents = List.of(document(1, "left"), document(1, "right"));
-            final Proc master = master();
+            final SimulatedProcess leader = leader();
             final int deathMs = step;
-            world.at(world.now() + deathMs, () -> world.kill(master, true));
-            world.at(world.now() + deathMs + 2_000, () -> world.restart(master));
+            world.at(world.now() + deathMs, () -> world.kill(leader, true));
+            world.at(world.now() + deathMs + 2_000, () -> world.restart(leader));
             final List<Asked> asked = new ArrayList<>();
             // why: each goes to all nodes at once, and again after the death, as after lost answers
             for (int round = 0; round < 5; round++) {
                 for (final int id : world.controllers) {
-                    asked.add(askChange(world.procs.get(id), documents.get(id % 2)));
-                    asked.add(askChange(world.procs.get(id), documents.get(1 - id % 2)));
+                    asked.add(askChange(world.processes.get(id), documents.get(id % 2)));
+                    asked.add(askChange(world.processes.get(id), documents.get(1 - id % 2)));
                 }
                 world.run(world.now() + 700);
             }
@@ -257,15 +257,15 @@
 
     /** A refusal is final, so the version that won must be one that no loss can take back. */
     @Test
-    public void aRaceIsLostOnlyToAnAcceptedVersion() {
+    public void aRaceIsLostOnlyToAnCommittedVersion() {
         begin(141);
-        final Proc master = master();
-        others(master).forEach(p -> p.syncMs = 400);
-        final Asked winner = askChange(master, document(1, "winner"));
-        final Asked loser = askChange(master, document(1, "loser"));
+        final SimulatedProcess leader = leader();
+        others(leader).forEach(p -> p.syncMs = 400);
+        final Asked winner = askChange(leader, document(1, "winner"));
+        final Asked loser = askChange(leader, document(1, "loser"));
         world.run(world.now() + 5);
-        final long appended = group(master).endLsn();
-        for (int i = 0; i < 200 && group(master).accepted() < appended; i++) {
+        final long appended = group(leader).endIndex();
+        for (int i = 0; i < 200 && group(leader).committed() < appended; i++) {
             assertNull(winner.response, "confirmed before it is accepted: " + winner);
             assertNull(loser.response, "lost to a version that is not accepted: " + loser);
             world.run(world.now() + 5);
@@ -276,17 +276,17 @@
 
     /** No process that still has to take the change hides that its record is on one disk only. */
     @Test
-    public void aChangeIsConfirmedOnlyOnceItIsAccepted() {
+    public void aChangeIsConfirmedOnlyOnceItIsCommitted() {
         begin(142);
-        world.storages.forEach(id -> world.kill(world.procs.get(id), false));
-        world.fronts.forEach(id -> world.kill(world.procs.get(id), false));
+        world.storages.forEach(id -> world.kill(world.processes.get(id), false));
+        world.gateways.forEach(id -> world.kill(world.processes.get(id), false));
         world.run(world.now() + 10_000);
-        final Proc master = master();
-        others(master).forEach(p -> p.syncMs = 400);
-        final Asked change = askChange(master, document(1, "slow"));
+        final SimulatedProcess leader = leader();
+        others(leader).forEach(p -> p.syncMs = 400);
+        final Asked change = askChange(leader, document(1, "slow"));
         world.run(world.now() + 5);
-        final long appended = group(master).endLsn();
-        for (int i = 0; i < 200 && group(master).accepted() < appended; i++) {
+        final long appended = group(leader).endIndex();
+        for (int i = 0; i < 200 && group(leader).committed() < appended; i++) {
             assertNull(change.response, "confirmed before it is accepted: " + change);
             world.run(world.now() + 5);
         }
@@ -298,10 +298,10 @@
         begin(140);
         final String one = document(1, "twice");
         final String other = world.callers.operators.document(1, "twice", false);
-        final Asked first = askChange(master(), one);
-        final Asked second = askChange(others(master()).get(0), other);
+        final Asked first = askChange(leader(), one);
+        final Asked second = askChange(others(leader()).get(0), other);
         world.run(world.now() + 3_500);
-        assertEquals(answered(askChange(master(), one)).status() == 200, first.status() == 200);
+        assertEquals(answered(askChange(leader(), one)).status() == 200, first.status() == 200);
         assertEquals(first.status() + second.status(), 200 + 409, first + " " + second);
     }
 }
--- a/trial/src/test/java/brookpath/trial/sim/RejoinAfterManyChangesTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/RejoinAfterManyChangesTest.java
@@ -1,4 +1,4 @@
-package brookpath.trial.sim;
+package brookpath.testing.sim;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.testng.Assert.assertEquals;
@@ -6,8 +6,8 @@
 
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.node.ControllerNode;
-import brookpath.coordination.node.Job;
-import brookpath.coordination.spec.ControlState;
+import brookpath.coordination.node.NodeRequest;
+import brookpath.coordination.configuration.ControlState;
 import org.testng.annotations.Test;
 
 /** A control member that was away for hundreds of changes catches up, and never leads with what it had before. */
@@ -17,115 +17,115 @@
     private static final long CATCH_UP_MS = 4_000;
     private static final int ANNOTATION_BYTES = 8_000;
 
-    private World world;
+    private SimulatedCluster world;
     private long version;
 
     @Test
     public void aMemberThatWasAwayCatchesUp() {
-        final Proc away = comesBackAfterManyChanges(41, false);
+        final SimulatedProcess away = comesBackAfterManyChanges(41, false);
         catchesUp(away);
         othersDieAndTheNewestIsStillThere(away);
     }
 
     @Test
     public void aMemberWithAWipedDiskCatchesUp() {
-        final Proc away = comesBackAfterManyChanges(42, true);
+        final SimulatedProcess away = comesBackAfterManyChanges(42, true);
         catchesUp(away);
         othersDieAndTheNewestIsStillThere(away);
     }
 
     @Test
-    public void aMemberThatIsBehindNeverLeadsThoughTheMasterDiesAsItComesBack() {
+    public void aMemberThatIsBehindNeverLeadsThoughTheLeaderDiesAsItComesBack() {
         for (long seed = 43; seed < 49; seed++) {
-            final Proc away = comesBackAfterManyChanges(seed, false);
+            final SimulatedProcess away = comesBackAfterManyChanges(seed, false);
             world.run(world.now() + 50 * (seed - 43));
-            world.kill(controlMaster(), true);
-            Proc next = null;
+            world.kill(controlLeader(), true);
+            SimulatedProcess next = null;
             for (int i = 0; i < 500 && next == null; i++) {
                 world.run(world.now() + 10);
-                next = controlMaster();
+                next = controlLeader();
             }
             assertTrue(next != null, "seed " + seed + ": no master within 5 s");
-            assertEquals(acceptedVersion(next), version, "seed " + seed + ": node " + next.id);
-            assertTrue(next != away || group(away).baseLsn() > 0, "it leads with the log it came back with");
+            assertEquals(committedVersion(next), version, "seed " + seed + ": node " + next.id);
+            assertTrue(next != away || group(away).baseIndex() > 0, "it leads with the log it came back with");
         }
     }
 
-    private Proc comesBackAfterManyChanges(final long seed, final boolean wiped) {
-        world = World.serving(seed);
-        final Proc master = controlMaster();
-        final Proc away = world.procs.get(master.id == 1 ? 2 : 1);
-        version = acceptedVersion(master);
+    private SimulatedProcess comesBackAfterManyChanges(final long seed, final boolean wiped) {
+        world = SimulatedCluster.serving(seed);
+        final SimulatedProcess leader = controlLeader();
+        final SimulatedProcess away = world.processes.get(leader.id == 1 ? 2 : 1);
+        version = committedVersion(leader);
         world.kill(away, true);
         if (wiped) {
             away.disk.wipe();
         }
-        final long before = group(master).endLsn();
+        final long before = group(leader).endIndex();
         for (int i = 0; i < CHANGES; i++) {
-            change(master, "run-" + i);
+            change(leader, "run-" + i);
             world.run(world.now() + AWAY_MS / CHANGES);
         }
-        assertEquals(acceptedVersion(master), version, "not all changes were accepted");
-        assertTrue(group(master).baseLsn() > before, "the log was not trimmed beneath the member that is away");
+        assertEquals(committedVersion(leader), version, "not all changes were accepted");
+        assertTrue(group(leader).baseIndex() > before, "the log was not trimmed beneath the member that is away");
         world.restart(away);
         return away;
     }
 
-    private void change(final Proc master, final String changeId) {
+    private void change(final SimulatedProcess leader, final String changeId) {
         final String plain = world.callers.operators.document(version, changeId, true);
         final String doc =
                 plain.substring(0, plain.length() - 1) + ",\"annotation\":\"" + "z".repeat(ANNOTATION_BYTES) + "\"}";
-        world.callers.asked(master, id -> new Job.Operate(id, "change", doc.getBytes(UTF_8)), r -> {});
+        world.callers.asked(leader, id -> new NodeRequest.Operate(id, "change", doc.getBytes(UTF_8)), r -> {});
         version++;
     }
 
-    private void catchesUp(final Proc away) {
+    private void catchesUp(final SimulatedProcess away) {
         final long from = world.now();
-        while (acceptedVersion(away) < version && world.now() < from + CATCH_UP_MS) {
+        while (committedVersion(away) < version && world.now() < from + CATCH_UP_MS) {
             world.run(world.now() + 10);
         }
         System.out.println("MEASURED caught up with " + CHANGES + " changes in " + (world.now() - from) + " ms");
         assertEquals(
-                acceptedVersion(away),
+                committedVersion(away),
                 version,
                 "after " + CATCH_UP_MS + " ms: " + group(away).why());
         world.run(world.now() + 500);
-        assertEquals(group(away).syncedLsn(), group(controlMaster()).syncedLsn());
+        assertEquals(group(away).syncedIndex(), group(controlLeader()).syncedIndex());
         assertTrue(!group(away).lost());
     }
 
     /** Only the one that was away and one other are left: whoever leads has everything. */
-    private void othersDieAndTheNewestIsStillThere(final Proc away) {
-        final Proc master = controlMaster();
-        world.kill(master, true);
+    private void othersDieAndTheNewestIsStillThere(final SimulatedProcess away) {
+        final SimulatedProcess leader = controlLeader();
+        world.kill(leader, true);
         world.run(world.now() + 4_000);
-        assertEquals(acceptedVersion(controlMaster()), version);
-        final Proc other = world.controllers.stream()
-                .map(world.procs::get)
-                .filter(p -> p != away && p != master)
+        assertEquals(committedVersion(controlLeader()), version);
+        final SimulatedProcess other = world.controllers.stream()
+                .map(world.processes::get)
+                .filter(p -> p != away && p != leader)
                 .findFirst()
                 .orElseThrow();
-        world.restart(master);
+        world.restart(leader);
         world.run(world.now() + 4_000);
         world.kill(other, true);
         world.run(world.now() + 4_000);
-        assertEquals(acceptedVersion(controlMaster()), version);
+        assertEquals(committedVersion(controlLeader()), version);
         assertTrue(world.history.violations().isEmpty(), String.join("\n", world.history.violations()));
     }
 
-    private Proc controlMaster() {
+    private SimulatedProcess controlLeader() {
         return world.controllers.stream()
-                .map(world.procs::get)
+                .map(world.processes::get)
                 .filter(p -> p.alive && group(p).mayAct(p.mono()))
                 .findFirst()
                 .orElse(null);
     }
 
-    private static GroupMachine group(final Proc p) {
+    private static GroupMachine group(final SimulatedProcess p) {
         return ((ControllerNode) p.node).group();
     }
 
-    private static long acceptedVersion(final Proc p) {
-        return ((ControlState) group(p).live()).specAt(group(p).accepted()).version();
+    private static long committedVersion(final SimulatedProcess p) {
+        return ((ControlState) group(p).live()).configurationAt(group(p).committed()).version();
     }
 }
--- a/trial/src/test/java/brookpath/trial/sim/UsageRepeatTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/UsageRepeatTest.java
@@ -1,4 +1,4 @@
-package brookpath.trial.sim;
+package brookpath.testing.sim;
 
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertFalse;
@@ -6,18 +6,18 @@
 
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.node.ControllerNode;
-import brookpath.coordination.spec.ControlState;
+import brookpath.coordination.configuration.ControlState;
 import org.testng.annotations.Test;
 
 /** A usage report whose end is told at a bad moment goes again. */
 public final class UsageRepeatTest {
     private static final String POSTS = "usage posts";
 
-    private World world;
+    private SimulatedCluster world;
 
-    private Proc controlMaster() {
+    private SimulatedProcess controlLeader() {
         return world.controllers.stream()
-                .map(id -> world.procs.get(id))
+                .map(id -> world.processes.get(id))
                 .filter(p -> ((ControllerNode) p.node).group().mayAct(p.mono()))
                 .findFirst()
                 .orElseThrow();
@@ -29,7 +29,7 @@
 
     /** A world with traffic whose first usage report is not sent yet. */
     private void begin() {
-        world = World.serving(91);
+        world = SimulatedCluster.serving(91);
         world.callers.publisher("ana", "permits/t0", "key-members", 50, 400);
     }
 
@@ -44,27 +44,27 @@
     }
 
     @Test
-    public void aReportThatEndsWhileTheMasterMayNotActIsSentAgain() {
+    public void aReportThatEndsWhileTheLeaderMayNotActIsSentAgain() {
         final long answerAt = answerAt();
         begin();
         world.run(answerAt - 1);
-        final Proc master = controlMaster();
-        final GroupMachine group = ((ControllerNode) master.node).group();
-        final long window = state(group).untold(group.accepted()).get(0).window();
-        final Proc successor = world.controllers.stream()
-                .map(id -> world.procs.get(id))
-                .filter(p -> p != master)
+        final SimulatedProcess leader = controlLeader();
+        final GroupMachine group = ((ControllerNode) leader.node).group();
+        final long window = state(group).untold(group.committed()).get(0).window();
+        final SimulatedProcess successor = world.controllers.stream()
+                .map(id -> world.processes.get(id))
+                .filter(p -> p != leader)
                 .findFirst()
                 .orElseThrow();
-        // why: whoever is to take over is frozen, so the mastership stays where it is, after a while without acting
+        // why: whoever is to take over is frozen, so the leadership stays where it is, after a while without acting
         world.freeze(successor, 30_000);
-        assertTrue(group.handOver(successor.id, master.mono()));
+        assertTrue(group.handOver(successor.id, leader.mono()));
         world.run(answerAt);
-        assertFalse(group.mayAct(master.mono()));
-        for (int i = 0; i < 10_000 && !group.mayAct(master.mono()); i++) {
+        assertFalse(group.mayAct(leader.mono()));
+        for (int i = 0; i < 10_000 && !group.mayAct(leader.mono()); i++) {
             world.run(world.now() + 1);
         }
-        assertEquals(group.role(), GroupMachine.MASTER);
+        assertEquals(group.role(), GroupMachine.LEADER);
         world.run(world.now() + 2_000);
         assertEquals(state(group).told(window), Boolean.TRUE, "the report waits for ever");
     }
--- a/tools/src/main/java/brookpath/tools/ask/Ask.java
+++ b/tools/src/main/java/brookpath/tools/ask/StatusClient.java
@@ -1,6 +1,6 @@
 package brookpath.tools.ask;
 
-import brookpath.coordination.spec.Finding;
+import brookpath.coordination.configuration.Finding;
 import jakarta.json.Json;
 import jakarta.json.JsonException;
 import jakarta.json.JsonObject;
@@ -16,7 +16,7 @@
 import java.util.List;
 
 /** Asks running processes over HTTP, and notes what could not be had. */
-public final class Ask {
+public final class StatusClient {
     private final HttpClient http =
             HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(2)).build();
     private final List<Finding> missing = new ArrayList<>();
--- a/tools/src/main/java/brookpath/tools/cli/CommandLineTool.java
+++ b/tools/src/main/java/brookpath/tools/cli/CommandLineTool.java
@@ -2,7 +2,7 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import brookpath.coordination.spec.Finding;
+import brookpath.coordination.configuration.Finding;
 import java.io.BufferedWriter;
 import java.io.OutputStreamWriter;
 import java.io.PrintStream;
--- a/tools/src/main/java/brookpath/tools/creelcheck/CreelCheck.java
+++ b/tools/src/main/java/brookpath/tools/datafolder/DataFolderCheck.java
@@ -1,20 +1,20 @@
-package brookpath.tools.creelcheck;
+package brookpath.tools.datafolder;
 
 import static brookpath.coordination.node.StorageNode.DROP;
 
-import brookpath.coordination.Tempo;
+import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.beat.Pledges;
+import brookpath.coordination.heartbeat.HeartbeatPromises;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.node.ControllerNode;
-import brookpath.coordination.spec.ControlState;
-import brookpath.coordination.spec.StoredSpec;
+import brookpath.coordination.configuration.ControlState;
+import brookpath.coordination.configuration.StoredConfiguration;
 import brookpath.coordination.topic.TopicState;
 import brookpath.state.disk.Disk;
 import brookpath.state.disk.DiskFile;
-import brookpath.state.record.Pack;
-import brookpath.state.record.Rec;
-import brookpath.state.spool.Spool;
+import brookpath.state.record.PackedBuffer;
+import brookpath.state.record.LogRecord;
+import brookpath.state.wal.WriteAheadLog;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.io.UncheckedIOException;
@@ -31,8 +31,8 @@
  * Looks data folders over while no process uses them, and changes nothing in them; of several it tells whether their
  * copies agree.
  */
-public final class CreelCheck {
-    private CreelCheck() {}
+public final class DataFolderCheck {
+    private DataFolderCheck() {}
 
     public static void main(final String[] args) {
         System.exit(run(args, System.out, System.err));
@@ -85,7 +85,7 @@
         final List<String> findings = new ArrayList<>();
         out.println("folder " + folder);
         try {
-            final Spool.Inspection found = Spool.inspect(new ReadOnly(folder));
+            final WriteAheadLog.Inspection found = WriteAheadLog.inspect(new ReadOnly(folder));
             findings.addAll(found.findings());
             out.println("snapshot "
                     + (found.snapshot() == null
@@ -96,9 +96,9 @@
             final TreeMap<Integer, GroupMachine> groups = groups(found.replayed(), findings);
             groups.forEach((id, g) -> {
                 tell(out, id, g);
-                for (long lsn = g.baseLsn() + 1; lsn <= g.endLsn(); lsn++) {
-                    if (!g.rec(lsn).whole()) {
-                        findings.add("group " + id + ": record " + lsn + " does not fit its checksum");
+                for (long index = g.baseIndex() + 1; index <= g.endIndex(); index++) {
+                    if (!g.logRecord(index).whole()) {
+                        findings.add("group " + id + ": record " + index + " does not fit its checksum");
                     }
                 }
             });
@@ -109,7 +109,7 @@
         findings.forEach(f -> all.add(folder + ": " + f));
     }
 
-    /** The same (epoch, LSN) must mean the same log up to there; a tail of another epoch is what a start would cut. */
+    /** The same (term, index) must mean the same log up to there; a tail of another term is what a start would cut. */
     private static void compare(
             final String a,
             final TreeMap<Integer, GroupMachine> as,
@@ -124,26 +124,26 @@
                 continue;
             }
             long same = 0;
-            long lsn = Math.max(x.baseLsn(), y.baseLsn()) + 1;
+            long index = Math.max(x.baseIndex(), y.baseIndex()) + 1;
             for (;
-                    lsn <= Math.min(x.endLsn(), y.endLsn())
-                            && x.rec(lsn).epoch() == y.rec(lsn).epoch();
-                    lsn++) {
-                if (x.chainAt(lsn) != y.chainAt(lsn)) {
-                    findings.add("group " + id + ": " + a + " and " + b + " differ at or before record " + lsn
+                    index <= Math.min(x.endIndex(), y.endIndex())
+                            && x.logRecord(index).term() == y.logRecord(index).term();
+                    index++) {
+                if (x.chainAt(index) != y.chainAt(index)) {
+                    findings.add("group " + id + ": " + a + " and " + b + " differ at or before record " + index
                             + " of the same epoch");
                     break;
                 }
                 same++;
             }
-            if (lsn <= Math.min(x.endLsn(), y.endLsn())
-                    && x.rec(lsn).epoch() != y.rec(lsn).epoch()) {
-                out.println("group " + id + ": " + a + " and " + b + " part at record " + lsn + ", epochs "
-                        + x.rec(lsn).epoch() + " and " + y.rec(lsn).epoch()
+            if (index <= Math.min(x.endIndex(), y.endIndex())
+                    && x.logRecord(index).term() != y.logRecord(index).term()) {
+                out.println("group " + id + ": " + a + " and " + b + " part at record " + index + ", epochs "
+                        + x.logRecord(index).term() + " and " + y.logRecord(index).term()
                         + "; the older tail was not accepted and is cut at its start");
             } else {
                 out.println("group " + id + ": " + a + " and " + b + " agree on " + same + " records, ends "
-                        + x.endLsn() + " and " + y.endLsn());
+                        + x.endIndex() + " and " + y.endIndex());
             }
         }
     }
@@ -154,9 +154,9 @@
         for (final byte[] entry : entries) {
             n++;
             try {
-                final Pack in = Pack.reader(entry);
+                final PackedBuffer in = PackedBuffer.reader(entry);
                 final int id = (int) in.num();
-                if (Pack.reader(entry).skip(8).num() == DROP) {
+                if (PackedBuffer.reader(entry).skip(8).num() == DROP) {
                     groups.remove(id);
                     continue;
                 }
@@ -165,13 +165,13 @@
                                 k -> new GroupMachine(
                                         id,
                                         0,
-                                        Tempo.DEFAULT,
+                                        TimingBounds.DEFAULT,
                                         1,
                                         0,
                                         () -> id == ControllerNode.CONTROL
                                                 ? new ControlState()
-                                                : new TopicState(t -> Long.MAX_VALUE, Tempo.DEFAULT.windowMs()),
-                                        new Pledges(0),
+                                                : new TopicState(t -> Long.MAX_VALUE, TimingBounds.DEFAULT.windowMs()),
+                                        new HeartbeatPromises(0),
                                         new Actions()))
                         .replay(in, 0);
             } catch (final RuntimeException ex) {
@@ -183,16 +183,16 @@
 
     private static void tell(final PrintStream out, final int id, final GroupMachine g) {
         final TreeMap<Integer, Integer> kinds = new TreeMap<>();
-        for (long lsn = g.baseLsn() + 1; lsn <= g.endLsn(); lsn++) {
-            kinds.merge(g.rec(lsn).kind(), 1, Integer::sum);
+        for (long index = g.baseIndex() + 1; index <= g.endIndex(); index++) {
+            kinds.merge(g.logRecord(index).kind(), 1, Integer::sum);
         }
-        out.println("group " + id + ": epoch " + g.epoch() + ", records " + (g.baseLsn() + 1) + " to " + g.endLsn()
-                + ", publishes " + kinds.getOrDefault(Rec.PUBLISH, 0) + (g.lost() ? ", lost: is being rebuilt" : "")
+        out.println("group " + id + ": epoch " + g.term() + ", records " + (g.baseIndex() + 1) + " to " + g.endIndex()
+                + ", publishes " + kinds.getOrDefault(LogRecord.PUBLISH, 0) + (g.lost() ? ", lost: is being rebuilt" : "")
                 + ", group version " + g.membership().version());
         if (g.live() instanceof ControlState c) {
-            final StoredSpec at = c.specAt(Long.MAX_VALUE);
-            out.println("  spec " + at.version() + " (" + at.spec().changeId() + "), roster "
-                    + c.rosterAt(Long.MAX_VALUE).version() + ", newest usage window " + c.lastWindow());
+            final StoredConfiguration at = c.configurationAt(Long.MAX_VALUE);
+            out.println("  spec " + at.version() + " (" + at.configuration().changeId() + "), roster "
+                    + c.metadataAt(Long.MAX_VALUE).version() + ", newest usage window " + c.lastWindow());
         }
     }
 
--- a/tools/src/main/java/brookpath/tools/explain/Explain.java
+++ b/tools/src/main/java/brookpath/tools/explain/Explain.java
@@ -1,7 +1,7 @@
 package brookpath.tools.explain;
 
-import brookpath.coordination.spec.Finding;
-import brookpath.tools.ask.Ask;
+import brookpath.coordination.configuration.Finding;
+import brookpath.tools.ask.StatusClient;
 import brookpath.tools.cli.CommandLineTool;
 import jakarta.json.JsonArray;
 import jakarta.json.JsonObject;
@@ -30,7 +30,7 @@
 
     private final PrintStream out;
     private final PrintStream err;
-    private final Ask ask = new Ask();
+    private final StatusClient ask = new StatusClient();
 
     private Explain(final PrintStream out, final PrintStream err) {
         this.out = out;
@@ -78,7 +78,7 @@
             findings.add(new Finding("flags", "--at or --ring is needed"));
         }
         if (line.hasOption(AT)) {
-            Ask.check("--at", line.getOptionValue(AT), findings);
+            StatusClient.check("--at", line.getOptionValue(AT), findings);
         }
     }
 
