--- a/tools/src/main/java/brookpath/tools/plan/Plan.java
+++ b/tools/src/main/java/brookpath/tools/plan/Plan.java
@@ -2,17 +2,17 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import brookpath.coordination.group.Copies;
+import brookpath.coordination.group.Quorums;
 import brookpath.coordination.group.Member;
 import brookpath.coordination.group.Membership;
-import brookpath.coordination.spec.Finding;
-import brookpath.coordination.spec.MovePlan;
-import brookpath.coordination.spec.Roster;
-import brookpath.coordination.spec.Roster.GroupInfo;
-import brookpath.coordination.spec.Roster.NodeInfo;
-import brookpath.coordination.spec.Spec;
-import brookpath.coordination.spec.SpecReader;
-import brookpath.tools.ask.Ask;
+import brookpath.coordination.configuration.Finding;
+import brookpath.coordination.configuration.MovePlan;
+import brookpath.coordination.configuration.ClusterMetadata;
+import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
+import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.configuration.Configuration;
+import brookpath.coordination.configuration.ConfigurationReader;
+import brookpath.tools.ask.StatusClient;
 import brookpath.tools.cli.CommandLineTool;
 import jakarta.json.JsonObject;
 import jakarta.json.JsonValue;
@@ -41,7 +41,7 @@
 
     private final PrintStream out;
     private final PrintStream err;
-    private final Ask ask = new Ask();
+    private final StatusClient ask = new StatusClient();
     private final List<Finding> whyNot = new ArrayList<>();
 
     private Plan(final PrintStream out, final PrintStream err) {
@@ -102,7 +102,7 @@
             }
         }
         if (cl.hasOption("at")) {
-            Ask.check("--at", cl.getOptionValue("at"), findings);
+            StatusClient.check("--at", cl.getOptionValue("at"), findings);
         } else {
             findings.add(new Finding("--at", "is missing"));
         }
@@ -113,7 +113,7 @@
         if (cl.hasOption("retire")) {
             retire(
                     Integer.parseInt(cl.getOptionValue("retire")),
-                    roster(status),
+                    metadata(status),
                     status.getInt("copies"),
                     alive(nodes, "storage"));
         } else if (cl.hasOption("drain")) {
@@ -125,7 +125,7 @@
 
     // ---- retiring
 
-    private static Roster roster(final JsonObject status) {
+    private static ClusterMetadata metadata(final JsonObject status) {
         final List<NodeInfo> nodes = new ArrayList<>();
         final Map<Integer, String> zones = new HashMap<>();
         for (final JsonObject n : status.getJsonArray("storages").getValuesAs(JsonObject.class)) {
@@ -151,7 +151,7 @@
         for (final JsonValue v : status.getJsonArray("retiring")) {
             retiring.add(Integer.parseInt(v.toString()));
         }
-        return new Roster(status.getInt("rosterVersion"), nodes, groups, retiring);
+        return new ClusterMetadata(status.getInt("rosterVersion"), nodes, groups, retiring);
     }
 
     private static Set<Integer> alive(final JsonObject nodes, final String role) {
@@ -164,20 +164,20 @@
         return alive;
     }
 
-    private void retire(final int node, final Roster roster, final int copies, final Set<Integer> alive) {
-        final MovePlan.Retirement r = MovePlan.retire(roster, node, true, alive);
+    private void retire(final int node, final ClusterMetadata metadata, final int copies, final Set<Integer> alive) {
+        final MovePlan.Retirement r = MovePlan.retire(metadata, node, true, alive);
         whyNot.addAll(r.findings());
         if (!whyNot.isEmpty()) {
             return;
         }
-        Roster now = r.then();
+        ClusterMetadata now = r.then();
         int step = 0;
         // without steady machines nothing moves for the mere spread, which is not what was asked
         for (List<MovePlan.Move> moves = MovePlan.next(now, alive, Set.of(), copies);
                 !moves.isEmpty() && step < MAX_STEPS;
                 moves = MovePlan.next(now, alive, Set.of(), copies)) {
             for (final MovePlan.Move m : moves) {
-                final Roster then = MovePlan.after(now, m);
+                final ClusterMetadata then = MovePlan.after(now, m);
                 if (then != null) {
                     final GroupInfo was = now.groups().get(m.group());
                     now = then;
@@ -186,12 +186,12 @@
             }
         }
         for (final NodeInfo n : now.nodes()) {
-            final Roster end = now;
+            final ClusterMetadata end = now;
             out.println("then node " + n.node() + " in zone " + n.zone() + " holds "
                     + end.groups().stream()
                             .filter(g -> g.membership().holds(n.node()))
                             .count() + " groups, held "
-                    + roster.groups().stream()
+                    + metadata.groups().stream()
                             .filter(g -> g.membership().holds(n.node()))
                             .count());
         }
@@ -210,15 +210,15 @@
     // ---- draining
 
     private void drain(final int node, final JsonObject nodes) {
-        JsonObject front = null;
+        JsonObject gateway = null;
         final Set<Integer> inZone = new TreeSet<>();
         final Set<Integer> elsewhere = new TreeSet<>();
         for (final JsonObject n : nodes.getJsonArray("nodes").getValuesAs(JsonObject.class)) {
             if (n.getInt("node") == node && n.getString("role").equals("front")) {
-                front = n;
+                gateway = n;
             }
         }
-        if (front == null) {
+        if (gateway == null) {
             whyNot.add(new Finding("/fronts/" + node, "no such front is heard"));
             return;
         }
@@ -227,7 +227,7 @@
                     && n.getInt("node") != node
                     && !n.getBoolean("draining")
                     && n.getInt("leaseLeftMs") > 0) {
-                (n.getString("zone").equals(front.getString("zone")) ? inZone : elsewhere).add(n.getInt("node"));
+                (n.getString("zone").equals(gateway.getString("zone")) ? inZone : elsewhere).add(n.getInt("node"));
             }
         }
         if (inZone.isEmpty() && elsewhere.isEmpty()) {
@@ -238,8 +238,8 @@
         out.println("step 2: its sessions end one by one over half the recovery bound, each with its cursor good");
         out.println(
                 inZone.isEmpty()
-                        ? "they go to other zones, none is left in " + front.getString("zone") + ": " + elsewhere
-                        : "they find in their zone " + front.getString("zone") + ": " + inZone + ", elsewhere: "
+                        ? "they go to other zones, none is left in " + gateway.getString("zone") + ": " + elsewhere
+                        : "they find in their zone " + gateway.getString("zone") + ": " + inZone + ", elsewhere: "
                                 + elsewhere);
     }
 
@@ -258,25 +258,25 @@
             return;
         }
         final long version = now.getInt("version", 0);
-        final Spec present = version == 0
-                ? Spec.NONE
-                : SpecReader.stored(now.getJsonObject("document").toString().getBytes(UTF_8), version);
+        final Configuration present = version == 0
+                ? Configuration.NONE
+                : ConfigurationReader.stored(now.getJsonObject("document").toString().getBytes(UTF_8), version);
         // the controller's floor follows from the copies and from one machine that may be lost, as its settings have
         // it by default
-        final SpecReader.Reading r =
-                SpecReader.read(doc, version + 1, new SpecReader.Limits(copies, Copies.floor(copies, 1)), present);
+        final ConfigurationReader.Reading r =
+                ConfigurationReader.read(doc, version + 1, new ConfigurationReader.Limits(copies, Quorums.floor(copies, 1)), present);
         whyNot.addAll(r.findings());
-        if (r.spec() == null) {
+        if (r.configuration() == null) {
             return;
         }
-        if (r.spec().basedOn() != version) {
-            whyNot.add(new Finding("/basedOn", "is " + r.spec().basedOn() + ", the present version is " + version));
+        if (r.configuration().basedOn() != version) {
+            whyNot.add(new Finding("/basedOn", "is " + r.configuration().basedOn() + ", the present version is " + version));
         }
-        differ("space", present.spaces(), r.spec().spaces());
-        differ("tenant", present.tenants(), r.spec().tenants());
+        differ("space", present.spaces(), r.configuration().spaces());
+        differ("tenant", present.tenants(), r.configuration().tenants());
         final Set<String> gone = new HashSet<>(present.keys().keySet());
-        gone.removeAll(r.spec().keys().keySet());
-        final Set<String> come = new HashSet<>(r.spec().keys().keySet());
+        gone.removeAll(r.configuration().keys().keySet());
+        final Set<String> come = new HashSet<>(r.configuration().keys().keySet());
         come.removeAll(present.keys().keySet());
         out.println(come.size() + " keys come; " + gone.size()
                 + " keys go, and the sessions on them end as each front takes the change");
--- a/transport/src/main/java/brookpath/transport/http/CommonResource.java
+++ b/transport/src/main/java/brookpath/transport/http/CommonResource.java
@@ -2,7 +2,7 @@
 
 import static jakarta.ws.rs.core.MediaType.APPLICATION_JSON;
 
-import brookpath.coordination.node.Job;
+import brookpath.coordination.node.NodeRequest;
 import jakarta.inject.Inject;
 import jakarta.ws.rs.GET;
 import jakarta.ws.rs.Path;
@@ -14,28 +14,28 @@
 @Path("/v1")
 @Produces(APPLICATION_JSON)
 public final class CommonResource {
-    private final Desk desk;
+    private final RequestDispatcher dispatcher;
 
     private final SettingsReport settings;
 
     @Inject
-    public CommonResource(final Desk desk, final SettingsReport settings) {
-        this.desk = desk;
+    public CommonResource(final RequestDispatcher dispatcher, final SettingsReport settings) {
+        this.dispatcher = dispatcher;
         this.settings = settings;
     }
 
     @GET
     @Path("/ready")
     public CompletionStage<Response> ready() {
-        return desk.ask(Job.Ready::new);
+        return dispatcher.ask(NodeRequest.ReadinessProbe::new);
     }
 
     @GET
     @Path("/status")
     public CompletionStage<Response> status() {
         // why: the settings file is the process's, not its state's, so the two are put together here
-        return desk.ask(
-                Job.Status::new,
+        return dispatcher.ask(
+                NodeRequest.Status::new,
                 r -> new brookpath.coordination.message.Response(
                         r.status(),
                         r.retryAfterMs(),
@@ -46,9 +46,9 @@
     @GET
     @Path("/wire")
     public Response wire() {
-        final String wire = desk.host().wireJson();
+        final String wire = dispatcher.host().wireJson();
         return Response.ok(wire.substring(0, wire.length() - 1) + ",\"waiting\":"
-                        + desk.host().waitlistsJson() + "}\n")
+                        + dispatcher.host().queuesJson() + "}\n")
                 .build();
     }
 }
--- a/transport/src/main/java/brookpath/transport/http/FrontResource.java
+++ b/transport/src/main/java/brookpath/transport/http/GatewayResource.java
@@ -1,12 +1,12 @@
 package brookpath.transport.http;
 
-import static brookpath.coordination.node.FrontNode.MAX_TEXT;
+import static brookpath.coordination.node.GatewayNode.MAX_TEXT;
 import static jakarta.ws.rs.core.MediaType.APPLICATION_JSON;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import brookpath.coordination.message.Response;
-import brookpath.coordination.node.Job;
-import brookpath.coordination.spec.Finding;
+import brookpath.coordination.node.NodeRequest;
+import brookpath.coordination.configuration.Finding;
 import jakarta.inject.Inject;
 import jakarta.json.Json;
 import jakarta.json.JsonException;
@@ -29,17 +29,17 @@
 import java.util.List;
 import java.util.concurrent.CompletionStage;
 
-/** What callers ask of a front. docs/operators/caller-interface.md shows it with examples. */
+/** What callers ask of a gateway. docs/operators/caller-interface.md shows it with examples. */
 @Path("/v1")
 @Produces(APPLICATION_JSON)
-public final class FrontResource {
+public final class GatewayResource {
     private static final int MAX_BODY = 4 * MAX_TEXT;
 
-    private final Desk desk;
+    private final RequestDispatcher dispatcher;
 
     @Inject
-    public FrontResource(final Desk desk) {
-        this.desk = desk;
+    public GatewayResource(final RequestDispatcher dispatcher) {
+        this.dispatcher = dispatcher;
     }
 
     @POST
@@ -50,16 +50,16 @@
             @HeaderParam("Authorization") final String auth,
             final InputStream in)
             throws IOException {
-        final byte[] body = Desk.body(in, MAX_BODY);
+        final byte[] body = RequestDispatcher.body(in, MAX_BODY);
         if (body == null) {
-            return Desk.now(bad(413, List.of(new Finding("/", "body is larger than " + MAX_BODY + " bytes"))));
+            return RequestDispatcher.now(bad(413, List.of(new Finding("/", "body is larger than " + MAX_BODY + " bytes"))));
         }
         final List<Finding> findings = new ArrayList<>();
         JsonObject obj = JsonValue.EMPTY_JSON_OBJECT;
         try (JsonReader rd = Json.createReader(new ByteArrayInputStream(body))) {
             obj = rd.readObject();
         } catch (final JsonException | IllegalStateException ex) {
-            return Desk.now(bad(400, List.of(new Finding("/", "not a JSON object"))));
+            return RequestDispatcher.now(bad(400, List.of(new Finding("/", "not a JSON object"))));
         }
         for (final String field : obj.keySet()) {
             if (!List.of("sender", "sequence", "message").contains(field)) {
@@ -82,12 +82,12 @@
         if (text == null) {
             findings.add(new Finding("/message", "must be a string"));
         } else if (text.getBytes(UTF_8).length > MAX_TEXT) {
-            return Desk.now(bad(413, List.of(new Finding("/message", "is larger than " + MAX_TEXT + " bytes"))));
+            return RequestDispatcher.now(bad(413, List.of(new Finding("/message", "is larger than " + MAX_TEXT + " bytes"))));
         }
         if (!findings.isEmpty()) {
-            return Desk.now(bad(400, findings));
+            return RequestDispatcher.now(bad(400, findings));
         }
-        return desk.ask(id -> new Job.Publish(id, key(auth), space + "/" + topic, sender, seq, text));
+        return dispatcher.ask(id -> new NodeRequest.Publish(id, key(auth), space + "/" + topic, sender, seq, text));
     }
 
     @GET
@@ -96,21 +96,21 @@
             @QueryParam("topic") final List<String> topics,
             @QueryParam("cursor") final String cursor,
             @HeaderParam("Authorization") final String auth) {
-        final long id = desk.host().nextJobId();
-        final Lines lines = new Lines(desk.host(), id);
-        return desk.host()
-                .subscribe(id, new Job.Subscribe(id, key(auth), topics, cursor), lines)
+        final long id = dispatcher.host().nextRequestId();
+        final StreamedSession lines = new StreamedSession(dispatcher.host(), id);
+        return dispatcher.host()
+                .subscribe(id, new NodeRequest.Subscribe(id, key(auth), topics, cursor), lines)
                 .thenApplyAsync(
                         r -> {
                             if (r.status() != 200) {
-                                desk.host().unsubscribe(id);
-                                return Desk.http(r);
+                                dispatcher.host().unsubscribe(id);
+                                return RequestDispatcher.http(r);
                             }
                             return jakarta.ws.rs.core.Response.ok(lines, "application/x-ndjson")
                                     .header("Brookpath-Session", session(r))
                                     .build();
                         },
-                        desk.traffic());
+                        dispatcher.traffic());
     }
 
     private static String session(final Response hello) {
@@ -127,20 +127,20 @@
             @PathParam("topic") final String topic,
             @QueryParam("session") final String session,
             @HeaderParam("Authorization") final String auth) {
-        return desk.ask(id -> new Job.Count(id, key(auth), space + "/" + topic, session));
+        return dispatcher.ask(id -> new NodeRequest.Count(id, key(auth), space + "/" + topic, session));
     }
 
     @GET
     @Path("/explain")
     public CompletionStage<jakarta.ws.rs.core.Response> explain(
             @QueryParam("topic") final String topic, @HeaderParam("Authorization") final String auth) {
-        return desk.ask(id -> new Job.Explain(id, key(auth), topic == null ? "" : topic));
+        return dispatcher.ask(id -> new NodeRequest.Explain(id, key(auth), topic == null ? "" : topic));
     }
 
     @POST
     @Path("/drain")
     public CompletionStage<jakarta.ws.rs.core.Response> drain(@QueryParam("on") final String on) {
-        return desk.ask(id -> new Job.Drain(id, !"false".equals(on)));
+        return dispatcher.ask(id -> new NodeRequest.Drain(id, !"false".equals(on)));
     }
 
     private static String key(final String auth) {
--- a/transport/src/main/java/brookpath/transport/http/OperatorResource.java
+++ b/transport/src/main/java/brookpath/transport/http/OperatorResource.java
@@ -3,9 +3,9 @@
 import static jakarta.ws.rs.core.MediaType.APPLICATION_JSON;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import brookpath.coordination.node.Job;
-import brookpath.coordination.spec.SpecReader;
-import brookpath.state.record.Pack;
+import brookpath.coordination.node.NodeRequest;
+import brookpath.coordination.configuration.ConfigurationReader;
+import brookpath.state.record.PackedBuffer;
 import jakarta.inject.Inject;
 import jakarta.ws.rs.GET;
 import jakarta.ws.rs.POST;
@@ -22,18 +22,18 @@
 @Path("/v1")
 @Produces(APPLICATION_JSON)
 public final class OperatorResource {
-    private final Desk desk;
+    private final RequestDispatcher dispatcher;
 
     @Inject
-    public OperatorResource(final Desk desk) {
-        this.desk = desk;
+    public OperatorResource(final RequestDispatcher dispatcher) {
+        this.dispatcher = dispatcher;
     }
 
     @POST
     @Path("/changes")
     public CompletionStage<Response> change(final InputStream in) throws IOException {
-        // why: one byte more than allowed is enough for the master to say that it is too large
-        return operate("change", in.readNBytes(SpecReader.MAX_BYTES + 1));
+        // why: one byte more than allowed is enough for the leader to say that it is too large
+        return operate("change", in.readNBytes(ConfigurationReader.MAX_BYTES + 1));
     }
 
     @GET
@@ -44,7 +44,7 @@
 
     @GET
     @Path("/spec")
-    public CompletionStage<Response> spec() {
+    public CompletionStage<Response> configuration() {
         return operate("spec", new byte[0]);
     }
 
@@ -54,14 +54,14 @@
     public CompletionStage<Response> retire(@PathParam("node") final int node, @QueryParam("on") final String on) {
         return operate(
                 "retire",
-                Pack.writer().num(node).num("false".equals(on) ? 0 : 1).done());
+                PackedBuffer.writer().num(node).num("false".equals(on) ? 0 : 1).done());
     }
 
-    /** Manual switchover of a group's mastership. */
+    /** Manual switchover of a group's leadership. */
     @POST
     @Path("/groups/{group}/master")
     public CompletionStage<Response> handover(@PathParam("group") final int group, @QueryParam("node") final int node) {
-        return operate("handover", Pack.writer().num(group).num(node).done());
+        return operate("handover", PackedBuffer.writer().num(group).num(node).done());
     }
 
     @GET
@@ -77,6 +77,6 @@
     }
 
     private CompletionStage<Response> operate(final String kind, final byte[] body) {
-        return desk.ask(id -> new Job.Operate(id, kind, body));
+        return dispatcher.ask(id -> new NodeRequest.Operate(id, kind, body));
     }
 }
--- a/transport/src/main/java/brookpath/transport/http/PlatformPoster.java
+++ b/transport/src/main/java/brookpath/transport/http/PlatformPoster.java
@@ -15,17 +15,17 @@
 
 /** Posts usage reports to the platform over HTTP/1.1, each under its idempotency key. */
 public final class PlatformPoster implements Host.Poster {
-    private final Duration horizon;
+    private final Duration deadline;
     private final HttpClient http;
     private volatile URI uri;
 
     /** @param url empty where there is no platform to tell: totals can be read from a controller */
-    public PlatformPoster(final String url, final long horizonMs) {
+    public PlatformPoster(final String url, final long deadlineMs) {
         url(url);
-        horizon = Duration.ofMillis(horizonMs);
+        deadline = Duration.ofMillis(deadlineMs);
         http = HttpClient.newBuilder()
                 .version(HttpClient.Version.HTTP_1_1)
-                .connectTimeout(horizon)
+                .connectTimeout(deadline)
                 .build();
     }
 
@@ -42,7 +42,7 @@
         }
         return http.sendAsync(
                         HttpRequest.newBuilder(to)
-                                .timeout(horizon)
+                                .timeout(deadline)
                                 .header("Content-Type", "application/json")
                                 .header("Idempotency-Key", post.key())
                                 .POST(HttpRequest.BodyPublishers.ofString(post.json()))
--- a/transport/src/main/java/brookpath/transport/http/Desk.java
+++ b/transport/src/main/java/brookpath/transport/http/RequestDispatcher.java
@@ -3,7 +3,7 @@
 import static jakarta.ws.rs.core.MediaType.APPLICATION_JSON;
 
 import brookpath.coordination.message.Response;
-import brookpath.coordination.node.Job;
+import brookpath.coordination.node.NodeRequest;
 import brookpath.transport.loop.Host;
 import java.io.IOException;
 import java.io.InputStream;
@@ -14,8 +14,8 @@
 import java.util.function.LongFunction;
 import java.util.function.UnaryOperator;
 
-/** Hands callers' jobs to the state thread, and its responses back to HTTP. */
-public final class Desk {
+/** Hands callers' requests to the state thread, and its responses back to HTTP. */
+public final class RequestDispatcher {
     private final Host host;
     private final ExecutorService traffic = Executors.newCachedThreadPool(run -> {
         final Thread th = new Thread(run, "traffic");
@@ -23,7 +23,7 @@
         return th;
     });
 
-    public Desk(final Host host) {
+    public RequestDispatcher(final Host host) {
         this.host = host;
     }
 
@@ -35,14 +35,14 @@
         return traffic;
     }
 
-    CompletionStage<jakarta.ws.rs.core.Response> ask(final LongFunction<Job> job) {
-        return ask(job, r -> r);
+    CompletionStage<jakarta.ws.rs.core.Response> ask(final LongFunction<NodeRequest> request) {
+        return ask(request, r -> r);
     }
 
-    CompletionStage<jakarta.ws.rs.core.Response> ask(final LongFunction<Job> job, final UnaryOperator<Response> then) {
-        final long id = host.nextJobId();
+    CompletionStage<jakarta.ws.rs.core.Response> ask(final LongFunction<NodeRequest> request, final UnaryOperator<Response> then) {
+        final long id = host.nextRequestId();
         // why: the state thread must not write to a caller's socket
-        return host.submit(id, job.apply(id)).thenApplyAsync(r -> http(then.apply(r)), traffic);
+        return host.submit(id, request.apply(id)).thenApplyAsync(r -> http(then.apply(r)), traffic);
     }
 
     static CompletionStage<jakarta.ws.rs.core.Response> now(final Response r) {
--- a/transport/src/main/java/brookpath/transport/http/Lines.java
+++ b/transport/src/main/java/brookpath/transport/http/StreamedSession.java
@@ -12,24 +12,24 @@
 import java.util.concurrent.ArrayBlockingQueue;
 import java.util.concurrent.BlockingQueue;
 
-/** One listening session's bounded waitlist, and the loop that writes it out. */
-final class Lines implements Host.Sink, StreamingOutput {
-    private static final int WAITLIST = 1024;
+/** One listening session's bounded queue, and the loop that writes it out. */
+final class StreamedSession implements Host.Sink, StreamingOutput {
+    private static final int QUEUE = 1024;
     private static final long POLL_MS = 200;
 
     private final Host host;
     private final long sessionId;
-    private final BlockingQueue<byte[]> waitlist = new ArrayBlockingQueue<>(WAITLIST);
+    private final BlockingQueue<byte[]> queue = new ArrayBlockingQueue<>(QUEUE);
     private volatile String closedWhy;
 
-    Lines(final Host host, final long sessionId) {
+    StreamedSession(final Host host, final long sessionId) {
         this.host = host;
         this.sessionId = sessionId;
     }
 
     @Override
     public boolean offer(final Action.ToSession what) {
-        return waitlist.offer(((Action.Deliver) what).line());
+        return queue.offer(((Action.Deliver) what).line());
     }
 
     @Override
@@ -41,7 +41,7 @@
     public void write(final OutputStream os) throws IOException {
         try {
             while (closedWhy == null) {
-                final byte[] line = waitlist.poll(POLL_MS, MILLISECONDS);
+                final byte[] line = queue.poll(POLL_MS, MILLISECONDS);
                 if (line == null) {
                     continue;
                 }
@@ -51,7 +51,7 @@
                 }
                 if (closedWhy == null) {
                     os.write(line);
-                    if (waitlist.isEmpty()) {
+                    if (queue.isEmpty()) {
                         os.flush();
                     }
                 }
--- a/transport/src/main/java/brookpath/transport/loop/DiskWriter.java
+++ b/transport/src/main/java/brookpath/transport/loop/DiskWriter.java
@@ -2,23 +2,23 @@
 
 import brookpath.coordination.action.Action;
 import brookpath.state.disk.DiskFullException;
-import brookpath.state.spool.Spool;
+import brookpath.state.wal.WriteAheadLog;
 import java.util.ArrayDeque;
 import java.util.Collection;
 
 /**
- * Brings the writes of a node to its spool, in order. What the disk has no room for waits and is written again; a
+ * Brings the writes of a node to its write-ahead log, in order. What the disk has no room for waits and is written again; a
  * snapshot that there is no room for is left out, since the segment before it still holds everything. Not safe for
  * several threads.
  */
 public final class DiskWriter {
-    private final Spool spool;
+    private final WriteAheadLog writeAheadLog;
     private final ArrayDeque<Action> waiting = new ArrayDeque<>();
     private long written;
     private boolean snapshotRefused;
 
-    public DiskWriter(final Spool spool) {
-        this.spool = spool;
+    public DiskWriter(final WriteAheadLog writeAheadLog) {
+        this.writeAheadLog = writeAheadLog;
     }
 
     public void add(final Collection<Action> writes) {
@@ -41,10 +41,10 @@
     /** Writes one action and gives its number. */
     private long write(final Action action) {
         if (action instanceof Action.Write w) {
-            spool.append(w.entry());
+            writeAheadLog.append(w.entry());
             return w.number();
         } else if (action instanceof Action.Roll r) {
-            spool.sync();
+            writeAheadLog.sync();
             roll(r);
             return r.number();
         }
@@ -53,7 +53,7 @@
 
     private void roll(final Action.Roll roll) {
         try {
-            spool.roll(roll.snapshot());
+            writeAheadLog.roll(roll.snapshot());
         } catch (final DiskFullException ex) {
             snapshotRefused = true;
         }
@@ -61,7 +61,7 @@
 
     /** Syncs what was written, and gives the number up to which everything is synced. */
     public long sync() {
-        spool.sync();
+        writeAheadLog.sync();
         return written;
     }
 
--- a/transport/src/main/java/brookpath/transport/loop/Host.java
+++ b/transport/src/main/java/brookpath/transport/loop/Host.java
@@ -2,19 +2,19 @@
 
 import static java.util.concurrent.TimeUnit.MILLISECONDS;
 
-import brookpath.coordination.Tempo;
+import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Action;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.beat.BeatMachine;
-import brookpath.coordination.beat.BeatTable;
-import brookpath.coordination.beat.StatusHandoff;
-import brookpath.coordination.message.Msg;
+import brookpath.coordination.heartbeat.HeartbeatMonitor;
+import brookpath.coordination.heartbeat.HeartbeatTable;
+import brookpath.coordination.heartbeat.StatusHandoff;
+import brookpath.coordination.message.PeerMessage;
 import brookpath.coordination.message.Response;
-import brookpath.coordination.node.Job;
+import brookpath.coordination.node.NodeRequest;
 import brookpath.coordination.node.Node;
 import brookpath.coordination.node.Node.Time;
 import brookpath.coordination.node.usage.PostOutcome;
-import brookpath.state.spool.Spool;
+import brookpath.state.wal.WriteAheadLog;
 import brookpath.transport.identity.ProcessIdentity;
 import brookpath.transport.identity.RandomNumbers;
 import brookpath.transport.wire.Wire;
@@ -36,21 +36,21 @@
 import org.tinylog.Logger;
 
 /**
- * Runs one {@link Node} for real: the state thread asks it, and obeys. The replication listener thread owns the beats,
- * the disk thread the spool, Netty's and Jetty's threads the traffic.
+ * Runs one {@link Node} for real: the state thread asks it, and obeys. The replication listener thread owns the heartbeats,
+ * the disk thread the write-ahead log, Netty's and Jetty's threads the traffic.
  */
 public final class Host implements Wire.Inbox, AutoCloseable {
-    /** Beyond this many events in wait no caller's job is taken; beyond some times that, a sibling's session ends. */
+    /** Beyond this many events in wait no caller's request is taken; beyond some times that, a peer's session ends. */
     private static final int MAX_EVENTS = 8_192;
 
-    private static final int MAX_SIBLING_EVENTS = 4 * MAX_EVENTS;
-    private static final int MAX_JOBS = 8_192;
-    private static final int MAX_BEATS = 1_024;
+    private static final int MAX_PEER_EVENTS = 4 * MAX_EVENTS;
+    private static final int MAX_REQUESTS = 8_192;
+    private static final int MAX_HEARTBEATS = 1_024;
     private static final int SCRUB = 5;
 
-    private record Heard(int from, Msg.Beat beat) {}
+    private record Heard(int from, PeerMessage.Heartbeat heartbeat) {}
 
-    /** Nothing was heard, but a round of beats is wanted. */
+    /** Nothing was heard, but a round of heartbeats is wanted. */
     private static final Heard NONE = new Heard(0, null);
     /** The table says something new. */
     private static final Event TICK = (n, time) -> List.of();
@@ -66,32 +66,32 @@
 
     /** A listening session's end on the traffic side. */
     public interface Sink {
-        /** False when its waitlist is full: the session is ended, its cursors good. */
+        /** False when its queue is full: the session is ended, its cursors good. */
         boolean offer(Action.ToSession what);
 
         void close(String why);
     }
 
     private final Node node;
-    private final Tempo tempo;
-    private final Spool spool;
+    private final TimingBounds timing;
+    private final WriteAheadLog writeAheadLog;
     private final Wire wire;
     private final Runnable fatal;
     private final Poster poster;
     private final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
     private final BlockingQueue<Action> writes = new LinkedBlockingQueue<>();
-    private final BlockingQueue<Heard> beatInbox = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Heard> heartbeatInbox = new LinkedBlockingQueue<>();
     private final LongAdder refused = new LongAdder();
-    private final Map<Long, CompletableFuture<Response>> jobs = new ConcurrentHashMap<>();
+    private final Map<Long, CompletableFuture<Response>> requests = new ConcurrentHashMap<>();
     private final Map<Long, Sink> sinks = new ConcurrentHashMap<>();
-    private final AtomicLong jobIds;
+    private final AtomicLong requestIds;
     private final AtomicBoolean tickQueued = new AtomicBoolean();
     private final List<Thread> threads = new ArrayList<>();
     private final Function<Node, Map<Integer, String>> addresses;
     private final LongSupplier leaseUntil;
-    private volatile BeatTable table = BeatTable.EMPTY;
+    private volatile HeartbeatTable table = HeartbeatTable.EMPTY;
     private final StatusHandoff status = new StatusHandoff();
-    private volatile Set<Integer> siblings = Set.of();
+    private volatile Set<Integer> peers = Set.of();
     private volatile long leaseSnapshot = Long.MAX_VALUE;
     private volatile Map<Integer, String> zones = Map.of();
     private long nextZones;
@@ -100,34 +100,34 @@
 
     /**
      * @param self who this process is, as others are told
-     * @param spool null where the machine has no disk
+     * @param writeAheadLog null where the machine has no disk
      * @param addresses whom the node wants sessions with
      * @param leaseUntil until when lines may be delivered
-     * @param threads that carry the traffic between siblings
+     * @param threads that carry the traffic between peers
      */
     public Host(
             final Node node,
             final ProcessIdentity self,
-            final Tempo tempo,
-            final Spool spool,
+            final TimingBounds timing,
+            final WriteAheadLog writeAheadLog,
             final Function<Node, Map<Integer, String>> addresses,
             final LongSupplier leaseUntil,
             final Poster poster,
             final int threads,
             final Runnable fatal) {
         this.node = node;
-        this.tempo = tempo;
-        this.spool = spool;
+        this.timing = timing;
+        this.writeAheadLog = writeAheadLog;
         this.addresses = addresses;
         this.leaseUntil = leaseUntil;
         this.fatal = fatal;
         this.poster = poster;
         // why: never the same as in a former life of this process, however its clock was stepped
-        jobIds = new AtomicLong(RandomNumbers.firstId());
-        wire = new Wire(self, this, tempo.beat() / 2, 3 * tempo.deliverMs() / 2, threads);
+        requestIds = new AtomicLong(RandomNumbers.firstId());
+        wire = new Wire(self, this, timing.heartbeat() / 2, 3 * timing.deliverMs() / 2, threads);
     }
 
-    /** Bytes per zone of the other side; "?" for siblings whose zone this process does not know. */
+    /** Bytes per zone of the other side; "?" for peers whose zone this process does not know. */
     public String wireJson() {
         final Map<Integer, String> known = zones;
         final TreeMap<String, long[]> perZone = new TreeMap<>();
@@ -146,10 +146,10 @@
                 .toString();
     }
 
-    /** What waits just now, and how many jobs were refused for it. */
-    public String waitlistsJson() {
-        return "{\"events\":" + events.size() + ",\"jobs\":" + jobs.size() + ",\"writes\":" + writes.size()
-                + ",\"beats\":" + beatInbox.size() + ",\"sessions\":" + sinks.size() + ",\"refusedBusy\":"
+    /** What waits just now, and how many requests were refused for it. */
+    public String queuesJson() {
+        return "{\"events\":" + events.size() + ",\"jobs\":" + requests.size() + ",\"writes\":" + writes.size()
+                + ",\"beats\":" + heartbeatInbox.size() + ",\"sessions\":" + sinks.size() + ",\"refusedBusy\":"
                 + refused.sum() + "}";
     }
 
@@ -169,8 +169,8 @@
     public void start(final List<Action> first) {
         obey(first);
         thread("state", this::stateLoop);
-        thread("replication-listener", this::beatLoop);
-        if (spool != null) {
+        thread("replication-listener", this::heartbeatLoop);
+        if (writeAheadLog != null) {
             thread("disk", this::diskLoop);
         }
     }
@@ -195,67 +195,67 @@
 
     // ---- from the traffic threads
 
-    public long nextJobId() {
-        return jobIds.incrementAndGet();
+    public long nextRequestId() {
+        return requestIds.incrementAndGet();
     }
 
-    public CompletableFuture<Response> submit(final long jobId, final Job job) {
-        if (events.size() > MAX_EVENTS || jobs.size() > MAX_JOBS) {
+    public CompletableFuture<Response> submit(final long requestId, final NodeRequest request) {
+        if (events.size() > MAX_EVENTS || requests.size() > MAX_REQUESTS) {
             // why: refused here nothing has begun, so it is certain and costs the state thread nothing
             refused.increment();
-            sinks.remove(jobId);
+            sinks.remove(requestId);
             return CompletableFuture.completedFuture(new Response(
                     503,
-                    tempo.retryAfterMs(),
+                    timing.retryAfterMs(),
                     "{\"outcome\":\"refused\",\"code\":\"busy\",\"why\":\"this node has more to do than it can\"}"));
         }
         final CompletableFuture<Response> response = new CompletableFuture<>();
-        jobs.put(jobId, response);
-        events.add((n, time) -> n.job(job, time));
+        requests.put(requestId, response);
+        events.add((n, time) -> n.request(request, time));
         return response;
     }
 
-    /** A job that nobody waits for. */
-    public void tell(final Job job) {
-        events.add((n, time) -> n.job(job, time));
+    /** A request that nobody waits for. */
+    public void tell(final NodeRequest request) {
+        events.add((n, time) -> n.request(request, time));
     }
 
-    public CompletableFuture<Response> subscribe(final long sessionId, final Job job, final Sink sink) {
+    public CompletableFuture<Response> subscribe(final long sessionId, final NodeRequest request, final Sink sink) {
         sinks.put(sessionId, sink);
-        return submit(sessionId, job);
+        return submit(sessionId, request);
     }
 
     public void unsubscribe(final long sessionId) {
         sinks.remove(sessionId);
-        tell(new Job.Unsubscribe(sessionId));
+        tell(new NodeRequest.Unsubscribe(sessionId));
     }
 
     @Override
-    public void frame(final int from, final Msg msg) {
-        if (msg instanceof Msg.Beat beat) {
-            if (beatInbox.size() > MAX_BEATS) {
-                // why: an old beat says nothing that a newer one does not
-                beatInbox.poll();
+    public void frame(final int from, final PeerMessage message) {
+        if (message instanceof PeerMessage.Heartbeat heartbeat) {
+            if (heartbeatInbox.size() > MAX_HEARTBEATS) {
+                // why: an old heartbeat says nothing that a newer one does not
+                heartbeatInbox.poll();
             }
-            beatInbox.add(new Heard(from, beat));
-        } else if (events.size() > MAX_SIBLING_EVENTS) {
+            heartbeatInbox.add(new Heard(from, heartbeat));
+        } else if (events.size() > MAX_PEER_EVENTS) {
             // why: what is lost with the session is asked again or unsettled, as with any broken session; what is
             // merely dropped would be waited for
             wire.hangUp(from);
         } else {
-            events.add((n, time) -> n.message(from, msg, time));
+            events.add((n, time) -> n.message(from, message, time));
         }
     }
 
     @Override
     public void sessionUp(final int node) {
         // why: whoever was away is heard at once, and hears at once, rather than with the next period
-        wantBeat();
+        wantHeartbeat();
     }
 
-    private void wantBeat() {
+    private void wantHeartbeat() {
         if (status.wish()) {
-            beatInbox.add(NONE);
+            heartbeatInbox.add(NONE);
         }
     }
 
@@ -272,7 +272,7 @@
             try {
                 final long wait = nextTick - time().mono();
                 final Event ev = wait <= 0 ? events.poll() : events.poll(wait, MILLISECONDS);
-                final BeatTable newest = table;
+                final HeartbeatTable newest = table;
                 final Time time = time();
                 if (ev == TICK) {
                     tickQueued.set(false);
@@ -293,10 +293,10 @@
         }
     }
 
-    /** Whom the node wants to hear of; looked at with each wakeup, not with each event. */
+    /** Whom the node wants to hear of; looked at with each timer, not with each event. */
     private void look() {
         if (time().mono() >= nextZones) {
-            nextZones = time().mono() + tempo.keepAlive();
+            nextZones = time().mono() + timing.keepAlive();
             zones = node.zones();
         }
         final Map<Integer, String> wanted = addresses.apply(node);
@@ -304,9 +304,9 @@
             dialled = wanted;
             wanted.forEach(wire::dial);
         }
-        final Set<Integer> newSiblings = node.beatSiblings();
-        if (!newSiblings.equals(siblings)) {
-            siblings = newSiblings;
+        final Set<Integer> newPeers = node.heartbeatPeers();
+        if (!newPeers.equals(peers)) {
+            peers = newPeers;
         }
     }
 
@@ -315,15 +315,15 @@
         leaseSnapshot = leaseUntil.getAsLong();
         for (final Action action : actions) {
             if (action instanceof Action.Send a) {
-                if (!wire.send(a.node(), a.msg())) {
-                    events.add((n, time) -> n.unsent(a.node(), a.msg(), time));
+                if (!wire.send(a.node(), a.message())) {
+                    events.add((n, time) -> n.unsent(a.node(), a.message(), time));
                 }
             } else if (action instanceof Action.Write || action instanceof Action.Roll) {
                 writes.add(action);
-            } else if (action instanceof Action.BeatNow) {
-                wantBeat();
+            } else if (action instanceof Action.HeartbeatNow) {
+                wantHeartbeat();
             } else if (action instanceof Action.Respond a) {
-                final CompletableFuture<Response> response = jobs.remove(a.jobId());
+                final CompletableFuture<Response> response = requests.remove(a.requestId());
                 if (response != null) {
                     // why: this process may have been stopped between the decision and this moment
                     response.complete(a.response().at(time().mono()));
@@ -332,7 +332,7 @@
                 poster.accept(a)
                         .exceptionally(ex -> PostOutcome.UNKNOWN)
                         .thenAccept(outcome ->
-                                events.add((n, time) -> n.job(new Job.Posted(a.jobId(), outcome), time)));
+                                events.add((n, time) -> n.request(new NodeRequest.Posted(a.requestId(), outcome), time)));
             } else if (action instanceof Action.CloseSession a) {
                 final Sink sink = sinks.remove(a.sessionId());
                 if (sink != null) {
@@ -355,35 +355,35 @@
     }
 
     @SuppressWarnings("ReferenceEquality") // why: NONE is one object, and only means that the listener is woken
-    private void beatLoop() {
-        final BeatMachine machine = new BeatMachine(tempo, node.beatPeriod(), node.pledges());
+    private void heartbeatLoop() {
+        final HeartbeatMonitor machine = new HeartbeatMonitor(timing, node.heartbeatPeriod(), node.promises());
         final Actions out = new Actions();
         Set<Integer> known = Set.of();
         while (!closed) {
             try {
                 final long wait = machine.nextRound() - time().mono();
-                final Heard heard = wait <= 0 ? beatInbox.poll() : beatInbox.poll(wait, MILLISECONDS);
+                final Heard heard = wait <= 0 ? heartbeatInbox.poll() : heartbeatInbox.poll(wait, MILLISECONDS);
                 final long now = time().mono();
                 boolean news = false;
-                if (siblings != known) {
-                    known = siblings;
-                    machine.siblings(known);
+                if (peers != known) {
+                    known = peers;
+                    machine.peers(known);
                 }
-                final boolean beatWished = status.takeWish();
+                final boolean heartbeatWished = status.takeWish();
                 machine.own(status.entries());
                 if (heard != null && heard != NONE) {
-                    news = machine.onBeat(heard.from, heard.beat, now, out);
-                    // why: the state thread must see a beat before its sender is told that it was heard
+                    news = machine.onHeartbeat(heard.from, heard.heartbeat, now, out);
+                    // why: the state thread must see a heartbeat before its sender is told that it was heard
                     table = machine.table();
                 }
                 news |= machine.tick(now, out);
-                if (beatWished) {
-                    machine.beatNow(now, out);
+                if (heartbeatWished) {
+                    machine.heartbeatNow(now, out);
                 }
                 table = machine.table();
                 out.drain().forEach(a -> {
                     if (a instanceof Action.Send s) {
-                        wire.send(s.node(), s.msg());
+                        wire.send(s.node(), s.message());
                     }
                 });
                 if (news && tickQueued.compareAndSet(false, true)) {
@@ -396,20 +396,20 @@
     }
 
     private void diskLoop() {
-        final DiskWriter writer = new DiskWriter(spool);
+        final DiskWriter writer = new DiskWriter(writeAheadLog);
         final List<Action> batch = new ArrayList<>();
-        long nextScrub = time().mono() + SCRUB * tempo.recoverMs();
+        long nextScrub = time().mono() + SCRUB * timing.recoverMs();
         long nextSnapshot = Long.MAX_VALUE;
         boolean full = false;
         while (!closed) {
             try {
                 batch.clear();
-                final Action first = full ? null : writes.poll(tempo.recoverMs() / 4, MILLISECONDS);
+                final Action first = full ? null : writes.poll(timing.recoverMs() / 4, MILLISECONDS);
                 final long now = time().mono();
                 if (now >= nextScrub) {
                     // why: what went bad on the disk is to be found while the copy in memory is still there
-                    nextScrub = now + SCRUB * tempo.recoverMs();
-                    if (!spool.whole()) {
+                    nextScrub = now + SCRUB * timing.recoverMs();
+                    if (!writeAheadLog.whole()) {
                         events.add(Node::damaged);
                     }
                 }
@@ -428,12 +428,12 @@
                 full = reportFull(full, !writer.write());
                 if (writer.takeSnapshotRefused()) {
                     Logger.warn("no room for a snapshot: the segment goes on");
-                    nextSnapshot = now + tempo.recoverMs() / 4;
+                    nextSnapshot = now + timing.recoverMs() / 4;
                 }
                 final long synced = writer.sync();
                 events.add((n, time) -> n.synced(synced, time));
                 if (full) {
-                    Thread.sleep(tempo.diskPause());
+                    Thread.sleep(timing.diskPause());
                 }
             } catch (final InterruptedException ex) {
                 return;
--- a/transport/src/main/java/brookpath/transport/wire/Wire.java
+++ b/transport/src/main/java/brookpath/transport/wire/Wire.java
@@ -1,6 +1,6 @@
 package brookpath.transport.wire;
 
-import brookpath.coordination.message.Msg;
+import brookpath.coordination.message.PeerMessage;
 import brookpath.protocol.frame.FrameCodec;
 import brookpath.transport.identity.ProcessIdentity;
 import io.netty.bootstrap.Bootstrap;
@@ -37,7 +37,7 @@
 public final class Wire implements AutoCloseable {
     /** Called on Netty's threads. */
     public interface Inbox {
-        void frame(int from, Msg msg);
+        void frame(int from, PeerMessage message);
 
         void sessionLost(int node);
 
@@ -121,7 +121,7 @@
         return wrongNodes.sum();
     }
 
-    /** Bytes sent so far, per sibling. */
+    /** Bytes sent so far, per peer. */
     public Map<Integer, LongAdder> bytesOut() {
         return bytesOut;
     }
@@ -183,7 +183,7 @@
     }
 
     /** False where there is certainly no session to send it on. */
-    public boolean send(final int node, final Msg msg) {
+    public boolean send(final int node, final PeerMessage message) {
         final Peer peer = peers.get(node);
         final Channel ch = peer == null ? null : peer.channel();
         if (ch == null
@@ -201,7 +201,7 @@
             hangUp(node);
             return false;
         }
-        final byte[] frame = codecs.get().encode(msg);
+        final byte[] frame = codecs.get().encode(message);
         final ByteBuf buf = ch.alloc().buffer(frame.length).writeBytes(frame);
         bytesOut.computeIfAbsent(node, k -> new LongAdder()).add(LENGTH_BYTES + frame.length);
         ch.writeAndFlush(buf, ch.voidPromise());
@@ -280,9 +280,9 @@
             unanswered.remove(other.node());
             final byte[] bytes = new byte[buf.readableBytes()];
             buf.readBytes(bytes);
-            final Msg msg = codec.decode(bytes, 0, bytes.length);
+            final PeerMessage message = codec.decode(bytes, 0, bytes.length);
             bytesIn.computeIfAbsent(other.node(), k -> new LongAdder()).add(LENGTH_BYTES + bytes.length);
-            if (!peer.handOn(other.life(), () -> inbox.frame(other.node(), msg))) {
+            if (!peer.handOn(other.life(), () -> inbox.frame(other.node(), message))) {
                 ctx.close();
             }
         }
