--- a/coordination/src/main/java/brookpath/coordination/TimingBounds.java
+++ b/coordination/src/main/java/brookpath/coordination/TimingBounds.java
@@ -102,7 +102,9 @@
         return 2 * configurationHold();
     }
 
-    /** The same while an empty storage machine is at hand: a poll's hold, and the time in which heartbeats find it down. */
+    /**
+     * The same while an empty storage machine is at hand: a poll's hold, and the time in which heartbeats find it down.
+     */
     public long replacedAfter() {
         return configurationHold() + down();
     }
--- a/coordination/src/main/java/brookpath/coordination/action/Action.java
+++ b/coordination/src/main/java/brookpath/coordination/action/Action.java
@@ -29,7 +29,9 @@
     /** A line for a session whose topics are listened to as a whole. */
     record Deliver(long sessionId, byte[] line) implements ToSession {}
 
-    /** A record for a session that joins and leaves topics one by one; its cursor is {@code Cursor.one} of its index. */
+    /**
+     * A record for a session that joins and leaves topics one by one; its cursor is {@code Cursor.one} of its index.
+     */
     record Hand(long sessionId, LogRecord logRecord) implements ToSession {}
 
     /** A topic that a session had joined is no longer listened to, and why. */
--- a/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
@@ -7,16 +7,16 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.heartbeat.HeartbeatTable;
 import brookpath.coordination.heartbeat.HeartbeatPromises;
+import brookpath.coordination.heartbeat.HeartbeatTable;
 import brookpath.coordination.message.PeerMessage;
 import brookpath.coordination.message.PeerMessage.HeartbeatEntry;
 import brookpath.coordination.message.PeerMessage.Pull;
 import brookpath.coordination.message.PeerMessage.PullReply;
-import brookpath.coordination.message.PeerMessage.VoteRequest;
 import brookpath.coordination.message.PeerMessage.VoteReply;
-import brookpath.state.record.PackedBuffer;
+import brookpath.coordination.message.PeerMessage.VoteRequest;
 import brookpath.state.record.LogRecord;
+import brookpath.state.record.PackedBuffer;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
@@ -240,7 +240,9 @@
 
     /** Nothing is under way that a timer would have to drive on. */
     public boolean calm() {
-        return role == LEADER ? openIndex > 0 && committed == endIndex() : role == FOLLOWER && leaderHeard != 0 && !lost();
+        return role == LEADER
+                ? openIndex > 0 && committed == endIndex()
+                : role == FOLLOWER && leaderHeard != 0 && !lost();
     }
 
     /** What was asked of the node may never have arrived. */
@@ -658,12 +660,14 @@
             return membership.holds(self);
         }
         return weight(self) >= 0
-                && (weight(from) >= 0 || (message instanceof Pull && Membership.find(membership.learners(), from) != null));
+                && (weight(from) >= 0
+                        || (message instanceof Pull && Membership.find(membership.learners(), from) != null));
     }
 
     /** Appends a record as the leader; the caller has asked {@link #mayAct}. */
     public long append(final int kind, final byte[] body, final long now, final long wall) {
-        final long last = records.isEmpty() ? 0 : records.get(records.size() - 1).stamp();
+        final long last =
+                records.isEmpty() ? 0 : records.get(records.size() - 1).stamp();
         final LogRecord logRecord = LogRecord.of(endIndex() + 1, term, Math.max(last, wall), kind, body, now);
         store(logRecord);
         serveHeld(now);
@@ -928,7 +932,8 @@
         }
         final HeartbeatEntry told = row.answeredOwn().get(id);
         final HeartbeatEntry theirs = row.entries().get(id);
-        // why: only a heartbeat that told of this leadership binds the one who answered it, and only a voter can be bound
+        // why: only a heartbeat that told of this leadership binds the one who answered it, and only a voter can be
+        // bound
         return told != null
                 && told.role() == LEADER
                 && told.term() == term
@@ -1108,7 +1113,8 @@
             bytes += logRecord(index).bytes().length;
         }
         // why: a member that rebuilds its copy has to hear from an acting leader how far, also where nothing follows
-        final boolean news = m.committed() == Pull.UNKNOWN ? lead == PullReply.ACTING_LEADER : m.committed() < committed;
+        final boolean news =
+                m.committed() == Pull.UNKNOWN ? lead == PullReply.ACTING_LEADER : m.committed() < committed;
         if (part.isEmpty() && !news && m.term() >= term) {
             return false;
         }
@@ -1154,8 +1160,8 @@
     }
 
     /**
-     * Whether the reply is older than a membership that its sender must know: one that is committed, or that was made in
-     * this term. A record of an earlier leader that was never committed says nothing of this one.
+     * Whether the reply is older than a membership that its sender must know: one that is committed, or that was made
+     * in this term. A record of an earlier leader that was never committed says nothing of this one.
      */
     private boolean olderGroup(final PullReply m) {
         return m.groupVersion() < groupVersion && (membershipSettled() || termAt(membershipIndex) == m.term());
@@ -1191,7 +1197,11 @@
                 // why: a follower's log may lack what this member's counted for; whoever is mended takes the leader's
                 if (m.snapshot().length == 0
                         || (m.standing() == PullReply.FOLLOWER && damaged)
-                        || (m.standing() == PullReply.FOLLOWER && !lost() && !wantFull && endIndex() > 0 && committed > 0)) {
+                        || (m.standing() == PullReply.FOLLOWER
+                                && !lost()
+                                && !wantFull
+                                && endIndex() > 0
+                                && committed > 0)) {
                     return;
                 }
                 final byte[] snapshot = snapshotReceiver.take(m);
@@ -1212,7 +1222,8 @@
                 if (m.standing() == PullReply.FOLLOWER) {
                     return;
                 }
-                if ((m.tryIndex() < committed && m.tryIndex() < baseIndex) || (m.tryIndex() <= baseIndex && endIndex() == baseIndex)) {
+                if ((m.tryIndex() < committed && m.tryIndex() < baseIndex)
+                        || (m.tryIndex() <= baseIndex && endIndex() == baseIndex)) {
                     wantFull = true;
                 } else if (m.tryIndex() < committed) {
                     out.grave("group " + id + ": master " + from + " lacks accepted records after " + m.tryIndex());
@@ -1248,14 +1259,16 @@
 
     /** Appends what follows; returns up to where this log is the source's, or -1 where the reply fits another log. */
     private long take(final PullReply m, final long now) {
-        // why: a late reply may belong to a log that was cut since; what came after the cut must not be called committed
+        // why: a late reply may belong to a log that was cut since; what came after the cut must not be called
+        // committed
         // by it
         if (m.askedIndex() < baseIndex || m.askedIndex() > endIndex() || termAt(m.askedIndex()) != m.askedTerm()) {
             return -1;
         }
         long matched = m.askedIndex();
         for (final LogRecord logRecord : m.records()) {
-            if (logRecord.index() != matched + 1 || (logRecord.index() <= endIndex() && termAt(logRecord.index()) != logRecord.term())) {
+            if (logRecord.index() != matched + 1
+                    || (logRecord.index() <= endIndex() && termAt(logRecord.index()) != logRecord.term())) {
                 break;
             }
             if (logRecord.index() > endIndex()) {
@@ -1334,7 +1347,8 @@
         final long index = syncedBy(members, floor());
         if (index > committed && index >= openIndex && termAt(index) == term) {
             if (committed < openIndex) {
-                // why: whoever only watches is told at once that it may be read from, and not with its own next heartbeat
+                // why: whoever only watches is told at once that it may be read from, and not with its own next
+                // heartbeat
                 out.heartbeatNow();
             }
             accept(index);
@@ -1402,7 +1416,9 @@
 
     /** A digest of the whole log up to there; -1 where this copy does not reach. */
     public long chainAt(final long index) {
-        return index == baseIndex ? baseChain : index < baseIndex || index > endIndex() ? -1 : chain.get((int) (index - baseIndex - 1));
+        return index == baseIndex
+                ? baseChain
+                : index < baseIndex || index > endIndex() ? -1 : chain.get((int) (index - baseIndex - 1));
     }
 
     // ---- repair
@@ -1440,7 +1456,11 @@
     }
 
     private long termAt(final long index) {
-        return index == baseIndex ? baseTerm : index < baseIndex || index > endIndex() ? -1 : logRecord(index).term();
+        return index == baseIndex
+                ? baseTerm
+                : index < baseIndex || index > endIndex()
+                        ? -1
+                        : logRecord(index).term();
     }
 
     private byte[] snapshot() {
--- a/coordination/src/main/java/brookpath/coordination/group/MembershipDriver.java
+++ b/coordination/src/main/java/brookpath/coordination/group/MembershipDriver.java
@@ -104,7 +104,8 @@
             return true;
         }
         // why: a majority of the new voters must answer before they count, else the step itself ends this leadership
-        if (following(group, next.voters(), now) < Quorums.majority(next.voters().size())) {
+        if (following(group, next.voters(), now)
+                < Quorums.majority(next.voters().size())) {
             return false;
         }
         return next.voters().size() > present.voters().size()
--- a/coordination/src/main/java/brookpath/coordination/group/SnapshotSender.java
+++ b/coordination/src/main/java/brookpath/coordination/group/SnapshotSender.java
@@ -3,13 +3,13 @@
 import java.util.Arrays;
 
 /**
- * The sending side of a full sync: one snapshot of the group, built once and sent in parts to all who are under way with
- * it. It is dropped when nobody has asked for a part for a while, or when the log that it was made of is cut.
+ * The sending side of a full sync: one snapshot of the group, built once and sent in parts to all who are under way
+ * with it. It is dropped when nobody has asked for a part for a while, or when the log that it was made of is cut.
  */
 final class SnapshotSender {
     /**
-     * No part is larger. A link of 2.8 Mbit/s carries one in 94 ms, a fifth of the default detection time, so the heartbeats
-     * behind it come in time.
+     * No part is larger. A link of 2.8 Mbit/s carries one in 94 ms, a fifth of the default detection time, so the
+     * heartbeats behind it come in time.
      */
     static final int PART_BYTES = 32 << 10;
 
@@ -36,8 +36,8 @@
     }
 
     /**
-     * Whether the snapshot that is held serves a receiver: one that is under way with it, or whose log ends no later than
-     * the snapshot does, so that the snapshot takes nothing from it.
+     * Whether the snapshot that is held serves a receiver: one that is under way with it, or whose log ends no later
+     * than the snapshot does, so that the snapshot takes nothing from it.
      */
     boolean serves(final long askedSum, final long receiverEndIndex) {
         return snapshot != null && ((askedSum != 0 && askedSum == sum) || receiverEndIndex <= endIndex);
--- a/coordination/src/main/java/brookpath/coordination/heartbeat/HeartbeatMonitor.java
+++ b/coordination/src/main/java/brookpath/coordination/heartbeat/HeartbeatMonitor.java
@@ -48,8 +48,8 @@
     private long nextRound = Long.MIN_VALUE / 2;
 
     /**
-     * @param period between two heartbeats: the timing bounds's for members of groups; who only watches them is told of changes
-     *     besides and may ask less often
+     * @param period between two heartbeats: the timing bounds's for members of groups; who only watches them is told of
+     *     changes besides and may ask less often
      */
     public HeartbeatMonitor(final TimingBounds timing, final long period, final HeartbeatPromises promises) {
         this.timing = timing;
@@ -117,8 +117,8 @@
     }
 
     /**
-     * True where it says something that matters at once: who is what has changed, or a leader's heartbeat is answered, on
-     * which its lease stands.
+     * True where it says something that matters at once: who is what has changed, or a leader's heartbeat is answered,
+     * on which its lease stands.
      */
     public boolean onHeartbeat(final int from, final Heartbeat heartbeat, final long now, final Actions out) {
         final Peer peer = peers.get(from);
@@ -133,7 +133,8 @@
             // why: the promise comes before the answer, for a vote given after the answer must know of it however late
             // the table is seen
             final List<HeartbeatEntry> answer = promises.answer(from, heartbeat, own, now);
-            // why: who is what is all that an answer must tell, for positions come with this member's own heartbeats; where
+            // why: who is what is all that an answer must tell, for positions come with this member's own heartbeats;
+            // where
             // that is as it was, a few bytes say so
             final boolean same = heartbeat.known() == HeartbeatEntry.digest(answer);
             out.send(from, new Heartbeat(true, heartbeat.id(), heartbeat.stamp(), 0, same, same ? List.of() : answer));
@@ -144,7 +145,9 @@
         if (sent == null || now - sent.at > Math.max(timing.down(), 2 * period)) {
             return false;
         }
-        news = learn(peer, heartbeat, now) || peer.missed >= 2 || own.stream().anyMatch(e -> e.role() == HeartbeatEntry.LEADER);
+        news = learn(peer, heartbeat, now)
+                || peer.missed >= 2
+                || own.stream().anyMatch(e -> e.role() == HeartbeatEntry.LEADER);
         if (sent.at >= peer.answeredSentAt) {
             peer.answeredSentAt = sent.at;
             peer.answeredOwn = sent.own;
--- a/coordination/src/main/java/brookpath/coordination/heartbeat/HeartbeatPromises.java
+++ b/coordination/src/main/java/brookpath/coordination/heartbeat/HeartbeatPromises.java
@@ -32,10 +32,11 @@
     }
 
     /**
-     * The listener's part: promises to the leaders that the heartbeat tells of, and gives back the entries that the answer
-     * may carry.
+     * The listener's part: promises to the leaders that the heartbeat tells of, and gives back the entries that the
+     * answer may carry.
      */
-    synchronized List<HeartbeatEntry> answer(final int from, final Heartbeat heartbeat, final List<HeartbeatEntry> own, final long now) {
+    synchronized List<HeartbeatEntry> answer(
+            final int from, final Heartbeat heartbeat, final List<HeartbeatEntry> own, final long now) {
         for (final HeartbeatEntry e : heartbeat.entries()) {
             final Promise p = of(e.group());
             // why: a leadership older than what was voted for since binds nobody, and the entry below says so
--- a/coordination/src/main/java/brookpath/coordination/heartbeat/HeartbeatTable.java
+++ b/coordination/src/main/java/brookpath/coordination/heartbeat/HeartbeatTable.java
@@ -44,7 +44,9 @@
         return row != null && row.up;
     }
 
-    /** The node's entry for a group, or null where it is older than two heartbeats: such an entry counts for nothing. */
+    /**
+     * The node's entry for a group, or null where it is older than two heartbeats: such an entry counts for nothing.
+     */
     public HeartbeatEntry fresh(final int node, final int group, final long now) {
         final Row row = rows.get(node);
         return row == null || now - row.heardAt > staleAfter ? null : row.entries.get(group);
--- a/coordination/src/main/java/brookpath/coordination/message/PeerMessage.java
+++ b/coordination/src/main/java/brookpath/coordination/message/PeerMessage.java
@@ -10,7 +10,8 @@
      * @param known what the sender has of the receiver's entries ({@link HeartbeatEntry#digest})
      * @param same in a reply: the entries are left out, for what matters of them is what the asker has
      */
-    record Heartbeat(boolean reply, long id, long stamp, long known, boolean same, List<HeartbeatEntry> entries) implements PeerMessage {}
+    record Heartbeat(boolean reply, long id, long stamp, long known, boolean same, List<HeartbeatEntry> entries)
+            implements PeerMessage {}
 
     /** The state of one group at the sender: its role, term, sync state and the ends of its log. */
     record HeartbeatEntry(
@@ -64,8 +65,8 @@
      * A follower asks its source for the log; what it has synced is its copy's acknowledgement, and the chain tells
      * whether it is the same log.
      *
-     * @param committed how far the sender knows the log to be committed; {@link #UNKNOWN} where it rebuilds its copy and
-     *     has to hear it from an acting leader
+     * @param committed how far the sender knows the log to be committed; {@link #UNKNOWN} where it rebuilds its copy
+     *     and has to hear it from an acting leader
      * @param snapshotSum which snapshot of a full sync the follower has begun to collect, 0 for none
      * @param snapshotOffset how much of that snapshot it has
      */
@@ -151,11 +152,19 @@
 
     /** A gateway hands a caller's publish to the leader of the topic's group; jobId ties the reply to it. */
     record Publish(
-            long requestId, int group, long configurationVersion, long seq, String tenant, String topic, String sender, String text)
+            long requestId,
+            int group,
+            long configurationVersion,
+            long seq,
+            String tenant,
+            String topic,
+            String sender,
+            String text)
             implements PeerMessage {}
 
     /** The end of a publish as the leader knows it; the position is set where it was committed. */
-    record PublishReply(long requestId, int outcome, long position, int leaderHint, long term, String why) implements PeerMessage {
+    record PublishReply(long requestId, int outcome, long position, int leaderHint, long term, String why)
+            implements PeerMessage {
         public static final int ACCEPTED = 0;
         public static final int NOT_LEADER = 1;
         public static final int REFUSED_FOR_GOOD = 2;
@@ -170,7 +179,8 @@
      * @param at that position
      * @param edition of the topics of a held fetch: told once, and not again while they are the same
      */
-    record Fetch(long requestId, int group, boolean tail, boolean hold, long at, long edition, List<TopicPosition> topics)
+    record Fetch(
+            long requestId, int group, boolean tail, boolean hold, long at, long edition, List<TopicPosition> topics)
             implements PeerMessage {}
 
     /** A topic and the position after which its records are wanted. */
--- a/coordination/src/main/java/brookpath/coordination/message/Response.java
+++ b/coordination/src/main/java/brookpath/coordination/message/Response.java
@@ -1,7 +1,8 @@
 package brookpath.coordination.message;
 
 /**
- * The response to a caller's or operator's request, as HTTP tells it. A retryAfterMs of 0 says nothing about coming back.
+ * The response to a caller's or operator's request, as HTTP tells it. A retryAfterMs of 0 says nothing about coming
+ * back.
  *
  * @param code a refusal's kind in one word, as in the JSON; empty elsewhere
  * @param expiry until when it may be given, and what is said after that; null where it stays true
--- a/coordination/src/main/java/brookpath/coordination/node/ControllerNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/ControllerNode.java
@@ -3,16 +3,24 @@
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import brookpath.coordination.TimingBounds;
-import brookpath.coordination.group.Quorums;
+import brookpath.coordination.configuration.ClusterMetadata;
+import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
+import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.configuration.ConfigurationClient;
+import brookpath.coordination.configuration.ConfigurationReader;
+import brookpath.coordination.configuration.ControlState;
+import brookpath.coordination.configuration.FleetClock;
+import brookpath.coordination.configuration.StoredConfiguration;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Member;
 import brookpath.coordination.group.Membership;
+import brookpath.coordination.group.Quorums;
 import brookpath.coordination.message.PeerMessage;
-import brookpath.coordination.message.PeerMessage.HeartbeatEntry;
-import brookpath.coordination.message.PeerMessage.ControlRequest;
-import brookpath.coordination.message.PeerMessage.ControlReply;
 import brookpath.coordination.message.PeerMessage.ConfigurationPoll;
 import brookpath.coordination.message.PeerMessage.ConfigurationReply;
+import brookpath.coordination.message.PeerMessage.ControlReply;
+import brookpath.coordination.message.PeerMessage.ControlRequest;
+import brookpath.coordination.message.PeerMessage.HeartbeatEntry;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.node.control.ChangeOrders;
 import brookpath.coordination.node.control.ControlMembers;
@@ -28,14 +36,6 @@
 import brookpath.coordination.node.control.RequestKind;
 import brookpath.coordination.node.control.RetireOrders;
 import brookpath.coordination.node.usage.UsageReporter;
-import brookpath.coordination.configuration.ControlState;
-import brookpath.coordination.configuration.FleetClock;
-import brookpath.coordination.configuration.ClusterMetadata;
-import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
-import brookpath.coordination.configuration.ConfigurationClient;
-import brookpath.coordination.configuration.ConfigurationReader;
-import brookpath.coordination.configuration.StoredConfiguration;
 import brookpath.state.record.PackedBuffer;
 import jakarta.json.Json;
 import java.util.HashSet;
@@ -129,7 +129,8 @@
         pending = new PendingAnswers(group, timing, replies, out);
         changes = new ChangeOrders(
                 group,
-                new ConfigurationReader.Limits(founding.copies(), Quorums.floor(founding.copies(), founding.toleratedLosses())),
+                new ConfigurationReader.Limits(
+                        founding.copies(), Quorums.floor(founding.copies(), founding.toleratedLosses())),
                 polls,
                 pending,
                 replies);
@@ -176,8 +177,8 @@
     }
 
     /**
-     * Whom requests are carried to, 0 for nobody. A member of the control group knows by the heartbeats that it has lost its
-     * leader, and says so at once, where a lease from a poll would have it wait for one that it cannot reach.
+     * Whom requests are carried to, 0 for nobody. A member of the control group knows by the heartbeats that it has
+     * lost its leader, and says so at once, where a lease from a poll would have it wait for one that it cannot reach.
      */
     private int leaderForRequests(final long now) {
         if (!group.membership().holds(self)) {
@@ -214,7 +215,10 @@
                 metadataKeeper.update(time);
                 moves.drive(now);
             }
-            usage.total(view.metadata(), view.configuration().configuration().tenants().keySet(), time);
+            usage.total(
+                    view.metadata(),
+                    view.configuration().configuration().tenants().keySet(),
+                    time);
             usage.report(time);
         }
         relayed.tick(now);
@@ -268,7 +272,10 @@
         return poll != null && poll.pollId() == m.pollId();
     }
 
-    /** The cluster metadata may tell a newer membership than this controller's own log, if it has one: it joined, or left. */
+    /**
+     * The cluster metadata may tell a newer membership than this controller's own log, if it has one: it joined, or
+     * left.
+     */
     private void join(final long now) {
         final Membership control = client.metadata().control();
         final boolean concerned = control.holds(self) || group.membership().holds(self);
@@ -360,7 +367,9 @@
 
     private void notLeader(final int to, final ConfigurationPoll m, final int hint) {
         out.send(
-                to, new ConfigurationReply(m.pollId(), false, hint, group.term(), 0, new byte[0], 0, new byte[0], m.node(), 0));
+                to,
+                new ConfigurationReply(
+                        m.pollId(), false, hint, group.term(), 0, new byte[0], 0, new byte[0], m.node(), 0));
     }
 
     private void after(final Time time) {
--- a/coordination/src/main/java/brookpath/coordination/node/GatewayNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/GatewayNode.java
@@ -1,19 +1,21 @@
 package brookpath.coordination.node;
 
 import brookpath.coordination.TimingBounds;
+import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.configuration.ConfigurationClient;
 import brookpath.coordination.message.PeerMessage;
-import brookpath.coordination.message.PeerMessage.HeartbeatEntry;
-import brookpath.coordination.message.PeerMessage.ListenerCountRequest;
-import brookpath.coordination.message.PeerMessage.ListenerCountReply;
+import brookpath.coordination.message.PeerMessage.ConfigurationPoll;
+import brookpath.coordination.message.PeerMessage.ConfigurationReply;
+import brookpath.coordination.message.PeerMessage.ControlReply;
+import brookpath.coordination.message.PeerMessage.ControlRequest;
 import brookpath.coordination.message.PeerMessage.Fetch;
 import brookpath.coordination.message.PeerMessage.FetchReply;
+import brookpath.coordination.message.PeerMessage.HeartbeatEntry;
+import brookpath.coordination.message.PeerMessage.ListenerCountReply;
+import brookpath.coordination.message.PeerMessage.ListenerCountRequest;
 import brookpath.coordination.message.PeerMessage.ListenerReport;
-import brookpath.coordination.message.PeerMessage.ControlRequest;
-import brookpath.coordination.message.PeerMessage.ControlReply;
 import brookpath.coordination.message.PeerMessage.Publish;
 import brookpath.coordination.message.PeerMessage.PublishReply;
-import brookpath.coordination.message.PeerMessage.ConfigurationPoll;
-import brookpath.coordination.message.PeerMessage.ConfigurationReply;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.node.gateway.GatewayAddresses;
 import brookpath.coordination.node.gateway.LeaseQueue;
@@ -23,8 +25,6 @@
 import brookpath.coordination.route.Refusals;
 import brookpath.coordination.route.Route;
 import brookpath.coordination.route.RouteFinder;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
-import brookpath.coordination.configuration.ConfigurationClient;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
@@ -74,8 +74,8 @@
         ids = firstId;
         client = new ConfigurationClient(info, ConfigurationPoll.GATEWAY, seeds, firstId, timing, out);
         forwarder = new PublishForwarder(timing, this::routes, this::nextId, out);
-        subscriptions =
-                new Subscriptions(self, () -> client.configuration().topicsPerSession(), timing, this::routes, this::nextId, out);
+        subscriptions = new Subscriptions(
+                self, () -> client.configuration().topicsPerSession(), timing, this::routes, this::nextId, out);
         counts = new ListenerCountRequests(timing, this::nextId, out);
         leaseQueue = new LeaseQueue(timing);
         otherGateways = new GatewayAddresses(self, zone, this::nextId);
@@ -327,8 +327,8 @@
     /** It is ready before it has anything to serve, and says so by a code for those who would rather wait. */
     private Response readiness(final long now) {
         final Response ready = ReadinessProbe.response(client.leased(now), client.draining());
-        final boolean empty =
-                client.configuration().version() == 0 || client.metadata().groups().isEmpty();
+        final boolean empty = client.configuration().version() == 0
+                || client.metadata().groups().isEmpty();
         return new Response(ready.status(), ready.retryAfterMs(), ready.json(), empty ? "empty" : "");
     }
 
--- a/coordination/src/main/java/brookpath/coordination/node/GatewayStatus.java
+++ b/coordination/src/main/java/brookpath/coordination/node/GatewayStatus.java
@@ -1,10 +1,10 @@
 package brookpath.coordination.node;
 
+import brookpath.coordination.configuration.ClusterMetadata;
+import brookpath.coordination.configuration.ConfigurationClient;
 import brookpath.coordination.heartbeat.HeartbeatTable;
 import brookpath.coordination.route.Route;
 import brookpath.coordination.route.RouteFinder;
-import brookpath.coordination.configuration.ClusterMetadata;
-import brookpath.coordination.configuration.ConfigurationClient;
 import jakarta.json.Json;
 import jakarta.json.JsonArrayBuilder;
 import jakarta.json.JsonObjectBuilder;
@@ -24,7 +24,8 @@
     }
 
     /** Why a publish to, or a subscription of, the topic would go where it goes. */
-    String explain(final NodeRequest.Explain request, final RouteFinder routes, final HeartbeatTable table, final long now) {
+    String explain(
+            final NodeRequest.Explain request, final RouteFinder routes, final HeartbeatTable table, final long now) {
         final Route route = routes.publish(request.key(), request.topic(), now);
         final int group = routes.admit(request.key(), request.topic()).group();
         final JsonObjectBuilder page = Json.createObjectBuilder()
@@ -76,7 +77,8 @@
                 .toString();
     }
 
-    private static JsonObjectBuilder groupRow(final ClusterMetadata.GroupInfo group, final RouteFinder routes, final long now) {
+    private static JsonObjectBuilder groupRow(
+            final ClusterMetadata.GroupInfo group, final RouteFinder routes, final long now) {
         final Route route = routes.toLeader(new Route(null, "", group.id(), 0, "group " + group.id()), now);
         return Json.createObjectBuilder()
                 .add("group", group.id())
--- a/coordination/src/main/java/brookpath/coordination/node/GroupStatus.java
+++ b/coordination/src/main/java/brookpath/coordination/node/GroupStatus.java
@@ -1,8 +1,8 @@
 package brookpath.coordination.node;
 
-import brookpath.coordination.heartbeat.HeartbeatTable;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Member;
+import brookpath.coordination.heartbeat.HeartbeatTable;
 import brookpath.coordination.message.PeerMessage.HeartbeatEntry;
 import jakarta.json.Json;
 import jakarta.json.JsonArrayBuilder;
--- a/coordination/src/main/java/brookpath/coordination/node/NodeRequest.java
+++ b/coordination/src/main/java/brookpath/coordination/node/NodeRequest.java
@@ -6,14 +6,15 @@
 /** What a caller or an operator wants of a process. */
 public sealed interface NodeRequest {
     /** A caller's message. */
-    record Publish(long requestId, String key, String topic, String sender, long seq, String text) implements NodeRequest {}
+    record Publish(long requestId, String key, String topic, String sender, long seq, String text)
+            implements NodeRequest {}
 
     /** The request's ID is the session's. */
     record Subscribe(long requestId, String key, List<String> topics, String cursor) implements NodeRequest {}
 
     /**
-     * A session that joins and leaves topics one by one, each with its own cursor; the request's ID is the session's. An
-     * empty key is none.
+     * A session that joins and leaves topics one by one, each with its own cursor; the request's ID is the session's.
+     * An empty key is none.
      */
     record Open(long requestId, String key) implements NodeRequest {}
 
--- a/coordination/src/main/java/brookpath/coordination/node/StorageNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/StorageNode.java
@@ -7,31 +7,31 @@
 import static brookpath.coordination.message.PeerMessage.PublishReply.UNSETTLED;
 
 import brookpath.coordination.TimingBounds;
-import brookpath.coordination.group.Quorums;
+import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
+import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.configuration.Configuration;
+import brookpath.coordination.configuration.ConfigurationClient;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.MembershipDriver;
 import brookpath.coordination.group.MoveOrder;
+import brookpath.coordination.group.Quorums;
 import brookpath.coordination.message.PeerMessage;
-import brookpath.coordination.message.PeerMessage.HeartbeatEntry;
-import brookpath.coordination.message.PeerMessage.ListenerCountRequest;
-import brookpath.coordination.message.PeerMessage.ListenerCountReply;
+import brookpath.coordination.message.PeerMessage.ConfigurationPoll;
+import brookpath.coordination.message.PeerMessage.ConfigurationReply;
+import brookpath.coordination.message.PeerMessage.ControlRequest;
 import brookpath.coordination.message.PeerMessage.Fetch;
 import brookpath.coordination.message.PeerMessage.FetchReply;
+import brookpath.coordination.message.PeerMessage.HeartbeatEntry;
+import brookpath.coordination.message.PeerMessage.ListenerCountReply;
+import brookpath.coordination.message.PeerMessage.ListenerCountRequest;
 import brookpath.coordination.message.PeerMessage.ListenerReport;
-import brookpath.coordination.message.PeerMessage.ControlRequest;
 import brookpath.coordination.message.PeerMessage.Publish;
 import brookpath.coordination.message.PeerMessage.PublishReply;
-import brookpath.coordination.message.PeerMessage.ConfigurationPoll;
-import brookpath.coordination.message.PeerMessage.ConfigurationReply;
 import brookpath.coordination.message.PeerMessage.TopicPosition;
 import brookpath.coordination.message.Response;
-import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
-import brookpath.coordination.configuration.Configuration;
-import brookpath.coordination.configuration.ConfigurationClient;
 import brookpath.coordination.topic.TopicState;
-import brookpath.state.record.PackedBuffer;
 import brookpath.state.record.LogRecord;
+import brookpath.state.record.PackedBuffer;
 import jakarta.json.Json;
 import jakarta.json.JsonArrayBuilder;
 import java.util.ArrayList;
@@ -192,7 +192,8 @@
             toldFounded.put(g.id(), now);
             out.send(
                     client.controlLeader(),
-                    new ControlRequest(0, "founded", PackedBuffer.writer().num(g.id()).done()));
+                    new ControlRequest(
+                            0, "founded", PackedBuffer.writer().num(g.id()).done()));
         }
     }
 
@@ -220,7 +221,8 @@
         }
         toldUsage.put(g.id(), now);
         final List<TopicState.Count> counts = state.counts(included, closed);
-        final PackedBuffer buffer = PackedBuffer.writer().num(g.id()).num(included).num(closed).num(counts.size());
+        final PackedBuffer buffer =
+                PackedBuffer.writer().num(g.id()).num(included).num(closed).num(counts.size());
         counts.forEach(
                 c -> buffer.num(c.window()).str(c.tenant()).num(c.publishes()).num(c.bytes()));
         out.send(client.controlLeader(), new ControlRequest(g.id() + 1L, "usage", buffer.done()));
@@ -292,7 +294,8 @@
             }
         } else if (message instanceof PeerMessage.ControlReply m) {
             if (m.status() == 200) {
-                counted.put((int) m.requestId() - 1, PackedBuffer.reader(m.body()).num());
+                counted.put(
+                        (int) m.requestId() - 1, PackedBuffer.reader(m.body()).num());
             }
         } else if (message instanceof Publish m) {
             publish(from, m, time);
@@ -410,7 +413,12 @@
     }
 
     private void reply(
-            final int to, final long requestId, final int outcome, final long position, final int hint, final String why) {
+            final int to,
+            final long requestId,
+            final int outcome,
+            final long position,
+            final int hint,
+            final String why) {
         out.send(to, new PublishReply(requestId, outcome, position, hint, 0, why));
     }
 
@@ -471,8 +479,8 @@
     }
 
     /**
-     * A gateway that asks anew for other topics is answered by the time of its first question, lest it take this node for
-     * silent.
+     * A gateway that asks anew for other topics is answered by the time of its first question, lest it take this node
+     * for silent.
      */
     private void hold(final int from, final Fetch fetch, final long now) {
         final TreeMap<Integer, HeldFetch> ofGroup = held.computeIfAbsent(fetch.group(), k -> new TreeMap<>());
--- a/coordination/src/main/java/brookpath/coordination/node/control/ChangeOrders.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ChangeOrders.java
@@ -1,14 +1,14 @@
 package brookpath.coordination.node.control;
 
-import brookpath.coordination.group.GroupMachine;
-import brookpath.coordination.message.PeerMessage.ControlRequest;
-import brookpath.coordination.message.Response;
-import brookpath.coordination.node.Node.Time;
 import brookpath.coordination.configuration.ChangeOutcomes.Outcome;
+import brookpath.coordination.configuration.ConfigurationReader;
 import brookpath.coordination.configuration.ControlState;
 import brookpath.coordination.configuration.Finding;
-import brookpath.coordination.configuration.ConfigurationReader;
 import brookpath.coordination.configuration.StoredConfiguration;
+import brookpath.coordination.group.GroupMachine;
+import brookpath.coordination.message.PeerMessage.ControlRequest;
+import brookpath.coordination.message.Response;
+import brookpath.coordination.node.Node.Time;
 import brookpath.state.record.LogRecord;
 import java.util.List;
 import java.util.zip.CRC32C;
@@ -61,7 +61,8 @@
         // why: compared with the newest appended, not the newest committed, so that of two racing changes one loses for
         // certain
         final StoredConfiguration newest = state().configurationAt(Long.MAX_VALUE);
-        final ConfigurationReader.Reading reading = ConfigurationReader.read(op.body(), newest.version() + 1, limits, newest.configuration());
+        final ConfigurationReader.Reading reading =
+                ConfigurationReader.read(op.body(), newest.version() + 1, limits, newest.configuration());
         if (!reading.json()
                 || reading.configuration() == null
                 || reading.configuration().changeId().isEmpty()) {
--- a/coordination/src/main/java/brookpath/coordination/node/control/RetireOrders.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/RetireOrders.java
@@ -2,17 +2,17 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
+import brookpath.coordination.configuration.ClusterMetadata;
+import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.configuration.ControlState;
+import brookpath.coordination.configuration.MovePlan;
+import brookpath.coordination.configuration.Retirements.Retirement;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.message.PeerMessage.ControlRequest;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.node.Node.Time;
-import brookpath.coordination.configuration.ControlState;
-import brookpath.coordination.configuration.MovePlan;
-import brookpath.coordination.configuration.Retirements.Retirement;
-import brookpath.coordination.configuration.ClusterMetadata;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
-import brookpath.state.record.PackedBuffer;
 import brookpath.state.record.LogRecord;
+import brookpath.state.record.PackedBuffer;
 
 /**
  * Orders to empty a storage machine, or to keep it after all. An order is acknowledged once the record that took it is
@@ -123,7 +123,8 @@
         }
     }
 
-    private MovePlan.Retirement plan(final ClusterMetadata metadata, final int node, final boolean on, final Time time) {
+    private MovePlan.Retirement plan(
+            final ClusterMetadata metadata, final int node, final boolean on, final Time time) {
         return MovePlan.retire(metadata, node, on, followers.aliveStorages(time.mono()));
     }
 
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/ForwardedPublish.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/ForwardedPublish.java
@@ -16,7 +16,11 @@
     private String lastFailure = "the group has no master just now";
 
     /** @param deadline when the publish is given back to its caller, on the monotonic clock in milliseconds */
-    ForwardedPublish(final NodeRequest.Publish request, final Route route, final long configurationVersion, final long deadline) {
+    ForwardedPublish(
+            final NodeRequest.Publish request,
+            final Route route,
+            final long configurationVersion,
+            final long deadline) {
         this.request = request;
         this.route = route;
         this.configurationVersion = configurationVersion;
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/ListenerCountRequests.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/ListenerCountRequests.java
@@ -2,8 +2,8 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.message.PeerMessage.ListenerCountRequest;
 import brookpath.coordination.message.PeerMessage.ListenerCountReply;
+import brookpath.coordination.message.PeerMessage.ListenerCountRequest;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.route.Refusals;
 import brookpath.coordination.route.Route;
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/PublishForwarder.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/PublishForwarder.java
@@ -44,7 +44,10 @@
      * @param ids never the same twice, and rising
      */
     public PublishForwarder(
-            final TimingBounds timing, final LongFunction<RouteFinder> routes, final LongSupplier ids, final Actions out) {
+            final TimingBounds timing,
+            final LongFunction<RouteFinder> routes,
+            final LongSupplier ids,
+            final Actions out) {
         this.timing = timing;
         this.routes = routes;
         this.ids = ids;
@@ -68,7 +71,11 @@
      * @param answerMs how long the caller waits for an answer; 0 where that is unknown
      */
     public void add(
-            final NodeRequest.Publish request, final Route route, final long configurationVersion, final long answerMs, final long now) {
+            final NodeRequest.Publish request,
+            final Route route,
+            final long configurationVersion,
+            final long answerMs,
+            final long now) {
         if (groupOf.size() >= MAX_PUBLISHES) {
             refuse(request, "busy", "too many publishes are under way here");
             return;
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/SessionWriter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/SessionWriter.java
@@ -42,7 +42,8 @@
     }
 
     /** Hands out a record, unless the session has it already. */
-    void deliver(final Session session, final GroupSubscription subscription, final LogRecord logRecord, final long now) {
+    void deliver(
+            final Session session, final GroupSubscription subscription, final LogRecord logRecord, final long now) {
         if (!subscription.advance(logRecord.topic(), logRecord.index())) {
             return;
         }
--- a/coordination/src/main/java/brookpath/coordination/node/usage/UsageReporter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/usage/UsageReporter.java
@@ -2,17 +2,17 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
+import brookpath.coordination.configuration.ClusterMetadata;
+import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
+import brookpath.coordination.configuration.ControlState;
+import brookpath.coordination.configuration.FleetClock;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.message.PeerMessage.ControlRequest;
-import brookpath.coordination.node.NodeRequest;
 import brookpath.coordination.node.Node.Time;
-import brookpath.coordination.configuration.ControlState;
-import brookpath.coordination.configuration.FleetClock;
-import brookpath.coordination.configuration.ClusterMetadata;
-import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
+import brookpath.coordination.node.NodeRequest;
 import brookpath.coordination.topic.TopicState;
-import brookpath.state.record.PackedBuffer;
 import brookpath.state.record.LogRecord;
+import brookpath.state.record.PackedBuffer;
 import jakarta.json.Json;
 import jakarta.json.JsonArrayBuilder;
 import java.util.ArrayList;
@@ -190,7 +190,8 @@
         final boolean ok = j.outcome() == PostOutcome.ACCEPTED;
         if (group.mayAct(time.mono()) && (ok || p.goes >= MAX_GOES)) {
             posts.remove(j.requestId());
-            group.append(LogRecord.CONTROL, ControlState.deliveredBody(p.window.window(), ok), time.mono(), time.wall());
+            group.append(
+                    LogRecord.CONTROL, ControlState.deliveredBody(p.window.window(), ok), time.mono(), time.wall());
         }
     }
 
--- a/coordination/src/main/java/brookpath/coordination/route/RouteFinder.java
+++ b/coordination/src/main/java/brookpath/coordination/route/RouteFinder.java
@@ -3,14 +3,14 @@
 import static brookpath.coordination.route.Route.refused;
 
 import brookpath.coordination.TimingBounds;
-import brookpath.coordination.heartbeat.HeartbeatTable;
-import brookpath.coordination.group.GroupMachine;
-import brookpath.coordination.group.Member;
-import brookpath.coordination.message.PeerMessage.HeartbeatEntry;
-import brookpath.coordination.configuration.Placement;
 import brookpath.coordination.configuration.ClusterMetadata;
 import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
 import brookpath.coordination.configuration.Configuration;
+import brookpath.coordination.configuration.Placement;
+import brookpath.coordination.group.GroupMachine;
+import brookpath.coordination.group.Member;
+import brookpath.coordination.heartbeat.HeartbeatTable;
+import brookpath.coordination.message.PeerMessage.HeartbeatEntry;
 import java.util.function.IntPredicate;
 
 /** Decides where a request goes, from immutable tables alone. Whoever asks sends it there. */
@@ -135,7 +135,8 @@
     }
 
     /**
-     * History is read from the nearest member that is in sync: same zone first, followers before the leader. 0 for none.
+     * History is read from the nearest member that is in sync: same zone first, followers before the leader. 0 for
+     * none.
      *
      * @param avoided those that have not responded lately are asked last
      */
--- a/coordination/src/main/java/brookpath/coordination/topic/TopicState.java
+++ b/coordination/src/main/java/brookpath/coordination/topic/TopicState.java
@@ -3,8 +3,8 @@
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import brookpath.coordination.group.LogState;
-import brookpath.state.record.PackedBuffer;
 import brookpath.state.record.LogRecord;
+import brookpath.state.record.PackedBuffer;
 import java.util.List;
 import java.util.function.ToLongFunction;
 
@@ -87,7 +87,8 @@
 
     @Override
     public boolean keeps(final LogRecord logRecord, final long now, final int newerRecords, final long newerBytes) {
-        return now - logRecord.learnedAt() <= keeping.applyAsLong(logRecord.kind() == LogRecord.PUBLISH ? logRecord.topic() : "");
+        return now - logRecord.learnedAt()
+                <= keeping.applyAsLong(logRecord.kind() == LogRecord.PUBLISH ? logRecord.topic() : "");
     }
 
     @Override
--- a/programs/src/main/java/brookpath/programs/boot/ProcessAssembly.java
+++ b/programs/src/main/java/brookpath/programs/boot/ProcessAssembly.java
@@ -2,6 +2,9 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Action;
+import brookpath.coordination.configuration.ClusterMetadata;
+import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.configuration.ConfigurationClient;
 import brookpath.coordination.group.Member;
 import brookpath.coordination.node.ControllerNode;
 import brookpath.coordination.node.GatewayNode;
@@ -9,9 +12,6 @@
 import brookpath.coordination.node.Node.Time;
 import brookpath.coordination.node.StorageNode;
 import brookpath.coordination.node.control.Founding;
-import brookpath.coordination.configuration.ClusterMetadata;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
-import brookpath.coordination.configuration.ConfigurationClient;
 import brookpath.state.disk.DiskFullException;
 import brookpath.state.disk.FolderDisk;
 import brookpath.state.disk.MachineIdentity;
@@ -77,7 +77,8 @@
         final FolderDisk disk = plan.data.isEmpty() ? null : new FolderDisk(Path.of(plan.data));
         final NodeInfo info =
                 plan.info.on(disk == null ? RandomNumbers.identity() : onceThereIsRoom(plan, () -> machine(disk)));
-        final WriteAheadLog.Recovery recovered = disk == null ? null : onceThereIsRoom(plan, () -> WriteAheadLog.recover(disk));
+        final WriteAheadLog.Recovery recovered =
+                disk == null ? null : onceThereIsRoom(plan, () -> WriteAheadLog.recover(disk));
         final List<byte[]> entries = recovered == null ? List.of() : recovered.replayed();
         if (recovered != null) {
             recovered.findings().forEach(f -> Logger.error("data folder: {}", f));
--- a/protocol/src/main/java/brookpath/protocol/frame/FrameCodec.java
+++ b/protocol/src/main/java/brookpath/protocol/frame/FrameCodec.java
@@ -3,8 +3,10 @@
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import brookpath.coordination.message.PeerMessage;
-import brookpath.protocol.sbe.HeartbeatFrameDecoder;
-import brookpath.protocol.sbe.HeartbeatFrameEncoder;
+import brookpath.protocol.sbe.ConfigurationPollFrameDecoder;
+import brookpath.protocol.sbe.ConfigurationPollFrameEncoder;
+import brookpath.protocol.sbe.ConfigurationReplyFrameDecoder;
+import brookpath.protocol.sbe.ConfigurationReplyFrameEncoder;
 import brookpath.protocol.sbe.CountAskFrameDecoder;
 import brookpath.protocol.sbe.CountAskFrameEncoder;
 import brookpath.protocol.sbe.CountReplyFrameDecoder;
@@ -13,6 +15,8 @@
 import brookpath.protocol.sbe.FetchFrameEncoder;
 import brookpath.protocol.sbe.FetchReplyFrameDecoder;
 import brookpath.protocol.sbe.FetchReplyFrameEncoder;
+import brookpath.protocol.sbe.HeartbeatFrameDecoder;
+import brookpath.protocol.sbe.HeartbeatFrameEncoder;
 import brookpath.protocol.sbe.ListenFrameDecoder;
 import brookpath.protocol.sbe.ListenFrameEncoder;
 import brookpath.protocol.sbe.MessageHeaderDecoder;
@@ -29,10 +33,6 @@
 import brookpath.protocol.sbe.PullFrameEncoder;
 import brookpath.protocol.sbe.PullReplyFrameDecoder;
 import brookpath.protocol.sbe.PullReplyFrameEncoder;
-import brookpath.protocol.sbe.ConfigurationPollFrameDecoder;
-import brookpath.protocol.sbe.ConfigurationPollFrameEncoder;
-import brookpath.protocol.sbe.ConfigurationReplyFrameDecoder;
-import brookpath.protocol.sbe.ConfigurationReplyFrameEncoder;
 import brookpath.protocol.sbe.StandNowFrameDecoder;
 import brookpath.protocol.sbe.StandNowFrameEncoder;
 import brookpath.protocol.sbe.VoteAskFrameDecoder;
@@ -74,7 +74,8 @@
                     .stamp(m.stamp())
                     .known(m.known())
                     .same(bit(m.same()));
-            final HeartbeatFrameEncoder.EntriesEncoder g = e.entriesCount(m.entries().size());
+            final HeartbeatFrameEncoder.EntriesEncoder g =
+                    e.entriesCount(m.entries().size());
             for (final PeerMessage.HeartbeatEntry b : m.entries()) {
                 g.next()
                         .group(b.group())
@@ -142,7 +143,8 @@
                     .snapshotSum(m.snapshotSum())
                     .snapshotTotal(m.snapshotTotal())
                     .snapshotOffset(m.snapshotOffset());
-            final PullReplyFrameEncoder.RecordsEncoder g = e.recordsCount(m.records().size());
+            final PullReplyFrameEncoder.RecordsEncoder g =
+                    e.recordsCount(m.records().size());
             m.records().forEach(r -> g.next().putRecord(r.bytes(), 0, r.bytes().length));
             return e.putSnapshot(m.snapshot(), 0, m.snapshot().length).encodedLength();
         } else if (message instanceof PeerMessage.Publish m) {
@@ -193,7 +195,8 @@
                     .scannedTo(m.scannedTo());
             final FetchReplyFrameEncoder.GoneEncoder gone = e.goneCount(m.gone().size());
             m.gone().forEach(t -> gone.next().putTopic(utf(t), 0, utf(t).length));
-            final FetchReplyFrameEncoder.RecordsEncoder g = e.recordsCount(m.records().size());
+            final FetchReplyFrameEncoder.RecordsEncoder g =
+                    e.recordsCount(m.records().size());
             m.records().forEach(r -> g.next().putRecord(r.bytes(), 0, r.bytes().length));
             return e.encodedLength();
         } else if (message instanceof PeerMessage.ConfigurationPoll m) {
@@ -393,7 +396,8 @@
                 for (final FetchFrameDecoder.TopicsDecoder g : d.topics()) {
                     topics.add(new PeerMessage.TopicPosition(str(data(g.topicLength(), g::getTopic)), g.from()));
                 }
-                return new PeerMessage.Fetch(d.requestId(), d.group(), d.tail() == 1, d.hold() == 1, d.at(), d.edition(), topics);
+                return new PeerMessage.Fetch(
+                        d.requestId(), d.group(), d.tail() == 1, d.hold() == 1, d.at(), d.edition(), topics);
             }
             case FetchReplyFrameDecoder.TEMPLATE_ID -> {
                 final FetchReplyFrameDecoder d = new FetchReplyFrameDecoder().wrapAndApplyHeader(in, 0, headDec);
@@ -408,7 +412,8 @@
                 return new PeerMessage.FetchReply(d.requestId(), d.group(), d.status(), d.scannedTo(), gone, records);
             }
             case ConfigurationPollFrameDecoder.TEMPLATE_ID -> {
-                final ConfigurationPollFrameDecoder d = new ConfigurationPollFrameDecoder().wrapAndApplyHeader(in, 0, headDec);
+                final ConfigurationPollFrameDecoder d =
+                        new ConfigurationPollFrameDecoder().wrapAndApplyHeader(in, 0, headDec);
                 return new PeerMessage.ConfigurationPoll(
                         d.pollId(),
                         d.node(),
@@ -424,7 +429,8 @@
                         d.machine());
             }
             case ConfigurationReplyFrameDecoder.TEMPLATE_ID -> {
-                final ConfigurationReplyFrameDecoder d = new ConfigurationReplyFrameDecoder().wrapAndApplyHeader(in, 0, headDec);
+                final ConfigurationReplyFrameDecoder d =
+                        new ConfigurationReplyFrameDecoder().wrapAndApplyHeader(in, 0, headDec);
                 return new PeerMessage.ConfigurationReply(
                         d.pollId(),
                         d.leader() == 1,
@@ -439,11 +445,13 @@
             }
             case OpFrameDecoder.TEMPLATE_ID -> {
                 final OpFrameDecoder d = new OpFrameDecoder().wrapAndApplyHeader(in, 0, headDec);
-                return new PeerMessage.ControlRequest(d.requestId(), str(data(d.kindLength(), d::getKind)), data(d.bodyLength(), d::getBody));
+                return new PeerMessage.ControlRequest(
+                        d.requestId(), str(data(d.kindLength(), d::getKind)), data(d.bodyLength(), d::getBody));
             }
             case OpReplyFrameDecoder.TEMPLATE_ID -> {
                 final OpReplyFrameDecoder d = new OpReplyFrameDecoder().wrapAndApplyHeader(in, 0, headDec);
-                return new PeerMessage.ControlReply(d.requestId(), d.status(), d.retryAfterMs(), data(d.bodyLength(), d::getBody));
+                return new PeerMessage.ControlReply(
+                        d.requestId(), d.status(), d.retryAfterMs(), data(d.bodyLength(), d::getBody));
             }
             case ListenFrameDecoder.TEMPLATE_ID -> {
                 final ListenFrameDecoder d = new ListenFrameDecoder().wrapAndApplyHeader(in, 0, headDec);
@@ -455,7 +463,8 @@
             }
             case CountAskFrameDecoder.TEMPLATE_ID -> {
                 final CountAskFrameDecoder d = new CountAskFrameDecoder().wrapAndApplyHeader(in, 0, headDec);
-                return new PeerMessage.ListenerCountRequest(d.requestId(), d.group(), str(data(d.topicLength(), d::getTopic)));
+                return new PeerMessage.ListenerCountRequest(
+                        d.requestId(), d.group(), str(data(d.topicLength(), d::getTopic)));
             }
             case CountReplyFrameDecoder.TEMPLATE_ID -> {
                 final CountReplyFrameDecoder d = new CountReplyFrameDecoder().wrapAndApplyHeader(in, 0, headDec);
--- a/state/src/main/java/brookpath/state/wal/WriteAheadLog.java
+++ b/state/src/main/java/brookpath/state/wal/WriteAheadLog.java
@@ -23,7 +23,12 @@
     private static final int HEAD = 16;
 
     /** What recovery found. A damaged folder yields no entries: its owner comes back as a member without a disk. */
-    public record Recovery(WriteAheadLog writeAheadLog, byte[] snapshot, List<byte[]> entries, List<String> findings, boolean damaged) {
+    public record Recovery(
+            WriteAheadLog writeAheadLog,
+            byte[] snapshot,
+            List<byte[]> entries,
+            List<String> findings,
+            boolean damaged) {
         public List<byte[]> replayed() {
             return WriteAheadLog.replayed(snapshot, entries);
         }
--- a/testing/src/main/java/brookpath/testing/mutate/Mutants.java
+++ b/testing/src/main/java/brookpath/testing/mutate/Mutants.java
@@ -155,7 +155,13 @@
             return "| " + m.name + " | group fuzz | " + seen + " |";
         }
         seen = run(
-                work, mutatedCp, "^(  [0-9]+:|seed [0-9]+: java).*", "brookpath.testing.sim.Sweep", "1", seeds, m.faults);
+                work,
+                mutatedCp,
+                "^(  [0-9]+:|seed [0-9]+: java).*",
+                "brookpath.testing.sim.Sweep",
+                "1",
+                seeds,
+                m.faults);
         return seen != null
                 ? "| " + m.name + " | sweep " + m.faults + " | " + seen + " |"
                 : "| " + m.name + " | NOT SEEN | |";
--- a/testing/src/test/java/brookpath/testing/sim/ScenariosTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ScenariosTest.java
@@ -6,6 +6,8 @@
 import static org.testng.Assert.assertNotNull;
 import static org.testng.Assert.assertTrue;
 
+import brookpath.coordination.configuration.Configuration;
+import brookpath.coordination.configuration.Placement;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Member;
 import brookpath.coordination.group.Membership;
@@ -15,11 +17,9 @@
 import brookpath.coordination.node.GatewayNode;
 import brookpath.coordination.node.NodeRequest;
 import brookpath.coordination.node.StorageNode;
-import brookpath.coordination.configuration.Placement;
-import brookpath.coordination.configuration.Configuration;
 import brookpath.coordination.topic.TopicState;
-import brookpath.state.record.PackedBuffer;
 import brookpath.state.record.LogRecord;
+import brookpath.state.record.PackedBuffer;
 import java.util.ArrayList;
 import java.util.List;
 import org.testng.annotations.Test;
@@ -88,7 +88,10 @@
                 .filter(id -> group(world.processes.get(id), group) == null)
                 .findFirst()
                 .orElseThrow();
-        operate("retire", PackedBuffer.writer().num(spare).num(1).done(), r -> assertEquals(r.status(), 202, r.toString()));
+        operate(
+                "retire",
+                PackedBuffer.writer().num(spare).num(1).done(),
+                r -> assertEquals(r.status(), 202, r.toString()));
         for (int i = 0; i < 300 && groupsHeldBy(world.processes.get(spare)) > 0; i++) {
             world.run(world.now() + 100);
         }
@@ -112,7 +115,9 @@
             final int gateway, final String key, final String topic, final String sender, final long seq) {
         final Response[] got = new Response[1];
         world.callers.asked(
-                world.processes.get(gateway), id -> new NodeRequest.Publish(id, key, topic, sender, seq, "x"), r -> got[0] = r);
+                world.processes.get(gateway),
+                id -> new NodeRequest.Publish(id, key, topic, sender, seq, "x"),
+                r -> got[0] = r);
         for (int i = 0; i < 400 && got[0] == null; i++) {
             world.run(world.now() + 10);
         }
@@ -416,7 +421,9 @@
         world.run(world.now() + 100);
         assertEquals(got[0].status(), 503);
         world.callers.asked(
-                gateway, id -> new NodeRequest.Subscribe(id, "key-members", List.of("permits/t0"), null), r -> got[0] = r);
+                gateway,
+                id -> new NodeRequest.Subscribe(id, "key-members", List.of("permits/t0"), null),
+                r -> got[0] = r);
         world.run(world.now() + 500);
         assertTrue(
                 got[0].status() == 503 && got[0].json().contains("draining"),
@@ -432,7 +439,10 @@
         final SimulatedProcess leader = acting(g);
         final int to = followerOf(leader, g).id;
         for (int i = 0; i < 20 && acting(g) != world.processes.get(to); i++) {
-            operate("handover", PackedBuffer.writer().num(g).num(to).done(), r -> assertEquals(r.status(), 202, r.toString()));
+            operate(
+                    "handover",
+                    PackedBuffer.writer().num(g).num(to).done(),
+                    r -> assertEquals(r.status(), 202, r.toString()));
         }
         assertEquals(acting(g), world.processes.get(to));
         assertEquals(group(leader, g).role(), GroupMachine.FOLLOWER);
@@ -487,7 +497,10 @@
         // why: what it hears no more cannot stop it, only its own word can
         world.processes.keySet().forEach(id -> world.net.cut(id, leader.id));
         leader.run(p -> p.node.message(
-                1, new PeerMessage.ControlRequest(0, "handover", PackedBuffer.writer().num(g).num(to.id).done()), p.time()));
+                1,
+                new PeerMessage.ControlRequest(
+                        0, "handover", PackedBuffer.writer().num(g).num(to.id).done()),
+                p.time()));
         assertTrue(untilActing(g, leader, 300) < 300, "the slave that was asked did not take over at once");
         assertEquals(acting(g), to);
         world.run(world.now() + 1_000);
@@ -557,8 +570,13 @@
         final GroupMachine m = group(voter, g);
         final long end = m.endIndex();
         // why: what the old leader had on its way, of its own term, fitting the end of this log exactly
-        final LogRecord late =
-                LogRecord.of(end + 1, term, 0, LogRecord.PUBLISH, LogRecord.publishBody(9, 2, "members", "permits/t1", "late", "x"), 0);
+        final LogRecord late = LogRecord.of(
+                end + 1,
+                term,
+                0,
+                LogRecord.PUBLISH,
+                LogRecord.publishBody(9, 2, "members", "permits/t1", "late", "x"),
+                0);
         // why: it may have asked the other follower last, when the leader did not answer any more
         for (final Member from : m.members()) {
             if (from.node() != voter.id) {
@@ -598,7 +616,12 @@
         final long committed = m.committed();
         // why: it was asked for when this log was longer, or another; what it calls committed is not here
         final LogRecord far = LogRecord.of(
-                end + 6, m.term(), 0, LogRecord.PUBLISH, LogRecord.publishBody(9, 2, "members", "permits/t1", "late", "x"), 0);
+                end + 6,
+                m.term(),
+                0,
+                LogRecord.PUBLISH,
+                LogRecord.publishBody(9, 2, "members", "permits/t1", "late", "x"),
+                0);
         for (final long asked : new long[] {end + 5, end}) {
             follower.run(p -> p.node.message(
                     leader.id,
@@ -624,10 +647,13 @@
     @Test
     public void whatIsStampedIntoAClosedWindowCountsInTheNext() {
         final TopicState state = new TopicState(t -> 1_000, 10_000);
-        state.apply(LogRecord.of(1, 1, 51_000, LogRecord.PUBLISH, LogRecord.publishBody(1, 2, "t", "s/a", "ana", "12345"), 0));
-        state.apply(LogRecord.of(2, 1, 60_100, LogRecord.CLOSE, PackedBuffer.writer().num(5).done(), 0));
+        state.apply(LogRecord.of(
+                1, 1, 51_000, LogRecord.PUBLISH, LogRecord.publishBody(1, 2, "t", "s/a", "ana", "12345"), 0));
+        state.apply(LogRecord.of(
+                2, 1, 60_100, LogRecord.CLOSE, PackedBuffer.writer().num(5).done(), 0));
         final List<TopicState.Count> closed = state.counts(-1, 5);
-        state.apply(LogRecord.of(3, 2, 59_000, LogRecord.PUBLISH, LogRecord.publishBody(2, 2, "t", "s/a", "ana", "123"), 0));
+        state.apply(LogRecord.of(
+                3, 2, 59_000, LogRecord.PUBLISH, LogRecord.publishBody(2, 2, "t", "s/a", "ana", "123"), 0));
         assertEquals(state.counts(-1, 5), closed, "a closed window changed");
         assertEquals(state.counts(5, 6), List.of(new TopicState.Count(6, "t", 1, 3)));
     }
@@ -636,14 +662,23 @@
     public void aSenderIsForgottenOnlyAnHourAfterItsLastMessageAndTheSameByAll() {
         final TopicState state = new TopicState(t -> 1_000, 10_000);
         final TopicState other = new TopicState(t -> 1_000, 10_000);
-        state.apply(LogRecord.of(1, 1, 1_000, LogRecord.PUBLISH, LogRecord.publishBody(7, 2, "t", "s/a", "ana", "x"), 0));
-        state.apply(LogRecord.of(2, 1, 3_000_000, LogRecord.PUBLISH, LogRecord.publishBody(3, 2, "t", "s/a", "bo", "x"), 0));
-        state.apply(LogRecord.of(3, 1, 3_600_900, LogRecord.CLOSE, PackedBuffer.writer().num(359).done(), 0));
+        state.apply(
+                LogRecord.of(1, 1, 1_000, LogRecord.PUBLISH, LogRecord.publishBody(7, 2, "t", "s/a", "ana", "x"), 0));
+        state.apply(LogRecord.of(
+                2, 1, 3_000_000, LogRecord.PUBLISH, LogRecord.publishBody(3, 2, "t", "s/a", "bo", "x"), 0));
+        state.apply(LogRecord.of(
+                3, 1, 3_600_900, LogRecord.CLOSE, PackedBuffer.writer().num(359).done(), 0));
         assertEquals(state.lookUp("s/a", "ana", 7), 1);
         assertEquals(state.lookUp("s/a", "ana", 6), TopicState.TOO_LOW);
         other.load(state.save());
         for (final TopicState s : List.of(state, other)) {
-            s.apply(LogRecord.of(4, 1, 3_601_100, LogRecord.CLOSE, PackedBuffer.writer().num(360).done(), 0));
+            s.apply(LogRecord.of(
+                    4,
+                    1,
+                    3_601_100,
+                    LogRecord.CLOSE,
+                    PackedBuffer.writer().num(360).done(),
+                    0));
             assertEquals(s.lookUp("s/a", "ana", 7), TopicState.NEW);
             assertEquals(s.lookUp("s/a", "bo", 3), 2);
             assertEquals(s.senders(), 1);
@@ -661,10 +696,16 @@
         begin(60);
         callers();
         final SimulatedProcess back = acting(0);
-        operate("retire", PackedBuffer.writer().num(back.id).num(1).done(), r -> assertEquals(r.status(), 202, r.toString()));
+        operate(
+                "retire",
+                PackedBuffer.writer().num(back.id).num(1).done(),
+                r -> assertEquals(r.status(), 202, r.toString()));
         world.run(world.now() + 8_000);
         assertEquals(groupsHeldBy(back), 0);
-        operate("retire", PackedBuffer.writer().num(back.id).num(0).done(), r -> assertEquals(r.status(), 202, r.toString()));
+        operate(
+                "retire",
+                PackedBuffer.writer().num(back.id).num(0).done(),
+                r -> assertEquals(r.status(), 202, r.toString()));
         for (int i = 0; i < 40; i++) {
             world.run(world.now() + 1_000);
             for (int g = 0; g < GROUPS; g++) {
--- a/tools/src/main/java/brookpath/tools/datafolder/DataFolderCheck.java
+++ b/tools/src/main/java/brookpath/tools/datafolder/DataFolderCheck.java
@@ -4,16 +4,16 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.heartbeat.HeartbeatPromises;
-import brookpath.coordination.group.GroupMachine;
-import brookpath.coordination.node.ControllerNode;
 import brookpath.coordination.configuration.ControlState;
 import brookpath.coordination.configuration.StoredConfiguration;
+import brookpath.coordination.group.GroupMachine;
+import brookpath.coordination.heartbeat.HeartbeatPromises;
+import brookpath.coordination.node.ControllerNode;
 import brookpath.coordination.topic.TopicState;
 import brookpath.state.disk.Disk;
 import brookpath.state.disk.DiskFile;
-import brookpath.state.record.PackedBuffer;
 import brookpath.state.record.LogRecord;
+import brookpath.state.record.PackedBuffer;
 import brookpath.state.wal.WriteAheadLog;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -139,7 +139,8 @@
             if (index <= Math.min(x.endIndex(), y.endIndex())
                     && x.logRecord(index).term() != y.logRecord(index).term()) {
                 out.println("group " + id + ": " + a + " and " + b + " part at record " + index + ", epochs "
-                        + x.logRecord(index).term() + " and " + y.logRecord(index).term()
+                        + x.logRecord(index).term() + " and "
+                        + y.logRecord(index).term()
                         + "; the older tail was not accepted and is cut at its start");
             } else {
                 out.println("group " + id + ": " + a + " and " + b + " agree on " + same + " records, ends "
@@ -187,7 +188,8 @@
             kinds.merge(g.logRecord(index).kind(), 1, Integer::sum);
         }
         out.println("group " + id + ": epoch " + g.term() + ", records " + (g.baseIndex() + 1) + " to " + g.endIndex()
-                + ", publishes " + kinds.getOrDefault(LogRecord.PUBLISH, 0) + (g.lost() ? ", lost: is being rebuilt" : "")
+                + ", publishes " + kinds.getOrDefault(LogRecord.PUBLISH, 0)
+                + (g.lost() ? ", lost: is being rebuilt" : "")
                 + ", group version " + g.membership().version());
         if (g.live() instanceof ControlState c) {
             final StoredConfiguration at = c.configurationAt(Long.MAX_VALUE);
--- a/tools/src/main/java/brookpath/tools/plan/Plan.java
+++ b/tools/src/main/java/brookpath/tools/plan/Plan.java
@@ -2,16 +2,16 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import brookpath.coordination.group.Quorums;
-import brookpath.coordination.group.Member;
-import brookpath.coordination.group.Membership;
-import brookpath.coordination.configuration.Finding;
-import brookpath.coordination.configuration.MovePlan;
 import brookpath.coordination.configuration.ClusterMetadata;
 import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
 import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
 import brookpath.coordination.configuration.Configuration;
 import brookpath.coordination.configuration.ConfigurationReader;
+import brookpath.coordination.configuration.Finding;
+import brookpath.coordination.configuration.MovePlan;
+import brookpath.coordination.group.Member;
+import brookpath.coordination.group.Membership;
+import brookpath.coordination.group.Quorums;
 import brookpath.tools.ask.StatusClient;
 import brookpath.tools.cli.CommandLineTool;
 import jakarta.json.JsonObject;
@@ -260,17 +260,19 @@
         final long version = now.getInt("version", 0);
         final Configuration present = version == 0
                 ? Configuration.NONE
-                : ConfigurationReader.stored(now.getJsonObject("document").toString().getBytes(UTF_8), version);
+                : ConfigurationReader.stored(
+                        now.getJsonObject("document").toString().getBytes(UTF_8), version);
         // the controller's floor follows from the copies and from one machine that may be lost, as its settings have
         // it by default
-        final ConfigurationReader.Reading r =
-                ConfigurationReader.read(doc, version + 1, new ConfigurationReader.Limits(copies, Quorums.floor(copies, 1)), present);
+        final ConfigurationReader.Reading r = ConfigurationReader.read(
+                doc, version + 1, new ConfigurationReader.Limits(copies, Quorums.floor(copies, 1)), present);
         whyNot.addAll(r.findings());
         if (r.configuration() == null) {
             return;
         }
         if (r.configuration().basedOn() != version) {
-            whyNot.add(new Finding("/basedOn", "is " + r.configuration().basedOn() + ", the present version is " + version));
+            whyNot.add(new Finding(
+                    "/basedOn", "is " + r.configuration().basedOn() + ", the present version is " + version));
         }
         differ("space", present.spaces(), r.configuration().spaces());
         differ("tenant", present.tenants(), r.configuration().tenants());
--- a/transport/src/main/java/brookpath/transport/http/GatewayResource.java
+++ b/transport/src/main/java/brookpath/transport/http/GatewayResource.java
@@ -4,9 +4,9 @@
 import static jakarta.ws.rs.core.MediaType.APPLICATION_JSON;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
+import brookpath.coordination.configuration.Finding;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.node.NodeRequest;
-import brookpath.coordination.configuration.Finding;
 import jakarta.inject.Inject;
 import jakarta.json.Json;
 import jakarta.json.JsonException;
@@ -52,7 +52,8 @@
             throws IOException {
         final byte[] body = RequestDispatcher.body(in, MAX_BODY);
         if (body == null) {
-            return RequestDispatcher.now(bad(413, List.of(new Finding("/", "body is larger than " + MAX_BODY + " bytes"))));
+            return RequestDispatcher.now(
+                    bad(413, List.of(new Finding("/", "body is larger than " + MAX_BODY + " bytes"))));
         }
         final List<Finding> findings = new ArrayList<>();
         JsonObject obj = JsonValue.EMPTY_JSON_OBJECT;
@@ -82,7 +83,8 @@
         if (text == null) {
             findings.add(new Finding("/message", "must be a string"));
         } else if (text.getBytes(UTF_8).length > MAX_TEXT) {
-            return RequestDispatcher.now(bad(413, List.of(new Finding("/message", "is larger than " + MAX_TEXT + " bytes"))));
+            return RequestDispatcher.now(
+                    bad(413, List.of(new Finding("/message", "is larger than " + MAX_TEXT + " bytes"))));
         }
         if (!findings.isEmpty()) {
             return RequestDispatcher.now(bad(400, findings));
@@ -98,7 +100,8 @@
             @HeaderParam("Authorization") final String auth) {
         final long id = dispatcher.host().nextRequestId();
         final StreamedSession lines = new StreamedSession(dispatcher.host(), id);
-        return dispatcher.host()
+        return dispatcher
+                .host()
                 .subscribe(id, new NodeRequest.Subscribe(id, key(auth), topics, cursor), lines)
                 .thenApplyAsync(
                         r -> {
--- a/transport/src/main/java/brookpath/transport/http/OperatorResource.java
+++ b/transport/src/main/java/brookpath/transport/http/OperatorResource.java
@@ -3,8 +3,8 @@
 import static jakarta.ws.rs.core.MediaType.APPLICATION_JSON;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import brookpath.coordination.node.NodeRequest;
 import brookpath.coordination.configuration.ConfigurationReader;
+import brookpath.coordination.node.NodeRequest;
 import brookpath.state.record.PackedBuffer;
 import jakarta.inject.Inject;
 import jakarta.ws.rs.GET;
--- a/transport/src/main/java/brookpath/transport/http/RequestDispatcher.java
+++ b/transport/src/main/java/brookpath/transport/http/RequestDispatcher.java
@@ -39,7 +39,8 @@
         return ask(request, r -> r);
     }
 
-    CompletionStage<jakarta.ws.rs.core.Response> ask(final LongFunction<NodeRequest> request, final UnaryOperator<Response> then) {
+    CompletionStage<jakarta.ws.rs.core.Response> ask(
+            final LongFunction<NodeRequest> request, final UnaryOperator<Response> then) {
         final long id = host.nextRequestId();
         // why: the state thread must not write to a caller's socket
         return host.submit(id, request.apply(id)).thenApplyAsync(r -> http(then.apply(r)), traffic);
--- a/transport/src/main/java/brookpath/transport/loop/DiskWriter.java
+++ b/transport/src/main/java/brookpath/transport/loop/DiskWriter.java
@@ -7,9 +7,9 @@
 import java.util.Collection;
 
 /**
- * Brings the writes of a node to its write-ahead log, in order. What the disk has no room for waits and is written again; a
- * snapshot that there is no room for is left out, since the segment before it still holds everything. Not safe for
- * several threads.
+ * Brings the writes of a node to its write-ahead log, in order. What the disk has no room for waits and is written
+ * again; a snapshot that there is no room for is left out, since the segment before it still holds everything. Not safe
+ * for several threads.
  */
 public final class DiskWriter {
     private final WriteAheadLog writeAheadLog;
--- a/transport/src/main/java/brookpath/transport/loop/Host.java
+++ b/transport/src/main/java/brookpath/transport/loop/Host.java
@@ -10,9 +10,9 @@
 import brookpath.coordination.heartbeat.StatusHandoff;
 import brookpath.coordination.message.PeerMessage;
 import brookpath.coordination.message.Response;
-import brookpath.coordination.node.NodeRequest;
 import brookpath.coordination.node.Node;
 import brookpath.coordination.node.Node.Time;
+import brookpath.coordination.node.NodeRequest;
 import brookpath.coordination.node.usage.PostOutcome;
 import brookpath.state.wal.WriteAheadLog;
 import brookpath.transport.identity.ProcessIdentity;
@@ -36,8 +36,8 @@
 import org.tinylog.Logger;
 
 /**
- * Runs one {@link Node} for real: the state thread asks it, and obeys. The replication listener thread owns the heartbeats,
- * the disk thread the write-ahead log, Netty's and Jetty's threads the traffic.
+ * Runs one {@link Node} for real: the state thread asks it, and obeys. The replication listener thread owns the
+ * heartbeats, the disk thread the write-ahead log, Netty's and Jetty's threads the traffic.
  */
 public final class Host implements Wire.Inbox, AutoCloseable {
     /** Beyond this many events in wait no caller's request is taken; beyond some times that, a peer's session ends. */
@@ -331,8 +331,8 @@
             } else if (action instanceof Action.Post a) {
                 poster.accept(a)
                         .exceptionally(ex -> PostOutcome.UNKNOWN)
-                        .thenAccept(outcome ->
-                                events.add((n, time) -> n.request(new NodeRequest.Posted(a.requestId(), outcome), time)));
+                        .thenAccept(outcome -> events.add(
+                                (n, time) -> n.request(new NodeRequest.Posted(a.requestId(), outcome), time)));
             } else if (action instanceof Action.CloseSession a) {
                 final Sink sink = sinks.remove(a.sessionId());
                 if (sink != null) {
