--- a/testing/src/test/java/brookpath/testing/FrameCodecTest.java
+++ b/testing/src/test/java/brookpath/testing/FrameCodecTest.java
@@ -94,7 +94,7 @@
         final List<Object> list = new ArrayList<>();
         final String item = comp.getGenericType().getTypeName();
         for (int n = random.nextInt(5); n > 0; n--) {
-            if (item.contains("Rec>")) {
+            if (item.contains("LogRecord>")) {
                 list.add(LogRecord.of(
                         random.nextLong(),
                         random.nextLong(),
