--- a/programs/src/main/java/brookpath/programs/DataNode.java
+++ b/programs/src/main/java/brookpath/programs/DataNode.java
@@ -9,6 +9,6 @@
     public static void main(final String[] args) throws Exception {
         // why: Dropwizard brings logback along; SLF4J is to go to tinylog before anything logs
         System.setProperty("slf4j.provider", "org.tinylog.slf4j.TinylogSlf4jServiceProvider");
-        ProcessLauncher.main("creel", false, args);
+        ProcessLauncher.main("data-node", false, args);
     }
 }
--- a/testing/src/test/java/brookpath/testing/DataFolderCheckTest.java
+++ b/testing/src/test/java/brookpath/testing/DataFolderCheckTest.java
@@ -36,7 +36,7 @@
 
     /** A folder with one topic group's records of these terms, the texts as given. */
     private static Path copy(final long[] terms, final String[] texts) throws Exception {
-        final Path folder = Files.createTempDirectory("creel-copy");
+        final Path folder = Files.createTempDirectory("data-folder-replica");
         try (FolderDisk disk = new FolderDisk(folder)) {
             final WriteAheadLog writeAheadLog = WriteAheadLog.recover(disk).writeAheadLog();
             for (int i = 0; i < terms.length; i++) {
@@ -82,7 +82,7 @@
 
     @Test
     public void wholeTornAndDamagedFoldersAreToldApart() throws Exception {
-        final Path folder = Files.createTempDirectory("creel-check");
+        final Path folder = Files.createTempDirectory("data-folder-check");
         try (FolderDisk disk = new FolderDisk(folder)) {
             final WriteAheadLog writeAheadLog = WriteAheadLog.recover(disk).writeAheadLog();
             final ControllerNode node = new ControllerNode(
--- a/tools/src/main/java/brookpath/tools/datafolder/DataFolderCheck.java
+++ b/tools/src/main/java/brookpath/tools/datafolder/DataFolderCheck.java
@@ -46,11 +46,11 @@
         final List<String> findings = new ArrayList<>();
         for (final String arg : args) {
             if (arg.startsWith("-")) {
-                err.println("creel-check: " + arg + ": there are no flags");
+                err.println("data-folder-check: " + arg + ": there are no flags");
             }
         }
         if (args.length == 0 || Stream.of(args).anyMatch(a -> a.startsWith("-"))) {
-            err.println("usage: creel-check DATA-FOLDER...");
+            err.println("usage: data-folder-check DATA-FOLDER...");
             return 2;
         }
         final Map<String, TreeMap<Integer, GroupMachine>> folders = new LinkedHashMap<>();
@@ -69,7 +69,7 @@
                         out);
             }
         }
-        findings.forEach(f -> err.println("creel-check: " + f));
+        findings.forEach(f -> err.println("data-folder-check: " + f));
         return findings.isEmpty() ? 0 : 1;
     }
 
--- a/tools/src/main/java/brookpath/tools/datafolder/package-info.java
+++ b/tools/src/main/java/brookpath/tools/datafolder/package-info.java
@@ -1,2 +1,2 @@
-/** The tool {@code bin/creel-check}: whether data folders are whole and their copies agree. */
+/** The tool {@code bin/data-folder-check}: whether data folders are whole and their copies agree. */
 package brookpath.tools.datafolder;
