--- /dev/null
+++ b/protocol/src/main/java/brookpath/protocol/frame/HeartbeatFrameCodec.java
@@ -0,0 +1,66 @@
+package brookpath.protocol.frame;
+
+import static brookpath.protocol.frame.FrameReader.isSet;
+import static brookpath.protocol.frame.FrameWriter.flag;
+
+import brookpath.coordination.message.PeerMessage;
+import brookpath.protocol.sbe.HeartbeatFrameDecoder;
+import brookpath.protocol.sbe.HeartbeatFrameEncoder;
+import java.util.ArrayList;
+import java.util.List;
+
+/** Heartbeats: the state of each group at the sender. */
+final class HeartbeatFrameCodec {
+    private HeartbeatFrameCodec() {}
+
+    static int encode(final PeerMessage.Heartbeat heartbeat, final FrameWriter writer) {
+        final HeartbeatFrameEncoder frame = new HeartbeatFrameEncoder()
+                .wrapAndApplyHeader(writer.buffer(), 0, writer.header())
+                .reply(flag(heartbeat.reply()))
+                .id(heartbeat.id())
+                .stamp(heartbeat.stamp())
+                .known(heartbeat.known())
+                .same(flag(heartbeat.same()));
+        final HeartbeatFrameEncoder.EntriesEncoder entries =
+                frame.entriesCount(heartbeat.entries().size());
+        for (final PeerMessage.HeartbeatEntry entry : heartbeat.entries()) {
+            entries.next()
+                    .group(entry.group())
+                    .groupVersion(entry.groupVersion())
+                    .term(entry.term())
+                    .role((short) entry.role())
+                    .sync((short) entry.sync())
+                    .startIndex(entry.startIndex())
+                    .endIndex(entry.endIndex())
+                    .endTerm(entry.endTerm())
+                    .committed(entry.committed())
+                    .leaderHeard(entry.leaderHeard())
+                    .weight(entry.weight());
+        }
+        return frame.encodedLength();
+    }
+
+    static PeerMessage.Heartbeat decodeHeartbeat(final FrameReader reader) {
+        final HeartbeatFrameDecoder frame =
+                new HeartbeatFrameDecoder().wrapAndApplyHeader(reader.buffer(), 0, reader.header());
+        final long known = frame.known();
+        final boolean same = isSet(frame.same());
+        final List<PeerMessage.HeartbeatEntry> entries = new ArrayList<>();
+        for (final HeartbeatFrameDecoder.EntriesDecoder entry : frame.entries()) {
+            entries.add(new PeerMessage.HeartbeatEntry(
+                    entry.group(),
+                    entry.groupVersion(),
+                    entry.term(),
+                    entry.role(),
+                    entry.sync(),
+                    entry.startIndex(),
+                    entry.endIndex(),
+                    entry.endTerm(),
+                    entry.committed(),
+                    entry.leaderHeard(),
+                    entry.weight()));
+        }
+        return new PeerMessage.Heartbeat(
+                isSet(frame.reply()), frame.id(), frame.stamp(), known, same, List.copyOf(entries));
+    }
+}
--- /dev/null
+++ b/protocol/src/main/java/brookpath/protocol/frame/package-info.java
@@ -0,0 +1,6 @@
+/**
+ * The frames between processes: {@link brookpath.coordination.message.PeerMessage} to SBE bytes and back. The layout is
+ * in {@code peer-schema.xml}; its template ids, field order and widths are the wire format and never change within a
+ * schema version. {@link brookpath.protocol.frame.FrameCodec} dispatches to one codec per concern.
+ */
+package brookpath.protocol.frame;
