--- /dev/null
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupEntryKind.java
@@ -0,0 +1,43 @@
+package brookpath.coordination.group;
+
+import brookpath.state.record.PackedBuffer;
+
+/**
+ * The kinds of entries that a group writes to the write-ahead log. Each entry begins with the group's id and the code
+ * of its kind, both as numbers; the codes are on disk and never change.
+ */
+enum GroupEntryKind {
+    /** One record of the group's log. */
+    RECORD(1),
+    /** The log ends at this index; what followed is dropped. */
+    TRUNCATE(2),
+    /** The current term and the vote given in it, 0 for none. */
+    VOTE(3),
+    /** The replica has begun; 1 where it has lost its log and has to be rebuilt, else 0. */
+    INITIALISED(4),
+    /** A whole snapshot of the group's log, in place of all that was before. */
+    SNAPSHOT(5);
+
+    private static final GroupEntryKind[] KINDS = values();
+
+    private final int code;
+
+    GroupEntryKind(final int code) {
+        this.code = code;
+    }
+
+    /** The kind with this code, or null where there is none. */
+    static GroupEntryKind ofCode(final long code) {
+        for (final GroupEntryKind kind : KINDS) {
+            if (kind.code == code) {
+                return kind;
+            }
+        }
+        return null;
+    }
+
+    /** Begins an entry of this kind; the caller adds the fields. */
+    PackedBuffer entry(final int group) {
+        return PackedBuffer.writer().num(group).num(code);
+    }
+}
--- a/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
@@ -39,42 +39,27 @@
     public static final int SYNC_CATCH_UP = 1;
     public static final int SYNC_LOST = 2;
 
-    private static final int W_RECORD = 1;
-    private static final int W_TRUNCATE = 2;
-    private static final int W_VOTE = 3;
-    private static final int W_INIT = 4;
-    private static final int W_SNAPSHOT = 5;
     /** So many bytes of records go in one reply: a slow link must not keep the heartbeats behind it for long. */
     private static final int REPLY_BYTES = 64 << 10;
-    /** Beyond so many bytes that its own disk has not synced, a leader takes nothing more. */
-    private static final int MAX_UNSYNCED_BYTES = 1 << 20;
 
-    /** The log is trimmed in steps of so many records or bytes, so that the list is not shifted for each record. */
-    private static final int TRIM_RECORDS = 64;
-
-    private static final int TRIM_BYTES = 64 << 10;
     private static final int DEFERENCE = 3;
     private static final int SWEPT_AT_ONCE = 16;
 
     /** A message that goes out once a write is synced. */
     private record Waiting(long write, int node, PeerMessage message, long since) {}
 
-    /** A part of the log that is not synced yet. */
-    private record Unsynced(long write, long index, int bytes, long since) {}
-
     private final int id;
     private final HeartbeatPromises promises;
     private final int self;
     private final TimingBounds timing;
     private final int toleratedLosses;
-    private final Supplier<LogState> states;
+    private final RaftLog log;
     private final Actions out;
     private final SplittableRandom random;
 
     /** The newest in the log counts as soon as it is there; without one, what the group was founded with. */
     private Membership founding = Membership.NONE;
 
-    private Membership baseMembership;
     private Membership membership = Membership.NONE;
     private long membershipIndex;
     private List<Member> members = List.of();
@@ -97,21 +82,7 @@
     private int votedFor;
     private long termSeen;
 
-    private long baseIndex;
-    private long baseTerm;
-    private LogState base;
-    private LogState live;
-    private final ArrayList<LogRecord> records = new ArrayList<>();
-    /** Per record, a digest of the whole log up to it: equal here and there means equal all the way. */
-    private final ArrayList<Long> chain = new ArrayList<>();
-
-    private long baseChain;
-    private long logBytes;
     private long swept;
-    private long syncedIndex;
-    private long committed;
-    private final ArrayDeque<Unsynced> unsynced = new ArrayDeque<>();
-    private long unsyncedBytes;
     private final ArrayDeque<Waiting> afterSync = new ArrayDeque<>();
 
     private int role = FOLLOWER;
@@ -158,12 +129,10 @@
         this.self = self;
         this.timing = timing;
         this.toleratedLosses = toleratedLosses;
-        this.states = states;
         this.out = out;
+        log = new RaftLog(id, states, this::useMembership, out);
         snapshotSender = new SnapshotSender(timing.recoverMs());
         random = new SplittableRandom(seed * 31 + id * 7919L + self);
-        base = states.get();
-        live = states.get();
     }
 
     // ---- what others may read
@@ -181,19 +150,19 @@
     }
 
     public long committed() {
-        return committed;
+        return log.committedIndex();
     }
 
     public long endIndex() {
-        return baseIndex + records.size();
+        return log.endIndex();
     }
 
     public long baseIndex() {
-        return baseIndex;
+        return log.baseIndex();
     }
 
     public long syncedIndex() {
-        return syncedIndex;
+        return log.syncedIndex();
     }
 
     /** Where this leader opened its term, 0 while it has none. */
@@ -215,12 +184,12 @@
 
     /** Whether the log itself tells who the members are, rather than whoever founded the group. */
     public boolean tellsMembers() {
-        return baseMembership != null || records.stream().anyMatch(logRecord -> logRecord.kind() == LogRecord.MEMBERS);
+        return log.baseMembership() != null || log.newestMembershipRecord() != null;
     }
 
     /** Whether the newest membership is committed, so that a next step may follow. */
     public boolean membershipSettled() {
-        return membershipIndex <= committed;
+        return membershipIndex <= log.committedIndex();
     }
 
     /** How far a learner's copy is known to be synced. */
@@ -230,7 +199,7 @@
 
     /** How far a voter's copy is known to be synced, as the leader counts it; -1 where nothing is known. */
     public long copySynced(final int node) {
-        return node == self ? syncedIndex : copies.getOrDefault(node, -1L);
+        return node == self ? log.syncedIndex() : copies.getOrDefault(node, -1L);
     }
 
     /** Where the newest membership stands in the log; 0 where the log tells none. */
@@ -241,7 +210,7 @@
     /** Nothing is under way that a timer would have to drive on. */
     public boolean calm() {
         return role == LEADER
-                ? openIndex > 0 && committed == endIndex()
+                ? openIndex > 0 && log.committedIndex() == endIndex()
                 : role == FOLLOWER && leaderHeard != 0 && !lost();
     }
 
@@ -251,11 +220,11 @@
     }
 
     public LogState live() {
-        return live;
+        return log.live();
     }
 
     public LogState base() {
-        return base;
+        return log.base();
     }
 
     /** Whether this copy is none and is to be rebuilt from another. */
@@ -273,7 +242,7 @@
     }
 
     public LogRecord logRecord(final long index) {
-        return records.get((int) (index - baseIndex - 1));
+        return log.logRecord(index);
     }
 
     public int floor() {
@@ -292,7 +261,7 @@
 
     /** Copies of a record that are known to be synced. */
     public int copies(final long index) {
-        int n = syncedIndex >= index ? 1 : 0;
+        int n = log.syncedIndex() >= index ? 1 : 0;
         for (final Map.Entry<Integer, Long> copy : copies.entrySet()) {
             n += copy.getValue() >= index && weight(copy.getKey()) >= 0 ? 1 : 0;
         }
@@ -309,7 +278,11 @@
 
     /** May this member act as the leader just now? Asked again immediately before each response. */
     public boolean mayAct(final long now) {
-        return role == LEADER && openIndex > 0 && committed >= openIndex && leaseHeld(now) && now >= handingOverUntil;
+        return role == LEADER
+                && openIndex > 0
+                && log.committedIndex() >= openIndex
+                && leaseHeld(now)
+                && now >= handingOverUntil;
     }
 
     /** Has a follower the committed position of a leader that it hears? */
@@ -323,7 +296,7 @@
     /** Since when the leader has told of more committed than is here. */
     private void lookBehind(final long now) {
         final HeartbeatEntry e = leaderHeard == 0 || leaderHeard == self ? null : table.fresh(leaderHeard, id, now);
-        if (e == null || e.committed() <= committed) {
+        if (e == null || e.committed() <= log.committedIndex()) {
             behindSince = Long.MAX_VALUE;
         } else if (behindSince == Long.MAX_VALUE) {
             behindSince = now;
@@ -338,10 +311,10 @@
                 term,
                 role,
                 sync,
-                baseIndex + 1,
-                syncedIndex,
-                termAt(syncedIndex),
-                committed,
+                log.baseIndex() + 1,
+                log.syncedIndex(),
+                log.syncedTerm(),
+                log.committedIndex(),
                 leaderHeard,
                 weight(self));
     }
@@ -349,40 +322,52 @@
     // ---- set-up and recovery
 
     public void replay(final PackedBuffer in, final long now) {
-        final int kind = (int) in.num();
+        final long code = in.num();
+        final GroupEntryKind kind = GroupEntryKind.ofCode(code);
+        if (kind == null) {
+            throw new IllegalStateException("group " + id + ": unknown entry kind " + code);
+        }
         switch (kind) {
-            case W_RECORD -> {
+            case RECORD -> {
                 final LogRecord logRecord = LogRecord.wrap(in.bytes(), now);
-                push(logRecord);
+                log.replay(logRecord);
                 if (logRecord.term() > term) {
                     term = logRecord.term();
                     votedFor = 0;
                 }
             }
-            case W_TRUNCATE -> cutTo(in.num());
-            case W_VOTE -> {
+            case TRUNCATE -> {
+                dropTransfers();
+                log.replayTruncate(in.num());
+            }
+            case VOTE -> {
                 term = in.num();
                 votedFor = (int) in.num();
             }
-            case W_INIT -> {
+            case INITIALISED -> {
                 initialised = true;
                 lost = in.num() == 1;
             }
-            case W_SNAPSHOT -> loadSnapshot(in.bytes(), now);
-            default -> throw new IllegalStateException("group " + id + ": unknown entry kind " + kind);
+            case SNAPSHOT -> {
+                dropTransfers();
+                log.replaySnapshot(in.bytes(), now);
+            }
         }
-        syncedIndex = endIndex();
+        log.recovered();
         termSeen = Math.max(termSeen, term);
     }
 
     /** Everything of this group, for the snapshot that begins a segment, as entries to replay. */
     public List<byte[]> checkpoint() {
         final List<byte[]> entries = new ArrayList<>();
-        entries.add(entryOf(W_VOTE).num(term).num(votedFor).done());
+        entries.add(GroupEntryKind.VOTE.entry(id).num(term).num(votedFor).done());
         if (initialised) {
-            entries.add(entryOf(W_INIT).num(lost && rebuiltWrite == 0 ? 1 : 0).done());
+            entries.add(GroupEntryKind.INITIALISED
+                    .entry(id)
+                    .num(lost && rebuiltWrite == 0 ? 1 : 0)
+                    .done());
         }
-        entries.add(entryOf(W_SNAPSHOT).bytes(snapshot()).done());
+        entries.add(GroupEntryKind.SNAPSHOT.entry(id).bytes(log.snapshot()).done());
         return entries;
     }
 
@@ -390,7 +375,7 @@
     public void found() {
         if (!initialised) {
             initialised = true;
-            out.write(entryOf(W_INIT).num(0).done());
+            out.write(GroupEntryKind.INITIALISED.entry(id).num(0).done());
         }
     }
 
@@ -418,7 +403,7 @@
             // why: an empty folder of a founded group has lost its log; it must not vote as if it had never had one
             initialised = true;
             lost = founded;
-            out.write(entryOf(W_INIT).num(lost ? 1 : 0).done());
+            out.write(GroupEntryKind.INITIALISED.entry(id).num(lost ? 1 : 0).done());
         }
     }
 
@@ -426,14 +411,12 @@
 
     /** Takes the newest membership that the log or the placement tells. */
     private void useMembership() {
-        membership = baseMembership != null ? baseMembership : founding;
+        membership = log.baseMembership() != null ? log.baseMembership() : founding;
         membershipIndex = 0;
-        for (int i = records.size() - 1; i >= 0; i--) {
-            if (records.get(i).kind() == LogRecord.MEMBERS) {
-                membership = Membership.load(PackedBuffer.reader(records.get(i).body()));
-                membershipIndex = records.get(i).index();
-                break;
-            }
+        final LogRecord newest = log.newestMembershipRecord();
+        if (newest != null) {
+            membership = Membership.load(PackedBuffer.reader(newest.body()));
+            membershipIndex = newest.index();
         }
         // why: only committed memberships are told by a placement, so a newer one stands over a log that is behind
         if (founding.version() > membership.version()) {
@@ -471,7 +454,7 @@
         if (joining.size() + leaving.size() > 1 || Membership.find(next.voters(), self) == null) {
             return false;
         }
-        if (joining.stream().anyMatch(m -> learnt(m.node()) < committed)) {
+        if (joining.stream().anyMatch(m -> learnt(m.node()) < log.committedIndex())) {
             return false;
         }
         // why: what is committed must not rest on the copy of the one that leaves
@@ -484,9 +467,10 @@
         int n = 0;
         for (final Member m : voters) {
             final boolean joins = weight(m.node()) < 0;
-            final long synced =
-                    m.node() == self ? syncedIndex : joins ? learnt(m.node()) : copies.getOrDefault(m.node(), -1L);
-            n += synced >= committed ? 1 : 0;
+            final long synced = m.node() == self
+                    ? log.syncedIndex()
+                    : joins ? learnt(m.node()) : copies.getOrDefault(m.node(), -1L);
+            n += synced >= log.committedIndex() ? 1 : 0;
         }
         return n;
     }
@@ -592,11 +576,7 @@
 
     /** All writes up to this number are synced. */
     public void synced(final long number, final long now) {
-        while (!unsynced.isEmpty() && unsynced.peek().write <= number) {
-            final Unsynced done = unsynced.poll();
-            syncedIndex = Math.max(syncedIndex, done.index);
-            unsyncedBytes -= done.bytes;
-        }
+        log.synced(number);
         while (!afterSync.isEmpty() && afterSync.peek().write <= number) {
             final Waiting w = afterSync.poll();
             if (w.node == self) {
@@ -605,14 +585,14 @@
                 out.send(w.node, w.message);
             }
         }
-        if (damaged && !lost && !wantFull && unsynced.isEmpty()) {
+        if (damaged && !lost && !wantFull && !log.hasUnsynced()) {
             // why: it has forgotten no vote, so the leader's log, whole and synced, makes it the copy that any other
             // follower is
             damaged = false;
-            why = "copy mended up to " + syncedIndex;
+            why = "copy mended up to " + log.syncedIndex();
         }
-        if (lost() && joinTarget >= 0 && syncedIndex >= joinTarget && unsynced.isEmpty() && rebuiltWrite == 0) {
-            rebuiltWrite = out.write(entryOf(W_INIT).num(0).done());
+        if (lost() && joinTarget >= 0 && log.syncedIndex() >= joinTarget && !log.hasUnsynced() && rebuiltWrite == 0) {
+            rebuiltWrite = out.write(GroupEntryKind.INITIALISED.entry(id).num(0).done());
         }
         // why: whoever is told that this copy counts must find it counting after a crash, too
         if (rebuiltWrite > 0 && number >= rebuiltWrite) {
@@ -620,11 +600,11 @@
             lost = false;
             damaged = false;
             joinTarget = -1;
-            why = "copy rebuilt up to " + syncedIndex;
+            why = "copy rebuilt up to " + log.syncedIndex();
         }
         if (role == LEADER) {
             advance(now);
-        } else if (unsynced.isEmpty()) {
+        } else if (!log.hasUnsynced()) {
             pull(now);
         }
     }
@@ -634,7 +614,7 @@
             return;
         }
         if (message instanceof PeerMessage.TimeoutNow m) {
-            if (role == FOLLOWER && from == leaderHeard && m.term() == term && !lost() && unsynced.isEmpty()) {
+            if (role == FOLLOWER && from == leaderHeard && m.term() == term && !lost() && !log.hasUnsynced()) {
                 stand(now, true);
             }
         } else if (message instanceof VoteRequest m) {
@@ -666,10 +646,9 @@
 
     /** Appends a record as the leader; the caller has asked {@link #mayAct}. */
     public long append(final int kind, final byte[] body, final long now, final long wall) {
-        final long last =
-                records.isEmpty() ? 0 : records.get(records.size() - 1).stamp();
-        final LogRecord logRecord = LogRecord.of(endIndex() + 1, term, Math.max(last, wall), kind, body, now);
-        store(logRecord);
+        final LogRecord logRecord =
+                LogRecord.of(endIndex() + 1, term, Math.max(log.lastStamp(), wall), kind, body, now);
+        log.append(logRecord);
         serveHeld(now);
         return logRecord.index();
     }
@@ -715,11 +694,11 @@
             // the
             // voters' own logs decide anyway
             if (table.up(m.node())) {
-                if (newer(e.endTerm(), e.endIndex(), termAt(syncedIndex), syncedIndex)) {
+                if (RaftLog.newer(e.endTerm(), e.endIndex(), log.syncedTerm(), log.syncedIndex())) {
                     return "node " + m.node() + " has a newer log";
                 }
                 answering++;
-                if (e.endIndex() == syncedIndex && e.endTerm() == termAt(syncedIndex) && outranks(m.node(), self)) {
+                if (e.endIndex() == log.syncedIndex() && e.endTerm() == log.syncedTerm() && outranks(m.node(), self)) {
                     better++;
                 }
             }
@@ -757,7 +736,8 @@
         votes.clear();
         goEndsAt = now + timing.goDeadline();
         why = "stands for epoch " + term;
-        final long write = out.write(entryOf(W_VOTE).num(term).num(self).done());
+        final long write =
+                out.write(GroupEntryKind.VOTE.entry(id).num(term).num(self).done());
         for (final Member m : members) {
             afterSync.add(new Waiting(
                     write,
@@ -768,8 +748,8 @@
                                     id,
                                     groupVersion,
                                     term,
-                                    syncedIndex,
-                                    termAt(syncedIndex),
+                                    log.syncedIndex(),
+                                    log.syncedTerm(),
                                     weight(self),
                                     lostGoes,
                                     manual),
@@ -796,7 +776,8 @@
         nextGo = now + timing.down();
         why = "voted for " + from + " in epoch " + term;
         // why: a vote that is forgotten after a crash could be given twice
-        final long write = out.write(entryOf(W_VOTE).num(term).num(from).done());
+        final long write =
+                out.write(GroupEntryKind.VOTE.entry(id).num(term).num(from).done());
         afterSync.add(new Waiting(write, from, new VoteReply(id, term, true, term, "granted"), now));
     }
 
@@ -808,7 +789,7 @@
             // why: before the restart it may have answered a leader's heartbeat whose lease still runs
             return "just started";
         }
-        if (m.groupVersion() < groupVersion && m.endTerm() <= termAt(syncedIndex)) {
+        if (m.groupVersion() < groupVersion && m.endTerm() <= log.syncedTerm()) {
             return "older group version";
         }
         if (m.term() < term || (m.term() == term && votedFor != from)) {
@@ -818,11 +799,11 @@
             return "master lives";
         }
         // why: the table's indexes may be stale; the voter's own log as it is now is what counts
-        if (newer(termAt(syncedIndex), syncedIndex, m.endTerm(), m.endIndex())) {
+        if (RaftLog.newer(log.syncedTerm(), log.syncedIndex(), m.endTerm(), m.endIndex())) {
             return "own log is newer";
         }
-        if (m.endIndex() == syncedIndex
-                && m.endTerm() == termAt(syncedIndex)
+        if (m.endIndex() == log.syncedIndex()
+                && m.endTerm() == log.syncedTerm()
                 && outranks(self, from)
                 && m.goes() < DEFERENCE
                 && !m.manual()
@@ -879,7 +860,7 @@
     private int liveLeader(final long now) {
         int leader = 0;
         // why: a learner may have raised its term before it was removed, when nobody who counted heard of it
-        long best = weight(self) < 0 ? termAt(endIndex()) : term;
+        long best = weight(self) < 0 ? log.endTerm() : term;
         // why: a membership here that was never committed may leave out whoever leaders the group by now
         for (final HeartbeatTable.Row row : table.rows()) {
             final HeartbeatEntry e = row.node() == self ? null : table.fresh(row.node(), id, now);
@@ -947,10 +928,6 @@
         return e != null && e.sync() != SYNC_LOST && table.up(node);
     }
 
-    private static boolean newer(final long termA, final long indexA, final long termB, final long indexB) {
-        return termA > termB || (termA == termB && indexA > indexB);
-    }
-
     private boolean outranks(final int a, final int b) {
         final int wa = weight(a);
         final int wb = weight(b);
@@ -973,7 +950,7 @@
     // ---- replication
 
     private void pull(final long now) {
-        if (role == LEADER || members.isEmpty() || !unsynced.isEmpty()) {
+        if (role == LEADER || members.isEmpty() || log.hasUnsynced()) {
             return;
         }
         final int source = source(now);
@@ -995,12 +972,12 @@
                         groupVersion,
                         term,
                         next,
-                        termAt(endIndex()),
-                        syncedIndex,
-                        termAt(syncedIndex),
-                        lost() && joinTarget < 0 ? Pull.UNKNOWN : committed,
+                        log.endTerm(),
+                        log.syncedIndex(),
+                        log.syncedTerm(),
+                        lost() && joinTarget < 0 ? Pull.UNKNOWN : log.committedIndex(),
                         lost(),
-                        chainAt(syncedIndex),
+                        log.digestAt(log.syncedIndex()),
                         snapshotReceiver.sum(),
                         snapshotReceiver.offset()));
     }
@@ -1035,7 +1012,7 @@
         }
         if (role == LEADER
                 && !m.lost()
-                && termAt(m.syncedIndex()) == m.syncedTerm()
+                && log.termAt(m.syncedIndex()) == m.syncedTerm()
                 && chainAt(m.syncedIndex()) != m.chain()) {
             // why: the same (term, index) must mean the same log; where it does not, the copy is no copy and is sent
             // whole
@@ -1053,13 +1030,13 @@
                 // that stood in vain in a later term, before it was removed, may not vote in this one
                 copies.remove(from);
                 final boolean mayVote = !m.lost() && m.term() <= term;
-                learnt.put(from, mayVote && termAt(m.syncedIndex()) == m.syncedTerm() ? m.syncedIndex() : -1);
+                learnt.put(from, mayVote && log.termAt(m.syncedIndex()) == m.syncedTerm() ? m.syncedIndex() : -1);
             } else if (m.lost()) {
                 copies.remove(from);
             } else if (m.term() == term
-                    && m.syncedIndex() > baseIndex
+                    && m.syncedIndex() > log.baseIndex()
                     && m.syncedIndex() <= endIndex()
-                    && termAt(m.syncedIndex()) == m.syncedTerm()) {
+                    && log.termAt(m.syncedIndex()) == m.syncedTerm()) {
                 // why: the same (term, index) means the same log up to there, so this copy holds everything before it
                 // too
                 copies.merge(from, m.syncedIndex(), Math::max);
@@ -1078,13 +1055,13 @@
         final long prev = m.nextIndex() - 1;
         // why: only a leader that has opened its term knows everything that was committed before it
         final int lead = mayAct(now) ? PullReply.ACTING_LEADER : role == LEADER ? PullReply.LEADER : PullReply.FOLLOWER;
-        if (m.nextIndex() < 0 || prev < baseIndex) {
+        if (m.nextIndex() < 0 || prev < log.baseIndex()) {
             sendWhole(to, m, lead, now);
             return true;
         }
-        if (prev > endIndex() || termAt(prev) != m.prevTerm()) {
+        if (prev > endIndex() || log.termAt(prev) != m.prevTerm()) {
             long tryIndex = Math.min(endIndex(), prev - 1);
-            while (tryIndex > baseIndex && termAt(tryIndex) > m.prevTerm()) {
+            while (tryIndex > log.baseIndex() && log.termAt(tryIndex) > m.prevTerm()) {
                 tryIndex--;
             }
             out.send(
@@ -1095,7 +1072,7 @@
                             term,
                             MISMATCH,
                             lead,
-                            committed,
+                            log.committedIndex(),
                             prev,
                             m.prevTerm(),
                             tryIndex,
@@ -1114,26 +1091,36 @@
         }
         // why: a member that rebuilds its copy has to hear from an acting leader how far, also where nothing follows
         final boolean news =
-                m.committed() == Pull.UNKNOWN ? lead == PullReply.ACTING_LEADER : m.committed() < committed;
+                m.committed() == Pull.UNKNOWN ? lead == PullReply.ACTING_LEADER : m.committed() < log.committedIndex();
         if (part.isEmpty() && !news && m.term() >= term) {
             return false;
         }
         out.send(
                 to,
                 new PullReply(
-                        id, groupVersion, term, RECORDS, lead, committed, prev, m.prevTerm(), 0, new byte[0], part));
+                        id,
+                        groupVersion,
+                        term,
+                        RECORDS,
+                        lead,
+                        log.committedIndex(),
+                        prev,
+                        m.prevTerm(),
+                        0,
+                        new byte[0],
+                        part));
         return true;
     }
 
     /** Sends the next part of this copy's snapshot, which is built for the first who asks and kept for the others. */
     private void sendWhole(final int to, final Pull m, final int lead, final long now) {
         if (!snapshotSender.serves(m.snapshotSum(), Math.min(m.syncedIndex(), endIndex()))) {
-            for (long index = baseIndex + 1; index <= endIndex(); index++) {
+            for (long index = log.baseIndex() + 1; index <= endIndex(); index++) {
                 if (!whole(index)) {
                     return;
                 }
             }
-            snapshotSender.hold(snapshot(), endIndex(), now);
+            snapshotSender.hold(log.snapshot(), endIndex(), now);
         }
         final SnapshotSender.Part part = snapshotSender.part(m.snapshotSum(), m.snapshotOffset(), now);
         out.send(
@@ -1144,7 +1131,7 @@
                         term,
                         FULL,
                         lead,
-                        committed,
+                        log.committedIndex(),
                         m.nextIndex() - 1,
                         m.prevTerm(),
                         0,
@@ -1164,12 +1151,12 @@
      * in this term. A record of an earlier leader that was never committed says nothing of this one.
      */
     private boolean olderGroup(final PullReply m) {
-        return m.groupVersion() < groupVersion && (membershipSettled() || termAt(membershipIndex) == m.term());
+        return m.groupVersion() < groupVersion && (membershipSettled() || log.termAt(membershipIndex) == m.term());
     }
 
     private void onPullReply(final int from, final PullReply m, final long now) {
         // why: the fence: whoever acts for an older term or an older group is not obeyed, however late it wakes
-        final boolean older = weight(self) < 0 ? m.term() < termAt(endIndex()) : m.term() < term;
+        final boolean older = weight(self) < 0 ? m.term() < log.endTerm() : m.term() < term;
         if (older || (m.term() == term && olderGroup(m)) || role == LEADER || from != pullSource) {
             return;
         }
@@ -1180,13 +1167,13 @@
             term = m.term();
             votedFor = 0;
             termSeen = Math.max(termSeen, term);
-            out.write(entryOf(W_VOTE).num(term).num(0).done());
+            out.write(GroupEntryKind.VOTE.entry(id).num(term).num(0).done());
         }
         pulling = false;
         // why: a late reply speaks of a log that may have grown since; cutting by it would take back acknowledged
         // records
         final boolean ofThisLog =
-                wantFull ? m.askedIndex() < 0 : m.askedIndex() == endIndex() && m.askedTerm() == termAt(endIndex());
+                wantFull ? m.askedIndex() < 0 : m.askedIndex() == endIndex() && m.askedTerm() == log.endTerm();
         if (m.kind() != RECORDS && !ofThisLog) {
             pull(now);
             return;
@@ -1201,20 +1188,18 @@
                                 && !lost()
                                 && !wantFull
                                 && endIndex() > 0
-                                && committed > 0)) {
+                                && log.committedIndex() > 0)) {
                     return;
                 }
                 final byte[] snapshot = snapshotReceiver.take(m);
                 if (snapshot == null) {
                     break;
                 }
-                loadSnapshot(snapshot, now);
-                syncedIndex = baseIndex;
-                unsynced.clear();
-                unsyncedBytes = 0;
+                dropTransfers();
+                swept = 0;
+                log.install(snapshot, now);
                 wantFull = false;
                 matched = endIndex();
-                addUnsynced(out.write(entryOf(W_SNAPSHOT).bytes(snapshot).done()), endIndex(), snapshot.length, now);
                 why = "full sync from " + from + " up to " + endIndex();
                 out.note("group " + id + ": " + why);
             }
@@ -1222,15 +1207,15 @@
                 if (m.standing() == PullReply.FOLLOWER) {
                     return;
                 }
-                if ((m.tryIndex() < committed && m.tryIndex() < baseIndex)
-                        || (m.tryIndex() <= baseIndex && endIndex() == baseIndex)) {
+                if ((m.tryIndex() < log.committedIndex() && m.tryIndex() < log.baseIndex())
+                        || (m.tryIndex() <= log.baseIndex() && endIndex() == log.baseIndex())) {
                     wantFull = true;
-                } else if (m.tryIndex() < committed) {
+                } else if (m.tryIndex() < log.committedIndex()) {
                     out.grave("group " + id + ": master " + from + " lacks accepted records after " + m.tryIndex());
                     return;
                 } else {
-                    cutTo(m.tryIndex());
-                    out.write(entryOf(W_TRUNCATE).num(m.tryIndex()).done());
+                    dropTransfers();
+                    log.truncate(m.tryIndex());
                     why = "diverged tail cut to " + m.tryIndex();
                     out.note("group " + id + ": " + why);
                 }
@@ -1241,7 +1226,7 @@
             }
         }
         if (m.kind() != MISMATCH && matched >= 0) {
-            accept(Math.min(m.committed(), matched));
+            log.commit(Math.min(m.committed(), matched));
             if (!inSync && matched >= m.committed()) {
                 out.heartbeatNow();
             }
@@ -1251,7 +1236,7 @@
             }
             serveHeld(now);
         }
-        if (unsynced.isEmpty()) {
+        if (!log.hasUnsynced()) {
             synced(0, now);
             pull(now);
         }
@@ -1262,44 +1247,34 @@
         // why: a late reply may belong to a log that was cut since; what came after the cut must not be called
         // committed
         // by it
-        if (m.askedIndex() < baseIndex || m.askedIndex() > endIndex() || termAt(m.askedIndex()) != m.askedTerm()) {
+        if (m.askedIndex() < log.baseIndex()
+                || m.askedIndex() > endIndex()
+                || log.termAt(m.askedIndex()) != m.askedTerm()) {
             return -1;
         }
         long matched = m.askedIndex();
         for (final LogRecord logRecord : m.records()) {
             if (logRecord.index() != matched + 1
-                    || (logRecord.index() <= endIndex() && termAt(logRecord.index()) != logRecord.term())) {
+                    || (logRecord.index() <= endIndex() && log.termAt(logRecord.index()) != logRecord.term())) {
                 break;
             }
             if (logRecord.index() > endIndex()) {
-                store(LogRecord.wrap(logRecord.bytes(), now));
+                log.append(LogRecord.wrap(logRecord.bytes(), now));
             }
             matched = logRecord.index();
         }
         return matched;
     }
 
-    private void store(final LogRecord logRecord) {
-        push(logRecord);
-        final long write = out.write(entryOf(W_RECORD).bytes(logRecord.bytes()).done());
-        addUnsynced(write, logRecord.index(), logRecord.bytes().length, logRecord.learnedAt());
-    }
-
-    private void addUnsynced(final long write, final long index, final int bytes, final long now) {
-        unsynced.add(new Unsynced(write, index, bytes, now));
-        unsyncedBytes += bytes;
-    }
-
     /** How long the oldest write that this group waits for has been under way. */
     private long diskLag(final long now) {
-        final long log = unsynced.isEmpty() ? 0 : now - unsynced.peek().since;
         final long votes = afterSync.isEmpty() ? 0 : now - afterSync.peek().since;
-        return Math.max(log, votes);
+        return Math.max(log.syncLag(now), votes);
     }
 
     /** Whether so much waits for this member's own disk that nothing more is to be appended. */
     public boolean diskBacklogged() {
-        return unsyncedBytes > MAX_UNSYNCED_BYTES;
+        return log.syncBacklogged();
     }
 
     /** A leader whose disk takes nothing hands over to a follower that has everything, if there is one. */
@@ -1311,33 +1286,10 @@
         }
     }
 
-    private void push(final LogRecord logRecord) {
-        if (logRecord.index() != endIndex() + 1) {
-            throw new IllegalStateException("group " + id + ": record " + logRecord.index() + " after " + endIndex());
-        }
-        records.add(logRecord);
-        chain.add(link(chain.isEmpty() ? baseChain : chain.get(chain.size() - 1), logRecord));
-        logBytes += logRecord.bytes().length;
-        live.apply(logRecord);
-        if (logRecord.kind() == LogRecord.MEMBERS) {
-            useMembership();
-        }
-    }
-
-    private void cutTo(final long index) {
+    /** No snapshot under way, in or out, is of the log as it is from here on. */
+    private void dropTransfers() {
         snapshotSender.drop();
         snapshotReceiver.reset();
-        records.subList((int) (index - baseIndex), records.size()).clear();
-        chain.subList((int) (index - baseIndex), chain.size()).clear();
-        live = states.get();
-        live.load(base.save());
-        records.forEach(live::apply);
-        live.committed(committed);
-        logBytes = records.stream().mapToLong(r -> r.bytes().length).sum();
-        useMembership();
-        syncedIndex = Math.min(syncedIndex, index);
-        unsynced.removeIf(u -> u.index > index);
-        unsyncedBytes = unsynced.stream().mapToLong(Unsynced::bytes).sum();
     }
 
     private void advance(final long now) {
@@ -1345,13 +1297,13 @@
             return;
         }
         final long index = syncedBy(members, floor());
-        if (index > committed && index >= openIndex && termAt(index) == term) {
-            if (committed < openIndex) {
+        if (index > log.committedIndex() && index >= openIndex && log.termAt(index) == term) {
+            if (log.committedIndex() < openIndex) {
                 // why: whoever only watches is told at once that it may be read from, and not with its own next
                 // heartbeat
                 out.heartbeatNow();
             }
-            accept(index);
+            log.commit(index);
             serveHeld(now);
         }
     }
@@ -1359,66 +1311,24 @@
     /** Up to where at least so many of these nodes have the log synced. */
     private long syncedBy(final List<Member> voters, final int needed) {
         final long[] synced = voters.stream()
-                .mapToLong(m -> m.node() == self ? syncedIndex : copies.getOrDefault(m.node(), 0L))
+                .mapToLong(m -> m.node() == self ? log.syncedIndex() : copies.getOrDefault(m.node(), 0L))
                 .sorted()
                 .toArray();
         return synced[synced.length - needed];
     }
 
-    private void accept(final long index) {
-        if (index > committed) {
-            committed = index;
-            live.committed(index);
-        }
-    }
-
     private void trim(final long now) {
         if (now < nextTrim) {
             return;
         }
         nextTrim = now + timing.heartbeat();
         snapshotSender.expire(now);
-        final long limit = Math.min(snapshotSender.trimLimit(), Math.min(committed, syncedIndex));
-        int n = 0;
-        long bytes = 0;
-        while (n < records.size() && records.get(n).index() <= limit) {
-            final long withThis = bytes + records.get(n).bytes().length;
-            if (live.keeps(records.get(n), now, records.size() - n - 1, logBytes - withThis)) {
-                break;
-            }
-            bytes = withThis;
-            n++;
-        }
-        if (n < TRIM_RECORDS && bytes < TRIM_BYTES) {
-            return;
-        }
-        for (final LogRecord logRecord : records.subList(0, n)) {
-            base.apply(logRecord);
-            base.trimmed(logRecord);
-            live.trimmed(logRecord);
-            if (logRecord.kind() == LogRecord.MEMBERS) {
-                baseMembership = Membership.load(PackedBuffer.reader(logRecord.body()));
-            }
-            baseIndex = logRecord.index();
-            baseTerm = logRecord.term();
-        }
-        base.committed(baseIndex);
-        logBytes -= bytes;
-        records.subList(0, n).clear();
-        baseChain = chain.get(n - 1);
-        chain.subList(0, n).clear();
-    }
-
-    private static long link(final long before, final LogRecord logRecord) {
-        final long d = (before ^ logRecord.madeSum() ^ logRecord.index() << 32) * 0x9E3779B97F4A7C15L;
-        return d ^ d >>> 31;
+        log.trim(snapshotSender.trimLimit(), now);
     }
 
     /** A digest of the whole log up to there; -1 where this copy does not reach. */
     public long chainAt(final long index) {
-        return index == baseIndex
-                ? baseChain
-                : index < baseIndex || index > endIndex() ? -1 : chain.get((int) (index - baseIndex - 1));
+        return log.digestAt(index);
     }
 
     // ---- repair
@@ -1447,63 +1357,11 @@
 
     /** A few records each time, round and round: finds what no read has met. */
     private void sweep() {
-        for (int i = 0; i < SWEPT_AT_ONCE && swept < records.size(); i++) {
-            if (!whole(baseIndex + 1 + swept++)) {
+        for (int i = 0; i < SWEPT_AT_ONCE && swept < log.size(); i++) {
+            if (!whole(log.baseIndex() + 1 + swept++)) {
                 return;
             }
         }
-        swept = swept >= records.size() ? 0 : swept;
-    }
-
-    private long termAt(final long index) {
-        return index == baseIndex
-                ? baseTerm
-                : index < baseIndex || index > endIndex()
-                        ? -1
-                        : logRecord(index).term();
-    }
-
-    private byte[] snapshot() {
-        final PackedBuffer buffer = PackedBuffer.writer()
-                .num(baseIndex)
-                .num(baseTerm)
-                .num(baseChain)
-                .bytes(base.save())
-                .num(records.size());
-        records.forEach(r -> buffer.bytes(r.bytes()));
-        if (baseMembership != null) {
-            buffer.bytes(baseMembership.save());
-        }
-        return buffer.done();
-    }
-
-    private void loadSnapshot(final byte[] snapshot, final long now) {
-        final PackedBuffer in = PackedBuffer.reader(snapshot);
-        snapshotSender.drop();
-        snapshotReceiver.reset();
-        records.clear();
-        chain.clear();
-        logBytes = 0;
-        swept = 0;
-        baseIndex = in.num();
-        baseTerm = in.num();
-        baseChain = in.num();
-        final byte[] saved = in.bytes();
-        base = states.get();
-        base.load(saved);
-        live = states.get();
-        live.load(saved);
-        for (long n = in.num(); n > 0; n--) {
-            push(LogRecord.wrap(in.bytes(), now));
-        }
-        baseMembership = in.more() ? Membership.load(PackedBuffer.reader(in.bytes())) : null;
-        useMembership();
-        accept(baseIndex);
-        base.committed(baseIndex);
-        live.committed(committed);
-    }
-
-    private PackedBuffer entryOf(final int kind) {
-        return PackedBuffer.writer().num(id).num(kind);
+        swept = swept >= log.size() ? 0 : swept;
     }
 }
--- /dev/null
+++ b/coordination/src/main/java/brookpath/coordination/group/RaftLog.java
@@ -0,0 +1,352 @@
+package brookpath.coordination.group;
+
+import brookpath.coordination.action.Actions;
+import brookpath.state.record.LogRecord;
+import brookpath.state.record.PackedBuffer;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.function.Supplier;
+
+/**
+ * One member's copy of a group's replicated log: the records after a base, the state that follows from them, and how
+ * far they are synced and committed. Indexes are consecutive and begin at 1; the base stands for all records that were
+ * trimmed.
+ *
+ * <p>Invariants: {@code baseIndex <= committedIndex}; a record that is committed is never truncated; equal digests at
+ * an index mean equal logs up to there. Not thread-safe: the group's state thread owns it.
+ */
+final class RaftLog {
+    /** Beyond so many bytes that the member's own disk has not synced, a leader takes nothing more. */
+    private static final int MAX_UNSYNCED_BYTES = 1 << 20;
+
+    /** The log is trimmed in steps of so many records or bytes, so that the list is not shifted for each record. */
+    private static final int TRIM_RECORDS = 64;
+
+    private static final int TRIM_BYTES = 64 << 10;
+
+    private static final long DIGEST_FACTOR = 0x9E3779B97F4A7C15L;
+
+    /** A part of the log that is not synced yet. */
+    private record Unsynced(long write, long index, int bytes, long since) {}
+
+    private final int group;
+    private final Supplier<LogState> states;
+    private final Runnable membershipChanged;
+    private final Actions out;
+
+    private long baseIndex;
+    private long baseTerm;
+    private long baseDigest;
+    /** The newest membership among the trimmed records, null for none. */
+    private Membership baseMembership;
+
+    private LogState base;
+    private LogState live;
+    private final ArrayList<LogRecord> records = new ArrayList<>();
+    /** Per record, a digest of the whole log up to it: equal here and there means equal all the way. */
+    private final ArrayList<Long> digests = new ArrayList<>();
+
+    private long bytes;
+    private long syncedIndex;
+    private long committedIndex;
+    private final ArrayDeque<Unsynced> unsynced = new ArrayDeque<>();
+    private long unsyncedBytes;
+
+    /**
+     * @param states makes the empty state that an empty log stands for
+     * @param membershipChanged run after each change of the log that may change the newest membership in it
+     */
+    RaftLog(final int group, final Supplier<LogState> states, final Runnable membershipChanged, final Actions out) {
+        this.group = group;
+        this.states = states;
+        this.membershipChanged = membershipChanged;
+        this.out = out;
+        base = states.get();
+        live = states.get();
+    }
+
+    /** The index of the last trimmed record, 0 where nothing was trimmed. */
+    long baseIndex() {
+        return baseIndex;
+    }
+
+    /** The index of the last record. */
+    long endIndex() {
+        return baseIndex + records.size();
+    }
+
+    /** Up to where this member's own disk has synced the log. */
+    long syncedIndex() {
+        return syncedIndex;
+    }
+
+    /** Up to where the log is known to be committed. */
+    long committedIndex() {
+        return committedIndex;
+    }
+
+    /** How many records follow the base. */
+    int size() {
+        return records.size();
+    }
+
+    /** The state after the last record. */
+    LogState live() {
+        return live;
+    }
+
+    /** The state at the base. */
+    LogState base() {
+        return base;
+    }
+
+    /** The record at an index after the base. */
+    LogRecord logRecord(final long index) {
+        return records.get((int) (index - baseIndex - 1));
+    }
+
+    /** The term of the record at the index; -1 where this log does not reach. */
+    long termAt(final long index) {
+        if (index == baseIndex) {
+            return baseTerm;
+        }
+        return index < baseIndex || index > endIndex() ? -1 : logRecord(index).term();
+    }
+
+    /** The term of the last record. */
+    long endTerm() {
+        return termAt(endIndex());
+    }
+
+    /** The term of the last record that is synced. */
+    long syncedTerm() {
+        return termAt(syncedIndex);
+    }
+
+    /** A digest of the whole log up to the index; -1 where this log does not reach. */
+    long digestAt(final long index) {
+        if (index == baseIndex) {
+            return baseDigest;
+        }
+        return index < baseIndex || index > endIndex() ? -1 : digests.get((int) (index - baseIndex - 1));
+    }
+
+    /** The wall-clock stamp of the last record in milliseconds, 0 where none is kept. */
+    long lastStamp() {
+        return records.isEmpty() ? 0 : records.get(records.size() - 1).stamp();
+    }
+
+    /** Whether a log that ends there is newer than another: by its last term, then by its length. */
+    static boolean newer(final long termA, final long indexA, final long termB, final long indexB) {
+        return termA > termB || (termA == termB && indexA > indexB);
+    }
+
+    // ---- appending and syncing
+
+    /** Appends a record and writes it. */
+    void append(final LogRecord logRecord) {
+        replay(logRecord);
+        final long write = out.write(
+                GroupEntryKind.RECORD.entry(group).bytes(logRecord.bytes()).done());
+        addUnsynced(write, logRecord.index(), logRecord.bytes().length, logRecord.learnedAt());
+    }
+
+    /**
+     * Appends a record that is on disk.
+     *
+     * @throws IllegalStateException where it does not follow the last one
+     */
+    void replay(final LogRecord logRecord) {
+        if (logRecord.index() != endIndex() + 1) {
+            throw new IllegalStateException(
+                    "group " + group + ": record " + logRecord.index() + " after " + endIndex());
+        }
+        digests.add(digest(digests.isEmpty() ? baseDigest : digests.get(digests.size() - 1), logRecord));
+        records.add(logRecord);
+        bytes += logRecord.bytes().length;
+        live.apply(logRecord);
+        if (logRecord.kind() == LogRecord.MEMBERS) {
+            membershipChanged.run();
+        }
+    }
+
+    private static long digest(final long before, final LogRecord logRecord) {
+        final long mixed = (before ^ logRecord.madeSum() ^ logRecord.index() << 32) * DIGEST_FACTOR;
+        return mixed ^ mixed >>> 31;
+    }
+
+    private void addUnsynced(final long write, final long index, final int size, final long now) {
+        unsynced.add(new Unsynced(write, index, size, now));
+        unsyncedBytes += size;
+    }
+
+    /** All writes up to this number are synced. */
+    void synced(final long write) {
+        while (!unsynced.isEmpty() && unsynced.peek().write <= write) {
+            final Unsynced done = unsynced.poll();
+            syncedIndex = Math.max(syncedIndex, done.index);
+            unsyncedBytes -= done.bytes;
+        }
+    }
+
+    /** All that was replayed is on disk. */
+    void recovered() {
+        syncedIndex = endIndex();
+    }
+
+    /** Whether writes of this log are under way. */
+    boolean hasUnsynced() {
+        return !unsynced.isEmpty();
+    }
+
+    /** How long the oldest write of this log has been under way, in milliseconds; 0 for none. */
+    long syncLag(final long now) {
+        return unsynced.isEmpty() ? 0 : now - unsynced.peek().since;
+    }
+
+    /** Whether so much waits for this member's own disk that nothing more is to be appended. */
+    boolean syncBacklogged() {
+        return unsyncedBytes > MAX_UNSYNCED_BYTES;
+    }
+
+    /** The log is known to be committed up to the index; a lower one than before changes nothing. */
+    void commit(final long index) {
+        if (index > committedIndex) {
+            committedIndex = index;
+            live.committed(index);
+        }
+    }
+
+    // ---- truncating and trimming
+
+    /** Drops all records after the index and writes that. */
+    void truncate(final long index) {
+        replayTruncate(index);
+        out.write(GroupEntryKind.TRUNCATE.entry(group).num(index).done());
+    }
+
+    /** Drops all records after the index, which is on disk already. */
+    void replayTruncate(final long index) {
+        records.subList((int) (index - baseIndex), records.size()).clear();
+        digests.subList((int) (index - baseIndex), digests.size()).clear();
+        live = states.get();
+        live.load(base.save());
+        records.forEach(live::apply);
+        live.committed(committedIndex);
+        bytes = records.stream().mapToLong(r -> r.bytes().length).sum();
+        membershipChanged.run();
+        syncedIndex = Math.min(syncedIndex, index);
+        unsynced.removeIf(part -> part.index > index);
+        unsyncedBytes = unsynced.stream().mapToLong(Unsynced::bytes).sum();
+    }
+
+    /**
+     * Moves the base over the records that the state keeps no more, where that is worth a step.
+     *
+     * @param limit records after this index stay; those that are not synced and committed stay anyway
+     */
+    void trim(final long limit, final long now) {
+        final long last = Math.min(limit, Math.min(committedIndex, syncedIndex));
+        int count = 0;
+        long trimmedBytes = 0;
+        while (count < records.size() && records.get(count).index() <= last) {
+            final long withThis = trimmedBytes + records.get(count).bytes().length;
+            if (live.keeps(records.get(count), now, records.size() - count - 1, bytes - withThis)) {
+                break;
+            }
+            trimmedBytes = withThis;
+            count++;
+        }
+        if (count < TRIM_RECORDS && trimmedBytes < TRIM_BYTES) {
+            return;
+        }
+        for (final LogRecord logRecord : records.subList(0, count)) {
+            moveBaseTo(logRecord);
+        }
+        base.committed(baseIndex);
+        bytes -= trimmedBytes;
+        records.subList(0, count).clear();
+        baseDigest = digests.get(count - 1);
+        digests.subList(0, count).clear();
+    }
+
+    private void moveBaseTo(final LogRecord logRecord) {
+        base.apply(logRecord);
+        base.trimmed(logRecord);
+        live.trimmed(logRecord);
+        if (logRecord.kind() == LogRecord.MEMBERS) {
+            baseMembership = Membership.load(PackedBuffer.reader(logRecord.body()));
+        }
+        baseIndex = logRecord.index();
+        baseTerm = logRecord.term();
+    }
+
+    // ---- membership records
+
+    /** The newest record with a membership that is kept, null for none. */
+    LogRecord newestMembershipRecord() {
+        for (int i = records.size() - 1; i >= 0; i--) {
+            if (records.get(i).kind() == LogRecord.MEMBERS) {
+                return records.get(i);
+            }
+        }
+        return null;
+    }
+
+    /** The newest membership among the trimmed records, null for none. */
+    Membership baseMembership() {
+        return baseMembership;
+    }
+
+    // ---- snapshots
+
+    /** The whole log, its base as a state. */
+    byte[] snapshot() {
+        final PackedBuffer buffer = PackedBuffer.writer()
+                .num(baseIndex)
+                .num(baseTerm)
+                .num(baseDigest)
+                .bytes(base.save())
+                .num(records.size());
+        records.forEach(r -> buffer.bytes(r.bytes()));
+        if (baseMembership != null) {
+            buffer.bytes(baseMembership.save());
+        }
+        return buffer.done();
+    }
+
+    /** Takes a snapshot in place of all that is here and writes it; nothing is synced but its base. */
+    void install(final byte[] snapshot, final long now) {
+        replaySnapshot(snapshot, now);
+        syncedIndex = baseIndex;
+        unsynced.clear();
+        unsyncedBytes = 0;
+        final long write =
+                out.write(GroupEntryKind.SNAPSHOT.entry(group).bytes(snapshot).done());
+        addUnsynced(write, endIndex(), snapshot.length, now);
+    }
+
+    /** Takes a snapshot that is on disk in place of all that is here. */
+    void replaySnapshot(final byte[] snapshot, final long now) {
+        final PackedBuffer in = PackedBuffer.reader(snapshot);
+        records.clear();
+        digests.clear();
+        bytes = 0;
+        baseIndex = in.num();
+        baseTerm = in.num();
+        baseDigest = in.num();
+        final byte[] saved = in.bytes();
+        base = states.get();
+        base.load(saved);
+        live = states.get();
+        live.load(saved);
+        for (long left = in.num(); left > 0; left--) {
+            replay(LogRecord.wrap(in.bytes(), now));
+        }
+        baseMembership = in.more() ? Membership.load(PackedBuffer.reader(in.bytes())) : null;
+        membershipChanged.run();
+        commit(baseIndex);
+        base.committed(baseIndex);
+        live.committed(committedIndex);
+    }
+}
