--- a/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
@@ -78,9 +78,7 @@
      */
     private boolean damaged;
 
-    private long term;
-    private int votedFor;
-    private long termSeen;
+    private final VoteStore voteStore;
 
     private long swept;
     private final ArrayDeque<Waiting> afterSync = new ArrayDeque<>();
@@ -130,6 +128,7 @@
         this.timing = timing;
         this.toleratedLosses = toleratedLosses;
         this.out = out;
+        voteStore = new VoteStore(id, out);
         log = new RaftLog(id, states, this::useMembership, out);
         snapshotSender = new SnapshotSender(timing.recoverMs());
         random = new SplittableRandom(seed * 31 + id * 7919L + self);
@@ -146,7 +145,7 @@
     }
 
     public long term() {
-        return term;
+        return voteStore.term();
     }
 
     public long committed() {
@@ -308,7 +307,7 @@
         return new HeartbeatEntry(
                 id,
                 groupVersion,
-                term,
+                term(),
                 role,
                 sync,
                 log.baseIndex() + 1,
@@ -331,19 +330,13 @@
             case RECORD -> {
                 final LogRecord logRecord = LogRecord.wrap(in.bytes(), now);
                 log.replay(logRecord);
-                if (logRecord.term() > term) {
-                    term = logRecord.term();
-                    votedFor = 0;
-                }
+                voteStore.replayRecordOf(logRecord.term());
             }
             case TRUNCATE -> {
                 dropTransfers();
                 log.replayTruncate(in.num());
             }
-            case VOTE -> {
-                term = in.num();
-                votedFor = (int) in.num();
-            }
+            case VOTE -> voteStore.replay(in.num(), (int) in.num());
             case INITIALISED -> {
                 initialised = true;
                 lost = in.num() == 1;
@@ -354,13 +347,12 @@
             }
         }
         log.recovered();
-        termSeen = Math.max(termSeen, term);
     }
 
     /** Everything of this group, for the snapshot that begins a segment, as entries to replay. */
     public List<byte[]> checkpoint() {
         final List<byte[]> entries = new ArrayList<>();
-        entries.add(GroupEntryKind.VOTE.entry(id).num(term).num(votedFor).done());
+        entries.add(voteStore.entry());
         if (initialised) {
             entries.add(GroupEntryKind.INITIALISED
                     .entry(id)
@@ -394,7 +386,7 @@
         founding = placed;
         useMembership();
         // why: whoever has voted in a term is bound by no leader of an earlier one, also after a restart
-        promises.raise(id, term, self, true, now);
+        promises.raise(id, term(), self, true, now);
         founded = isFounded;
         if (startedAt == Long.MIN_VALUE) {
             startedAt = now;
@@ -503,7 +495,7 @@
         // why: the voters will not wait for this lease to end, so it must not be used from here on
         handingOverUntil = now + timing.down() + timing.goDeadline();
         why = "hands over to " + to;
-        out.send(to, new PeerMessage.TimeoutNow(id, term));
+        out.send(to, new PeerMessage.TimeoutNow(id, term()));
         return true;
     }
 
@@ -516,12 +508,12 @@
         for (final Member m : members) {
             final HeartbeatEntry e = m.node() == self ? null : table.fresh(m.node(), id, now);
             if (e != null) {
-                termSeen = Math.max(termSeen, e.term());
+                voteStore.observe(e.term());
             }
         }
         if (role == LEADER) {
-            if (termSeen > term) {
-                stepDown("epoch " + termSeen + " seen");
+            if (voteStore.highestTermSeen() > term()) {
+                stepDown("epoch " + voteStore.highestTermSeen() + " seen");
             } else if (now - leaderSince > timing.down() && !majorityAnswers(now)) {
                 stepDown("no majority answers");
             } else {
@@ -533,7 +525,7 @@
             role = FOLLOWER;
             lostGoes++;
             nextGo = now + spread();
-            why = "go for epoch " + term + " lost";
+            why = "go for epoch " + term() + " lost";
         }
         final int heard = role == LEADER ? (leaseHeld(now) ? self : 0) : liveLeader(now);
         if (heard != leaderHeard) {
@@ -614,7 +606,7 @@
             return;
         }
         if (message instanceof PeerMessage.TimeoutNow m) {
-            if (role == FOLLOWER && from == leaderHeard && m.term() == term && !lost() && !log.hasUnsynced()) {
+            if (role == FOLLOWER && from == leaderHeard && m.term() == term() && !lost() && !log.hasUnsynced()) {
                 stand(now, true);
             }
         } else if (message instanceof VoteRequest m) {
@@ -647,7 +639,7 @@
     /** Appends a record as the leader; the caller has asked {@link #mayAct}. */
     public long append(final int kind, final byte[] body, final long now, final long wall) {
         final LogRecord logRecord =
-                LogRecord.of(endIndex() + 1, term, Math.max(log.lastStamp(), wall), kind, body, now);
+                LogRecord.of(endIndex() + 1, term(), Math.max(log.lastStamp(), wall), kind, body, now);
         log.append(logRecord);
         serveHeld(now);
         return logRecord.index();
@@ -684,7 +676,7 @@
             if (e == null || e.sync() == SYNC_LOST) {
                 continue;
             }
-            if (e.role() == LEADER && e.term() >= term) {
+            if (e.role() == LEADER && e.term() >= term()) {
                 return "node " + m.node() + " is the master";
             }
             if (e.leaderHeard() != 0 && e.leaderHeard() != self) {
@@ -724,30 +716,26 @@
     }
 
     private void stand(final long now, final boolean manual) {
-        final long next = Math.max(term, termSeen) + 1;
+        final long next = voteStore.highestTermSeen() + 1;
         if (!promises.raise(id, next, self, manual, now)) {
             obstacle = "it has just answered a master's beat";
             return;
         }
-        term = next;
-        termSeen = term;
-        votedFor = self;
+        final long write = voteStore.vote(next, self);
         role = CANDIDATE;
         votes.clear();
         goEndsAt = now + timing.goDeadline();
-        why = "stands for epoch " + term;
-        final long write =
-                out.write(GroupEntryKind.VOTE.entry(id).num(term).num(self).done());
+        why = "stands for epoch " + term();
         for (final Member m : members) {
             afterSync.add(new Waiting(
                     write,
                     m.node(),
                     m.node() == self
-                            ? new VoteReply(id, term, true, term, "own vote")
+                            ? new VoteReply(id, term(), true, term(), "own vote")
                             : new VoteRequest(
                                     id,
                                     groupVersion,
-                                    term,
+                                    term(),
                                     log.syncedIndex(),
                                     log.syncedTerm(),
                                     weight(self),
@@ -758,27 +746,26 @@
     }
 
     private void onVoteAsk(final int from, final VoteRequest m, final long now) {
-        termSeen = Math.max(termSeen, role == LEADER ? termSeen : m.term());
+        if (role != LEADER) {
+            voteStore.observe(m.term());
+        }
         String refusal = refusal(from, m, now);
         if (refusal == null && !promises.raise(id, m.term(), from, m.manual(), now)) {
             refusal = "has just answered a master's beat";
         }
         if (refusal != null) {
-            out.send(from, new VoteReply(id, m.term(), false, Math.max(term, termSeen), refusal));
+            out.send(from, new VoteReply(id, m.term(), false, voteStore.highestTermSeen(), refusal));
             return;
         }
         if (role == LEADER) {
             stepDown("node " + from + " takes over");
         }
-        term = m.term();
-        votedFor = from;
+        // why: a vote that is forgotten after a crash could be given twice
+        final long write = voteStore.vote(m.term(), from);
         role = FOLLOWER;
         nextGo = now + timing.down();
-        why = "voted for " + from + " in epoch " + term;
-        // why: a vote that is forgotten after a crash could be given twice
-        final long write =
-                out.write(GroupEntryKind.VOTE.entry(id).num(term).num(from).done());
-        afterSync.add(new Waiting(write, from, new VoteReply(id, term, true, term, "granted"), now));
+        why = "voted for " + from + " in epoch " + term();
+        afterSync.add(new Waiting(write, from, new VoteReply(id, term(), true, term(), "granted"), now));
     }
 
     private String refusal(final int from, final VoteRequest m, final long now) {
@@ -792,8 +779,8 @@
         if (m.groupVersion() < groupVersion && m.endTerm() <= log.syncedTerm()) {
             return "older group version";
         }
-        if (m.term() < term || (m.term() == term && votedFor != from)) {
-            return "epoch " + term + " is taken";
+        if (!voteStore.mayVote(m.term(), from)) {
+            return "epoch " + term() + " is taken";
         }
         if (role == LEADER && (!m.manual() || now >= handingOverUntil)) {
             return "master lives";
@@ -818,8 +805,8 @@
         if (role == LEADER) {
             return;
         }
-        termSeen = Math.max(termSeen, m.termSeen());
-        if (role != CANDIDATE || m.term() != term || !m.granted()) {
+        voteStore.observe(m.termSeen());
+        if (role != CANDIDATE || m.term() != term() || !m.granted()) {
             return;
         }
         votes.add(from);
@@ -836,7 +823,7 @@
         handingOverUntil = Long.MIN_VALUE;
         held.clear();
         pulling = false;
-        why = "won epoch " + term + " with votes of " + votes;
+        why = "won epoch " + term() + " with votes of " + votes;
         out.note("group " + id + ": " + why);
         out.heartbeatNow();
         // why: records of earlier terms count as committed only once a record of this one is
@@ -860,7 +847,7 @@
     private int liveLeader(final long now) {
         int leader = 0;
         // why: a learner may have raised its term before it was removed, when nobody who counted heard of it
-        long best = weight(self) < 0 ? log.endTerm() : term;
+        long best = weight(self) < 0 ? log.endTerm() : term();
         // why: a membership here that was never committed may leave out whoever leaders the group by now
         for (final HeartbeatTable.Row row : table.rows()) {
             final HeartbeatEntry e = row.node() == self ? null : table.fresh(row.node(), id, now);
@@ -917,10 +904,10 @@
         // bound
         return told != null
                 && told.role() == LEADER
-                && told.term() == term
+                && told.term() == term()
                 && theirs != null
                 && theirs.sync() != SYNC_LOST
-                && theirs.term() <= term;
+                && theirs.term() <= term();
     }
 
     private boolean voting(final int node, final long now) {
@@ -970,7 +957,7 @@
                 new Pull(
                         id,
                         groupVersion,
-                        term,
+                        term(),
                         next,
                         log.endTerm(),
                         log.syncedIndex(),
@@ -994,7 +981,7 @@
                     && e.leaderHeard() != 0
                     && e.leaderHeard() != self
                     && e.sync() == SYNC_PEER
-                    && e.term() >= term) {
+                    && e.term() >= term()) {
                 return m.node();
             }
         }
@@ -1003,8 +990,8 @@
 
     private void onPull(final int from, final Pull m, final long now) {
         final boolean learner = weight(from) < 0;
-        if (m.term() > term && !learner) {
-            termSeen = Math.max(termSeen, m.term());
+        if (m.term() > term() && !learner) {
+            voteStore.observe(m.term());
             if (role == LEADER) {
                 stepDown("sibling " + from + " is in epoch " + m.term());
             }
@@ -1029,11 +1016,11 @@
                 // why: a learner's copy is looked at to see when it may vote, and counts for nothing until then; one
                 // that stood in vain in a later term, before it was removed, may not vote in this one
                 copies.remove(from);
-                final boolean mayVote = !m.lost() && m.term() <= term;
+                final boolean mayVote = !m.lost() && m.term() <= term();
                 learnt.put(from, mayVote && log.termAt(m.syncedIndex()) == m.syncedTerm() ? m.syncedIndex() : -1);
             } else if (m.lost()) {
                 copies.remove(from);
-            } else if (m.term() == term
+            } else if (m.term() == term()
                     && m.syncedIndex() > log.baseIndex()
                     && m.syncedIndex() <= endIndex()
                     && log.termAt(m.syncedIndex()) == m.syncedTerm()) {
@@ -1069,7 +1056,7 @@
                     new PullReply(
                             id,
                             groupVersion,
-                            term,
+                            term(),
                             MISMATCH,
                             lead,
                             log.committedIndex(),
@@ -1092,7 +1079,7 @@
         // why: a member that rebuilds its copy has to hear from an acting leader how far, also where nothing follows
         final boolean news =
                 m.committed() == Pull.UNKNOWN ? lead == PullReply.ACTING_LEADER : m.committed() < log.committedIndex();
-        if (part.isEmpty() && !news && m.term() >= term) {
+        if (part.isEmpty() && !news && m.term() >= term()) {
             return false;
         }
         out.send(
@@ -1100,7 +1087,7 @@
                 new PullReply(
                         id,
                         groupVersion,
-                        term,
+                        term(),
                         RECORDS,
                         lead,
                         log.committedIndex(),
@@ -1128,7 +1115,7 @@
                 new PullReply(
                         id,
                         groupVersion,
-                        term,
+                        term(),
                         FULL,
                         lead,
                         log.committedIndex(),
@@ -1156,18 +1143,15 @@
 
     private void onPullReply(final int from, final PullReply m, final long now) {
         // why: the fence: whoever acts for an older term or an older group is not obeyed, however late it wakes
-        final boolean older = weight(self) < 0 ? m.term() < log.endTerm() : m.term() < term;
-        if (older || (m.term() == term && olderGroup(m)) || role == LEADER || from != pullSource) {
+        final boolean older = weight(self) < 0 ? m.term() < log.endTerm() : m.term() < term();
+        if (older || (m.term() == term() && olderGroup(m)) || role == LEADER || from != pullSource) {
             return;
         }
-        if (m.term() > term) {
+        if (m.term() > term()) {
             if (role == CANDIDATE) {
                 role = FOLLOWER;
             }
-            term = m.term();
-            votedFor = 0;
-            termSeen = Math.max(termSeen, term);
-            out.write(GroupEntryKind.VOTE.entry(id).num(term).num(0).done());
+            voteStore.enter(m.term());
         }
         pulling = false;
         // why: a late reply speaks of a log that may have grown since; cutting by it would take back acknowledged
@@ -1297,7 +1281,7 @@
             return;
         }
         final long index = syncedBy(members, floor());
-        if (index > log.committedIndex() && index >= openIndex && log.termAt(index) == term) {
+        if (index > log.committedIndex() && index >= openIndex && log.termAt(index) == term()) {
             if (log.committedIndex() < openIndex) {
                 // why: whoever only watches is told at once that it may be read from, and not with its own next
                 // heartbeat
