--- a/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
@@ -57,13 +57,7 @@
     private final Actions out;
     private final SplittableRandom random;
 
-    /** The newest in the log counts as soon as it is there; without one, what the group was founded with. */
-    private Membership founding = Membership.NONE;
-
-    private Membership membership = Membership.NONE;
-    private long membershipIndex;
-    private List<Member> members = List.of();
-    private int groupVersion;
+    private final GroupMembership membership;
     private long handingOverUntil = Long.MIN_VALUE;
     private final TreeMap<Integer, Long> learnt = new TreeMap<>();
     private boolean founded;
@@ -128,6 +122,7 @@
         this.timing = timing;
         this.toleratedLosses = toleratedLosses;
         this.out = out;
+        membership = new GroupMembership(self);
         voteStore = new VoteStore(id, out);
         log = new RaftLog(id, states, this::useMembership, out);
         snapshotSender = new SnapshotSender(timing.recoverMs());
@@ -170,15 +165,15 @@
     }
 
     public int groupVersion() {
-        return groupVersion;
+        return membership.version();
     }
 
     public List<Member> members() {
-        return members;
+        return membership.voters();
     }
 
     public Membership membership() {
-        return membership;
+        return membership.current();
     }
 
     /** Whether the log itself tells who the members are, rather than whoever founded the group. */
@@ -188,7 +183,7 @@
 
     /** Whether the newest membership is committed, so that a next step may follow. */
     public boolean membershipSettled() {
-        return membershipIndex <= log.committedIndex();
+        return membership.index() <= log.committedIndex();
     }
 
     /** How far a learner's copy is known to be synced. */
@@ -203,7 +198,7 @@
 
     /** Where the newest membership stands in the log; 0 where the log tells none. */
     public long membershipIndex() {
-        return membershipIndex;
+        return membership.index();
     }
 
     /** Nothing is under way that a timer would have to drive on. */
@@ -245,7 +240,7 @@
     }
 
     public int floor() {
-        return floor(members.size());
+        return floor(members().size());
     }
 
     /** The copies that an committed record has at least, in a group of so many voters. */
@@ -262,14 +257,14 @@
     public int copies(final long index) {
         int n = log.syncedIndex() >= index ? 1 : 0;
         for (final Map.Entry<Integer, Long> copy : copies.entrySet()) {
-            n += copy.getValue() >= index && weight(copy.getKey()) >= 0 ? 1 : 0;
+            n += copy.getValue() >= index && membership.isVoter(copy.getKey()) ? 1 : 0;
         }
         return n;
     }
 
     public int active(final long now) {
         int n = 1;
-        for (final Member m : members) {
+        for (final Member m : members()) {
             n += m.node() != self && voting(m.node(), now) ? 1 : 0;
         }
         return n;
@@ -306,7 +301,7 @@
         final int sync = lost ? SYNC_LOST : inSync(now) ? SYNC_PEER : SYNC_CATCH_UP;
         return new HeartbeatEntry(
                 id,
-                groupVersion,
+                groupVersion(),
                 term(),
                 role,
                 sync,
@@ -315,7 +310,7 @@
                 log.syncedTerm(),
                 log.committedIndex(),
                 leaderHeard,
-                weight(self));
+                membership.weight(self));
     }
 
     // ---- set-up and recovery
@@ -383,7 +378,7 @@
     }
 
     public void configure(final Membership placed, final boolean isFounded, final long now) {
-        founding = placed;
+        membership.place(placed);
         useMembership();
         // why: whoever has voted in a term is bound by no leader of an earlier one, also after a restart
         promises.raise(id, term(), self, true, now);
@@ -401,22 +396,9 @@
 
     // ---- events
 
-    /** Takes the newest membership that the log or the placement tells. */
+    /** Takes the newest membership that the log or the placement tells of. */
     private void useMembership() {
-        membership = log.baseMembership() != null ? log.baseMembership() : founding;
-        membershipIndex = 0;
-        final LogRecord newest = log.newestMembershipRecord();
-        if (newest != null) {
-            membership = Membership.load(PackedBuffer.reader(newest.body()));
-            membershipIndex = newest.index();
-        }
-        // why: only committed memberships are told by a placement, so a newer one stands over a log that is behind
-        if (founding.version() > membership.version()) {
-            membership = founding;
-            membershipIndex = 0;
-        }
-        members = membership.voters();
-        groupVersion = membership.version();
+        membership.refresh(log);
         // why: the record that removes a member must not end at that member, which could then neither stand nor help
         // another with an older log
         held.keySet().removeIf(node -> !membership.holds(node));
@@ -438,11 +420,11 @@
     /** Whether a membership may follow the present one now; docs/design/control-membership.md says why. */
     private boolean mayChange(final Membership next, final long now) {
         // why: mayAct stands for an committed record of this term, without which a predecessor's change may be open
-        if (!mayAct(now) || !membershipSettled() || next.version() != membership.version() + 1) {
+        if (!mayAct(now) || !membershipSettled() || next.version() != groupVersion() + 1) {
             return false;
         }
-        final List<Member> joining = Membership.missing(next.voters(), members);
-        final List<Member> leaving = Membership.missing(members, next.voters());
+        final List<Member> joining = Membership.missing(next.voters(), members());
+        final List<Member> leaving = Membership.missing(members(), next.voters());
         if (joining.size() + leaving.size() > 1 || Membership.find(next.voters(), self) == null) {
             return false;
         }
@@ -458,7 +440,7 @@
     private int copiesAmong(final List<Member> voters) {
         int n = 0;
         for (final Member m : voters) {
-            final boolean joins = weight(m.node()) < 0;
+            final boolean joins = !membership.isVoter(m.node());
             final long synced = m.node() == self
                     ? log.syncedIndex()
                     : joins ? learnt(m.node()) : copies.getOrDefault(m.node(), -1L);
@@ -480,7 +462,7 @@
     }
 
     private void handOverToAny(final long now) {
-        for (final Member m : members) {
+        for (final Member m : members()) {
             if (handOver(m.node(), now)) {
                 return;
             }
@@ -489,7 +471,7 @@
 
     /** Manual switchover: asks a follower that has everything to stand, and does not act until that has been tried. */
     public boolean handOver(final int to, final long now) {
-        if (!mayAct(now) || to == self || weight(to) < 0 || copies.getOrDefault(to, -1L) < endIndex()) {
+        if (!mayAct(now) || to == self || !membership.isVoter(to) || copies.getOrDefault(to, -1L) < endIndex()) {
             return false;
         }
         // why: the voters will not wait for this lease to end, so it must not be used from here on
@@ -501,11 +483,11 @@
 
     public void tick(final long now, final HeartbeatTable newTable) {
         table = newTable;
-        if (weight(self) < 0) {
+        if (!membership.selfIsVoter()) {
             followOnly(now);
             return;
         }
-        for (final Member m : members) {
+        for (final Member m : members()) {
             final HeartbeatEntry e = m.node() == self ? null : table.fresh(m.node(), id, now);
             if (e != null) {
                 voteStore.observe(e.term());
@@ -557,7 +539,7 @@
             stepDown("is no voter any more");
         }
         role = FOLLOWER;
-        if (membership.holds(self)) {
+        if (membership.holdsSelf()) {
             leaderHeard = liveLeader(now);
             pull(now);
         } else {
@@ -629,11 +611,10 @@
             return true;
         }
         if (message instanceof VoteRequest) {
-            return membership.holds(self);
+            return membership.holdsSelf();
         }
-        return weight(self) >= 0
-                && (weight(from) >= 0
-                        || (message instanceof Pull && Membership.find(membership.learners(), from) != null));
+        return membership.selfIsVoter()
+                && (membership.isVoter(from) || (message instanceof Pull && membership.isLearner(from)));
     }
 
     /** Appends a record as the leader; the caller has asked {@link #mayAct}. */
@@ -668,7 +649,7 @@
         }
         int answering = 1;
         int better = 0;
-        for (final Member m : members) {
+        for (final Member m : members()) {
             if (m.node() == self) {
                 continue;
             }
@@ -690,12 +671,14 @@
                     return "node " + m.node() + " has a newer log";
                 }
                 answering++;
-                if (e.endIndex() == log.syncedIndex() && e.endTerm() == log.syncedTerm() && outranks(m.node(), self)) {
+                if (e.endIndex() == log.syncedIndex()
+                        && e.endTerm() == log.syncedTerm()
+                        && membership.outranks(m.node(), self)) {
                     better++;
                 }
             }
         }
-        final int needed = founded ? majority(members.size()) : members.size();
+        final int needed = founded ? membership.majority() : members().size();
         if (answering < needed) {
             return "only " + answering + " of " + needed + " answer";
         }
@@ -726,7 +709,7 @@
         votes.clear();
         goEndsAt = now + timing.goDeadline();
         why = "stands for epoch " + term();
-        for (final Member m : members) {
+        for (final Member m : members()) {
             afterSync.add(new Waiting(
                     write,
                     m.node(),
@@ -734,11 +717,11 @@
                             ? new VoteReply(id, term(), true, term(), "own vote")
                             : new VoteRequest(
                                     id,
-                                    groupVersion,
+                                    groupVersion(),
                                     term(),
                                     log.syncedIndex(),
                                     log.syncedTerm(),
-                                    weight(self),
+                                    membership.weight(self),
                                     lostGoes,
                                     manual),
                     now));
@@ -776,7 +759,7 @@
             // why: before the restart it may have answered a leader's heartbeat whose lease still runs
             return "just started";
         }
-        if (m.groupVersion() < groupVersion && m.endTerm() <= log.syncedTerm()) {
+        if (m.groupVersion() < groupVersion() && m.endTerm() <= log.syncedTerm()) {
             return "older group version";
         }
         if (!voteStore.mayVote(m.term(), from)) {
@@ -791,7 +774,7 @@
         }
         if (m.endIndex() == log.syncedIndex()
                 && m.endTerm() == log.syncedTerm()
-                && outranks(self, from)
+                && membership.outranks(self, from)
                 && m.goes() < DEFERENCE
                 && !m.manual()
                 && mayStand(now)) {
@@ -810,7 +793,7 @@
             return;
         }
         votes.add(from);
-        if (votes.size() < (founded ? majority(members.size()) : members.size())) {
+        if (votes.size() < (founded ? membership.majority() : members().size())) {
             return;
         }
         role = LEADER;
@@ -847,7 +830,7 @@
     private int liveLeader(final long now) {
         int leader = 0;
         // why: a learner may have raised its term before it was removed, when nobody who counted heard of it
-        long best = weight(self) < 0 ? log.endTerm() : term();
+        long best = !membership.selfIsVoter() ? log.endTerm() : term();
         // why: a membership here that was never committed may leave out whoever leaders the group by now
         for (final HeartbeatTable.Row row : table.rows()) {
             final HeartbeatEntry e = row.node() == self ? null : table.fresh(row.node(), id, now);
@@ -861,18 +844,18 @@
 
     private boolean majorityAnswers(final long now) {
         int n = 1;
-        for (final Member m : members) {
+        for (final Member m : members()) {
             n += m.node() != self
                             && table.up(m.node())
                             && now - table.row(m.node()).answeredSentAt() <= 2 * timing.down()
                     ? 1
                     : 0;
         }
-        return n >= majority(members.size());
+        return n >= membership.majority();
     }
 
     private boolean leaseHeld(final long now) {
-        return majoritySince(members, now - timing.lease());
+        return majoritySince(members(), now - timing.lease());
     }
 
     private boolean leaseHeld(final List<Member> voters, final long now) {
@@ -881,7 +864,7 @@
 
     /** Whether a majority has answered heartbeats of this leadership that were sent at this time or later. */
     public boolean majoritySince(final long since) {
-        return majoritySince(members, since);
+        return majoritySince(members(), since);
     }
 
     private boolean majoritySince(final List<Member> voters, final long since) {
@@ -915,21 +898,6 @@
         return e != null && e.sync() != SYNC_LOST && table.up(node);
     }
 
-    private boolean outranks(final int a, final int b) {
-        final int wa = weight(a);
-        final int wb = weight(b);
-        return wa > wb || (wa == wb && a > b);
-    }
-
-    private int weight(final int node) {
-        for (final Member m : members) {
-            if (m.node() == node) {
-                return m.weight();
-            }
-        }
-        return -1;
-    }
-
     private long spread() {
         return (long) (timing.goDeadline() * (0.2 + random.nextDouble() * Math.min(4, lostGoes)));
     }
@@ -937,7 +905,7 @@
     // ---- replication
 
     private void pull(final long now) {
-        if (role == LEADER || members.isEmpty() || log.hasUnsynced()) {
+        if (role == LEADER || members().isEmpty() || log.hasUnsynced()) {
             return;
         }
         final int source = source(now);
@@ -956,7 +924,7 @@
                 source,
                 new Pull(
                         id,
-                        groupVersion,
+                        groupVersion(),
                         term(),
                         next,
                         log.endTerm(),
@@ -974,7 +942,7 @@
         if (leaderHeard != 0 && table.up(leaderHeard)) {
             return leaderHeard;
         }
-        for (final Member m : members) {
+        for (final Member m : members()) {
             final HeartbeatEntry e = m.node() == self ? null : table.fresh(m.node(), id, now);
             if (e != null
                     && table.up(m.node())
@@ -989,7 +957,7 @@
     }
 
     private void onPull(final int from, final Pull m, final long now) {
-        final boolean learner = weight(from) < 0;
+        final boolean learner = !membership.isVoter(from);
         if (m.term() > term() && !learner) {
             voteStore.observe(m.term());
             if (role == LEADER) {
@@ -1055,7 +1023,7 @@
                     to,
                     new PullReply(
                             id,
-                            groupVersion,
+                            groupVersion(),
                             term(),
                             MISMATCH,
                             lead,
@@ -1086,7 +1054,7 @@
                 to,
                 new PullReply(
                         id,
-                        groupVersion,
+                        groupVersion(),
                         term(),
                         RECORDS,
                         lead,
@@ -1114,7 +1082,7 @@
                 to,
                 new PullReply(
                         id,
-                        groupVersion,
+                        groupVersion(),
                         term(),
                         FULL,
                         lead,
@@ -1138,12 +1106,12 @@
      * in this term. A record of an earlier leader that was never committed says nothing of this one.
      */
     private boolean olderGroup(final PullReply m) {
-        return m.groupVersion() < groupVersion && (membershipSettled() || log.termAt(membershipIndex) == m.term());
+        return m.groupVersion() < groupVersion() && (membershipSettled() || log.termAt(membership.index()) == m.term());
     }
 
     private void onPullReply(final int from, final PullReply m, final long now) {
         // why: the fence: whoever acts for an older term or an older group is not obeyed, however late it wakes
-        final boolean older = weight(self) < 0 ? m.term() < log.endTerm() : m.term() < term();
+        final boolean older = !membership.selfIsVoter() ? m.term() < log.endTerm() : m.term() < term();
         if (older || (m.term() == term() && olderGroup(m)) || role == LEADER || from != pullSource) {
             return;
         }
@@ -1264,7 +1232,7 @@
     /** A leader whose disk takes nothing hands over to a follower that has everything, if there is one. */
     private void yieldForDisk(final long now) {
         // why: without a majority among the others none of them can win, and this one had better go on
-        final boolean othersCanElect = active(now) - 1 >= majority(members.size());
+        final boolean othersCanElect = active(now) - 1 >= membership.majority();
         if (diskLag(now) > timing.diskPatience() && othersCanElect && now >= handingOverUntil) {
             handOverToAny(now);
         }
@@ -1280,7 +1248,7 @@
         if (!leaseHeld(now)) {
             return;
         }
-        final long index = syncedBy(members, floor());
+        final long index = syncedBy(members(), floor());
         if (index > log.committedIndex() && index >= openIndex && log.termAt(index) == term()) {
             if (log.committedIndex() < openIndex) {
                 // why: whoever only watches is told at once that it may be read from, and not with its own next
--- /dev/null
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupMembership.java
@@ -0,0 +1,112 @@
+package brookpath.coordination.group;
+
+import brookpath.state.record.LogRecord;
+import brookpath.state.record.PackedBuffer;
+import java.util.List;
+
+/**
+ * The members of a group as this member knows them. The newest membership in the log counts as soon as it is there,
+ * committed or not; without one, that which the group was founded with. Not thread-safe: the group's state thread owns
+ * it.
+ */
+final class GroupMembership {
+    /** The weight of a node that is no voter. */
+    static final int NO_VOTER = -1;
+
+    private final int self;
+    private Membership placed = Membership.NONE;
+    private Membership current = Membership.NONE;
+    private long index;
+
+    GroupMembership(final int self) {
+        this.self = self;
+    }
+
+    /** Takes the membership that the placement tells of; {@link #refresh} decides whether it counts. */
+    void place(final Membership newPlaced) {
+        placed = newPlaced;
+    }
+
+    /** Takes the newest membership that the log or the placement tells of. */
+    void refresh(final RaftLog log) {
+        current = log.baseMembership() != null ? log.baseMembership() : placed;
+        index = 0;
+        final LogRecord newest = log.newestMembershipRecord();
+        if (newest != null) {
+            current = Membership.load(PackedBuffer.reader(newest.body()));
+            index = newest.index();
+        }
+        // why: a placement tells of committed memberships only, so a newer one stands over a log that is behind
+        if (placed.version() > current.version()) {
+            current = placed;
+            index = 0;
+        }
+    }
+
+    /** The membership that counts now. */
+    Membership current() {
+        return current;
+    }
+
+    /** Where that membership stands in the log, 0 where it is not a kept record. */
+    long index() {
+        return index;
+    }
+
+    /** Its version; each change makes the next one. */
+    int version() {
+        return current.version();
+    }
+
+    /** The members that vote. */
+    List<Member> voters() {
+        return current.voters();
+    }
+
+    /** Whether the node is a voter or a learner. */
+    boolean holds(final int node) {
+        return current.holds(node);
+    }
+
+    /** Whether this member is a voter or a learner. */
+    boolean holdsSelf() {
+        return holds(self);
+    }
+
+    /** Whether the node votes. */
+    boolean isVoter(final int node) {
+        return weight(node) >= 0;
+    }
+
+    /** Whether this member votes. */
+    boolean selfIsVoter() {
+        return isVoter(self);
+    }
+
+    /** Whether the node copies the log without a vote. */
+    boolean isLearner(final int node) {
+        return Membership.find(current.learners(), node) != null;
+    }
+
+    /** A voter's rank in elections, {@link #NO_VOTER} for any other node. */
+    int weight(final int node) {
+        for (final Member member : current.voters()) {
+            if (member.node() == node) {
+                return member.weight();
+            }
+        }
+        return NO_VOTER;
+    }
+
+    /** Whether the first of two voters goes before the second where their logs end alike. */
+    boolean outranks(final int one, final int other) {
+        final int weightOfOne = weight(one);
+        final int weightOfOther = weight(other);
+        return weightOfOne > weightOfOther || (weightOfOne == weightOfOther && one > other);
+    }
+
+    /** How many voters are a majority. */
+    int majority() {
+        return Quorums.majority(current.voters().size());
+    }
+}
