--- /dev/null
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/FetchHandler.java
@@ -0,0 +1,97 @@
+package brookpath.coordination.node.storage;
+
+import brookpath.coordination.TimingBounds;
+import brookpath.coordination.action.Actions;
+import brookpath.coordination.configuration.ConfigurationClient;
+import brookpath.coordination.group.GroupMachine;
+import brookpath.coordination.message.PeerMessage.Fetch;
+import brookpath.coordination.message.PeerMessage.FetchReply;
+import java.util.List;
+
+/**
+ * Serves the gateways' reads of committed records. A long poll that finds no record is answered once there is one, or
+ * after {@link TimingBounds#fetchHold()}; every other fetch is answered at once.
+ */
+public final class FetchHandler {
+    private static final long AT_ONCE = Long.MIN_VALUE;
+    private static final long NEVER = Long.MAX_VALUE;
+
+    private final TopicGroups groups;
+    private final ConfigurationClient client;
+    private final Actions out;
+    private final PendingFetches pending;
+    private final TopicInterests interests = new TopicInterests();
+
+    public FetchHandler(
+            final TopicGroups groups, final ConfigurationClient client, final TimingBounds timing, final Actions out) {
+        this.groups = groups;
+        this.client = client;
+        this.out = out;
+        pending = new PendingFetches(timing);
+    }
+
+    /** A gateway's fetch. */
+    public void fetch(final int gateway, final Fetch fetch, final long now) {
+        final GroupMachine group = groups.get(fetch.group());
+        if (group == null || !group.inSync(now) || !client.leased(now)) {
+            replyWithoutRecords(gateway, fetch, FetchReply.NOT_HERE, 0);
+            return;
+        }
+        if (fetch.hold() && !interests.update(gateway, fetch)) {
+            replyWithoutRecords(gateway, fetch, FetchReply.UNTOLD, 0);
+            return;
+        }
+        final long deadline = fetch.hold() ? NEVER : AT_ONCE;
+        if (!serve(gateway, fetch, group, deadline, now)) {
+            pending.add(gateway, fetch, now);
+        }
+    }
+
+    /** Answers the long polls that the group's commit index, its sync state or the time set free. */
+    public void servePending(final GroupMachine group, final long now) {
+        pending.removeAnswered(
+                group.id(), waiting -> serve(waiting.gateway(), waiting.fetch(), group, waiting.deadline(), now));
+    }
+
+    /**
+     * Answers a fetch if there is anything to answer.
+     *
+     * @param deadline when it is answered even without a record
+     * @return true where the fetch was answered
+     */
+    private boolean serve(
+            final int gateway, final Fetch fetch, final GroupMachine group, final long deadline, final long now) {
+        if (fetch.tail()) {
+            replyWithoutRecords(gateway, fetch, FetchReply.OK, group.committed());
+            return true;
+        }
+        final FetchScan scan = fetch.hold()
+                ? FetchScan.ofLongPoll(group, interests.topics(group.id(), gateway), fetch.at())
+                : FetchScan.ofPositions(group, fetch);
+        scan.run();
+        // why: at once, not when the hold is over: the gateway has other replicas to ask
+        if (scan.isDamaged() || (scan.records().isEmpty() && !group.inSync(now))) {
+            replyWithoutRecords(gateway, fetch, FetchReply.NOT_HERE, 0);
+            return true;
+        }
+        final List<String> trimmed = scan.trimmedTopics();
+        if (scan.records().isEmpty() && trimmed.isEmpty() && now < deadline) {
+            return false;
+        }
+        out.send(
+                gateway,
+                new FetchReply(
+                        fetch.requestId(), group.id(), FetchReply.OK, scan.scannedTo(), trimmed, scan.records()));
+        return true;
+    }
+
+    private void replyWithoutRecords(final int gateway, final Fetch fetch, final int status, final long scannedTo) {
+        out.send(gateway, new FetchReply(fetch.requestId(), fetch.group(), status, scannedTo, List.of(), List.of()));
+    }
+
+    /** The group was dropped; the gateways learn it by asking. */
+    public void drop(final int group) {
+        pending.drop(group);
+        interests.drop(group);
+    }
+}
--- /dev/null
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/GroupStateReporter.java
@@ -0,0 +1,67 @@
+package brookpath.coordination.node.storage;
+
+import brookpath.coordination.TimingBounds;
+import brookpath.coordination.action.Actions;
+import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
+import brookpath.coordination.configuration.ConfigurationClient;
+import brookpath.coordination.group.GroupMachine;
+import brookpath.coordination.message.PeerMessage.ControlRequest;
+import brookpath.state.record.PackedBuffer;
+import java.util.TreeMap;
+
+/**
+ * Reports to the control leader what the logs of the groups that this node leads have committed about the groups
+ * themselves: that a group is founded, and its membership. A report is repeated until the cluster metadata shows it.
+ */
+public final class GroupStateReporter {
+    /** The ID of requests that have no reply: the cluster metadata shows their effect. */
+    private static final long NO_REPLY = 0;
+
+    private record ReportedMembership(int version, long sentAt) {}
+
+    private final TopicGroups groups;
+    private final ConfigurationClient client;
+    private final TimingBounds timing;
+    private final Actions out;
+    private final ReportTimes foundedReportTimes = new ReportTimes();
+    private final TreeMap<Integer, ReportedMembership> reportedMemberships = new TreeMap<>();
+
+    public GroupStateReporter(
+            final TopicGroups groups, final ConfigurationClient client, final TimingBounds timing, final Actions out) {
+        this.groups = groups;
+        this.client = client;
+        this.timing = timing;
+        this.out = out;
+    }
+
+    /** Reports that the group has had a leader, so that an empty disk means a lost one from here on. */
+    public void reportFounded(final GroupMachine group, final long now) {
+        final GroupInfo info = groups.metadataOf(group.id());
+        if (info != null
+                && !info.founded()
+                && group.mayAct(now)
+                && foundedReportTimes.isDue(group.id(), timing.down(), now)) {
+            foundedReportTimes.sent(group.id(), now);
+            send("founded", PackedBuffer.writer().num(group.id()));
+        }
+    }
+
+    /** Reports the group's membership, but only once the group's own log has committed it. */
+    public void reportMembership(final GroupMachine group, final long now) {
+        final GroupInfo info = groups.metadataOf(group.id());
+        final int version = group.membership().version();
+        if (info == null || version <= info.version() || !group.membershipSettled() || !group.mayAct(now)) {
+            return;
+        }
+        final ReportedMembership reported = reportedMemberships.get(group.id());
+        if (reported != null && reported.version == version && now - reported.sentAt < timing.heartbeat()) {
+            return;
+        }
+        reportedMemberships.put(group.id(), new ReportedMembership(version, now));
+        send("members", group.membership().buffer(PackedBuffer.writer().num(group.id())));
+    }
+
+    private void send(final String kind, final PackedBuffer body) {
+        out.send(client.controlLeader(), new ControlRequest(NO_REPLY, kind, body.done()));
+    }
+}
--- /dev/null
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/HistoryRetention.java
@@ -0,0 +1,36 @@
+package brookpath.coordination.node.storage;
+
+import brookpath.coordination.TimingBounds;
+import brookpath.coordination.configuration.Configuration;
+import brookpath.coordination.configuration.ConfigurationClient;
+
+/** How long the history of a topic is kept, by the newest configuration that this node has. */
+public final class HistoryRetention {
+    private final ConfigurationClient client;
+    private final TimingBounds timing;
+
+    /**
+     * @param client the copy of the configuration that this node works by
+     * @param timing gives the margin by which history outlives what its space asks
+     */
+    public HistoryRetention(final ConfigurationClient client, final TimingBounds timing) {
+        this.client = client;
+        this.timing = timing;
+    }
+
+    /**
+     * How long a record is kept after this node has learned it, in milliseconds.
+     *
+     * @param topic empty for a record that belongs to no topic, which need not be kept at all
+     */
+    public long retentionMs(final String topic) {
+        if (topic.isEmpty()) {
+            return 0;
+        }
+        final Configuration.Space space = client.configuration().spaceOf(topic);
+        // why: before the first configuration nobody knows how long a space keeps, so nothing goes
+        return client.configuration().version() == 0
+                ? Long.MAX_VALUE
+                : space == null ? timing.keepMargin() : space.keepingMs() + timing.keepMargin();
+    }
+}
--- /dev/null
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/ReportTimes.java
@@ -0,0 +1,18 @@
+package brookpath.coordination.node.storage;
+
+import java.util.TreeMap;
+
+/** When a report on each group was sent last, so that one without effect is repeated after an interval. */
+final class ReportTimes {
+    private final TreeMap<Integer, Long> sentAtByGroup = new TreeMap<>();
+
+    /** Whether no report on the group was sent within the interval, in milliseconds. */
+    boolean isDue(final int group, final long intervalMs, final long now) {
+        final Long sentAt = sentAtByGroup.get(group);
+        return sentAt == null || now - sentAt >= intervalMs;
+    }
+
+    void sent(final int group, final long now) {
+        sentAtByGroup.put(group, now);
+    }
+}
--- /dev/null
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/TopicGroups.java
@@ -0,0 +1,154 @@
+package brookpath.coordination.node.storage;
+
+import brookpath.coordination.action.Actions;
+import brookpath.coordination.configuration.ClusterMetadata;
+import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
+import brookpath.coordination.configuration.ConfigurationClient;
+import brookpath.coordination.group.GroupMachine;
+import brookpath.coordination.message.PeerMessage.HeartbeatEntry;
+import brookpath.coordination.topic.TopicState;
+import brookpath.state.record.PackedBuffer;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.function.IntFunction;
+
+/**
+ * The topic groups that have a replica on this machine: opened when the cluster metadata names this node as a member,
+ * dropped when a newer group version no longer does, and rebuilt from the log at the start.
+ *
+ * <p>Invariant: a group is dropped only after the group's own log has committed a membership without this node.
+ */
+public final class TopicGroups {
+    /** Kind of the log entry that says that the group was dropped here. The other kinds are the group's own. */
+    public static final int DROPPED = 100;
+
+    private final int self;
+    private final IntFunction<GroupMachine> factory;
+    private final ConfigurationClient client;
+    private final Actions out;
+    private final TreeMap<Integer, GroupMachine> groups = new TreeMap<>();
+
+    /**
+     * @param self this node
+     * @param factory makes the empty replica of a group
+     * @param client gives the cluster metadata, which says who is a member of which group
+     */
+    public TopicGroups(
+            final int self,
+            final IntFunction<GroupMachine> factory,
+            final ConfigurationClient client,
+            final Actions out) {
+        this.self = self;
+        this.factory = factory;
+        this.client = client;
+        this.out = out;
+    }
+
+    /** Whether the log entry, which begins with a group and a kind, says that the group was dropped. */
+    public static boolean isDropped(final byte[] entry) {
+        return PackedBuffer.reader(entry).skip(Long.BYTES).num() == DROPPED;
+    }
+
+    /** The state that follows from the group's log up to its newest record. */
+    static TopicState stateOf(final GroupMachine group) {
+        return (TopicState) group.live();
+    }
+
+    /** The replica of a group; null where this machine has none. */
+    public GroupMachine get(final int id) {
+        return groups.get(id);
+    }
+
+    /** All replicas of this machine, by the groups' IDs. */
+    public Collection<GroupMachine> all() {
+        return groups.values();
+    }
+
+    /** What the cluster metadata tells of a group; null where it has no such group. */
+    GroupInfo metadataOf(final int id) {
+        for (final GroupInfo info : client.metadata().groups()) {
+            if (info.id() == id) {
+                return info;
+            }
+        }
+        return null;
+    }
+
+    /** Replays one entry of the log before the first event. */
+    public void replay(final byte[] entry, final long now) {
+        final PackedBuffer in = PackedBuffer.reader(entry);
+        final int id = (int) in.num();
+        if (isDropped(entry)) {
+            groups.remove(id);
+        } else {
+            open(id).replay(in, now);
+        }
+    }
+
+    /**
+     * Opens, reconfigures and drops groups as newer cluster metadata says.
+     *
+     * @return the IDs of the groups that were dropped
+     */
+    public List<Integer> reconfigure(final ClusterMetadata metadata, final long now) {
+        final List<Integer> dropped = new ArrayList<>();
+        for (final GroupInfo info : metadata.groups()) {
+            final GroupMachine group = groups.get(info.id());
+            if (info.membership().holds(self)) {
+                if (group == null) {
+                    // why: a new learner pulls once it hears the group's leader, and would wait for its next heartbeat
+                    out.heartbeatNow();
+                }
+                open(info.id()).configure(info.membership(), info.founded(), now);
+            } else if (group != null && group.groupVersion() <= info.version()) {
+                // why: the group's own log has committed that this node is no member any more, so nothing here counts
+                drop(info);
+                dropped.add(info.id());
+            }
+        }
+        return dropped;
+    }
+
+    private GroupMachine open(final int id) {
+        return groups.computeIfAbsent(id, factory::apply);
+    }
+
+    private void drop(final GroupInfo info) {
+        groups.remove(info.id());
+        out.write(PackedBuffer.writer().num(info.id()).num(DROPPED).done());
+        out.note("group " + info.id() + ": left, in group version " + info.version());
+    }
+
+    /** Begins a new log segment with a snapshot of all groups. */
+    public void rollLog() {
+        final PackedBuffer buffer = PackedBuffer.writer();
+        groups.values().forEach(group -> group.checkpoint().forEach(buffer::bytes));
+        out.roll(buffer.done());
+    }
+
+    /** The state of each group, for the heartbeats. */
+    public List<HeartbeatEntry> heartbeatEntries(final long now) {
+        final List<HeartbeatEntry> entries = new ArrayList<>();
+        for (final GroupMachine group : groups.values()) {
+            if (!group.members().isEmpty()) {
+                entries.add(group.entry(now));
+            }
+        }
+        return entries;
+    }
+
+    /** The voters and learners of all groups, other than this node. */
+    public Set<Integer> peers() {
+        final Set<Integer> nodes = new HashSet<>();
+        groups.values().forEach(group -> {
+            group.members().forEach(member -> nodes.add(member.node()));
+            group.membership().learners().forEach(learner -> nodes.add(learner.node()));
+        });
+        nodes.remove(self);
+        return nodes;
+    }
+}
--- /dev/null
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/package-info.java
@@ -0,0 +1,8 @@
+/**
+ * The parts of a storage node, one class per concern. {@link brookpath.coordination.node.storage.TopicGroups} holds the
+ * replicas of topic groups on this machine; {@link brookpath.coordination.node.storage.PublishAdmission} takes or
+ * refuses publishes; {@link brookpath.coordination.node.storage.FetchHandler} serves the gateways' reads. All of it
+ * runs on the state thread, takes (event, now) and returns actions: no clock, I/O or thread of its own. Times are
+ * monotonic milliseconds unless a name says otherwise.
+ */
+package brookpath.coordination.node.storage;
--- a/tools/src/main/java/brookpath/tools/datafolder/DataFolderCheck.java
+++ b/tools/src/main/java/brookpath/tools/datafolder/DataFolderCheck.java
@@ -1,7 +1,5 @@
 package brookpath.tools.datafolder;
 
-import static brookpath.coordination.node.StorageNode.DROP;
-
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
 import brookpath.coordination.configuration.ControlState;
@@ -9,6 +7,7 @@
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.heartbeat.HeartbeatPromises;
 import brookpath.coordination.node.ControllerNode;
+import brookpath.coordination.node.storage.TopicGroups;
 import brookpath.coordination.topic.TopicState;
 import brookpath.state.disk.Disk;
 import brookpath.state.disk.DiskFile;
@@ -157,7 +156,7 @@
             try {
                 final PackedBuffer in = PackedBuffer.reader(entry);
                 final int id = (int) in.num();
-                if (PackedBuffer.reader(entry).skip(8).num() == DROP) {
+                if (TopicGroups.isDropped(entry)) {
                     groups.remove(id);
                     continue;
                 }
