--- a/programs/src/main/java/brookpath/programs/Controller.java
+++ b/programs/src/main/java/brookpath/programs/Controller.java
@@ -2,13 +2,12 @@
 
 import brookpath.programs.boot.ProcessLauncher;
 
-/** The control plane. */
+/** The program of the control plane. */
 public final class Controller {
     private Controller() {}
 
+    /** Starts the process. */
     public static void main(final String[] args) throws Exception {
-        // why: Dropwizard brings logback along; SLF4J is to go to tinylog before anything logs
-        System.setProperty("slf4j.provider", "org.tinylog.slf4j.TinylogSlf4jServiceProvider");
-        ProcessLauncher.main("controller", true, args);
+        ProcessLauncher.launch(Program.CONTROLLER, args);
     }
 }
--- a/programs/src/main/java/brookpath/programs/boot/Web.java
+++ b/programs/src/main/java/brookpath/programs/boot/HttpServer.java
@@ -12,17 +12,25 @@
 import io.dropwizard.jetty.HttpConnectorFactory;
 import io.dropwizard.logging.common.LoggingFactory;
 import io.dropwizard.request.logging.RequestLogFactory;
+import io.dropwizard.util.Duration;
 import java.util.List;
 import java.util.Set;
 import org.eclipse.jetty.server.RequestLog;
 
-/** Dropwizard, started from settings that are already read and checked, with its logs going to tinylog alone. */
-final class Web extends Application<Configuration> {
+/**
+ * The HTTP server of a process: Dropwizard, started from settings that are already read and checked, with its logs
+ * going to tinylog alone.
+ */
+final class HttpServer extends Application<Configuration> {
+    private static final int MAX_THREADS = 128;
+    private static final Duration SHUTDOWN_GRACE_PERIOD = Duration.seconds(1);
+
     private final String host;
     private final int port;
     private final Set<Object> resources;
 
-    Web(final String host, final int port, final Set<Object> resources) {
+    /** @param resources the JAX-RS resources to serve */
+    HttpServer(final String host, final int port, final Set<Object> resources) {
         this.host = host;
         this.port = port;
         this.resources = resources;
@@ -35,7 +43,7 @@
 
     @Override
     public void initialize(final Bootstrap<Configuration> bootstrap) {
-        bootstrap.setConfigurationFactoryFactory(new Fixed());
+        bootstrap.setConfigurationFactoryFactory(new FixedConfigurationFactory());
     }
 
     @Override
@@ -55,20 +63,20 @@
         server.setAdminConnectors(List.of());
         server.getGzipFilterFactory().setEnabled(false);
         server.setRequestLogFactory(new NoRequestLog());
-        // why: by then the sessions have been told; callers are better off at another gateway
-        server.setShutdownGracePeriod(io.dropwizard.util.Duration.seconds(1));
-        server.setMaxThreads(128);
+        // why: by then the sessions have ended; callers are better off at another gateway
+        server.setShutdownGracePeriod(SHUTDOWN_GRACE_PERIOD);
+        server.setMaxThreads(MAX_THREADS);
         server.setDetailedJsonProcessingExceptionMapper(false);
-        final Configuration conf = new Configuration();
-        conf.setServerFactory(server);
-        conf.setLoggingFactory(new NoLogging());
-        return conf;
+        final Configuration configuration = new Configuration();
+        configuration.setServerFactory(server);
+        configuration.setLoggingFactory(new NoLogging());
+        return configuration;
     }
 
-    private final class Fixed implements ConfigurationFactoryFactory<Configuration> {
+    private final class FixedConfigurationFactory implements ConfigurationFactoryFactory<Configuration> {
         @Override
         public ConfigurationFactory<Configuration> create(
-                final Class<Configuration> klass,
+                final Class<Configuration> type,
                 final jakarta.validation.Validator validator,
                 final com.fasterxml.jackson.databind.ObjectMapper mapper,
                 final String prefix) {
--- a/programs/src/main/java/brookpath/programs/boot/ProcessAssembly.java
+++ b/programs/src/main/java/brookpath/programs/boot/ProcessAssembly.java
@@ -1,180 +1,134 @@
 package brookpath.programs.boot;
 
-import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Action;
 import brookpath.coordination.configuration.ClusterMetadata;
 import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
 import brookpath.coordination.configuration.ConfigurationClient;
-import brookpath.coordination.group.Member;
 import brookpath.coordination.node.ControllerNode;
 import brookpath.coordination.node.GatewayNode;
 import brookpath.coordination.node.Node;
 import brookpath.coordination.node.Node.Time;
 import brookpath.coordination.node.StorageNode;
-import brookpath.coordination.node.control.Founding;
-import brookpath.state.disk.DiskFullException;
-import brookpath.state.disk.FolderDisk;
-import brookpath.state.disk.MachineIdentity;
-import brookpath.state.wal.WriteAheadLog;
 import brookpath.transport.identity.ProcessIdentity;
 import brookpath.transport.identity.RandomNumbers;
 import brookpath.transport.loop.Host;
-import java.nio.file.Path;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.function.Supplier;
-import org.tinylog.Logger;
+import java.util.function.LongSupplier;
 
 /**
- * A process's state, disk and sessions with peers put together; whatever serves callers or operators is added by the
- * program.
+ * A process put together: its state machine, its data folder and its sessions with peers. Whatever serves callers or
+ * operators is added by the program.
  */
 public final class ProcessAssembly {
-    /** What a process does. */
-    public enum Role {
-        GATEWAY,
-        STORAGE,
-        CONTROLLER
-    }
+    private static final int EXIT_CODE_OF_A_FATAL_ERROR = 1;
 
-    /**
-     * @param info this process as others are told of it
-     * @param founders the control group's members at its founding; for a controller alone
-     * @param seeds controllers that may be asked, with the addresses where peers reach them
-     * @param found whether this controller founds the control group, on an empty folder
-     * @param data the data folder; empty where the machine has no disk
-     * @param rollBytes a new segment after so much
-     * @param threads that carry traffic
-     * @param bornAt when the process began, by its monotonic clock, in milliseconds
-     */
-    public record Plan(
-            Role role,
-            NodeInfo info,
-            List<Member> founders,
-            Map<Integer, String> seeds,
-            TimingBounds timing,
-            Founding founding,
-            boolean found,
-            String data,
-            long rollBytes,
-            int threads,
-            long bornAt) {}
-
-    private final Node node;
     private final Host host;
-    private final List<Action> first;
+    private final List<Action> firstActions;
 
-    private ProcessAssembly(final Node node, final Host host, final List<Action> first) {
-        this.node = node;
+    private ProcessAssembly(final Host host, final List<Action> firstActions) {
         this.host = host;
-        this.first = first;
+        this.firstActions = firstActions;
     }
 
-    /** Throws IllegalStateException where the folder forbids what the plan says. */
-    public static ProcessAssembly of(final Plan plan, final Host.Poster poster) {
-        final Time time = Host.time();
-        final FolderDisk disk = plan.data.isEmpty() ? null : new FolderDisk(Path.of(plan.data));
-        final NodeInfo info =
-                plan.info.on(disk == null ? RandomNumbers.identity() : onceThereIsRoom(plan, () -> machine(disk)));
-        final WriteAheadLog.Recovery recovered =
-                disk == null ? null : onceThereIsRoom(plan, () -> WriteAheadLog.recover(disk));
-        final List<byte[]> entries = recovered == null ? List.of() : recovered.replayed();
-        if (recovered != null) {
-            recovered.findings().forEach(f -> Logger.error("data folder: {}", f));
-        }
-        final Node node = node(plan, info);
-        node.bornAt(plan.bornAt);
-        entries.forEach(e -> node.replay(e, time));
-        if (plan.found && !entries.isEmpty()) {
-            throw new IllegalStateException(
+    /**
+     * Opens the data folder, replays its log and prepares the process; nothing runs before {@link #start}.
+     *
+     * @param poster posts the usage reports
+     * @throws ProcessStartException where the data folder forbids what the plan says
+     */
+    public static ProcessAssembly of(final ProcessPlan plan, final Host.Poster poster) {
+        final Time now = Host.time();
+        final DataFolder dataFolder = DataFolder.open(plan);
+        final NodeInfo self = plan.self().on(dataFolder.machineIdentity());
+        final Node node = createNode(plan, self);
+        node.bornAt(plan.startedAtMs());
+        dataFolder.entries().forEach(entry -> node.replay(entry, now));
+        if (plan.foundsControlGroup() && !dataFolder.entries().isEmpty()) {
+            throw new ProcessStartException(
                     "the data folder already holds a control log, and the control group is founded only once");
         }
-        final List<Action> first = node instanceof ControllerNode b ? b.start(plan.found, time) : List.of();
-        final ConfigurationClient client =
-                node instanceof GatewayNode f ? f.client() : node instanceof StorageNode n ? n.client() : null;
+        final List<Action> firstActions = node instanceof ControllerNode controller
+                ? controller.start(plan.foundsControlGroup(), now)
+                : List.of();
         final Host host = new Host(
                 node,
-                new ProcessIdentity(info.node(), RandomNumbers.identity(), info.machine()),
-                plan.timing,
-                recovered == null ? null : recovered.writeAheadLog(),
-                n -> addresses(plan, n),
-                () -> client == null ? Long.MAX_VALUE : client.leaseUntil(),
+                new ProcessIdentity(self.node(), RandomNumbers.identity(), self.machine()),
+                plan.timing(),
+                dataFolder.log(),
+                current -> peerAddresses(plan, current),
+                configurationLeaseEnd(node),
                 poster,
-                plan.threads,
-                () -> Runtime.getRuntime().halt(1));
-        return new ProcessAssembly(node, host, first);
+                plan.trafficThreads(),
+                () -> Runtime.getRuntime().halt(EXIT_CODE_OF_A_FATAL_ERROR));
+        return new ProcessAssembly(host, firstActions);
     }
 
-    /** The identity of the machine that this runs on, kept on its disk. */
-    private static long machine(final FolderDisk disk) {
-        final MachineIdentity identity = MachineIdentity.of(disk, RandomNumbers.identity());
-        if (identity.finding() != null) {
-            Logger.error("data folder: {}", identity.finding());
-        }
-        return identity.number();
+    private static Node createNode(final ProcessPlan plan, final NodeInfo self) {
+        final List<Integer> seeds = List.copyOf(plan.seeds().keySet());
+        // why: requests of an earlier incarnation must not be taken for this one's
+        final long firstRequestId = RandomNumbers.firstId();
+        final long randomSeed = System.nanoTime();
+        return switch (plan.role()) {
+            case GATEWAY -> new GatewayNode(self, seeds, plan.timing(), firstRequestId);
+            case STORAGE ->
+                new StorageNode(
+                        self,
+                        seeds,
+                        plan.timing(),
+                        plan.founding().toleratedLosses(),
+                        randomSeed,
+                        firstRequestId,
+                        plan.segmentBytes());
+            case CONTROLLER ->
+                new ControllerNode(
+                        self,
+                        plan.founders(),
+                        seeds,
+                        plan.founding(),
+                        plan.timing(),
+                        randomSeed,
+                        firstRequestId,
+                        plan.segmentBytes());
+        };
     }
 
-    /** A folder that is full holds nothing yet, else it could be read; it is waited for, as any write would be. */
-    private static <T> T onceThereIsRoom(final Plan plan, final Supplier<T> opening) {
-        while (true) {
-            try {
-                return opening.get();
-            } catch (final DiskFullException ex) {
-                Logger.warn("data folder: no room to begin in; tried again");
-                pause(plan.timing.diskPause());
-            }
-        }
+    /** Until when, in milliseconds of the monotonic clock, the process may serve by its lease on the configuration. */
+    private static LongSupplier configurationLeaseEnd(final Node node) {
+        final ConfigurationClient client = configurationClient(node);
+        return client == null ? () -> Long.MAX_VALUE : client::leaseUntil;
     }
 
-    private static void pause(final long millis) {
-        try {
-            Thread.sleep(millis);
-        } catch (final InterruptedException ex) {
-            Thread.currentThread().interrupt();
-            throw new IllegalStateException("interrupted before the start", ex);
+    /** Null for a controller, which owns the configuration. */
+    private static ConfigurationClient configurationClient(final Node node) {
+        if (node instanceof GatewayNode gateway) {
+            return gateway.client();
         }
+        return node instanceof StorageNode storage ? storage.client() : null;
     }
 
-    private static Node node(final Plan plan, final NodeInfo me) {
-        final List<Integer> seeds = List.copyOf(plan.seeds.keySet());
-        // why: requests of a former life must not be taken for this one's
-        final long firstId = RandomNumbers.firstId();
-        final long seed = System.nanoTime();
-        return switch (plan.role) {
-            case GATEWAY -> new GatewayNode(me, seeds, plan.timing, firstId);
-            case STORAGE ->
-                new StorageNode(me, seeds, plan.timing, plan.founding.toleratedLosses(), seed, firstId, plan.rollBytes);
-            case CONTROLLER ->
-                new ControllerNode(me, plan.founders, seeds, plan.founding, plan.timing, seed, firstId, plan.rollBytes);
-        };
-    }
-
-    /** Whom the process keeps sessions with: the controllers, and from the cluster metadata the storage machines. */
-    private static Map<Integer, String> addresses(final Plan plan, final Node node) {
-        final Map<Integer, String> map = new LinkedHashMap<>(plan.seeds);
-        if (node instanceof ControllerNode b) {
-            map.putAll(b.addresses());
+    /** The peers to keep sessions with: the controllers, and the storage nodes of the cluster metadata. */
+    private static Map<Integer, String> peerAddresses(final ProcessPlan plan, final Node node) {
+        final Map<Integer, String> addresses = new LinkedHashMap<>(plan.seeds());
+        if (node instanceof ControllerNode controller) {
+            addresses.putAll(controller.addresses());
         } else {
-            final ClusterMetadata metadata = node instanceof GatewayNode f
-                    ? f.client().metadata()
-                    : ((StorageNode) node).client().metadata();
-            metadata.controllers().forEach(n -> map.put(n.node(), n.address()));
-            metadata.nodes().forEach(n -> map.put(n.node(), n.address()));
+            final ClusterMetadata metadata = configurationClient(node).metadata();
+            metadata.controllers().forEach(peer -> addresses.put(peer.node(), peer.address()));
+            metadata.nodes().forEach(peer -> addresses.put(peer.node(), peer.address()));
         }
-        map.remove(plan.info.node());
-        return map;
+        addresses.remove(plan.self().node());
+        return addresses;
     }
 
+    /** What runs the state machine: events, disk and sessions with peers. */
     public Host host() {
         return host;
     }
 
-    public Node node() {
-        return node;
-    }
-
+    /** Starts the threads of the process. */
     public void start() {
-        host.start(first);
+        host.start(firstActions);
     }
 }
--- /dev/null
+++ b/programs/src/main/java/brookpath/programs/boot/package-info.java
@@ -0,0 +1,2 @@
+/** Puts a process together from its settings, and starts it. */
+package brookpath.programs.boot;
--- /dev/null
+++ b/programs/src/main/java/brookpath/programs/package-info.java
@@ -0,0 +1,2 @@
+/** The programs' entry points. */
+package brookpath.programs;
--- a/programs/src/main/java/brookpath/programs/settings/Settings.java
+++ b/programs/src/main/java/brookpath/programs/settings/Settings.java
@@ -1,35 +1,35 @@
 package brookpath.programs.settings;
 
 import brookpath.coordination.TimingBounds;
+import brookpath.coordination.node.control.Founding;
+import brookpath.programs.Role;
 import java.util.Map;
 
-/** One process's place in the system, read and checked. Addresses are host:port; a seed is node@host:port. */
+/**
+ * The settings of one process, read and checked. Addresses are host:port.
+ *
+ * @param node the process's number, unique in the cluster
+ * @param peerAddress where peers reach the process; empty for a gateway without one
+ * @param advertisedPeerAddress where peers are told to reach it, other than peerAddress behind a forwarded port
+ * @param httpAddress where callers or operators reach it
+ * @param seeds the controllers that are polled first: their addresses for peers by their numbers
+ * @param dataFolder empty for a gateway without one
+ * @param founding how the topic groups are founded, and how many machines may be lost at once
+ * @param segmentBytes a new log segment begins, with a snapshot, after this much
+ * @param foundsControlGroup whether this controller founds the control group, on an empty data folder
+ * @param platformUrl where usage reports are posted; empty where they are only kept
+ */
 public record Settings(
         int node,
         String zone,
-        String role,
-        String peers,
-        String http,
+        Role role,
+        String peerAddress,
+        String advertisedPeerAddress,
+        String httpAddress,
         Map<Integer, String> seeds,
-        String data,
+        String dataFolder,
         TimingBounds timing,
-        int toleratedLosses,
-        int groups,
-        int copies,
-        int storages,
-        long rollBytes,
-        boolean found,
-        String platform,
-        String reachedAs) {
-    public static final String GATEWAY = "front";
-    public static final String STORAGE = "storage";
-    public static final String CONTROLLER = "bailiff";
-
-    public static String host(final String address) {
-        return address.substring(0, address.lastIndexOf(':'));
-    }
-
-    public static int port(final String address) {
-        return Integer.parseInt(address.substring(address.lastIndexOf(':') + 1));
-    }
-}
+        Founding founding,
+        long segmentBytes,
+        boolean foundsControlGroup,
+        String platformUrl) {}
--- a/programs/src/main/java/brookpath/programs/settings/SettingsReader.java
+++ b/programs/src/main/java/brookpath/programs/settings/SettingsReader.java
@@ -2,289 +2,253 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.configuration.Finding;
+import brookpath.coordination.node.control.Founding;
+import brookpath.programs.Program;
+import brookpath.programs.Role;
 import jakarta.json.Json;
-import jakarta.json.JsonArray;
 import jakarta.json.JsonConfig;
 import jakarta.json.JsonException;
-import jakarta.json.JsonNumber;
 import jakarta.json.JsonObject;
 import jakarta.json.JsonReader;
-import jakarta.json.JsonString;
+import jakarta.json.JsonReaderFactory;
 import jakarta.json.JsonValue;
 import java.io.ByteArrayInputStream;
 import java.io.IOException;
-import java.io.InputStream;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.ArrayList;
+import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.DefaultParser;
-import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
 
-/** Reads the settings file and the flags over it; collects all that is wrong, with its place. */
+/** Reads the flags and the settings file of a process; collects all that is wrong, with its place. */
 public final class SettingsReader {
-    private static final Set<String> BOTH = Set.of(
-            "node",
-            "zone",
-            "role",
-            "siblings",
-            "http",
-            "seeds",
-            "data",
-            "bounds",
-            "toleratedLosses",
-            "segmentBytes",
-            "reachedAs");
-    private static final Set<String> FLAGS = Set.of("node", "zone", "role", "siblings", "http", "data");
+    private static final String FLAGS_PLACE = "flags";
+    private static final Set<Integer> SEED_COUNTS = Set.of(1, 3);
+    private static final JsonReaderFactory JSON =
+            Json.createReaderFactory(Map.of(JsonConfig.KEY_STRATEGY, JsonConfig.KeyStrategy.NONE));
 
     /**
-     * What reading the flags and the file gave: the settings if there were no findings, and what was asked for besides.
+     * What reading the flags and the file gave.
+     *
+     * @param settings good where there are no findings; null where help was asked for, or the flags cannot be read
+     * @param findings what is wrong
+     * @param warnings what works for now, but will not in the next release
+     * @param helpOnly whether only the help text is asked for
+     * @param checkOnly whether the settings are only to be checked
      */
-    public record Reading(Settings settings, List<Finding> findings, boolean help, boolean checkOnly) {}
+    public record Reading(
+            Settings settings, List<Finding> findings, List<Finding> warnings, boolean helpOnly, boolean checkOnly) {
+        static Reading failed(final String place, final String reason) {
+            return new Reading(null, List.of(new Finding(place, reason)), List.of(), false, false);
+        }
+    }
 
-    private final List<Finding> findings = new ArrayList<>();
-    private final boolean controller;
-    private final CommandLine cl;
-    private JsonObject file = JsonValue.EMPTY_JSON_OBJECT;
+    private final Program program;
+    private final CommandLine flags;
+    private final SettingsSource source;
 
-    private SettingsReader(final boolean controller, final CommandLine cl) {
-        this.controller = controller;
-        this.cl = cl;
+    private SettingsReader(final Program program, final CommandLine flags, final SettingsSource source) {
+        this.program = program;
+        this.flags = flags;
+        this.source = source;
     }
 
-    public static Options options(final boolean controller) {
-        final Options opts = new Options()
-                .addOption(null, "settings", true, "settings file (JSON); flags go over it")
-                .addOption(null, "node", true, "this process's number, unique in the fleet")
-                .addOption(null, "zone", true, "the zone it runs in")
-                .addOption(null, "siblings", true, "host:port on which siblings reach it")
-                .addOption(null, "http", true, "host:port for HTTP")
-                .addOption(null, "seeds", true, "the three bailiffs: node@host:port,...")
-                .addOption(null, "data", true, "the data folder")
-                .addOption(null, "check", false, "check the settings and stop")
-                .addOption("h", "help", false, "this text");
-        return controller
-                ? opts.addOption(
-                        null, "found", false, "first start ever: found the control group on an empty data folder")
-                : opts.addOption(null, "role", true, "front or storage");
+    /** Reads a program's arguments, and the settings file that they name. */
+    public static Reading read(final String[] args, final Program program) {
+        try {
+            final CommandLine flags = parse(args, program);
+            return flags.hasOption(SettingsFlags.SETTINGS) && !flags.hasOption(SettingsFlags.HELP)
+                    ? readFile(flags, program, Path.of(flags.getOptionValue(SettingsFlags.SETTINGS)))
+                    : read(flags, program, JsonValue.EMPTY_JSON_OBJECT, List.of());
+        } catch (final ParseException ex) {
+            return Reading.failed(FLAGS_PLACE, ex.getMessage());
+        }
     }
 
-    public static Reading read(final String[] args, final boolean controller) {
-        return read(args, controller, null);
+    /**
+     * Reads a program's arguments.
+     *
+     * @param content what the settings file held when it was looked at
+     */
+    static Reading read(final String[] args, final Program program, final byte[] content) {
+        try {
+            final CommandLine flags = parse(args, program);
+            return readContent(flags, program, flags.getOptionValue(SettingsFlags.SETTINGS), content);
+        } catch (final ParseException ex) {
+            return Reading.failed(FLAGS_PLACE, ex.getMessage());
+        }
     }
 
-    /** The settings file that the flags name, null for none. */
-    public static Path file(final String[] args, final boolean controller) {
+    /** The settings file that the arguments name, null for none. */
+    static Path file(final String[] args, final Program program) {
         try {
-            final String name =
-                    new DefaultParser().parse(options(controller), args).getOptionValue("settings");
+            final String name = parse(args, program).getOptionValue(SettingsFlags.SETTINGS);
             return name == null ? null : Path.of(name);
         } catch (final ParseException ex) {
             return null;
         }
     }
 
-    /** @param content what the settings file held when it was looked at, null to look now */
-    static Reading read(final String[] args, final boolean controller, final byte[] content) {
-        final CommandLine cl;
+    private static CommandLine parse(final String[] args, final Program program) throws ParseException {
+        return new DefaultParser().parse(SettingsFlags.of(program), args);
+    }
+
+    private static Reading readFile(final CommandLine flags, final Program program, final Path file) {
+        final byte[] content;
         try {
-            cl = new DefaultParser().parse(options(controller), args);
-        } catch (final ParseException ex) {
-            return new Reading(null, List.of(new Finding("flags", ex.getMessage())), false, false);
+            content = Files.readAllBytes(file);
+        } catch (final IOException ex) {
+            final Finding finding = new Finding(file.toString(), "cannot be read: " + ex.getMessage());
+            return read(flags, program, JsonValue.EMPTY_JSON_OBJECT, List.of(finding));
         }
-        final SettingsReader rd = new SettingsReader(controller, cl);
-        final Settings settings = cl.hasOption("help") ? null : rd.settings(content);
-        return new Reading(settings, rd.findings, cl.hasOption("help"), cl.hasOption("check"));
+        return readContent(flags, program, file.toString(), content);
     }
 
-    private Settings settings(final byte[] content) {
-        for (final String arg : cl.getArgList()) {
-            findings.add(new Finding("flags", "unexpected \"" + arg + "\""));
-        }
-        if (cl.hasOption("settings")) {
-            final Path path = Path.of(cl.getOptionValue("settings"));
-            try (InputStream in = content == null ? Files.newInputStream(path) : new ByteArrayInputStream(content);
-                    JsonReader rd = Json.createReaderFactory(
-                                    Map.of(JsonConfig.KEY_STRATEGY, JsonConfig.KeyStrategy.NONE))
-                            .createReader(in)) {
-                file = rd.readObject();
-            } catch (final IOException ex) {
-                findings.add(new Finding(path.toString(), "cannot be read: " + ex.getMessage()));
-            } catch (final JsonException | IllegalStateException ex) {
-                findings.add(new Finding(path.toString(), "not a JSON object: " + ex.getMessage()));
-            }
-        }
-        for (final String field : file.keySet()) {
-            if (!BOTH.contains(field)
-                    && !(controller && Set.of("founding", "platform").contains(field))) {
-                findings.add(new Finding("/" + field, "unknown field"));
-            }
-        }
-        final int node = (int) num(file, "", "node", 1, 999_999, null);
-        final String zone = text("zone", null);
-        final String role = controller ? Settings.CONTROLLER : text("role", null);
-        if (!controller && !role.isEmpty() && !role.equals(Settings.GATEWAY) && !role.equals(Settings.STORAGE)) {
-            findings.add(new Finding(place("role"), "must be \"front\" or \"storage\""));
-        }
-        final String peers = address("siblings", role.equals(Settings.GATEWAY) ? "" : null);
-        final String http = address("http", null);
-        final boolean disk = !role.equals(Settings.GATEWAY);
-        final String data = text("data", disk ? null : "");
-        final Map<Integer, String> seeds = seeds();
-        if (controller && node > 0 && !seeds.isEmpty() && !seeds.containsKey(node)) {
-            findings.add(new Finding(place("seeds"), "a bailiff must be among the seeds; node " + node + " is not"));
-        }
-        if (!controller && seeds.containsKey(node)) {
-            findings.add(new Finding(place("node"), "node " + node + " is one of the seeds"));
-        }
-        final JsonObject bounds = object("bounds", Set.of("deliverMs", "recoverMs", "changeMs", "windowMs"));
-        final TimingBounds timing = new TimingBounds(
-                num(bounds, "/bounds", "deliverMs", 400, 60_000, TimingBounds.DEFAULT.deliverMs()),
-                num(bounds, "/bounds", "recoverMs", 1_000, 600_000, TimingBounds.DEFAULT.recoverMs()),
-                num(bounds, "/bounds", "changeMs", 600, 60_000, TimingBounds.DEFAULT.changeMs()),
-                num(bounds, "/bounds", "windowMs", 1_000, 3_600_000, TimingBounds.DEFAULT.windowMs()));
-        // why: the control plane's own failover must fit well inside the lease that it grants
-        if (timing.down() + 2 * timing.goDeadline() + timing.configurationHold() > timing.configurationLease()) {
-            findings.add(new Finding(
-                    "/bounds/changeMs",
-                    "too short beside deliverMs: a change of control master would outlast the spec lease"));
-        }
-        final JsonObject founding = object("founding", Set.of("groups", "copies", "storages"));
-        final int copies = (int) num(founding, "/founding", "copies", 1, 7, 3L);
-        final int storages = (int) num(founding, "/founding", "storages", 1, 64, (long) copies);
-        if (storages < copies) {
-            findings.add(new Finding("/founding/storages", storages + " machines cannot hold " + copies + " copies"));
+    private static Reading readContent(
+            final CommandLine flags, final Program program, final String file, final byte[] content) {
+        try (JsonReader reader = JSON.createReader(new ByteArrayInputStream(content))) {
+            return read(flags, program, reader.readObject(), List.of());
+        } catch (final JsonException | IllegalStateException ex) {
+            final Finding finding = new Finding(file, "not a JSON object: " + ex.getMessage());
+            return read(flags, program, JsonValue.EMPTY_JSON_OBJECT, List.of(finding));
         }
+    }
+
+    private static Reading read(
+            final CommandLine flags, final Program program, final JsonObject file, final List<Finding> findings) {
+        final SettingsSource source = new SettingsSource(flags, file);
+        final boolean helpOnly = flags.hasOption(SettingsFlags.HELP);
+        source.findings().addAll(findings);
+        final Settings settings = helpOnly ? null : new SettingsReader(program, flags, source).settings();
+        return new Reading(
+                settings, source.findings(), source.warnings(), helpOnly, flags.hasOption(SettingsFlags.CHECK));
+    }
+
+    private Settings settings() {
+        flags.getArgList().forEach(arg -> source.rejectAt(FLAGS_PLACE, "unexpected \"" + arg + "\""));
+        source.rejectUnknownKeys(knownKeys());
+        final int node = (int) source.number(SettingsKeys.NODE);
+        final String zone = source.requiredText(SettingsKeys.ZONE);
+        final Role role = role();
+        final boolean gateway = role == Role.GATEWAY;
+        final String peerAddress =
+                gateway ? source.optionalAddress(SettingsKeys.PEERS) : source.requiredAddress(SettingsKeys.PEERS);
+        final String advertisedPeerAddress = source.optionalAddress(SettingsKeys.REACHED_AS);
         return new Settings(
                 node,
                 zone,
                 role,
-                peers,
-                http,
-                seeds,
-                data,
-                timing,
-                (int) num(file, "", "toleratedLosses", 0, 3, 1L),
-                (int) num(founding, "/founding", "groups", 1, 256, 16L),
-                copies,
-                storages,
-                num(file, "", "segmentBytes", 1 << 16, 1 << 30, 8L << 20),
-                cl.hasOption("found"),
-                platform(),
-                file.containsKey("reachedAs") ? address("reachedAs", "") : peers);
+                peerAddress,
+                advertisedPeerAddress.isEmpty() ? peerAddress : advertisedPeerAddress,
+                source.requiredAddress(SettingsKeys.HTTP),
+                seeds(node),
+                gateway ? source.optionalText(SettingsKeys.DATA) : source.requiredText(SettingsKeys.DATA),
+                timing(),
+                founding(),
+                source.number(SettingsKeys.SEGMENT_BYTES),
+                flags.hasOption(SettingsFlags.FOUND),
+                platformUrl());
     }
 
-    private String platform() {
-        final String v = text("platform", "");
-        if (!v.isEmpty() && !v.matches("http://[^/]+:[0-9]{1,5}(/.*)?")) {
-            findings.add(new Finding(place("platform"), "must be http://host:port/path"));
+    private Set<String> knownKeys() {
+        final Set<String> keys = new HashSet<>(SettingsKeys.KEYS);
+        if (program == Program.CONTROLLER) {
+            keys.addAll(SettingsKeys.CONTROLLER_KEYS);
         }
-        return v;
+        return keys;
     }
 
-    private Map<Integer, String> seeds() {
-        final List<String> texts = new ArrayList<>();
-        if (cl.hasOption("seeds")) {
-            texts.addAll(List.of(cl.getOptionValue("seeds").split(",")));
-        } else if (file.get("seeds") instanceof JsonArray arr) {
-            arr.forEach(v -> texts.add(v instanceof JsonString s ? s.getString() : v.toString()));
+    /** A storage node's where the role is wrong, so that reading goes on with the stricter demands. */
+    private Role role() {
+        if (program == Program.CONTROLLER) {
+            return Role.CONTROLLER;
         }
-        final Map<Integer, String> seeds = new LinkedHashMap<>();
-        for (int i = 0; i < texts.size(); i++) {
-            final String at = cl.hasOption("seeds") ? "--seeds, entry " + (i + 1) : "/seeds/" + i;
-            final int sep = texts.get(i).indexOf('@');
-            if (sep < 1
-                    || !texts.get(i).substring(0, sep).matches("[1-9][0-9]{0,5}")
-                    || !isAddress(texts.get(i).substring(sep + 1))) {
-                findings.add(new Finding(at, "must be node@host:port"));
-            } else if (seeds.put(
-                            Integer.parseInt(texts.get(i).substring(0, sep)),
-                            texts.get(i).substring(sep + 1))
-                    != null) {
-                findings.add(new Finding(at, "the node is there twice"));
-            }
+        final String name = source.withoutFormerValues(
+                SettingsKeys.ROLE, source.requiredText(SettingsKeys.ROLE), SettingsKeys.FORMER_ROLES);
+        if (name.equals(SettingsKeys.ROLE_GATEWAY)) {
+            return Role.GATEWAY;
         }
-        if (texts.size() != 3 && texts.size() != 1) {
-            findings.add(new Finding(place("seeds"), "three seeds are needed (one for a trial without failover)"));
+        if (!name.isEmpty() && !name.equals(SettingsKeys.ROLE_STORAGE)) {
+            source.reject(
+                    SettingsKeys.ROLE,
+                    "must be \"" + SettingsKeys.ROLE_GATEWAY + "\" or \"" + SettingsKeys.ROLE_STORAGE + "\"");
         }
-        return seeds;
+        return Role.STORAGE;
     }
 
-    private static boolean isAddress(final String text) {
-        final int sep = text.lastIndexOf(':');
-        return sep > 0
-                && text.substring(sep + 1).matches("[0-9]{1,5}")
-                && Integer.parseInt(text.substring(sep + 1)) <= 65_535;
-    }
-
-    private String address(final String field, final String absent) {
-        final String v = text(field, absent);
-        if (!v.isEmpty() && !isAddress(v)) {
-            findings.add(new Finding(place(field), "must be host:port"));
+    private Map<Integer, String> seeds(final int node) {
+        final List<String> entries = source.list(SettingsKeys.SEEDS);
+        final Map<Integer, String> seeds = new LinkedHashMap<>();
+        for (int i = 0; i < entries.size(); i++) {
+            addSeed(entries.get(i), source.placeOfEntry(SettingsKeys.SEEDS, i), seeds);
         }
-        return v;
-    }
-
-    private String text(final String field, final String absent) {
-        if (cl.hasOption(field)) {
-            return cl.getOptionValue(field);
+        if (!SEED_COUNTS.contains(entries.size())) {
+            source.reject(SettingsKeys.SEEDS, "three seeds are needed (one for a trial without failover)");
         }
-        final JsonValue v = file.get(field);
-        if (v instanceof JsonString s && !s.getString().isEmpty()) {
-            return s.getString();
+        if (program == Program.CONTROLLER && node > 0 && !seeds.isEmpty() && !seeds.containsKey(node)) {
+            source.reject(SettingsKeys.SEEDS, "a controller must be among the seeds; node " + node + " is not");
         }
-        if (v != null || absent == null) {
-            findings.add(new Finding(place(field), v == null ? "is missing" : "must be a string that is not empty"));
+        if (program != Program.CONTROLLER && seeds.containsKey(node)) {
+            source.reject(SettingsKeys.NODE.key(), "node " + node + " is one of the seeds");
         }
-        return "";
+        return seeds;
     }
 
-    private JsonObject object(final String field, final Set<String> known) {
-        final JsonValue v = file.get(field);
-        if (!(v instanceof JsonObject obj)) {
-            if (v != null) {
-                findings.add(new Finding("/" + field, "must be an object"));
-            }
-            return JsonValue.EMPTY_JSON_OBJECT;
+    /** A seed is node@host:port. */
+    private void addSeed(final String entry, final String place, final Map<Integer, String> seeds) {
+        final int separator = entry.indexOf('@');
+        if (separator < 1
+                || !entry.substring(0, separator).matches("[1-9][0-9]{0,5}")
+                || !Address.isValid(entry.substring(separator + 1))) {
+            source.rejectAt(place, "must be node@host:port");
+            return;
+        }
+        final int node = Integer.parseInt(entry.substring(0, separator));
+        if (seeds.put(node, entry.substring(separator + 1)) != null) {
+            source.rejectAt(place, "the node is there twice");
         }
-        obj.keySet().stream()
-                .filter(k -> !known.contains(k))
-                .forEach(k -> findings.add(new Finding("/" + field + "/" + k, "unknown field")));
-        return obj;
     }
 
-    private long num(
-            final JsonObject obj,
-            final String at,
-            final String field,
-            final long min,
-            final long max,
-            final Long absent) {
-        final boolean flag = at.isEmpty() && FLAGS.contains(field) && cl.hasOption(field);
-        final JsonValue v = obj.get(field);
-        final String text =
-                flag ? cl.getOptionValue(field) : v == null ? null : v instanceof JsonNumber ? v.toString() : "?";
-        if (text == null && absent != null) {
-            return absent;
-        }
-        if (text == null
-                || !text.matches("-?[0-9]{1,18}")
-                || Long.parseLong(text) < min
-                || Long.parseLong(text) > max) {
-            findings.add(new Finding(
-                    flag ? "--" + field : at + "/" + field,
-                    text == null ? "is missing" : "must be a whole number from " + min + " to " + max));
-            return -1;
+    private TimingBounds timing() {
+        final JsonObject bounds = source.section(SettingsKeys.BOUNDS, SettingsKeys.BOUNDS_KEYS);
+        final TimingBounds timing = new TimingBounds(
+                source.number(SettingsKeys.DELIVER_MS, bounds),
+                source.number(SettingsKeys.RECOVER_MS, bounds),
+                source.number(SettingsKeys.CHANGE_MS, bounds),
+                source.number(SettingsKeys.WINDOW_MS, bounds));
+        // why: the control plane's own failover must fit well inside the lease that it grants
+        final long failoverMs = timing.down() + 2 * timing.goDeadline() + timing.configurationHold();
+        if (failoverMs > timing.configurationLease()) {
+            source.rejectAt(
+                    SettingsKeys.CHANGE_MS.place(),
+                    "too short beside deliverMs: a change of control leader would outlast the configuration lease");
         }
-        return Long.parseLong(text);
+        return timing;
     }
 
-    private String place(final String field) {
-        return cl.hasOption(field) ? "--" + field : "/" + field;
+    private Founding founding() {
+        final JsonObject founding = source.section(SettingsKeys.FOUNDING, SettingsKeys.FOUNDING_KEYS);
+        final int groups = (int) source.number(SettingsKeys.GROUPS, founding);
+        final int replicas = (int) source.number(SettingsKeys.REPLICAS, founding);
+        final NumberSetting storageNodesSetting = SettingsKeys.storageNodes(replicas);
+        final int storageNodes = (int) source.number(storageNodesSetting, founding);
+        if (storageNodes < replicas) {
+            source.rejectAt(
+                    storageNodesSetting.place(), storageNodes + " machines cannot hold " + replicas + " replicas");
+        }
+        return new Founding(groups, replicas, storageNodes, (int) source.number(SettingsKeys.TOLERATED_LOSSES));
+    }
+
+    private String platformUrl() {
+        final String url = source.optionalText(SettingsKeys.PLATFORM);
+        if (!url.isEmpty() && !url.matches("http://[^/]+:[0-9]{1,5}(/.*)?")) {
+            source.reject(SettingsKeys.PLATFORM, "must be http://host:port/path");
+        }
+        return url;
     }
 }
--- a/programs/src/main/java/brookpath/programs/settings/SettingsWatch.java
+++ b/programs/src/main/java/brookpath/programs/settings/SettingsWatch.java
@@ -1,6 +1,8 @@
 package brookpath.programs.settings;
 
 import brookpath.coordination.configuration.Finding;
+import brookpath.coordination.node.control.Founding;
+import brookpath.programs.Program;
 import brookpath.transport.http.SettingsReport;
 import jakarta.json.Json;
 import java.io.IOException;
@@ -15,34 +17,41 @@
 import org.tinylog.Logger;
 
 /**
- * Looks after the settings file of a running process. A changed file is read and checked like at a start, and taken
- * whole or not at all: wrong in any way, or with a change that cannot be made while running, it is kept out and its
- * findings are told; the process goes on with what it has.
+ * Watches the settings file of a running process. A changed file is read and checked as at a start, and adopted as a
+ * whole or rejected as a whole: where it is wrong in any way, or changes what cannot change in a running process, its
+ * findings are reported and the process goes on with the settings that it has.
+ *
+ * <p>One thread calls {@link #checkFile}; any thread may read.
  */
 public final class SettingsWatch implements SettingsReport {
     private final Path file;
     private final String[] args;
-    private final boolean controller;
-    private final Consumer<Settings> taker;
-    private volatile Settings inForce;
+    private final Program program;
+    private final Consumer<Settings> onChange;
+    private final AtomicInteger changesAdopted = new AtomicInteger();
+    private volatile Settings current;
     private volatile List<Finding> findings = List.of();
-    private final AtomicInteger taken = new AtomicInteger();
-    private byte[] judged;
-    private byte[] last;
+    private byte[] contentEvaluated;
+    private byte[] contentSeen;
 
-    /** @param args as the process was started; without a settings file among them there is nothing to look after */
+    /**
+     * @param args as the process was started; without a settings file among them there is nothing to watch
+     * @param current the settings that the process was started with
+     * @param onChange called with each change that is adopted, by the thread that calls {@link #checkFile}
+     */
     public SettingsWatch(
-            final String[] args, final boolean controller, final Settings inForce, final Consumer<Settings> taker) {
+            final String[] args, final Program program, final Settings current, final Consumer<Settings> onChange) {
         this.args = args;
-        this.controller = controller;
-        this.inForce = inForce;
-        this.taker = taker;
-        file = SettingsReader.file(args, controller);
-        judged = content();
-        last = judged;
+        this.program = program;
+        this.current = current;
+        this.onChange = onChange;
+        file = SettingsReader.file(args, program);
+        contentEvaluated = readFile();
+        contentSeen = contentEvaluated;
     }
 
-    private byte[] content() {
+    /** Null where there is no file. */
+    private byte[] readFile() {
         try {
             return file == null ? null : Files.readAllBytes(file);
         } catch (final IOException ex) {
@@ -50,75 +59,84 @@
         }
     }
 
-    /** Looked at again and again; true where there was something new to judge. */
-    public synchronized boolean look() {
-        final byte[] now = content();
-        // why: a file that still changes is being written; what it says is judged once it has said the same twice
-        final boolean still = Arrays.equals(now, last);
-        last = now;
-        if (!still || Arrays.equals(now, judged)) {
+    /** To be called periodically; true where there was a new content to evaluate. */
+    public synchronized boolean checkFile() {
+        final byte[] content = readFile();
+        // why: a file that still changes is being written; it is evaluated once it has been the same twice
+        final boolean stable = Arrays.equals(content, contentSeen);
+        contentSeen = content;
+        if (!stable || Arrays.equals(content, contentEvaluated)) {
             return false;
         }
-        judged = now;
-        judge(
-                now == null
-                        ? new SettingsReader.Reading(
-                                null,
-                                List.of(new Finding(file.toString(), "is gone; the next start needs it")),
-                                false,
-                                false)
-                        : SettingsReader.read(args, controller, now));
+        contentEvaluated = content;
+        evaluate(
+                content == null
+                        ? SettingsReader.Reading.failed(file.toString(), "is gone; the next start needs it")
+                        : SettingsReader.read(args, program, content));
         return true;
     }
 
-    private void judge(final SettingsReader.Reading reading) {
-        final List<Finding> all = new ArrayList<>(reading.findings());
-        if (all.isEmpty()) {
-            all.addAll(fixed(inForce, reading.settings()));
+    private void evaluate(final SettingsReader.Reading reading) {
+        reading.warnings().forEach(warning -> Logger.warn("settings: {}", warning));
+        final List<Finding> reasons = new ArrayList<>(reading.findings());
+        if (reasons.isEmpty()) {
+            reasons.addAll(fixedSettingsChanged(current, reading.settings()));
         }
-        findings = List.copyOf(all);
-        if (all.isEmpty()) {
-            inForce = reading.settings();
-            taken.incrementAndGet();
-            taker.accept(inForce);
-            Logger.info("settings taken: segmentBytes {}, platform {}", inForce.rollBytes(), inForce.platform());
+        findings = List.copyOf(reasons);
+        if (reasons.isEmpty()) {
+            adopt(reading.settings());
         } else {
-            all.forEach(f -> Logger.warn("settings kept out: {}", f));
+            reasons.forEach(reason -> Logger.warn("settings rejected: {}", reason));
         }
     }
 
-    /** What differs and cannot be changed in a running process. */
-    private static List<Finding> fixed(final Settings was, final Settings is) {
-        final List<Finding> list = new ArrayList<>();
-        differs(list, "node", was.node(), is.node());
-        differs(list, "zone", was.zone(), is.zone());
-        differs(list, "role", was.role(), is.role());
-        differs(list, "siblings", was.peers(), is.peers());
-        differs(list, "reachedAs", was.reachedAs(), is.reachedAs());
-        differs(list, "http", was.http(), is.http());
-        differs(list, "seeds", was.seeds(), is.seeds());
-        differs(list, "data", was.data(), is.data());
-        differs(list, "bounds", was.timing(), is.timing());
-        differs(list, "toleratedLosses", was.toleratedLosses(), is.toleratedLosses());
-        differs(
-                list,
-                "founding",
-                List.of(was.groups(), was.copies(), was.storages()),
-                List.of(is.groups(), is.copies(), is.storages()));
-        return list;
+    private void adopt(final Settings settings) {
+        current = settings;
+        changesAdopted.incrementAndGet();
+        onChange.accept(settings);
+        Logger.info("settings adopted: segmentBytes {}, platform {}", settings.segmentBytes(), settings.platformUrl());
     }
 
-    private static void differs(final List<Finding> list, final String field, final Object was, final Object is) {
-        if (!Objects.equals(was, is)) {
-            list.add(new Finding(
-                    "/" + field, "cannot change in a running process (it has " + was + "); restart it for this"));
+    /** What differs and cannot change in a running process. */
+    private static List<Finding> fixedSettingsChanged(final Settings before, final Settings after) {
+        final List<Finding> changed = new ArrayList<>();
+        compare(changed, SettingsKeys.NODE.key(), before.node(), after.node());
+        compare(changed, SettingsKeys.ZONE, before.zone(), after.zone());
+        compare(changed, SettingsKeys.ROLE, before.role(), after.role());
+        compare(changed, SettingsKeys.PEERS, before.peerAddress(), after.peerAddress());
+        compare(changed, SettingsKeys.REACHED_AS, before.advertisedPeerAddress(), after.advertisedPeerAddress());
+        compare(changed, SettingsKeys.HTTP, before.httpAddress(), after.httpAddress());
+        compare(changed, SettingsKeys.SEEDS, before.seeds(), after.seeds());
+        compare(changed, SettingsKeys.DATA, before.dataFolder(), after.dataFolder());
+        compare(changed, SettingsKeys.BOUNDS, before.timing(), after.timing());
+        compare(
+                changed,
+                SettingsKeys.TOLERATED_LOSSES.key(),
+                before.founding().toleratedLosses(),
+                after.founding().toleratedLosses());
+        compare(changed, SettingsKeys.FOUNDING, foundingSection(before), foundingSection(after));
+        return changed;
+    }
+
+    private static List<Integer> foundingSection(final Settings settings) {
+        final Founding founding = settings.founding();
+        return List.of(founding.groups(), founding.copies(), founding.storages());
+    }
+
+    private static void compare(
+            final List<Finding> changed, final String key, final Object before, final Object after) {
+        if (!Objects.equals(before, after)) {
+            changed.add(new Finding(
+                    "/" + key, "cannot change in a running process (it has " + before + "); restart it for this"));
         }
     }
 
-    public Settings inForce() {
-        return inForce;
+    /** The settings that the process runs with. */
+    public Settings current() {
+        return current;
     }
 
+    /** Why the file as it is now was rejected; empty where it was adopted. */
     public List<Finding> findings() {
         return findings;
     }
@@ -127,9 +145,9 @@
     public String json() {
         return Json.createObjectBuilder()
                 .add("file", file == null ? "" : file.toString())
-                .add("changesTaken", taken.get())
-                .add("segmentBytes", inForce.rollBytes())
-                .add("platform", inForce.platform())
+                .add("changesTaken", changesAdopted.get())
+                .add("segmentBytes", current.segmentBytes())
+                .add("platform", current.platformUrl())
                 .add("keptOut", Finding.array(findings))
                 .build()
                 .toString();
--- a/testing/src/main/java/brookpath/testing/fleet/Fleet.java
+++ b/testing/src/main/java/brookpath/testing/fleet/Fleet.java
@@ -29,6 +29,10 @@
     /** Where all processes listen. */
     public static final String HOST = "127.0.0.1";
 
+    private static final String GATEWAY = "gateway";
+    private static final String STORAGE = "storage";
+    private static final String CONTROLLER = "controller";
+
     private static final String[] ZONES = {"a", "b", "c", "d"};
     /** The controllers, storage machines and gateways are numbered from here on. */
     private static final int FIRST_CONTROLLER = 1;
@@ -76,8 +80,8 @@
             this.zone = zone;
             this.httpPort = httpPort;
             this.peerPort = peerPort;
-            controller = role.equals("bailiff");
-            callersPort = relay == null || !role.equals("front") ? httpPort : relay.open(node, httpPort, false);
+            controller = role.equals(CONTROLLER);
+            callersPort = relay == null || !role.equals(GATEWAY) ? httpPort : relay.open(node, httpPort, false);
             settings = folder.resolve(role + "-" + node + ".json");
             Files.writeString(settings, settingsJson(role));
         }
@@ -88,7 +92,7 @@
                 json.append(",\"role\":").append(quoted(role));
             }
             if (peerPort > 0) {
-                json.append(",\"siblings\":").append(quoted(HOST + ":" + peerPort));
+                json.append(",\"peers\":").append(quoted(HOST + ":" + peerPort));
                 json.append(",\"data\":").append(quoted(folder.resolve("data-" + node)));
                 if (relay != null && !controller) {
                     final int relayPort = relay.open(node, peerPort, true);
@@ -218,13 +222,13 @@
             seedsReachedAs[i] = relay == null ? seedPorts[i] : relay.open(i, seedPorts[i], true);
         }
         for (int node = FIRST_CONTROLLER; node <= SEEDS; node++) {
-            units.put(node, new Unit(node, zoneOf(node), "bailiff", seedPorts[node], port(base + node)));
+            units.put(node, new Unit(node, zoneOf(node), CONTROLLER, seedPorts[node], port(base + node)));
         }
         for (int node = FIRST_STORAGE; node < FIRST_STORAGE + STORAGES; node++) {
-            units.put(node, new Unit(node, zoneOf(node), "storage", portForPeers(node), port(base + node)));
+            units.put(node, new Unit(node, zoneOf(node), STORAGE, portForPeers(node), port(base + node)));
         }
         for (int node = FIRST_GATEWAY; node < FIRST_GATEWAY + gateways; node++) {
-            units.put(node, new Unit(node, zoneOf(node), "front", NO_PORT, port(base + node)));
+            units.put(node, new Unit(node, zoneOf(node), GATEWAY, NO_PORT, port(base + node)));
         }
     }
 
--- a/testing/src/main/java/brookpath/testing/fleet/FleetMain.java
+++ b/testing/src/main/java/brookpath/testing/fleet/FleetMain.java
@@ -103,7 +103,7 @@
             System.exit(FAILED);
         }
         System.out.println("fleet: ready after " + (System.nanoTime() - startedAt) / NANOS_PER_MILLI
-                + " ms; bailiffs on " + fleet.units().get(1).url("") + " and the next two, fronts from "
+                + " ms; controllers on " + fleet.units().get(1).url("") + " and the next two, gateways from "
                 + fleet.gateways().get(0).url(""));
         if (!options.hasScenario()) {
             Thread.currentThread().join();
--- a/testing/src/test/java/brookpath/platform/MainTest.java
+++ b/testing/src/test/java/brookpath/platform/MainTest.java
@@ -5,7 +5,7 @@
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
-import brookpath.programs.boot.ProcessAssembly.Role;
+import brookpath.programs.Role;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
 import org.testng.annotations.DataProvider;
--- a/testing/src/test/java/brookpath/platform/settings/NodeFileTest.java
+++ b/testing/src/test/java/brookpath/platform/settings/NodeFileTest.java
@@ -5,8 +5,8 @@
 import static org.testng.Assert.assertTrue;
 
 import brookpath.coordination.group.Member;
-import brookpath.programs.boot.ProcessAssembly.Plan;
-import brookpath.programs.boot.ProcessAssembly.Role;
+import brookpath.programs.Role;
+import brookpath.programs.boot.ProcessPlan;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -16,7 +16,7 @@
 
 /** What the platform tells a process, as the product gets it. */
 public final class NodeFileTest {
-    private static Plan plan(final String ip, final Role role, final boolean first, final Path data)
+    private static ProcessPlan plan(final String ip, final Role role, final boolean first, final Path data)
             throws IOException {
         final Path file = Files.createTempFile("node", ".json");
         Files.writeString(
@@ -34,12 +34,12 @@
     @Test
     public void onlyASeedOnAnEmptyDiskFoundsAndOnlyAtTheFirstStart() throws IOException {
         final Path data = Files.createTempDirectory("data");
-        assertTrue(plan("10.1.0.3", Role.CONTROLLER, true, data).found());
-        assertFalse(plan("10.4.0.3", Role.CONTROLLER, true, data).found(), "it is no seed");
-        assertFalse(plan("10.1.0.3", Role.CONTROLLER, false, data).found(), "it may have lost its disk");
-        assertFalse(plan("10.1.0.3", Role.STORAGE, true, data).found());
+        assertTrue(plan("10.1.0.3", Role.CONTROLLER, true, data).foundsControlGroup());
+        assertFalse(plan("10.4.0.3", Role.CONTROLLER, true, data).foundsControlGroup(), "it is no seed");
+        assertFalse(plan("10.1.0.3", Role.CONTROLLER, false, data).foundsControlGroup(), "it may have lost its disk");
+        assertFalse(plan("10.1.0.3", Role.STORAGE, true, data).foundsControlGroup());
         Files.createFile(data.resolve("seg-0"));
-        assertFalse(plan("10.1.0.3", Role.CONTROLLER, true, data).found(), "its folder is not empty");
+        assertFalse(plan("10.1.0.3", Role.CONTROLLER, true, data).foundsControlGroup(), "its folder is not empty");
         assertTrue(
                 plan("10.1.0.3", Role.CONTROLLER, false, data).founders().isEmpty(),
                 "later seeds are not the founders");
@@ -48,15 +48,15 @@
     @Test
     public void whoSeedsFoundAndAllReckonAlike() throws IOException {
         final Path data = Files.createTempDirectory("data");
-        final Plan one = plan("10.1.0.3", Role.CONTROLLER, true, data);
+        final ProcessPlan one = plan("10.1.0.3", Role.CONTROLLER, true, data);
         assertEquals(plan("10.2.0.38", Role.CONTROLLER, true, data).founders(), one.founders());
         assertEquals(
                 one.founders().stream().map(Member::node).toList(),
                 one.seeds().keySet().stream().toList());
-        assertEquals(one.seeds().get(one.info().node()), one.info().address());
+        assertEquals(one.seeds().get(one.self().node()), one.self().address());
         assertEquals(one.founding().copies(), 5);
         assertEquals(one.timing().leaseMs(), 4_500);
-        assertEquals(plan("10.1.0.3", Role.GATEWAY, true, data).info().address(), "10.1.0.3:8022");
+        assertEquals(plan("10.1.0.3", Role.GATEWAY, true, data).self().address(), "10.1.0.3:8022");
     }
 
     @Test
@@ -65,7 +65,7 @@
         final Set<Integer> seen = new HashSet<>();
         for (final String ip : new String[] {"10.1.0.3", "10.1.0.4", "10.1.1.3", "10.2.0.3", "10.255.255.255"}) {
             for (final Role role : Role.values()) {
-                assertTrue(seen.add(plan(ip, role, true, data).info().node()), ip + " " + role);
+                assertTrue(seen.add(plan(ip, role, true, data).self().node()), ip + " " + role);
             }
         }
         assertTrue(seen.stream().allMatch(n -> n > 0));
--- a/testing/src/test/java/brookpath/testing/SettingsTest.java
+++ b/testing/src/test/java/brookpath/testing/SettingsTest.java
@@ -4,6 +4,8 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
+import brookpath.programs.Program;
+import brookpath.programs.Role;
 import brookpath.programs.settings.Settings;
 import brookpath.programs.settings.SettingsReader;
 import brookpath.programs.settings.SettingsReader.Reading;
@@ -17,31 +19,37 @@
 
 /** Settings and flags: all findings, with their place, together. */
 public final class SettingsTest {
-    private static Reading read(final boolean controller, final String json, final String... flags) throws Exception {
+    private static Reading read(final Program program, final String json, final String... flags) throws Exception {
         final Path file = Files.createTempFile("settings", ".json");
         Files.writeString(file, json);
         final String[] args = new String[flags.length + 2];
         args[0] = "--settings";
         args[1] = file.toString();
         System.arraycopy(flags, 0, args, 2, flags.length);
-        return SettingsReader.read(args, controller);
+        return SettingsReader.read(args, program);
     }
 
-    private static final String GOOD = "{\"node\":31,\"zone\":\"a\",\"role\":\"front\",\"http\":\"127.0.0.1:1\","
+    private static final String GOOD = "{\"node\":31,\"zone\":\"a\",\"role\":\"gateway\",\"http\":\"127.0.0.1:1\","
             + "\"seeds\":[\"1@127.0.0.1:1\",\"2@127.0.0.1:2\",\"3@127.0.0.1:3\"]}";
 
+    private static final String CONTROLLER =
+            "{\"node\":1,\"zone\":\"a\",\"http\":\"127.0.0.1:1\",\"peers\":\"127.0.0.1:2\",\"data\":\"d\","
+                    + "\"seeds\":[\"1@127.0.0.1:2\",\"2@127.0.0.1:3\",\"3@127.0.0.1:4\"],\"segmentBytes\":100000,\"platform\":\"http://127.0.0.1:9/a\"}";
+
     @Test
     public void goodSettingsAndFlagsOverThem() throws Exception {
-        final Reading rd = read(false, GOOD, "--zone", "b");
+        final Reading rd = read(Program.DATA_NODE, GOOD, "--zone", "b");
         assertTrue(rd.findings().isEmpty(), rd.findings().toString());
         assertEquals(rd.settings().zone(), "b");
         assertEquals(rd.settings().node(), 31);
+        assertEquals(rd.settings().role(), Role.GATEWAY);
+        assertEquals(rd.warnings(), List.of());
     }
 
     @Test
     public void everythingWrongIsToldAtOnce() throws Exception {
         final String all = read(
-                        false,
+                        Program.DATA_NODE,
                         "{\"node\":\"x\",\"zone\":7,\"role\":\"middle\",\"http\":\"nowhere\",\"bounds\":{\"deliverMs\":1,\"pace\":2},"
                                 + "\"seeds\":[\"1@127.0.0.1:1\",\"one\"],\"colour\":1}",
                         "stray")
@@ -66,7 +74,8 @@
     @Test
     public void boundsThatCannotBeMetTogetherAreAFinding() throws Exception {
         final String all = read(
-                        false, GOOD.replace("\"node\"", "\"bounds\":{\"deliverMs\":4000,\"changeMs\":1000},\"node\""))
+                        Program.DATA_NODE,
+                        GOOD.replace("\"node\"", "\"bounds\":{\"deliverMs\":4000,\"changeMs\":1000},\"node\""))
                 .findings()
                 .toString();
         assertTrue(all.contains("/bounds/changeMs"), all);
@@ -74,27 +83,74 @@
 
     @Test
     public void unknownFlagAndMissingFile() {
-        assertTrue(SettingsReader.read(new String[] {"--pace", "3"}, true)
+        assertTrue(SettingsReader.read(new String[] {"--pace", "3"}, Program.CONTROLLER)
                 .findings()
                 .toString()
                 .contains("--pace"));
-        assertTrue(SettingsReader.read(new String[] {"--settings", "/nowhere/at/all"}, true)
+        assertTrue(SettingsReader.read(new String[] {"--settings", "/nowhere/at/all"}, Program.CONTROLLER)
                 .findings()
                 .toString()
                 .contains("cannot be read"));
     }
 
+    @Test
+    public void theFormerRoleOfAGatewayWorksWithAWarning() throws Exception {
+        final Reading former = read(Program.DATA_NODE, GOOD.replace("\"gateway\"", "\"front\""));
+        assertEquals(former.findings(), List.of());
+        assertEquals(former.settings().role(), Role.GATEWAY);
+        assertEquals(former.settings(), read(Program.DATA_NODE, GOOD).settings());
+        assertWarned(former, "/role", "use \"gateway\"");
+        assertWarned(read(Program.DATA_NODE, GOOD, "--role", "front"), "--role", "use \"gateway\"");
+    }
+
+    @Test
+    public void theFormerSettingOfThePeerAddressWorksWithAWarning() throws Exception {
+        final Reading former = read(Program.CONTROLLER, CONTROLLER.replace("\"peers\"", "\"siblings\""));
+        assertEquals(former.findings(), List.of());
+        assertEquals(former.settings(), read(Program.CONTROLLER, CONTROLLER).settings());
+        assertWarned(former, "/siblings", "use /peers");
+        final Reading both = read(Program.CONTROLLER, CONTROLLER.replace("{", "{\"siblings\":\"127.0.0.1:5\","));
+        assertTrue(both.findings().toString().contains("/siblings: is the former name of /peers"), both.toString());
+    }
+
+    @Test
+    public void theFormerFlagOfThePeerAddressWorksWithAWarning() throws Exception {
+        final Reading former = read(Program.CONTROLLER, CONTROLLER, "--siblings", "127.0.0.1:7");
+        assertEquals(former.findings(), List.of());
+        assertEquals(former.settings().peerAddress(), "127.0.0.1:7");
+        assertWarned(former, "--siblings", "use --peers");
+        final String wrong = read(Program.CONTROLLER, CONTROLLER, "--siblings", "nowhere")
+                .findings()
+                .toString();
+        assertTrue(wrong.contains("--siblings: must be host:port"), wrong);
+        final Reading present = read(Program.CONTROLLER, CONTROLLER, "--peers", "127.0.0.1:7");
+        assertEquals(present.settings(), former.settings());
+        assertEquals(present.warnings(), List.of());
+    }
+
+    private static void assertWarned(final Reading reading, final String place, final String advice) {
+        assertEquals(reading.warnings().size(), 1, reading.warnings().toString());
+        assertEquals(reading.warnings().get(0).place(), place);
+        assertTrue(
+                reading.warnings().get(0).what().contains("deprecated"),
+                reading.warnings().toString());
+        assertTrue(
+                reading.warnings().get(0).what().contains(advice),
+                reading.warnings().toString());
+    }
+
     @Test
     public void aFileChangedUnderARunningProcessIsTakenWholeOrKeptOut() throws Exception {
         final Path file = Files.createTempFile("settings", ".json");
-        final String good =
-                "{\"node\":1,\"zone\":\"a\",\"http\":\"127.0.0.1:1\",\"siblings\":\"127.0.0.1:2\",\"data\":\"d\","
-                        + "\"seeds\":[\"1@127.0.0.1:2\",\"2@127.0.0.1:3\",\"3@127.0.0.1:4\"],\"segmentBytes\":100000,\"platform\":\"http://127.0.0.1:9/a\"}";
+        final String good = CONTROLLER;
         Files.writeString(file, good);
         final String[] args = {"--settings=" + file};
         final List<Settings> taken = new ArrayList<>();
-        final SettingsWatch watch =
-                new SettingsWatch(args, true, SettingsReader.read(args, true).settings(), taken::add);
+        final SettingsWatch watch = new SettingsWatch(
+                args,
+                Program.CONTROLLER,
+                SettingsReader.read(args, Program.CONTROLLER).settings(),
+                taken::add);
         // why: seeds are chosen so that each kind of wrong file follows each other kind; the oracle is what the last
         // whole good file said
         final SplittableRandom random = new SplittableRandom(5);
@@ -118,9 +174,9 @@
                 }
                 default -> Files.write(file, new byte[] {(byte) random.nextInt(256), 0, 1, (byte) random.nextInt(256)});
             }
-            final boolean atOnce = watch.look();
+            final boolean atOnce = watch.checkFile();
             assertFalse(atOnce, "a file was judged at first sight, it may be half written");
-            watch.look();
+            watch.checkFile();
             if (fine) {
                 platform = next;
                 changes++;
@@ -129,8 +185,8 @@
                 assertFalse(watch.findings().isEmpty(), "kind " + kind + " was not found wrong");
                 assertTrue(watch.json().contains("\"keptOut\":[{\"place\":"), watch.json());
             }
-            assertEquals(watch.inForce().platform(), platform);
-            assertEquals(watch.inForce().zone(), "a");
+            assertEquals(watch.current().platformUrl(), platform);
+            assertEquals(watch.current().zone(), "a");
         }
         assertTrue(changes > 20 && taken.size() == changes, taken.size() + " of " + changes);
     }
