--- a/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
@@ -1,6 +1,5 @@
 package brookpath.coordination.group;
 
-import static brookpath.coordination.group.Quorums.majority;
 import static brookpath.coordination.message.PeerMessage.PullReply.FULL;
 import static brookpath.coordination.message.PeerMessage.PullReply.MISMATCH;
 import static brookpath.coordination.message.PeerMessage.PullReply.RECORDS;
@@ -58,10 +57,10 @@
     private final SplittableRandom random;
 
     private final GroupMembership membership;
-    private long handingOverUntil = Long.MIN_VALUE;
     private final TreeMap<Integer, Long> learnt = new TreeMap<>();
     private boolean founded;
-    private HeartbeatTable table = HeartbeatTable.EMPTY;
+    private final PeerView peers;
+    private final LeaderLease lease;
     private long startedAt = Long.MIN_VALUE;
 
     private boolean initialised;
@@ -124,6 +123,8 @@
         this.out = out;
         membership = new GroupMembership(self);
         voteStore = new VoteStore(id, out);
+        peers = new PeerView(id, self);
+        lease = new LeaderLease(id, self, timing, membership, voteStore, peers);
         log = new RaftLog(id, states, this::useMembership, out);
         snapshotSender = new SnapshotSender(timing.recoverMs());
         random = new SplittableRandom(seed * 31 + id * 7919L + self);
@@ -250,7 +251,7 @@
 
     /** Whether the node, a voter or a learner, is this leader itself or has answered it within the lease. */
     public boolean follows(final int node, final long now) {
-        return node == self || answeredSince(node, now - timing.lease());
+        return node == self || lease.answered(node, now);
     }
 
     /** Copies of a record that are known to be synced. */
@@ -265,7 +266,7 @@
     public int active(final long now) {
         int n = 1;
         for (final Member m : members()) {
-            n += m.node() != self && voting(m.node(), now) ? 1 : 0;
+            n += peers.active(m.node(), now) ? 1 : 0;
         }
         return n;
     }
@@ -275,8 +276,8 @@
         return role == LEADER
                 && openIndex > 0
                 && log.committedIndex() >= openIndex
-                && leaseHeld(now)
-                && now >= handingOverUntil;
+                && lease.held(now)
+                && !lease.transferring(now);
     }
 
     /** Has a follower the committed position of a leader that it hears? */
@@ -284,12 +285,12 @@
         // why: a follower that hears its leader but is not heard gets no more of the log, and would not know
         return role == LEADER
                 ? mayAct(now)
-                : inSync && !lost() && leaderHeard != 0 && table.up(leaderHeard) && now - behindSince <= timing.down();
+                : inSync && !lost() && leaderHeard != 0 && peers.up(leaderHeard) && now - behindSince <= timing.down();
     }
 
     /** Since when the leader has told of more committed than is here. */
     private void lookBehind(final long now) {
-        final HeartbeatEntry e = leaderHeard == 0 || leaderHeard == self ? null : table.fresh(leaderHeard, id, now);
+        final HeartbeatEntry e = leaderHeard == 0 ? null : peers.entry(leaderHeard, now);
         if (e == null || e.committed() <= log.committedIndex()) {
             behindSince = Long.MAX_VALUE;
         } else if (behindSince == Long.MAX_VALUE) {
@@ -433,7 +434,7 @@
         }
         // why: what is committed must not rest on the copy of the one that leaves
         return copiesAmong(next.voters()) >= Quorums.floor(next.voters().size(), toleratedLosses)
-                && leaseHeld(next.voters(), now);
+                && lease.held(next.voters(), now);
     }
 
     /** How many of these nodes have synced all that is committed. */
@@ -455,7 +456,7 @@
      */
     public boolean retreat(final long now) {
         retreats = true;
-        if (role == LEADER && now >= handingOverUntil) {
+        if (role == LEADER && !lease.transferring(now)) {
             handOverToAny(now);
         }
         return role != LEADER;
@@ -474,21 +475,20 @@
         if (!mayAct(now) || to == self || !membership.isVoter(to) || copies.getOrDefault(to, -1L) < endIndex()) {
             return false;
         }
-        // why: the voters will not wait for this lease to end, so it must not be used from here on
-        handingOverUntil = now + timing.down() + timing.goDeadline();
+        lease.transfer(now);
         why = "hands over to " + to;
         out.send(to, new PeerMessage.TimeoutNow(id, term()));
         return true;
     }
 
     public void tick(final long now, final HeartbeatTable newTable) {
-        table = newTable;
+        peers.update(newTable);
         if (!membership.selfIsVoter()) {
             followOnly(now);
             return;
         }
         for (final Member m : members()) {
-            final HeartbeatEntry e = m.node() == self ? null : table.fresh(m.node(), id, now);
+            final HeartbeatEntry e = peers.entry(m.node(), now);
             if (e != null) {
                 voteStore.observe(e.term());
             }
@@ -496,7 +496,7 @@
         if (role == LEADER) {
             if (voteStore.highestTermSeen() > term()) {
                 stepDown("epoch " + voteStore.highestTermSeen() + " seen");
-            } else if (now - leaderSince > timing.down() && !majorityAnswers(now)) {
+            } else if (now - leaderSince > timing.down() && !lease.majorityAnswers(now)) {
                 stepDown("no majority answers");
             } else {
                 advance(now);
@@ -509,7 +509,7 @@
             nextGo = now + spread();
             why = "go for epoch " + term() + " lost";
         }
-        final int heard = role == LEADER ? (leaseHeld(now) ? self : 0) : liveLeader(now);
+        final int heard = role == LEADER ? (lease.held(now) ? self : 0) : liveLeader(now);
         if (heard != leaderHeard) {
             leaderHeard = heard;
             if (heard == 0 || heard == self) {
@@ -653,7 +653,7 @@
             if (m.node() == self) {
                 continue;
             }
-            final HeartbeatEntry e = table.fresh(m.node(), id, now);
+            final HeartbeatEntry e = peers.entry(m.node(), now);
             if (e == null || e.sync() == SYNC_LOST) {
                 continue;
             }
@@ -666,7 +666,7 @@
             // why: one that is heard but does not answer is down; waiting for its longer log would wait for ever, and
             // the
             // voters' own logs decide anyway
-            if (table.up(m.node())) {
+            if (peers.up(m.node())) {
                 if (RaftLog.newer(e.endTerm(), e.endIndex(), log.syncedTerm(), log.syncedIndex())) {
                     return "node " + m.node() + " has a newer log";
                 }
@@ -765,7 +765,7 @@
         if (!voteStore.mayVote(m.term(), from)) {
             return "epoch " + term() + " is taken";
         }
-        if (role == LEADER && (!m.manual() || now >= handingOverUntil)) {
+        if (role == LEADER && (!m.manual() || !lease.transferring(now))) {
             return "master lives";
         }
         // why: the table's indexes may be stale; the voter's own log as it is now is what counts
@@ -803,7 +803,7 @@
         lostGoes = 0;
         copies.clear();
         learnt.clear();
-        handingOverUntil = Long.MIN_VALUE;
+        lease.reset();
         held.clear();
         pulling = false;
         why = "won epoch " + term() + " with votes of " + votes;
@@ -827,75 +827,15 @@
         out.heartbeatNow();
     }
 
+    /** The leader as the heartbeats tell it, 0 for none. */
     private int liveLeader(final long now) {
-        int leader = 0;
         // why: a learner may have raised its term before it was removed, when nobody who counted heard of it
-        long best = !membership.selfIsVoter() ? log.endTerm() : term();
-        // why: a membership here that was never committed may leave out whoever leaders the group by now
-        for (final HeartbeatTable.Row row : table.rows()) {
-            final HeartbeatEntry e = row.node() == self ? null : table.fresh(row.node(), id, now);
-            if (e != null && e.role() == LEADER && e.term() >= best) {
-                best = e.term();
-                leader = row.node();
-            }
-        }
-        return leader;
-    }
-
-    private boolean majorityAnswers(final long now) {
-        int n = 1;
-        for (final Member m : members()) {
-            n += m.node() != self
-                            && table.up(m.node())
-                            && now - table.row(m.node()).answeredSentAt() <= 2 * timing.down()
-                    ? 1
-                    : 0;
-        }
-        return n >= membership.majority();
-    }
-
-    private boolean leaseHeld(final long now) {
-        return majoritySince(members(), now - timing.lease());
-    }
-
-    private boolean leaseHeld(final List<Member> voters, final long now) {
-        return majoritySince(voters, now - timing.lease());
+        return peers.leader(membership.selfIsVoter() ? term() : log.endTerm(), now);
     }
 
     /** Whether a majority has answered heartbeats of this leadership that were sent at this time or later. */
     public boolean majoritySince(final long since) {
-        return majoritySince(members(), since);
-    }
-
-    private boolean majoritySince(final List<Member> voters, final long since) {
-        int n = 1;
-        for (final Member m : voters) {
-            n += m.node() != self && answeredSince(m.node(), since) ? 1 : 0;
-        }
-        return n >= majority(voters.size());
-    }
-
-    /** Whether the node has answered a heartbeat that told of this leadership and was sent at this time or later. */
-    private boolean answeredSince(final int node, final long since) {
-        final HeartbeatTable.Row row = table.row(node);
-        if (row == null || row.answeredSentAt() < since) {
-            return false;
-        }
-        final HeartbeatEntry told = row.answeredOwn().get(id);
-        final HeartbeatEntry theirs = row.entries().get(id);
-        // why: only a heartbeat that told of this leadership binds the one who answered it, and only a voter can be
-        // bound
-        return told != null
-                && told.role() == LEADER
-                && told.term() == term()
-                && theirs != null
-                && theirs.sync() != SYNC_LOST
-                && theirs.term() <= term();
-    }
-
-    private boolean voting(final int node, final long now) {
-        final HeartbeatEntry e = table.fresh(node, id, now);
-        return e != null && e.sync() != SYNC_LOST && table.up(node);
+        return lease.majoritySince(since);
     }
 
     private long spread() {
@@ -939,13 +879,13 @@
 
     /** The leader while it can be reached; else a follower that still hears it. */
     private int source(final long now) {
-        if (leaderHeard != 0 && table.up(leaderHeard)) {
+        if (leaderHeard != 0 && peers.up(leaderHeard)) {
             return leaderHeard;
         }
         for (final Member m : members()) {
-            final HeartbeatEntry e = m.node() == self ? null : table.fresh(m.node(), id, now);
+            final HeartbeatEntry e = peers.entry(m.node(), now);
             if (e != null
-                    && table.up(m.node())
+                    && peers.up(m.node())
                     && e.leaderHeard() != 0
                     && e.leaderHeard() != self
                     && e.sync() == SYNC_PEER
@@ -1233,7 +1173,7 @@
     private void yieldForDisk(final long now) {
         // why: without a majority among the others none of them can win, and this one had better go on
         final boolean othersCanElect = active(now) - 1 >= membership.majority();
-        if (diskLag(now) > timing.diskPatience() && othersCanElect && now >= handingOverUntil) {
+        if (diskLag(now) > timing.diskPatience() && othersCanElect && !lease.transferring(now)) {
             handOverToAny(now);
         }
     }
@@ -1245,7 +1185,7 @@
     }
 
     private void advance(final long now) {
-        if (!leaseHeld(now)) {
+        if (!lease.held(now)) {
             return;
         }
         final long index = syncedBy(members(), floor());
--- /dev/null
+++ b/coordination/src/main/java/brookpath/coordination/group/LeaderLease.java
@@ -0,0 +1,111 @@
+package brookpath.coordination.group;
+
+import brookpath.coordination.TimingBounds;
+import brookpath.coordination.heartbeat.HeartbeatTable;
+import brookpath.coordination.message.PeerMessage.HeartbeatEntry;
+import java.util.List;
+
+/**
+ * The lease under which a leader acts: a majority has answered a heartbeat of this leadership that was sent within the
+ * lease, and whoever answered helps nobody else into the leadership for longer than that. Times are of the steady
+ * clock, in milliseconds. Not thread-safe: the group's state thread owns it.
+ */
+final class LeaderLease {
+    private static final long NEVER = Long.MIN_VALUE;
+
+    private final int group;
+    private final int self;
+    private final TimingBounds timing;
+    private final GroupMembership membership;
+    private final VoteStore voteStore;
+    private final PeerView peers;
+    private long transferringUntil = NEVER;
+
+    LeaderLease(
+            final int group,
+            final int self,
+            final TimingBounds timing,
+            final GroupMembership membership,
+            final VoteStore voteStore,
+            final PeerView peers) {
+        this.group = group;
+        this.self = self;
+        this.timing = timing;
+        this.membership = membership;
+        this.voteStore = voteStore;
+        this.peers = peers;
+    }
+
+    /** Whether the group's voters grant the lease now. */
+    boolean held(final long now) {
+        return held(membership.voters(), now);
+    }
+
+    /** Whether these voters would grant the lease now. */
+    boolean held(final List<Member> voters, final long now) {
+        return majoritySince(voters, now - timing.lease());
+    }
+
+    /** Whether a majority has answered heartbeats of this leadership that were sent at this time or later. */
+    boolean majoritySince(final long since) {
+        return majoritySince(membership.voters(), since);
+    }
+
+    private boolean majoritySince(final List<Member> voters, final long since) {
+        int answered = 1;
+        for (final Member voter : voters) {
+            answered += voter.node() != self && answeredSince(voter.node(), since) ? 1 : 0;
+        }
+        return answered >= Quorums.majority(voters.size());
+    }
+
+    /** Whether the node has answered a heartbeat of this leadership that was sent within the lease. */
+    boolean answered(final int node, final long now) {
+        return answeredSince(node, now - timing.lease());
+    }
+
+    private boolean answeredSince(final int node, final long since) {
+        final HeartbeatTable.Row row = peers.row(node);
+        if (row == null || row.answeredSentAt() < since) {
+            return false;
+        }
+        final HeartbeatEntry sent = row.answeredOwn().get(group);
+        final HeartbeatEntry theirs = row.entries().get(group);
+        // why: only a heartbeat of this leadership binds the one who answered it, and only a voter can be bound
+        return sent != null
+                && sent.role() == GroupRole.LEADER.code()
+                && sent.term() == voteStore.term()
+                && theirs != null
+                && theirs.sync() != SyncState.LOST.code()
+                && theirs.term() <= voteStore.term();
+    }
+
+    /** Whether a majority answers heartbeats at all, without which a leader steps down. */
+    boolean majorityAnswers(final long now) {
+        int answering = 1;
+        for (final Member voter : membership.voters()) {
+            answering += voter.node() != self && answersLately(voter.node(), now) ? 1 : 0;
+        }
+        return answering >= membership.majority();
+    }
+
+    private boolean answersLately(final int node, final long now) {
+        return peers.up(node) && now - peers.row(node).answeredSentAt() <= 2 * timing.down();
+    }
+
+    /** Another member is asked to take over; the lease must not be used until that has been tried. */
+    void transfer(final long now) {
+        // why: the voters will not wait for this lease to end
+        transferringUntil = now + timing.down() + timing.goDeadline();
+    }
+
+    /** Whether another member was asked to take over and may still do so. */
+    boolean transferring(final long now) {
+        return now < transferringUntil;
+    }
+
+    /** A new leadership begins. */
+    void reset() {
+        transferringUntil = NEVER;
+    }
+}
--- /dev/null
+++ b/coordination/src/main/java/brookpath/coordination/group/SyncState.java
@@ -0,0 +1,22 @@
+package brookpath.coordination.group;
+
+/** How a member's replica stands; the code goes out with each heartbeat. */
+public enum SyncState {
+    /** It has all that its leader has committed. */
+    IN_SYNC(0),
+    /** It is behind. */
+    CATCHING_UP(1),
+    /** It has lost its log and counts for nothing until it is rebuilt. */
+    LOST(2);
+
+    private final int code;
+
+    SyncState(final int code) {
+        this.code = code;
+    }
+
+    /** The number on the wire. */
+    public int code() {
+        return code;
+    }
+}
--- a/coordination/src/main/java/brookpath/coordination/group/VoteStore.java
+++ b/coordination/src/main/java/brookpath/coordination/group/VoteStore.java
@@ -3,9 +3,9 @@
 import brookpath.coordination.action.Actions;
 
 /**
- * The current term and the vote given in it. Each change is written before anything may be answered on its strength: the
- * caller sends its message only once the returned write is synced, since a vote that is forgotten in a crash could be
- * given twice. Not thread-safe: the group's state thread owns it.
+ * The current term and the vote given in it. Each change is written before anything may be answered on its strength:
+ * the caller sends its message only once the returned write is synced, since a vote that is forgotten in a crash could
+ * be given twice. Not thread-safe: the group's state thread owns it.
  */
 final class VoteStore {
     private static final int NOBODY = 0;
