--- a/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
@@ -19,7 +19,6 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.TreeSet;
@@ -57,7 +56,6 @@
     private final SplittableRandom random;
 
     private final GroupMembership membership;
-    private final TreeMap<Integer, Long> learnt = new TreeMap<>();
     private boolean founded;
     private final PeerView peers;
     private final LeaderLease lease;
@@ -79,7 +77,7 @@
     private int role = FOLLOWER;
     private long openIndex;
     private long leaderSince;
-    private final TreeMap<Integer, Long> copies = new TreeMap<>();
+    private final ReplicaProgress progress;
     private final TreeMap<Integer, Pull> held = new TreeMap<>();
 
     private final TreeSet<Integer> votes = new TreeSet<>();
@@ -126,6 +124,7 @@
         peers = new PeerView(id, self);
         lease = new LeaderLease(id, self, timing, membership, voteStore, peers);
         log = new RaftLog(id, states, this::useMembership, out);
+        progress = new ReplicaProgress(self, membership, log);
         snapshotSender = new SnapshotSender(timing.recoverMs());
         random = new SplittableRandom(seed * 31 + id * 7919L + self);
     }
@@ -189,12 +188,12 @@
 
     /** How far a learner's copy is known to be synced. */
     public long learnt(final int node) {
-        return learnt.getOrDefault(node, -1L);
+        return progress.ofLearner(node);
     }
 
     /** How far a voter's copy is known to be synced, as the leader counts it; -1 where nothing is known. */
     public long copySynced(final int node) {
-        return node == self ? log.syncedIndex() : copies.getOrDefault(node, -1L);
+        return progress.ofVoter(node);
     }
 
     /** Where the newest membership stands in the log; 0 where the log tells none. */
@@ -254,13 +253,9 @@
         return node == self || lease.answered(node, now);
     }
 
-    /** Copies of a record that are known to be synced. */
+    /** How many voters are known to have synced the log up to the index. */
     public int copies(final long index) {
-        int n = log.syncedIndex() >= index ? 1 : 0;
-        for (final Map.Entry<Integer, Long> copy : copies.entrySet()) {
-            n += copy.getValue() >= index && membership.isVoter(copy.getKey()) ? 1 : 0;
-        }
-        return n;
+        return progress.replicas(index);
     }
 
     public int active(final long now) {
@@ -429,27 +424,15 @@
         if (joining.size() + leaving.size() > 1 || Membership.find(next.voters(), self) == null) {
             return false;
         }
-        if (joining.stream().anyMatch(m -> learnt(m.node()) < log.committedIndex())) {
+        if (joining.stream().anyMatch(m -> progress.ofLearner(m.node()) < log.committedIndex())) {
             return false;
         }
         // why: what is committed must not rest on the copy of the one that leaves
-        return copiesAmong(next.voters()) >= Quorums.floor(next.voters().size(), toleratedLosses)
+        return progress.replicasOfCommitted(next.voters())
+                        >= Quorums.floor(next.voters().size(), toleratedLosses)
                 && lease.held(next.voters(), now);
     }
 
-    /** How many of these nodes have synced all that is committed. */
-    private int copiesAmong(final List<Member> voters) {
-        int n = 0;
-        for (final Member m : voters) {
-            final boolean joins = !membership.isVoter(m.node());
-            final long synced = m.node() == self
-                    ? log.syncedIndex()
-                    : joins ? learnt(m.node()) : copies.getOrDefault(m.node(), -1L);
-            n += synced >= log.committedIndex() ? 1 : 0;
-        }
-        return n;
-    }
-
     /**
      * This member is about to leave: it stands no more, and hands over to whoever has everything. True once it leaders
      * nothing.
@@ -472,7 +455,7 @@
 
     /** Manual switchover: asks a follower that has everything to stand, and does not act until that has been tried. */
     public boolean handOver(final int to, final long now) {
-        if (!mayAct(now) || to == self || !membership.isVoter(to) || copies.getOrDefault(to, -1L) < endIndex()) {
+        if (!mayAct(now) || to == self || !membership.isVoter(to) || progress.ofVoter(to) < endIndex()) {
             return false;
         }
         lease.transfer(now);
@@ -801,8 +784,7 @@
         leaderSince = now;
         leaderHeard = self;
         lostGoes = 0;
-        copies.clear();
-        learnt.clear();
+        progress.clear();
         lease.reset();
         held.clear();
         pulling = false;
@@ -819,7 +801,7 @@
         openIndex = 0;
         leaderHeard = 0;
         held.clear();
-        copies.clear();
+        progress.clearVoters();
         pulling = false;
         inSync = false;
         why = "stepped down: " + reason;
@@ -911,8 +893,7 @@
                 && chainAt(m.syncedIndex()) != m.chain()) {
             // why: the same (term, index) must mean the same log; where it does not, the copy is no copy and is sent
             // whole
-            copies.remove(from);
-            learnt.remove(from);
+            progress.forget(from);
             held.remove(from);
             out.note("group " + id + ": the copy of node " + from + " differs at or before " + m.syncedIndex()
                     + " and is sent whole");
@@ -923,18 +904,22 @@
             if (learner) {
                 // why: a learner's copy is looked at to see when it may vote, and counts for nothing until then; one
                 // that stood in vain in a later term, before it was removed, may not vote in this one
-                copies.remove(from);
+                progress.forgetVoter(from);
                 final boolean mayVote = !m.lost() && m.term() <= term();
-                learnt.put(from, mayVote && log.termAt(m.syncedIndex()) == m.syncedTerm() ? m.syncedIndex() : -1);
+                progress.learnerSynced(
+                        from,
+                        mayVote && log.termAt(m.syncedIndex()) == m.syncedTerm()
+                                ? m.syncedIndex()
+                                : ReplicaProgress.UNKNOWN);
             } else if (m.lost()) {
-                copies.remove(from);
+                progress.forgetVoter(from);
             } else if (m.term() == term()
                     && m.syncedIndex() > log.baseIndex()
                     && m.syncedIndex() <= endIndex()
                     && log.termAt(m.syncedIndex()) == m.syncedTerm()) {
                 // why: the same (term, index) means the same log up to there, so this copy holds everything before it
                 // too
-                copies.merge(from, m.syncedIndex(), Math::max);
+                progress.voterSynced(from, m.syncedIndex());
                 advance(now);
             }
         } else if (!inSync(now)) {
@@ -1188,10 +1173,10 @@
         if (!lease.held(now)) {
             return;
         }
-        final long index = syncedBy(members(), floor());
-        if (index > log.committedIndex() && index >= openIndex && log.termAt(index) == term()) {
+        final long index = progress.committable(floor(), openIndex, term());
+        if (index > log.committedIndex()) {
             if (log.committedIndex() < openIndex) {
-                // why: whoever only watches is told at once that it may be read from, and not with its own next
+                // why: whoever only watches learns at once that it may be read from, and not with its own next
                 // heartbeat
                 out.heartbeatNow();
             }
@@ -1200,15 +1185,6 @@
         }
     }
 
-    /** Up to where at least so many of these nodes have the log synced. */
-    private long syncedBy(final List<Member> voters, final int needed) {
-        final long[] synced = voters.stream()
-                .mapToLong(m -> m.node() == self ? log.syncedIndex() : copies.getOrDefault(m.node(), 0L))
-                .sorted()
-                .toArray();
-        return synced[synced.length - needed];
-    }
-
     private void trim(final long now) {
         if (now < nextTrim) {
             return;
