--- a/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
@@ -41,7 +41,6 @@
     private static final int REPLY_BYTES = 64 << 10;
 
     private static final int DEFERENCE = 3;
-    private static final int SWEPT_AT_ONCE = 16;
 
     /** A message that goes out once a write is synced. */
     private record Waiting(long write, int node, PeerMessage message, long since) {}
@@ -61,22 +60,13 @@
     private final LeaderLease lease;
     private long startedAt = Long.MIN_VALUE;
 
-    private boolean initialised;
-    private boolean lost;
-    /**
-     * A record here is not as it was made. What was voted and how far the log goes is still known, so this member may
-     * vote; its copy is none.
-     */
-    private boolean damaged;
-
+    private final ReplicaRecovery recovery;
     private final VoteStore voteStore;
 
-    private long swept;
+    private final LogSweep sweep;
     private final ArrayDeque<Waiting> afterSync = new ArrayDeque<>();
 
-    private int role = FOLLOWER;
-    private long openIndex;
-    private long leaderSince;
+    private final RoleState roleState;
     private final ReplicaProgress progress;
     private final TreeMap<Integer, Pull> held = new TreeMap<>();
 
@@ -84,8 +74,6 @@
     private long goEndsAt;
     private long nextGo;
     private int lostGoes;
-    private int leaderHeard;
-    private String why = "started";
     private String obstacle = "";
     private long deferUntil = Long.MIN_VALUE / 2;
     private boolean retreats;
@@ -97,9 +85,6 @@
     private boolean wantFull;
     private final SnapshotSender snapshotSender;
     private final SnapshotReceiver snapshotReceiver = new SnapshotReceiver();
-    private long joinTarget = -1;
-    /** The write that says that this copy is rebuilt, until it is synced; 0 for none. */
-    private long rebuiltWrite;
 
     private boolean inSync;
     private long behindSince = Long.MAX_VALUE;
@@ -119,11 +104,14 @@
         this.timing = timing;
         this.toleratedLosses = toleratedLosses;
         this.out = out;
+        roleState = new RoleState(self);
         membership = new GroupMembership(self);
         voteStore = new VoteStore(id, out);
         peers = new PeerView(id, self);
         lease = new LeaderLease(id, self, timing, membership, voteStore, peers);
         log = new RaftLog(id, states, this::useMembership, out);
+        recovery = new ReplicaRecovery(id, log, out);
+        sweep = new LogSweep(log);
         progress = new ReplicaProgress(self, membership, log);
         snapshotSender = new SnapshotSender(timing.recoverMs());
         random = new SplittableRandom(seed * 31 + id * 7919L + self);
@@ -136,7 +124,7 @@
     }
 
     public int role() {
-        return role;
+        return roleState.role().code();
     }
 
     public long term() {
@@ -161,7 +149,7 @@
 
     /** Where this leader opened its term, 0 while it has none. */
     public long openIndex() {
-        return openIndex;
+        return roleState.openIndex();
     }
 
     public int groupVersion() {
@@ -203,9 +191,9 @@
 
     /** Nothing is under way that a timer would have to drive on. */
     public boolean calm() {
-        return role == LEADER
-                ? openIndex > 0 && log.committedIndex() == endIndex()
-                : role == FOLLOWER && leaderHeard != 0 && !lost();
+        return roleState.isLeader()
+                ? roleState.openIndex() > 0 && log.committedIndex() == endIndex()
+                : roleState.isFollower() && roleState.leader() != 0 && !lost();
     }
 
     /** What was asked of the node may never have arrived. */
@@ -223,16 +211,16 @@
 
     /** Whether this copy is none and is to be rebuilt from another. */
     public boolean lost() {
-        return lost || damaged;
+        return recovery.isLost();
     }
 
     public String why() {
-        return why;
+        return roleState.reason();
     }
 
     /** The leader as this member sees it, 0 for none. */
     public int leaderHeard() {
-        return leaderHeard;
+        return roleState.leader();
     }
 
     public LogRecord logRecord(final long index) {
@@ -268,9 +256,9 @@
 
     /** May this member act as the leader just now? Asked again immediately before each response. */
     public boolean mayAct(final long now) {
-        return role == LEADER
-                && openIndex > 0
-                && log.committedIndex() >= openIndex
+        return roleState.isLeader()
+                && roleState.openIndex() > 0
+                && log.committedIndex() >= roleState.openIndex()
                 && lease.held(now)
                 && !lease.transferring(now);
     }
@@ -278,14 +266,18 @@
     /** Has a follower the committed position of a leader that it hears? */
     public boolean inSync(final long now) {
         // why: a follower that hears its leader but is not heard gets no more of the log, and would not know
-        return role == LEADER
+        return roleState.isLeader()
                 ? mayAct(now)
-                : inSync && !lost() && leaderHeard != 0 && peers.up(leaderHeard) && now - behindSince <= timing.down();
+                : inSync
+                        && !lost()
+                        && roleState.leader() != 0
+                        && peers.up(roleState.leader())
+                        && now - behindSince <= timing.down();
     }
 
     /** Since when the leader has told of more committed than is here. */
     private void lookBehind(final long now) {
-        final HeartbeatEntry e = leaderHeard == 0 ? null : peers.entry(leaderHeard, now);
+        final HeartbeatEntry e = roleState.leader() == 0 ? null : peers.entry(roleState.leader(), now);
         if (e == null || e.committed() <= log.committedIndex()) {
             behindSince = Long.MAX_VALUE;
         } else if (behindSince == Long.MAX_VALUE) {
@@ -294,18 +286,19 @@
     }
 
     public HeartbeatEntry entry(final long now) {
-        final int sync = lost ? SYNC_LOST : inSync(now) ? SYNC_PEER : SYNC_CATCH_UP;
+        final SyncState sync =
+                recovery.isDiskLost() ? SyncState.LOST : inSync(now) ? SyncState.IN_SYNC : SyncState.CATCHING_UP;
         return new HeartbeatEntry(
                 id,
                 groupVersion(),
                 term(),
-                role,
-                sync,
+                role(),
+                sync.code(),
                 log.baseIndex() + 1,
                 log.syncedIndex(),
                 log.syncedTerm(),
                 log.committedIndex(),
-                leaderHeard,
+                roleState.leader(),
                 membership.weight(self));
     }
 
@@ -328,10 +321,7 @@
                 log.replayTruncate(in.num());
             }
             case VOTE -> voteStore.replay(in.num(), (int) in.num());
-            case INITIALISED -> {
-                initialised = true;
-                lost = in.num() == 1;
-            }
+            case INITIALISED -> recovery.replay(in.num() == 1);
             case SNAPSHOT -> {
                 dropTransfers();
                 log.replaySnapshot(in.bytes(), now);
@@ -344,11 +334,8 @@
     public List<byte[]> checkpoint() {
         final List<byte[]> entries = new ArrayList<>();
         entries.add(voteStore.entry());
-        if (initialised) {
-            entries.add(GroupEntryKind.INITIALISED
-                    .entry(id)
-                    .num(lost && rebuiltWrite == 0 ? 1 : 0)
-                    .done());
+        if (recovery.isInitialised()) {
+            entries.add(recovery.entry());
         }
         entries.add(GroupEntryKind.SNAPSHOT.entry(id).bytes(log.snapshot()).done());
         return entries;
@@ -356,10 +343,7 @@
 
     /** The control group's explicit founding: an empty member that knows it is new, not robbed of its disk. */
     public void found() {
-        if (!initialised) {
-            initialised = true;
-            out.write(GroupEntryKind.INITIALISED.entry(id).num(0).done());
-        }
+        recovery.initialise(false);
     }
 
     /**
@@ -382,12 +366,8 @@
         if (startedAt == Long.MIN_VALUE) {
             startedAt = now;
         }
-        if (!initialised) {
-            // why: an empty folder of a founded group has lost its log; it must not vote as if it had never had one
-            initialised = true;
-            lost = founded;
-            out.write(GroupEntryKind.INITIALISED.entry(id).num(lost ? 1 : 0).done());
-        }
+        // why: an empty folder of a founded group has lost its log; it must not vote as if it had never had one
+        recovery.initialise(founded);
     }
 
     // ---- events
@@ -406,10 +386,10 @@
             return false;
         }
         append(LogRecord.MEMBERS, next.save(), now, wall);
-        why = "group version " + next.version() + " with voters "
+        roleState.explain("group version " + next.version() + " with voters "
                 + next.voters().stream().map(Member::node).toList() + " and learners "
-                + next.learners().stream().map(Member::node).toList();
-        out.note("group " + id + ": " + why);
+                + next.learners().stream().map(Member::node).toList());
+        out.note("group " + id + ": " + why());
         return true;
     }
 
@@ -439,10 +419,10 @@
      */
     public boolean retreat(final long now) {
         retreats = true;
-        if (role == LEADER && !lease.transferring(now)) {
+        if (roleState.isLeader() && !lease.transferring(now)) {
             handOverToAny(now);
         }
-        return role != LEADER;
+        return !roleState.isLeader();
     }
 
     private void handOverToAny(final long now) {
@@ -459,7 +439,7 @@
             return false;
         }
         lease.transfer(now);
-        why = "hands over to " + to;
+        roleState.explain("hands over to " + to);
         out.send(to, new PeerMessage.TimeoutNow(id, term()));
         return true;
     }
@@ -476,25 +456,25 @@
                 voteStore.observe(e.term());
             }
         }
-        if (role == LEADER) {
+        if (roleState.isLeader()) {
             if (voteStore.highestTermSeen() > term()) {
                 stepDown("epoch " + voteStore.highestTermSeen() + " seen");
-            } else if (now - leaderSince > timing.down() && !lease.majorityAnswers(now)) {
+            } else if (now - roleState.leaderSince() > timing.down() && !lease.majorityAnswers(now)) {
                 stepDown("no majority answers");
             } else {
                 advance(now);
                 yieldForDisk(now);
             }
         }
-        if (role == CANDIDATE && now >= goEndsAt) {
-            role = FOLLOWER;
+        if (roleState.isCandidate() && now >= goEndsAt) {
+            roleState.becomeFollower();
             lostGoes++;
             nextGo = now + spread();
-            why = "go for epoch " + term() + " lost";
+            roleState.explain("go for epoch " + term() + " lost");
         }
-        final int heard = role == LEADER ? (lease.held(now) ? self : 0) : liveLeader(now);
-        if (heard != leaderHeard) {
-            leaderHeard = heard;
+        final int heard = roleState.isLeader() ? (lease.held(now) ? self : 0) : liveLeader(now);
+        if (heard != roleState.leader()) {
+            roleState.hear(heard);
             if (heard == 0 || heard == self) {
                 // why: the others wait to stand until nobody tells of a live leader, so they are told at once
                 out.heartbeatNow();
@@ -504,29 +484,29 @@
             }
             pulling = false;
         }
-        if (role == FOLLOWER && leaderHeard == 0) {
+        if (roleState.isFollower() && roleState.leader() == 0) {
             inSync = false;
             if (now >= nextGo && mayStand(now)) {
                 stand(now, false);
             }
         }
         lookBehind(now);
-        sweep();
+        sweepLog();
         pull(now);
         trim(now);
     }
 
     /** A learner copies the log; who is no member does nothing and hears no leader through this group. */
     private void followOnly(final long now) {
-        if (role == LEADER) {
+        if (roleState.isLeader()) {
             stepDown("is no voter any more");
         }
-        role = FOLLOWER;
+        roleState.becomeFollower();
         if (membership.holdsSelf()) {
-            leaderHeard = liveLeader(now);
+            roleState.hear(liveLeader(now));
             pull(now);
         } else {
-            leaderHeard = 0;
+            roleState.hear(PeerView.NOBODY);
             inSync = false;
         }
     }
@@ -542,24 +522,11 @@
                 out.send(w.node, w.message);
             }
         }
-        if (damaged && !lost && !wantFull && !log.hasUnsynced()) {
-            // why: it has forgotten no vote, so the leader's log, whole and synced, makes it the copy that any other
-            // follower is
-            damaged = false;
-            why = "copy mended up to " + log.syncedIndex();
+        final String recovered = recovery.synced(number, wantFull);
+        if (recovered != null) {
+            roleState.explain(recovered);
         }
-        if (lost() && joinTarget >= 0 && log.syncedIndex() >= joinTarget && !log.hasUnsynced() && rebuiltWrite == 0) {
-            rebuiltWrite = out.write(GroupEntryKind.INITIALISED.entry(id).num(0).done());
-        }
-        // why: whoever is told that this copy counts must find it counting after a crash, too
-        if (rebuiltWrite > 0 && number >= rebuiltWrite) {
-            rebuiltWrite = 0;
-            lost = false;
-            damaged = false;
-            joinTarget = -1;
-            why = "copy rebuilt up to " + log.syncedIndex();
-        }
-        if (role == LEADER) {
+        if (roleState.isLeader()) {
             advance(now);
         } else if (!log.hasUnsynced()) {
             pull(now);
@@ -571,7 +538,11 @@
             return;
         }
         if (message instanceof PeerMessage.TimeoutNow m) {
-            if (role == FOLLOWER && from == leaderHeard && m.term() == term() && !lost() && !log.hasUnsynced()) {
+            if (roleState.isFollower()
+                    && from == roleState.leader()
+                    && m.term() == term()
+                    && !lost()
+                    && !log.hasUnsynced()) {
                 stand(now, true);
             }
         } else if (message instanceof VoteRequest m) {
@@ -618,7 +589,7 @@
 
     /** What keeps this member from standing, empty for nothing. */
     private String obstacle(final long now) {
-        if (lost() || !initialised) {
+        if (lost() || !recovery.isInitialised()) {
             return "its copy is being rebuilt";
         }
         if (retreats) {
@@ -688,10 +659,9 @@
             return;
         }
         final long write = voteStore.vote(next, self);
-        role = CANDIDATE;
         votes.clear();
         goEndsAt = now + timing.goDeadline();
-        why = "stands for epoch " + term();
+        roleState.becomeCandidate("stands for epoch " + term());
         for (final Member m : members()) {
             afterSync.add(new Waiting(
                     write,
@@ -712,7 +682,7 @@
     }
 
     private void onVoteAsk(final int from, final VoteRequest m, final long now) {
-        if (role != LEADER) {
+        if (!roleState.isLeader()) {
             voteStore.observe(m.term());
         }
         String refusal = refusal(from, m, now);
@@ -723,19 +693,19 @@
             out.send(from, new VoteReply(id, m.term(), false, voteStore.highestTermSeen(), refusal));
             return;
         }
-        if (role == LEADER) {
+        if (roleState.isLeader()) {
             stepDown("node " + from + " takes over");
         }
         // why: a vote that is forgotten after a crash could be given twice
         final long write = voteStore.vote(m.term(), from);
-        role = FOLLOWER;
+        roleState.becomeFollower();
         nextGo = now + timing.down();
-        why = "voted for " + from + " in epoch " + term();
+        roleState.explain("voted for " + from + " in epoch " + term());
         afterSync.add(new Waiting(write, from, new VoteReply(id, term(), true, term(), "granted"), now));
     }
 
     private String refusal(final int from, final VoteRequest m, final long now) {
-        if (lost || !initialised) {
+        if (recovery.isDiskLost() || !recovery.isInitialised()) {
             return "copy is being rebuilt";
         }
         if (now - startedAt <= timing.down()) {
@@ -748,7 +718,7 @@
         if (!voteStore.mayVote(m.term(), from)) {
             return "epoch " + term() + " is taken";
         }
-        if (role == LEADER && (!m.manual() || !lease.transferring(now))) {
+        if (roleState.isLeader() && (!m.manual() || !lease.transferring(now))) {
             return "master lives";
         }
         // why: the table's indexes may be stale; the voter's own log as it is now is what counts
@@ -768,44 +738,37 @@
     }
 
     private void onVoteReply(final int from, final VoteReply m, final long now) {
-        if (role == LEADER) {
+        if (roleState.isLeader()) {
             return;
         }
         voteStore.observe(m.termSeen());
-        if (role != CANDIDATE || m.term() != term() || !m.granted()) {
+        if (!roleState.isCandidate() || m.term() != term() || !m.granted()) {
             return;
         }
         votes.add(from);
         if (votes.size() < (founded ? membership.majority() : members().size())) {
             return;
         }
-        role = LEADER;
+        // why: records of earlier terms count as committed only once a record of this one is
+        roleState.becomeLeader(endIndex() + 1, "won epoch " + term() + " with votes of " + votes, now);
         snapshotReceiver.reset();
-        leaderSince = now;
-        leaderHeard = self;
         lostGoes = 0;
         progress.clear();
         lease.reset();
         held.clear();
         pulling = false;
-        why = "won epoch " + term() + " with votes of " + votes;
-        out.note("group " + id + ": " + why);
+        out.note("group " + id + ": " + why());
         out.heartbeatNow();
-        // why: records of earlier terms count as committed only once a record of this one is
-        openIndex = endIndex() + 1;
         append(LogRecord.OPEN, new byte[0], now, 0);
     }
 
     private void stepDown(final String reason) {
-        role = FOLLOWER;
-        openIndex = 0;
-        leaderHeard = 0;
+        roleState.stepDown("stepped down: " + reason);
         held.clear();
         progress.clearVoters();
         pulling = false;
         inSync = false;
-        why = "stepped down: " + reason;
-        out.note("group " + id + ": " + why);
+        out.note("group " + id + ": " + why());
         out.heartbeatNow();
     }
 
@@ -827,7 +790,7 @@
     // ---- replication
 
     private void pull(final long now) {
-        if (role == LEADER || members().isEmpty() || log.hasUnsynced()) {
+        if (roleState.isLeader() || members().isEmpty() || log.hasUnsynced()) {
             return;
         }
         final int source = source(now);
@@ -852,7 +815,7 @@
                         log.endTerm(),
                         log.syncedIndex(),
                         log.syncedTerm(),
-                        lost() && joinTarget < 0 ? Pull.UNKNOWN : log.committedIndex(),
+                        recovery.needsTarget() ? Pull.UNKNOWN : log.committedIndex(),
                         lost(),
                         log.digestAt(log.syncedIndex()),
                         snapshotReceiver.sum(),
@@ -861,8 +824,8 @@
 
     /** The leader while it can be reached; else a follower that still hears it. */
     private int source(final long now) {
-        if (leaderHeard != 0 && peers.up(leaderHeard)) {
-            return leaderHeard;
+        if (roleState.leader() != 0 && peers.up(roleState.leader())) {
+            return roleState.leader();
         }
         for (final Member m : members()) {
             final HeartbeatEntry e = peers.entry(m.node(), now);
@@ -882,12 +845,12 @@
         final boolean learner = !membership.isVoter(from);
         if (m.term() > term() && !learner) {
             voteStore.observe(m.term());
-            if (role == LEADER) {
+            if (roleState.isLeader()) {
                 stepDown("sibling " + from + " is in epoch " + m.term());
             }
             return;
         }
-        if (role == LEADER
+        if (roleState.isLeader()
                 && !m.lost()
                 && log.termAt(m.syncedIndex()) == m.syncedTerm()
                 && chainAt(m.syncedIndex()) != m.chain()) {
@@ -900,7 +863,7 @@
             sendWhole(from, m, mayAct(now) ? PullReply.ACTING_LEADER : PullReply.LEADER, now);
             return;
         }
-        if (role == LEADER) {
+        if (roleState.isLeader()) {
             if (learner) {
                 // why: a learner's copy is looked at to see when it may vote, and counts for nothing until then; one
                 // that stood in vain in a later term, before it was removed, may not vote in this one
@@ -934,7 +897,8 @@
     private boolean reply(final int to, final Pull m, final long now) {
         final long prev = m.nextIndex() - 1;
         // why: only a leader that has opened its term knows everything that was committed before it
-        final int lead = mayAct(now) ? PullReply.ACTING_LEADER : role == LEADER ? PullReply.LEADER : PullReply.FOLLOWER;
+        final int lead =
+                mayAct(now) ? PullReply.ACTING_LEADER : roleState.isLeader() ? PullReply.LEADER : PullReply.FOLLOWER;
         if (m.nextIndex() < 0 || prev < log.baseIndex()) {
             sendWhole(to, m, lead, now);
             return true;
@@ -1037,12 +1001,12 @@
     private void onPullReply(final int from, final PullReply m, final long now) {
         // why: the fence: whoever acts for an older term or an older group is not obeyed, however late it wakes
         final boolean older = !membership.selfIsVoter() ? m.term() < log.endTerm() : m.term() < term();
-        if (older || (m.term() == term() && olderGroup(m)) || role == LEADER || from != pullSource) {
+        if (older || (m.term() == term() && olderGroup(m)) || roleState.isLeader() || from != pullSource) {
             return;
         }
         if (m.term() > term()) {
-            if (role == CANDIDATE) {
-                role = FOLLOWER;
+            if (roleState.isCandidate()) {
+                roleState.becomeFollower();
             }
             voteStore.enter(m.term());
         }
@@ -1060,7 +1024,7 @@
             case FULL -> {
                 // why: a follower's log may lack what this member's counted for; whoever is mended takes the leader's
                 if (m.snapshot().length == 0
-                        || (m.standing() == PullReply.FOLLOWER && damaged)
+                        || (m.standing() == PullReply.FOLLOWER && recovery.isDamaged())
                         || (m.standing() == PullReply.FOLLOWER
                                 && !lost()
                                 && !wantFull
@@ -1073,12 +1037,12 @@
                     break;
                 }
                 dropTransfers();
-                swept = 0;
+                sweep.restart();
                 log.install(snapshot, now);
                 wantFull = false;
                 matched = endIndex();
-                why = "full sync from " + from + " up to " + endIndex();
-                out.note("group " + id + ": " + why);
+                roleState.explain("full sync from " + from + " up to " + endIndex());
+                out.note("group " + id + ": " + why());
             }
             case MISMATCH -> {
                 if (m.standing() == PullReply.FOLLOWER) {
@@ -1093,8 +1057,8 @@
                 } else {
                     dropTransfers();
                     log.truncate(m.tryIndex());
-                    why = "diverged tail cut to " + m.tryIndex();
-                    out.note("group " + id + ": " + why);
+                    roleState.explain("diverged tail cut to " + m.tryIndex());
+                    out.note("group " + id + ": " + why());
                 }
             }
             default -> {
@@ -1108,8 +1072,8 @@
                 out.heartbeatNow();
             }
             inSync = matched >= m.committed();
-            if (lost() && m.standing() == PullReply.ACTING_LEADER && joinTarget < 0) {
-                joinTarget = m.committed();
+            if (m.standing() == PullReply.ACTING_LEADER && recovery.needsTarget()) {
+                recovery.target(m.committed());
             }
             serveHeld(now);
         }
@@ -1173,9 +1137,9 @@
         if (!lease.held(now)) {
             return;
         }
-        final long index = progress.committable(floor(), openIndex, term());
+        final long index = progress.committable(floor(), roleState.openIndex(), term());
         if (index > log.committedIndex()) {
-            if (log.committedIndex() < openIndex) {
+            if (log.committedIndex() < roleState.openIndex()) {
                 // why: whoever only watches learns at once that it may be read from, and not with its own next
                 // heartbeat
                 out.heartbeatNow();
@@ -1210,12 +1174,11 @@
             return true;
         }
         if (!lost()) {
-            damaged = true;
+            recovery.damage();
             snapshotReceiver.reset();
-            joinTarget = -1;
             wantFull = true;
             inSync = false;
-            if (role == LEADER) {
+            if (roleState.isLeader()) {
                 stepDown("record " + index + " is damaged");
             }
             out.note("group " + id + ": record " + index + " is damaged; the copy is mended");
@@ -1223,13 +1186,11 @@
         return false;
     }
 
-    /** A few records each time, round and round: finds what no read has met. */
-    private void sweep() {
-        for (int i = 0; i < SWEPT_AT_ONCE && swept < log.size(); i++) {
-            if (!whole(log.baseIndex() + 1 + swept++)) {
-                return;
-            }
+    /** Finds damage that no read has met. */
+    private void sweepLog() {
+        final long damagedIndex = sweep.nextDamaged();
+        if (damagedIndex != LogSweep.NONE) {
+            whole(damagedIndex);
         }
-        swept = swept >= log.size() ? 0 : swept;
     }
 }
--- /dev/null
+++ b/coordination/src/main/java/brookpath/coordination/group/LogSweep.java
@@ -0,0 +1,35 @@
+package brookpath.coordination.group;
+
+/** Checks a few records of a log at a time, round and round, to find damage that no read has met. */
+final class LogSweep {
+    /** No record is damaged. */
+    static final long NONE = 0;
+
+    private static final int RECORDS_AT_ONCE = 16;
+
+    private final RaftLog log;
+    private int position;
+
+    LogSweep(final RaftLog log) {
+        this.log = log;
+    }
+
+    /** Checks the next records; the index of the first damaged one, else {@link #NONE}. */
+    long nextDamaged() {
+        for (int checked = 0; checked < RECORDS_AT_ONCE && position < log.size(); checked++) {
+            final long index = log.baseIndex() + 1 + position++;
+            if (!log.logRecord(index).whole()) {
+                return index;
+            }
+        }
+        if (position >= log.size()) {
+            position = 0;
+        }
+        return NONE;
+    }
+
+    /** Begins again: the log was replaced. */
+    void restart() {
+        position = 0;
+    }
+}
