--- a/programs/src/main/java/brookpath/programs/boot/ProcessAssembly.java
+++ b/programs/src/main/java/brookpath/programs/boot/ProcessAssembly.java
@@ -19,6 +19,7 @@
 import brookpath.transport.identity.ProcessIdentity;
 import brookpath.transport.identity.RandomNumbers;
 import brookpath.transport.loop.Host;
+import brookpath.transport.loop.SystemClock;
 import java.nio.file.Path;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -73,7 +74,7 @@
 
     /** Throws IllegalStateException where the folder forbids what the plan says. */
     public static ProcessAssembly of(final Plan plan, final Host.Poster poster) {
-        final Time time = Host.time();
+        final Time time = SystemClock.now();
         final FolderDisk disk = plan.data.isEmpty() ? null : new FolderDisk(Path.of(plan.data));
         final NodeInfo info =
                 plan.info.on(disk == null ? RandomNumbers.identity() : onceThereIsRoom(plan, () -> machine(disk)));
--- a/programs/src/main/java/brookpath/programs/boot/ProcessLauncher.java
+++ b/programs/src/main/java/brookpath/programs/boot/ProcessLauncher.java
@@ -19,6 +19,7 @@
 import brookpath.transport.http.SettingsReport;
 import brookpath.transport.log.RingWriter;
 import brookpath.transport.loop.Host;
+import brookpath.transport.loop.SystemClock;
 import com.google.inject.AbstractModule;
 import com.google.inject.Guice;
 import com.google.inject.Injector;
@@ -35,7 +36,7 @@
 public final class ProcessLauncher {
     private static final int BAD_SETTINGS = 2;
     private static final int TRAFFIC_THREADS = 2;
-    private static final long BORN_AT = Host.time().mono();
+    private static final long BORN_AT = SystemClock.now().mono();
 
     private ProcessLauncher() {}
 
@@ -115,7 +116,7 @@
         SettingsWatch settings(final Host host, final PlatformPoster poster) {
             return new SettingsWatch(args, controller, s, is -> {
                 poster.url(is.platform());
-                host.tell(new NodeRequest.Adopt(is.rollBytes()));
+                host.submitWithoutReply(new NodeRequest.Adopt(is.rollBytes()));
             });
         }
 
--- /dev/null
+++ b/transport/src/main/java/brookpath/transport/loop/HeartbeatLoop.java
@@ -0,0 +1,142 @@
+package brookpath.transport.loop;
+
+import static java.util.concurrent.TimeUnit.MILLISECONDS;
+
+import brookpath.coordination.TimingBounds;
+import brookpath.coordination.action.Action;
+import brookpath.coordination.action.Actions;
+import brookpath.coordination.heartbeat.HeartbeatMonitor;
+import brookpath.coordination.heartbeat.HeartbeatTable;
+import brookpath.coordination.heartbeat.StatusHandoff;
+import brookpath.coordination.message.PeerMessage;
+import brookpath.coordination.node.Node;
+import brookpath.transport.wire.Wire;
+import java.util.List;
+import java.util.Set;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+
+/**
+ * The replication listener thread: sends heartbeats in rounds, answers those of others, and keeps the table of what was
+ * heard. Other threads hand it heartbeats, entries and peers, and read the table.
+ */
+final class HeartbeatLoop implements Runnable {
+    private static final int MAX_WAITING_HEARTBEATS = 1_024;
+
+    private record ReceivedHeartbeat(int from, PeerMessage.Heartbeat heartbeat) {}
+
+    /** Nothing was received, but a round of heartbeats is wanted. */
+    private static final ReceivedHeartbeat WAKE_UP = new ReceivedHeartbeat(0, null);
+
+    private final Node node;
+    private final TimingBounds timing;
+    private final Wire wire;
+    private final EventQueue events;
+    private final LoopThreads threads;
+    private final BlockingQueue<ReceivedHeartbeat> inbox = new LinkedBlockingQueue<>();
+    private final StatusHandoff status = new StatusHandoff();
+    private volatile HeartbeatTable table = HeartbeatTable.EMPTY;
+    private volatile Set<Integer> peers = Set.of();
+
+    HeartbeatLoop(
+            final Node node,
+            final TimingBounds timing,
+            final Wire wire,
+            final EventQueue events,
+            final LoopThreads threads) {
+        this.node = node;
+        this.timing = timing;
+        this.wire = wire;
+        this.events = events;
+        this.threads = threads;
+    }
+
+    // ---- from other threads
+
+    /** What was heard last of every process. */
+    HeartbeatTable table() {
+        return table;
+    }
+
+    /** From here on heartbeats go to these nodes. */
+    void peers(final Set<Integer> newPeers) {
+        if (!newPeers.equals(peers)) {
+            peers = newPeers;
+        }
+    }
+
+    /** From here on heartbeats carry these entries. */
+    void publish(final List<PeerMessage.HeartbeatEntry> entries) {
+        status.publish(entries);
+    }
+
+    /** Has a round of heartbeats sent without waiting for its period. */
+    void requestHeartbeat() {
+        if (status.wish()) {
+            inbox.add(WAKE_UP);
+        }
+    }
+
+    void receive(final int from, final PeerMessage.Heartbeat heartbeat) {
+        if (inbox.size() > MAX_WAITING_HEARTBEATS) {
+            // why: an old heartbeat says nothing that a newer one does not
+            inbox.poll();
+        }
+        inbox.add(new ReceivedHeartbeat(from, heartbeat));
+    }
+
+    /** How many heartbeats wait to be looked at. */
+    int waiting() {
+        return inbox.size();
+    }
+
+    // ---- the thread
+
+    @Override
+    public void run() {
+        final HeartbeatMonitor monitor = new HeartbeatMonitor(timing, node.heartbeatPeriod(), node.promises());
+        final Actions out = new Actions();
+        Set<Integer> knownPeers = Set.of();
+        try {
+            while (!threads.closed()) {
+                final long waitMs = monitor.nextRound() - SystemClock.monotonicMs();
+                final ReceivedHeartbeat received = waitMs <= 0 ? inbox.poll() : inbox.poll(waitMs, MILLISECONDS);
+                final long nowMs = SystemClock.monotonicMs();
+                if (peers != knownPeers) {
+                    knownPeers = peers;
+                    monitor.peers(knownPeers);
+                }
+                if (round(monitor, received, nowMs, out)) {
+                    events.requestTick();
+                }
+            }
+        } catch (final InterruptedException ex) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    /** Looks at what was received and sends what is due; true where the state thread should look at the table. */
+    @SuppressWarnings("ReferenceEquality") // why: WAKE_UP is one object that stands for itself
+    private boolean round(
+            final HeartbeatMonitor monitor, final ReceivedHeartbeat received, final long nowMs, final Actions out) {
+        final boolean heartbeatRequested = status.takeWish();
+        monitor.own(status.entries());
+        boolean changed = false;
+        if (received != null && received != WAKE_UP) {
+            changed = monitor.onHeartbeat(received.from, received.heartbeat, nowMs, out);
+            // why: the state thread must see a heartbeat before its sender is told that it was heard
+            table = monitor.table();
+        }
+        changed |= monitor.tick(nowMs, out);
+        if (heartbeatRequested) {
+            monitor.heartbeatNow(nowMs, out);
+        }
+        table = monitor.table();
+        for (final Action action : out.drain()) {
+            if (action instanceof Action.Send send) {
+                wire.send(send.node(), send.message());
+            }
+        }
+        return changed;
+    }
+}
--- /dev/null
+++ b/transport/src/main/java/brookpath/transport/loop/SessionSinks.java
@@ -0,0 +1,44 @@
+package brookpath.transport.loop;
+
+import brookpath.coordination.action.Action;
+import java.util.Map;
+import java.util.concurrent.ConcurrentHashMap;
+
+/** The traffic sides of the listening sessions, by session. Thread-safe. */
+final class SessionSinks {
+    private final Map<Long, Host.Sink> sinks = new ConcurrentHashMap<>();
+
+    void add(final long sessionId, final Host.Sink sink) {
+        sinks.put(sessionId, sink);
+    }
+
+    void remove(final long sessionId) {
+        sinks.remove(sessionId);
+    }
+
+    void close(final long sessionId, final String reason) {
+        final Host.Sink sink = sinks.remove(sessionId);
+        if (sink != null) {
+            sink.close(reason);
+        }
+    }
+
+    /** False where the session could not take it and was closed. */
+    boolean deliver(final Action.ToSession action) {
+        final Host.Sink sink = sinks.get(action.sessionId());
+        if (sink == null || sink.offer(action)) {
+            return true;
+        }
+        sink.close("too slow: the waitlist is full");
+        sinks.remove(action.sessionId());
+        return false;
+    }
+
+    void closeAll(final String reason) {
+        sinks.values().forEach(sink -> sink.close(reason));
+    }
+
+    int size() {
+        return sinks.size();
+    }
+}
