--- a/coordination/src/main/java/brookpath/coordination/node/GatewayNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/GatewayNode.java
@@ -18,9 +18,11 @@
 import brookpath.coordination.message.PeerMessage.PublishReply;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.node.gateway.GatewayAddresses;
+import brookpath.coordination.node.gateway.GatewayDrain;
 import brookpath.coordination.node.gateway.LeaseQueue;
 import brookpath.coordination.node.gateway.ListenerCountRequests;
 import brookpath.coordination.node.gateway.PublishForwarder;
+import brookpath.coordination.node.gateway.SessionRequests;
 import brookpath.coordination.node.gateway.Subscriptions;
 import brookpath.coordination.route.Refusals;
 import brookpath.coordination.route.Route;
@@ -42,10 +44,6 @@
     /** A gateway only watches, so its heartbeats are rarer: changes of masterships are told to it at once besides. */
     private static final int HEARTBEAT_PERIODS = 4;
 
-    /** A retreat spreads the sessions' moves over this part of the bound on recovery, a drain over half of it. */
-    private static final int RETREAT_DIVISOR = 12;
-
-    private static final int DRAIN_DIVISOR = 2;
     private static final int OK = 200;
     private static final int UNAUTHORIZED = 401;
 
@@ -53,15 +51,15 @@
     private final ConfigurationClient client;
     private final PublishForwarder forwarder;
     private final Subscriptions subscriptions;
+    private final SessionRequests sessionRequests;
     private final ListenerCountRequests counts;
     private final LeaseQueue leaseQueue;
     private final GatewayAddresses otherGateways;
+    private final GatewayDrain drain;
     private final GatewayStatus status;
 
     private long ids;
     private long nextListenerReport;
-    /** The request that asked for a retreat; 0 while this node stays. */
-    private long retreatRequest;
 
     /**
      * @param info this process as others are told of it; its address is where callers reach it, and may be empty
@@ -76,9 +74,11 @@
         forwarder = new PublishForwarder(timing, this::routes, this::nextId, out);
         subscriptions = new Subscriptions(
                 self, () -> client.configuration().topicsPerSession(), timing, this::routes, this::nextId, out);
+        sessionRequests = subscriptions.requests();
         counts = new ListenerCountRequests(timing, this::nextId, out);
         leaseQueue = new LeaseQueue(timing);
         otherGateways = new GatewayAddresses(self, zone, this::nextId);
+        drain = new GatewayDrain(client, subscriptions, otherGateways, timing, this::nextId, out);
         status = new GatewayStatus(self, zone, client);
     }
 
@@ -133,13 +133,7 @@
         if (client.leased(now)) {
             subscriptions.tick(now);
         }
-        if (client.draining() && otherGateways.isSettled(now)) {
-            subscriptions.moveDue(otherGateways::next, now);
-        }
-        if (retreatRequest != 0 && subscriptions.size() == 0 && forwarder.size() == 0) {
-            out.respond(retreatRequest, new Response(OK, 0, "{}"));
-            retreatRequest = 0;
-        }
+        drain.tick(forwarder.size(), now);
         if (now >= nextListenerReport) {
             nextListenerReport = now + timing.heartbeat();
             subscriptions.reportListeners(now);
@@ -163,21 +157,13 @@
             if (client.leased(now)) {
                 subscriptions.fetched(from, reply, now);
             }
-        } else if (peerMessage instanceof ControlReply reply && otherGateways.asked(reply.requestId())) {
-            addressesReceived(reply);
+        } else if (peerMessage instanceof ControlReply reply) {
+            drain.received(reply);
         } else if (peerMessage instanceof ListenerCountReply reply) {
             counts.reply(reply);
         }
     }
 
-    private void addressesReceived(final ControlReply reply) {
-        if (reply.status() == OK) {
-            otherGateways.received(reply.body());
-        } else {
-            otherGateways.unknown();
-        }
-    }
-
     @Override
     protected void onUnsent(final int to, final PeerMessage peerMessage, final Time time) {
         final long now = time.mono();
@@ -189,8 +175,8 @@
             subscriptions.unsent(to, message, now);
         } else if (peerMessage instanceof ListenerReport message) {
             subscriptions.unsent(message);
-        } else if (peerMessage instanceof ControlRequest message && otherGateways.asked(message.requestId())) {
-            otherGateways.unknown();
+        } else if (peerMessage instanceof ControlRequest message) {
+            drain.unsent(message);
         } else if (peerMessage instanceof ListenerCountRequest message) {
             counts.unsent(to, message);
         }
@@ -216,13 +202,13 @@
             if (client.draining()) {
                 refuseDraining(request.requestId());
             } else {
-                subscriptions.subscribe(request, Cursor.read(request.cursor()), now);
+                sessionRequests.subscribe(request, Cursor.read(request.cursor()), now);
             }
         } else if (nodeRequest instanceof NodeRequest.Leave request) {
-            subscriptions.leave(request);
+            sessionRequests.leave(request);
         } else if (nodeRequest instanceof NodeRequest.Unsubscribe request) {
             leaseQueue.removeIf(waiting -> belongsTo(waiting, request.sessionId()));
-            subscriptions.end(request.sessionId());
+            sessionRequests.end(request.sessionId());
         } else {
             handleOperator(nodeRequest, time);
         }
@@ -253,7 +239,7 @@
         } else if (nodeRequest instanceof NodeRequest.Open request) {
             open(request, now);
         } else if (nodeRequest instanceof NodeRequest.Join request) {
-            subscriptions.join(request, now);
+            sessionRequests.join(request, now);
         } else if (nodeRequest instanceof NodeRequest.Count request) {
             count(request, now);
         }
@@ -267,11 +253,14 @@
         } else if (nodeRequest instanceof NodeRequest.ReadinessProbe request) {
             out.respond(request.requestId(), readiness(now));
         } else if (nodeRequest instanceof NodeRequest.Drain request) {
-            drain(request.on(), timing.recoverMs() / DRAIN_DIVISOR, now);
+            if (request.on()) {
+                drain.start(now);
+            } else {
+                drain.stop();
+            }
             out.respond(request.requestId(), new Response(OK, 0, "{\"draining\":" + request.on() + "}"));
         } else if (nodeRequest instanceof NodeRequest.Retreat request) {
-            retreatRequest = request.requestId();
-            drain(true, timing.recoverMs() / RETREAT_DIVISOR, now);
+            drain.shutDown(request.requestId(), now);
         } else if (nodeRequest instanceof NodeRequest.Status request) {
             out.respond(request.requestId(), new Response(OK, 0, statusJson(time)));
         }
@@ -298,7 +287,7 @@
             refuseDraining(request.requestId());
             out.move(request.requestId(), otherGateways.next());
         } else {
-            subscriptions.open(request);
+            sessionRequests.open(request);
         }
     }
 
@@ -332,21 +321,6 @@
         return new Response(ready.status(), ready.retryAfterMs(), ready.json(), empty ? "empty" : "");
     }
 
-    private void drain(final boolean on, final long over, final long now) {
-        if (on && !client.draining()) {
-            // whoever is sent on is told where to, and only the control plane knows all gateways
-            final long request = nextId();
-            otherGateways.await(request, now + timing.down());
-            out.send(client.controlLeader(), new ControlRequest(request, "fronts", new byte[0]));
-        }
-        client.drain(on);
-        if (on) {
-            subscriptions.scheduleMoves(over, now);
-        } else {
-            subscriptions.cancelMoves();
-        }
-    }
-
     private void refuseDraining(final long requestId) {
         refuse(requestId, "draining", "this node drains; another takes new sessions");
     }
