--- a/testing/src/main/java/brookpath/testing/fleet/FleetScenario.java
+++ b/testing/src/main/java/brookpath/testing/fleet/FleetScenario.java
@@ -1,7 +1,7 @@
 package brookpath.testing.fleet;
 
-import brookpath.coordination.configuration.Placement;
 import brookpath.coordination.configuration.Configuration;
+import brookpath.coordination.configuration.Placement;
 import brookpath.testing.sim.Callers;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -125,7 +125,8 @@
     }
 
     private static int groupOf(final String topic) {
-        final Configuration.Space space = new Configuration.Space(Callers.spaceOf(topic), 0, topic.startsWith("clues/"), 2);
+        final Configuration.Space space =
+                new Configuration.Space(Callers.spaceOf(topic), 0, topic.startsWith("clues/"), 2);
         return Placement.groupOf(topic, space, GROUPS);
     }
 
--- a/testing/src/main/java/brookpath/testing/model/DigestState.java
+++ b/testing/src/main/java/brookpath/testing/model/DigestState.java
@@ -1,8 +1,8 @@
 package brookpath.testing.model;
 
 import brookpath.coordination.group.LogState;
-import brookpath.state.record.PackedBuffer;
 import brookpath.state.record.LogRecord;
+import brookpath.state.record.PackedBuffer;
 
 /** The smallest state that follows from a log: a digest of its records. */
 final class DigestState implements LogState {
--- a/testing/src/main/java/brookpath/testing/model/Invariants.java
+++ b/testing/src/main/java/brookpath/testing/model/Invariants.java
@@ -140,8 +140,8 @@
         final GroupMachine g = m.group;
         final long first = Math.max(1, Math.max(g.baseIndex() + 1, m.lastCommitted + 1));
         for (long index = first; index <= g.committed(); index++) {
-            final Committed known =
-                    committed.putIfAbsent(index, new Committed(g.logRecord(index).bytes(), g.term()));
+            final Committed known = committed.putIfAbsent(
+                    index, new Committed(g.logRecord(index).bytes(), g.term()));
             if (known != null && !Arrays.equals(known.bytes, g.logRecord(index).bytes())) {
                 throw new Violation("member " + m.id + " holds another record as accepted at " + index);
             }
--- a/testing/src/main/java/brookpath/testing/model/ModelMember.java
+++ b/testing/src/main/java/brookpath/testing/model/ModelMember.java
@@ -2,10 +2,10 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.heartbeat.HeartbeatMonitor;
-import brookpath.coordination.heartbeat.HeartbeatPromises;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Membership;
+import brookpath.coordination.heartbeat.HeartbeatMonitor;
+import brookpath.coordination.heartbeat.HeartbeatPromises;
 import brookpath.state.record.PackedBuffer;
 import java.util.ArrayList;
 import java.util.List;
--- a/testing/src/main/java/brookpath/testing/model/ModelWorld.java
+++ b/testing/src/main/java/brookpath/testing/model/ModelWorld.java
@@ -183,7 +183,9 @@
         });
     }
 
-    /** The cluster metadata follows the newest committed membership, and each member is told of the cluster metadata. */
+    /**
+     * The cluster metadata follows the newest committed membership, and each member is told of the cluster metadata.
+     */
     private void place(final ModelMember m) {
         final GroupMachine g = m.group;
         if (g.mayAct(clock(m))
--- a/testing/src/main/java/brookpath/testing/sim/AvailabilityOracle.java
+++ b/testing/src/main/java/brookpath/testing/sim/AvailabilityOracle.java
@@ -5,8 +5,8 @@
 import java.util.TreeMap;
 
 /**
- * Judges, per kind of request, that service is not mostly down: once no machine has been away for the recovery bound, most
- * of what is asked succeeds. Publishes and counts are judged per group; nothing is averaged over kinds.
+ * Judges, per kind of request, that service is not mostly down: once no machine has been away for the recovery bound,
+ * most of what is asked succeeds. Publishes and counts are judged per group; nothing is averaged over kinds.
  */
 final class AvailabilityOracle {
     private static final long SPAN = 3_000;
--- a/testing/src/main/java/brookpath/testing/sim/Callers.java
+++ b/testing/src/main/java/brookpath/testing/sim/Callers.java
@@ -3,10 +3,10 @@
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import brookpath.coordination.action.Action;
+import brookpath.coordination.configuration.Configuration;
+import brookpath.coordination.configuration.Placement;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.node.NodeRequest;
-import brookpath.coordination.configuration.Placement;
-import brookpath.coordination.configuration.Configuration;
 import brookpath.testing.oracle.History.Sent;
 import jakarta.json.Json;
 import jakarta.json.JsonObject;
@@ -186,7 +186,10 @@
         }
     }
 
-    long ask(final SimulatedProcess p, final java.util.function.LongFunction<NodeRequest> request, final Consumer<Response> then) {
+    long ask(
+            final SimulatedProcess p,
+            final java.util.function.LongFunction<NodeRequest> request,
+            final Consumer<Response> then) {
         final long id = ++requestIds;
         if (!p.alive) {
             world.at(world.now() + 1, () -> then.accept(new Response(-1, 0, "{}")));
@@ -210,7 +213,10 @@
     }
 
     /** One request by hand. */
-    void asked(final SimulatedProcess p, final java.util.function.LongFunction<NodeRequest> request, final Consumer<Response> then) {
+    void asked(
+            final SimulatedProcess p,
+            final java.util.function.LongFunction<NodeRequest> request,
+            final Consumer<Response> then) {
         ask(p, request, then);
     }
 
--- a/testing/src/main/java/brookpath/testing/sim/ControlFaults.java
+++ b/testing/src/main/java/brookpath/testing/sim/ControlFaults.java
@@ -95,7 +95,8 @@
                 machines.clockStep(world.random.nextBoolean() ? by : -by, spanMs);
             }
             case RESETS -> machines.resets();
-            case STORM -> operators.storm(STORM_MOST / 3 + world.random.nextInt(STORM_MOST), 20L + world.random.nextInt(80));
+            case STORM ->
+                operators.storm(STORM_MOST / 3 + world.random.nextInt(STORM_MOST), 20L + world.random.nextInt(80));
             case REFUSED_ORDERS -> operators.refusedOrders(REFUSED_ORDERS);
             case RACES -> {
                 for (int i = 0; i < 5; i++) {
@@ -156,8 +157,9 @@
             case CUT_HEARING -> machines.cut(process, all, HEARING, span);
             case CUT_FROM_CORE -> machines.cut(process, core, BOTH, span);
             case CUT_FROM_HALF -> {
-                final List<SimulatedProcess> half =
-                        core.stream().filter(other -> world.random.nextBoolean()).toList();
+                final List<SimulatedProcess> half = core.stream()
+                        .filter(other -> world.random.nextBoolean())
+                        .toList();
                 machines.cut(process, half, BOTH, span);
             }
             default -> {
@@ -173,7 +175,8 @@
         final List<Integer> seeds = new ArrayList<>(List.of(process.id));
         machines.others(process, fleet.controllers()).forEach(other -> seeds.add(other.id));
         fleet.seeds(seeds.subList(0, ControlFleet.SEEDS));
-        final SimulatedProcess gateway = any(world.gateways.stream().map(world.processes::get).toList());
+        final SimulatedProcess gateway =
+                any(world.gateways.stream().map(world.processes::get).toList());
         world.kill(gateway, false);
         world.at(world.now() + span(200, 1_000), () -> world.restart(gateway));
     }
--- a/testing/src/main/java/brookpath/testing/sim/ControlFleet.java
+++ b/testing/src/main/java/brookpath/testing/sim/ControlFleet.java
@@ -1,12 +1,12 @@
 package brookpath.testing.sim;
 
+import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
 import brookpath.coordination.group.Member;
 import brookpath.coordination.node.ControllerNode;
 import brookpath.coordination.node.GatewayNode;
 import brookpath.coordination.node.Node;
 import brookpath.coordination.node.StorageNode;
 import brookpath.coordination.node.control.Founding;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/testing/src/main/java/brookpath/testing/sim/CrashPoint.java
+++ b/testing/src/main/java/brookpath/testing/sim/CrashPoint.java
@@ -3,14 +3,14 @@
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import brookpath.coordination.action.Action;
+import brookpath.coordination.configuration.ControlState;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.message.PeerMessage;
 import brookpath.coordination.node.ControllerNode;
 import brookpath.coordination.node.Node;
 import brookpath.coordination.node.StorageNode;
-import brookpath.coordination.configuration.ControlState;
-import brookpath.state.record.PackedBuffer;
 import brookpath.state.record.LogRecord;
+import brookpath.state.record.PackedBuffer;
 
 /** Where in its work an owner is to die: a position, not a time. */
 enum CrashPoint {
--- a/testing/src/main/java/brookpath/testing/sim/DayFaults.java
+++ b/testing/src/main/java/brookpath/testing/sim/DayFaults.java
@@ -228,7 +228,8 @@
 
     private void retireForAWhile(final long span) {
         final int node = any(world.storages).id;
-        world.callers.operators.operate("retire", PackedBuffer.writer().num(node).num(1).done());
+        world.callers.operators.operate(
+                "retire", PackedBuffer.writer().num(node).num(1).done());
         world.at(
                 world.now() + 3 * span,
                 () -> world.callers.operators.operate(
@@ -250,7 +251,9 @@
             final SimulatedProcess gateway = any(world.gateways);
             drainingUntil = world.now() + 2 * span + 1_000;
             world.callers.asked(gateway, id -> new NodeRequest.Drain(id, true), r -> world.count("drains"));
-            world.at(world.now() + 2 * span, () -> world.callers.asked(gateway, id -> new NodeRequest.Drain(id, false), r -> {}));
+            world.at(
+                    world.now() + 2 * span,
+                    () -> world.callers.asked(gateway, id -> new NodeRequest.Drain(id, false), r -> {}));
         }
     }
 
@@ -280,7 +283,8 @@
         } else if (p.node() instanceof StorageNode s && othersWell(p)) {
             final GroupMachine g = s.group(world.random.nextInt(world.groups));
             if (g != null && g.committed() > g.baseIndex()) {
-                final byte[] logRecord = g.logRecord(g.baseIndex() + 1 + world.random.nextLong(g.committed() - g.baseIndex()))
+                final byte[] logRecord = g.logRecord(
+                                g.baseIndex() + 1 + world.random.nextLong(g.committed() - g.baseIndex()))
                         .bytes();
                 final int at = logRecord.length - 1 - world.random.nextInt(8);
                 logRecord[at] = (byte) (logRecord[at] ^ 1 << world.random.nextInt(8));
--- a/testing/src/main/java/brookpath/testing/sim/DayOperators.java
+++ b/testing/src/main/java/brookpath/testing/sim/DayOperators.java
@@ -2,11 +2,11 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
+import brookpath.coordination.configuration.ConfigurationClient;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.node.GatewayNode;
 import brookpath.coordination.node.NodeRequest;
 import brookpath.coordination.node.StorageNode;
-import brookpath.coordination.configuration.ConfigurationClient;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -179,7 +179,9 @@
         for (final SimulatedProcess p : world.processes.values()) {
             final ConfigurationClient c = !p.alive || p.frozen()
                     ? null
-                    : p.node instanceof GatewayNode f ? f.client() : p.node instanceof StorageNode s ? s.client() : null;
+                    : p.node instanceof GatewayNode f
+                            ? f.client()
+                            : p.node instanceof StorageNode s ? s.client() : null;
             if (c == null) {
                 continue;
             }
--- a/testing/src/main/java/brookpath/testing/sim/ExpectedOutages.java
+++ b/testing/src/main/java/brookpath/testing/sim/ExpectedOutages.java
@@ -71,7 +71,8 @@
     }
 
     private boolean rebuilt(final int id) {
-        return world.processes.get(id).node instanceof ControllerNode b && b.group().lost();
+        return world.processes.get(id).node instanceof ControllerNode b
+                && b.group().lost();
     }
 
     /** Seen between two looks. */
--- a/testing/src/main/java/brookpath/testing/sim/FleetSize.java
+++ b/testing/src/main/java/brookpath/testing/sim/FleetSize.java
@@ -5,7 +5,8 @@
  *
  * @param halfMillis one way between two zones
  */
-public record FleetSize(int groups, int gateways, int topics, int sessions, int tenants, double perSecond, int halfMillis) {
+public record FleetSize(
+        int groups, int gateways, int topics, int sessions, int tenants, double perSecond, int halfMillis) {
     public static final FleetSize SMALL = new FleetSize(4, 3, 8, 16, 3, 30, 2);
     /** The users' own sizes, 18 processes with the three controllers. */
     public static final FleetSize JADRAN = new FleetSize(16, 11, 110, 400, 8, 45, 1);
--- a/testing/src/main/java/brookpath/testing/sim/GroupFuzz.java
+++ b/testing/src/main/java/brookpath/testing/sim/GroupFuzz.java
@@ -3,16 +3,16 @@
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Action;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.heartbeat.HeartbeatMonitor;
-import brookpath.coordination.heartbeat.HeartbeatPromises;
-import brookpath.coordination.group.Quorums;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Member;
 import brookpath.coordination.group.Membership;
+import brookpath.coordination.group.Quorums;
+import brookpath.coordination.heartbeat.HeartbeatMonitor;
+import brookpath.coordination.heartbeat.HeartbeatPromises;
 import brookpath.coordination.message.PeerMessage;
 import brookpath.coordination.topic.TopicState;
-import brookpath.state.record.PackedBuffer;
 import brookpath.state.record.LogRecord;
+import brookpath.state.record.PackedBuffer;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -323,9 +323,12 @@
             trace.add(now + " member " + u.id + " epoch " + g.term() + " accepted " + g.committed() + " synced "
                     + g.syncedIndex() + " end " + g.endIndex() + ": " + g.why());
         }
-        for (long index = committed.isEmpty() ? 1 : Math.max(1, committed.lastKey() - 3); index <= g.committed(); index++) {
+        for (long index = committed.isEmpty() ? 1 : Math.max(1, committed.lastKey() - 3);
+                index <= g.committed();
+                index++) {
             if (index > g.baseIndex()) {
-                final byte[] other = committed.putIfAbsent(index, g.logRecord(index).bytes());
+                final byte[] other =
+                        committed.putIfAbsent(index, g.logRecord(index).bytes());
                 committedIn.putIfAbsent(index, g.term());
                 if (other != null && !Arrays.equals(other, g.logRecord(index).bytes())) {
                     violation("member " + u.id + " holds another record as accepted at " + index);
@@ -379,7 +382,8 @@
                         }
                     }
                 }
-                case 2 -> u.frozenUntil = now + (random.nextBoolean() ? random.nextLong(2_500) : 350 + random.nextLong(400));
+                case 2 ->
+                    u.frozenUntil = now + (random.nextBoolean() ? random.nextLong(2_500) : 350 + random.nextLong(400));
                 case 3 -> u.syncMs = random.nextInt(400);
                 case 4 -> {
                     cutUnit = u.id;
--- a/testing/src/main/java/brookpath/testing/sim/MachineFaults.java
+++ b/testing/src/main/java/brookpath/testing/sim/MachineFaults.java
@@ -24,7 +24,11 @@
     private final ControlCall calls;
     private long outUntil;
 
-    MachineFaults(final SimulatedCluster world, final ControlFleet fleet, final ControlHistory history, final ControlCall calls) {
+    MachineFaults(
+            final SimulatedCluster world,
+            final ControlFleet fleet,
+            final ControlHistory history,
+            final ControlCall calls) {
         this.world = world;
         this.fleet = fleet;
         this.history = history;
@@ -78,7 +82,8 @@
      * A controller restarts several times in a row, each time with the time of day of its last start, as without a
      * battery; a gateway stands still meanwhile, so that changes wait for its lease and are under way at each restart.
      */
-    void clockRepeats(final SimulatedProcess controller, final SimulatedProcess gateway, final int restarts, final long upMs) {
+    void clockRepeats(
+            final SimulatedProcess controller, final SimulatedProcess gateway, final int restarts, final long upMs) {
         final long skew = controller.skew;
         world.freeze(gateway, restarts * (REPEATED_DOWN_MS + upMs));
         for (int i = 0; i < restarts; i++) {
@@ -125,7 +130,11 @@
         HEARING
     }
 
-    void cut(final SimulatedProcess process, final List<SimulatedProcess> from, final Direction direction, final long spanMs) {
+    void cut(
+            final SimulatedProcess process,
+            final List<SimulatedProcess> from,
+            final Direction direction,
+            final long spanMs) {
         out(process, spanMs);
         excuseThoseCutFromCore(from, spanMs);
         world.note(process.id, "is cut off, " + direction + ", for " + spanMs, false);
@@ -145,7 +154,8 @@
      * cut off from such a one is excused.
      */
     private void excuseThoseCutFromCore(final List<SimulatedProcess> from, final long spanMs) {
-        final List<SimulatedProcess> cut = from.stream().filter(fleet::isController).toList();
+        final List<SimulatedProcess> cut =
+                from.stream().filter(fleet::isController).toList();
         if (2 * (fleet.controllers().size() - cut.size()) > fleet.controllers().size()) {
             cut.forEach(other -> history.availability.excuse(other.id, world.now() + spanMs));
         }
--- a/testing/src/main/java/brookpath/testing/sim/Operators.java
+++ b/testing/src/main/java/brookpath/testing/sim/Operators.java
@@ -44,7 +44,11 @@
     private boolean storming;
     private boolean quiet;
 
-    Operators(final SimulatedCluster world, final ControlFleet fleet, final ControlHistory history, final ControlCall calls) {
+    Operators(
+            final SimulatedCluster world,
+            final ControlFleet fleet,
+            final ControlHistory history,
+            final ControlCall calls) {
         this.world = world;
         this.fleet = fleet;
         this.history = history;
--- a/testing/src/main/java/brookpath/testing/sim/Platform.java
+++ b/testing/src/main/java/brookpath/testing/sim/Platform.java
@@ -3,10 +3,10 @@
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import brookpath.coordination.action.Action;
+import brookpath.coordination.configuration.ControlState;
 import brookpath.coordination.node.ControllerNode;
 import brookpath.coordination.node.NodeRequest;
 import brookpath.coordination.node.usage.PostOutcome;
-import brookpath.coordination.configuration.ControlState;
 import jakarta.json.Json;
 import jakarta.json.JsonObject;
 import java.io.ByteArrayInputStream;
--- a/testing/src/main/java/brookpath/testing/sim/RetireOperator.java
+++ b/testing/src/main/java/brookpath/testing/sim/RetireOperator.java
@@ -21,14 +21,23 @@
      * @param acknowledged runs with the controller that acknowledges the order
      * @param emptied runs once a caller has been told that the machine holds nothing
      */
-    record Retirement(SimulatedProcess storage, String name, long giveUpAt, Consumer<SimulatedProcess> acknowledged, Runnable emptied) {}
+    record Retirement(
+            SimulatedProcess storage,
+            String name,
+            long giveUpAt,
+            Consumer<SimulatedProcess> acknowledged,
+            Runnable emptied) {}
 
     private final SimulatedCluster world;
     private final ControlFleet fleet;
     private final ControlHistory history;
     private final ControlCall calls;
 
-    RetireOperator(final SimulatedCluster world, final ControlFleet fleet, final ControlHistory history, final ControlCall calls) {
+    RetireOperator(
+            final SimulatedCluster world,
+            final ControlFleet fleet,
+            final ControlHistory history,
+            final ControlCall calls) {
         this.world = world;
         this.fleet = fleet;
         this.history = history;
--- a/testing/src/main/java/brookpath/testing/sim/SimulatedCluster.java
+++ b/testing/src/main/java/brookpath/testing/sim/SimulatedCluster.java
@@ -138,8 +138,8 @@
     private SimulatedProcess storage(final int id, final String zone) {
         storages.add(id);
         final SimulatedProcess added = new SimulatedProcess(this, id, zone, true, (process, entries) -> {
-            final StorageNode node =
-                    new StorageNode(process.info(), SEEDS, timing, 1, random.nextLong(), process.life << 32, ROLL_BYTES);
+            final StorageNode node = new StorageNode(
+                    process.info(), SEEDS, timing, 1, random.nextLong(), process.life << 32, ROLL_BYTES);
             entries.forEach(e -> node.replay(e, process.time()));
             return node;
         });
@@ -163,7 +163,8 @@
 
     /** The same with other periods. */
     static SimulatedCluster serving(final long seed, final TimingBounds timing, final TimingBounds controlTiming) {
-        final SimulatedCluster world = new SimulatedCluster(seed, FleetSize.SMALL, EnumSet.noneOf(Mutation.class), timing, controlTiming);
+        final SimulatedCluster world =
+                new SimulatedCluster(seed, FleetSize.SMALL, EnumSet.noneOf(Mutation.class), timing, controlTiming);
         world.run(4_000);
         world.callers.operators.change(world.callers.operators.document(0, "first", true), "first", r -> {
             if (r.status() != 200) {
@@ -258,7 +259,9 @@
             if (now - since > 1_000 && (now - since) % 500 < 5) {
                 final StringBuilder sb = new StringBuilder("group " + g + " has no acting master:");
                 for (final int id : storages) {
-                    if (processes.get(id).alive && processes.get(id).node instanceof StorageNode s && s.group(g) != null) {
+                    if (processes.get(id).alive
+                            && processes.get(id).node instanceof StorageNode s
+                            && s.group(g) != null) {
                         final GroupMachine m = s.group(g);
                         sb.append(" [")
                                 .append(id)
--- a/testing/src/main/java/brookpath/testing/sim/SimulatedDay.java
+++ b/testing/src/main/java/brookpath/testing/sim/SimulatedDay.java
@@ -213,8 +213,8 @@
     }
 
     /**
-     * Machines come back; within the bound service is back too, for each kind of request; then everything committed is read
-     * back.
+     * Machines come back; within the bound service is back too, for each kind of request; then everything committed is
+     * read back.
      */
     private Outcome morningAfter() {
         failures.end();
@@ -282,7 +282,9 @@
                 if (!(world.processes.get(id).node() instanceof StorageNode s) || s.group(g) == null) {
                     continue;
                 }
-                for (long index = s.group(g).baseIndex() + 1; index <= s.group(g).committed(); index++) {
+                for (long index = s.group(g).baseIndex() + 1;
+                        index <= s.group(g).committed();
+                        index++) {
                     final LogRecord logRecord = s.group(g).logRecord(index);
                     final byte[] other = all.putIfAbsent(index, logRecord.bytes());
                     if (other != null && !java.util.Arrays.equals(other, logRecord.bytes())) {
--- a/testing/src/main/java/brookpath/testing/sim/SimulatedNetwork.java
+++ b/testing/src/main/java/brookpath/testing/sim/SimulatedNetwork.java
@@ -87,7 +87,8 @@
         // why: virtual time has whole milliseconds, so half of one is one by turns
         final int zones = from.zone.equals(target.zone) ? 0 : (world.shape.halfMillis() + world.random.nextInt(2)) / 2;
         long delay = zones + extraDelay + (world.random.nextInt(4) == 0 ? 1 : 0);
-        if (world.random.nextInt(1000) < Math.max(lossPerMille, linkLoss.isEmpty() ? 0 : linkLoss.getOrDefault(link, 0))) {
+        if (world.random.nextInt(1000)
+                < Math.max(lossPerMille, linkLoss.isEmpty() ? 0 : linkLoss.getOrDefault(link, 0))) {
             // why: to those above, a lost packet is one that comes late, and everything behind it waits
             delay += 200L << world.random.nextInt(2);
         }
--- a/testing/src/main/java/brookpath/testing/sim/SimulatedProcess.java
+++ b/testing/src/main/java/brookpath/testing/sim/SimulatedProcess.java
@@ -2,19 +2,19 @@
 
 import brookpath.coordination.action.Action;
 import brookpath.coordination.action.Actions;
+import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
 import brookpath.coordination.heartbeat.HeartbeatMonitor;
 import brookpath.coordination.heartbeat.HeartbeatTable;
 import brookpath.coordination.heartbeat.StatusHandoff;
 import brookpath.coordination.message.PeerMessage;
 import brookpath.coordination.node.ControllerNode;
-import brookpath.coordination.node.NodeRequest;
 import brookpath.coordination.node.Node;
 import brookpath.coordination.node.Node.Time;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.node.NodeRequest;
 import brookpath.state.disk.MachineIdentity;
 import brookpath.state.wal.WriteAheadLog;
-import brookpath.transport.loop.DiskWriter;
 import brookpath.testing.disk.FaultyDisk;
+import brookpath.transport.loop.DiskWriter;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
@@ -22,7 +22,10 @@
 import java.util.function.BiFunction;
 import java.util.function.Function;
 
-/** One process of the simulated fleet: the production node, its heartbeats, and its write-ahead log on a disk that can fail. */
+/**
+ * One process of the simulated fleet: the production node, its heartbeats, and its write-ahead log on a disk that can
+ * fail.
+ */
 public final class SimulatedProcess {
     final SimulatedCluster world;
     final int id;
--- a/testing/src/main/java/brookpath/testing/sim/Slopes.java
+++ b/testing/src/main/java/brookpath/testing/sim/Slopes.java
@@ -25,8 +25,10 @@
                 new FleetSize(16, 176, 450, 400, 8, 95, 3),
                 new FleetSize(16, 11, 450, 1_600, 8, 95, 3),
                 new FleetSize(16, 11, 450, 400, 8, 380, 3))) {
-            final SimulatedCluster world = SimulatedDay.calm(
-                    SimulatedDay.Plan.of(1, EnumSet.noneOf(SimulatedDay.Fault.class)).sized(shape).lasting(WARM_MS));
+            final SimulatedCluster world =
+                    SimulatedDay.calm(SimulatedDay.Plan.of(1, EnumSet.noneOf(SimulatedDay.Fault.class))
+                            .sized(shape)
+                            .lasting(WARM_MS));
             for (final SimulatedProcess p : world.processes.values()) {
                 p.sentMessages = 0;
                 p.sentBytes = 0;
@@ -53,7 +55,8 @@
     /** Heap of one gateway per session that listens to two topics of 1,000. */
     private static void memory() {
         final SimulatedCluster world =
-                SimulatedDay.calm(SimulatedDay.Plan.of(1, EnumSet.noneOf(SimulatedDay.Fault.class)).lasting(WARM_MS));
+                SimulatedDay.calm(SimulatedDay.Plan.of(1, EnumSet.noneOf(SimulatedDay.Fault.class))
+                        .lasting(WARM_MS));
         world.callers.quiet = true;
         world.run(world.now() + 5_000);
         final SimulatedProcess gateway = world.processes.get(world.gateways.get(0));
--- a/testing/src/main/java/brookpath/testing/sim/Subscriber.java
+++ b/testing/src/main/java/brookpath/testing/sim/Subscriber.java
@@ -26,7 +26,11 @@
     boolean naps;
 
     Subscriber(
-            final SimulatedCluster world, final Callers callers, final String name, final String key, final List<String> topics) {
+            final SimulatedCluster world,
+            final Callers callers,
+            final String name,
+            final String key,
+            final List<String> topics) {
         this.world = world;
         this.callers = callers;
         this.name = name;
--- a/testing/src/test/java/brookpath/platform/control/DocumentsTest.java
+++ b/testing/src/test/java/brookpath/platform/control/DocumentsTest.java
@@ -24,7 +24,8 @@
             + "],\"Services\":[],\"Limits\":{\"MaximumBodyBytes\":262144," + "\"Subscriptions\":200},\"Tenants\":["
             + TENANT + "]}";
 
-    private static ConfigurationReader.Reading judged(final String configuration, final long based, final Configuration present) {
+    private static ConfigurationReader.Reading judged(
+            final String configuration, final long based, final Configuration present) {
         return ConfigurationReader.read(
                 Documents.change(configuration.getBytes(UTF_8), based),
                 present.version() + 1,
@@ -41,8 +42,8 @@
         assertEquals(configuration.topicsPerSession(), 200);
         assertEquals(configuration.spaceOf("kafi810.2f").keepingMs(), 35_000);
         assertEquals(configuration.spaceOf("kafi810.2f").answerMs(), 1_500);
-        assertTrue(
-                configuration.spaceOf("kalo181.x").open() && !configuration.spaceOf("kafi810.x").open());
+        assertTrue(configuration.spaceOf("kalo181.x").open()
+                && !configuration.spaceOf("kafi810.x").open());
         assertTrue(configuration.tenantOf("9wu3fexd9dnn2ctnfzs9").uses("r-2"));
         final String readBack =
                 "{\"version\":7,\"document\":" + new String(Documents.change(GOOD.getBytes(UTF_8), 0), UTF_8) + "}";
@@ -84,7 +85,8 @@
         final String id = judged(GOOD, 0, Configuration.NONE).configuration().changeId();
         assertEquals(judged(GOOD, 0, Configuration.NONE).configuration().changeId(), id);
         assertNotEquals(judged(GOOD, 1, Configuration.NONE).configuration().changeId(), id);
-        assertNotEquals(judged(GOOD + " ", 0, Configuration.NONE).configuration().changeId(), id);
+        assertNotEquals(
+                judged(GOOD + " ", 0, Configuration.NONE).configuration().changeId(), id);
     }
 
     @Test
--- a/testing/src/test/java/brookpath/testing/ControlStateTest.java
+++ b/testing/src/test/java/brookpath/testing/ControlStateTest.java
@@ -5,14 +5,14 @@
 import static org.testng.Assert.assertNotNull;
 import static org.testng.Assert.assertNull;
 
-import brookpath.coordination.group.Membership;
-import brookpath.coordination.message.Response;
 import brookpath.coordination.configuration.ChangeOutcomes.Outcome;
-import brookpath.coordination.configuration.ControlState;
 import brookpath.coordination.configuration.ClusterMetadata;
 import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
-import brookpath.state.record.PackedBuffer;
+import brookpath.coordination.configuration.ControlState;
+import brookpath.coordination.group.Membership;
+import brookpath.coordination.message.Response;
 import brookpath.state.record.LogRecord;
+import brookpath.state.record.PackedBuffer;
 import java.util.List;
 import org.testng.annotations.Test;
 
@@ -35,7 +35,8 @@
     }
 
     private static byte[] metadata(final long version, final List<NodeInfo> nodes, final List<Integer> retiring) {
-        return ControlState.metadataBody(new ClusterMetadata(version, nodes, List.of(), retiring, List.of(), Membership.NONE));
+        return ControlState.metadataBody(
+                new ClusterMetadata(version, nodes, List.of(), retiring, List.of(), Membership.NONE));
     }
 
     private static ControlState reloaded(final ControlState state) {
--- a/testing/src/test/java/brookpath/testing/DataFolderCheckTest.java
+++ b/testing/src/test/java/brookpath/testing/DataFolderCheckTest.java
@@ -11,8 +11,8 @@
 import brookpath.coordination.node.Node.Time;
 import brookpath.coordination.node.control.Founding;
 import brookpath.state.disk.FolderDisk;
-import brookpath.state.record.PackedBuffer;
 import brookpath.state.record.LogRecord;
+import brookpath.state.record.PackedBuffer;
 import brookpath.state.wal.WriteAheadLog;
 import brookpath.tools.datafolder.DataFolderCheck;
 import java.io.ByteArrayOutputStream;
@@ -47,7 +47,11 @@
                         LogRecord.PUBLISH,
                         LogRecord.publishBody(i + 1, 2, "t", "s/a", "ana", texts[i]),
                         0);
-                writeAheadLog.append(PackedBuffer.writer().num(3).num(1).bytes(logRecord.bytes()).done());
+                writeAheadLog.append(PackedBuffer.writer()
+                        .num(3)
+                        .num(1)
+                        .bytes(logRecord.bytes())
+                        .done());
             }
             writeAheadLog.sync();
         }
@@ -72,7 +76,8 @@
                         && out.toString(UTF_8).contains("agree on 2"),
                 out.toString(UTF_8));
         assertEquals(
-                DataFolderCheck.run(new String[] {"--all", one.toString()}, new PrintStream(out), new PrintStream(out)), 2);
+                DataFolderCheck.run(new String[] {"--all", one.toString()}, new PrintStream(out), new PrintStream(out)),
+                2);
     }
 
     @Test
@@ -86,7 +91,9 @@
             for (long now = 100; now < 3_000; now += 100) {
                 written = Math.max(
                         written,
-                        obey(writeAheadLog, node.tick(new Time(now, now), brookpath.coordination.heartbeat.HeartbeatTable.EMPTY)));
+                        obey(
+                                writeAheadLog,
+                                node.tick(new Time(now, now), brookpath.coordination.heartbeat.HeartbeatTable.EMPTY)));
                 written = Math.max(written, obey(writeAheadLog, node.synced(written, new Time(now, now))));
             }
             writeAheadLog.sync();
--- a/testing/src/test/java/brookpath/testing/DayTest.java
+++ b/testing/src/test/java/brookpath/testing/DayTest.java
@@ -8,13 +8,13 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
+import brookpath.testing.sim.FleetSize;
+import brookpath.testing.sim.Mutation;
 import brookpath.testing.sim.SimulatedDay;
 import brookpath.testing.sim.SimulatedDay.Ending;
 import brookpath.testing.sim.SimulatedDay.Fault;
 import brookpath.testing.sim.SimulatedDay.Outcome;
 import brookpath.testing.sim.SimulatedDay.Plan;
-import brookpath.testing.sim.Mutation;
-import brookpath.testing.sim.FleetSize;
 import java.util.EnumSet;
 import java.util.List;
 import java.util.TreeMap;
@@ -92,8 +92,8 @@
     @Test
     public void aDayOfTheUsersOwnSizes() {
         for (final FleetSize shape : List.of(FleetSize.JADRAN, FleetSize.SAJHA)) {
-            final Outcome day =
-                    SimulatedDay.live(Plan.of(5, EnumSet.allOf(Fault.class)).sized(shape).lasting(40_000));
+            final Outcome day = SimulatedDay.live(
+                    Plan.of(5, EnumSet.allOf(Fault.class)).sized(shape).lasting(40_000));
             assertTrue(day.good(), day.toString());
             assertTrue(day.committed() > 1_500 && day.counts().get("faults") >= 8, day.toString());
         }
--- a/testing/src/test/java/brookpath/testing/DeltaTest.java
+++ b/testing/src/test/java/brookpath/testing/DeltaTest.java
@@ -108,7 +108,8 @@
             final byte[] base = random(random, 1 + random.nextInt(300));
             final byte[] result = edited(random, base);
             final byte[] delta = Delta.between(base, result);
-            final byte[] damaged = random.nextBoolean() ? delta.clone() : Arrays.copyOf(delta, random.nextInt(delta.length));
+            final byte[] damaged =
+                    random.nextBoolean() ? delta.clone() : Arrays.copyOf(delta, random.nextInt(delta.length));
             if (damaged.length == delta.length) {
                 damaged[random.nextInt(delta.length)] ^= (byte) (1 << random.nextInt(8));
             }
--- a/testing/src/test/java/brookpath/testing/FleetSmokeTest.java
+++ b/testing/src/test/java/brookpath/testing/FleetSmokeTest.java
@@ -5,10 +5,10 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import brookpath.tools.explain.Explain;
-import brookpath.tools.plan.Plan;
 import brookpath.testing.fleet.Fleet;
 import brookpath.testing.fleet.Fleet.Unit;
+import brookpath.tools.explain.Explain;
+import brookpath.tools.plan.Plan;
 import java.io.ByteArrayOutputStream;
 import java.io.OutputStream;
 import java.io.PrintStream;
@@ -60,7 +60,8 @@
     private HttpResponse<String> publish(final int gateway, final String topic, final String auth, final String body)
             throws Exception {
         return http.send(
-                HttpRequest.newBuilder(URI.create(fleet.gateways().get(gateway).url("/v1/topics/" + topic + "/messages")))
+                HttpRequest.newBuilder(
+                                URI.create(fleet.gateways().get(gateway).url("/v1/topics/" + topic + "/messages")))
                         .header("Authorization", auth)
                         .POST(HttpRequest.BodyPublishers.ofString(body))
                         .build(),
--- a/testing/src/test/java/brookpath/testing/FrameCodecTest.java
+++ b/testing/src/test/java/brookpath/testing/FrameCodecTest.java
@@ -76,7 +76,8 @@
         final Class<?> type = comp.getType();
         if (type == int.class) {
             return List.of("role", "sync", "kind", "standing", "outcome").contains(comp.getName())
-                            || (comp.getName().equals("status") && comp.getDeclaringRecord() != PeerMessage.ControlReply.class)
+                            || (comp.getName().equals("status")
+                                    && comp.getDeclaringRecord() != PeerMessage.ControlReply.class)
                     ? random.nextInt(4)
                     : random.nextInt();
         } else if (type == long.class) {
@@ -99,7 +100,8 @@
                         random.nextLong(),
                         random.nextLong(),
                         LogRecord.PUBLISH,
-                        LogRecord.publishBody(random.nextLong(), 2, word(random), word(random), word(random), word(random)),
+                        LogRecord.publishBody(
+                                random.nextLong(), 2, word(random), word(random), word(random), word(random)),
                         0));
             } else if (item.contains("String>")) {
                 list.add(word(random));
--- a/testing/src/test/java/brookpath/testing/MachineIdentityTest.java
+++ b/testing/src/test/java/brookpath/testing/MachineIdentityTest.java
@@ -7,11 +7,11 @@
 import static org.testng.Assert.assertThrows;
 import static org.testng.Assert.assertTrue;
 
-import brookpath.coordination.group.Member;
-import brookpath.coordination.group.Membership;
 import brookpath.coordination.configuration.ClusterMetadata;
 import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
 import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.group.Member;
+import brookpath.coordination.group.Membership;
 import brookpath.state.disk.DiskFile;
 import brookpath.state.disk.MachineIdentity;
 import brookpath.state.record.PackedBuffer;
@@ -88,7 +88,8 @@
 
     @Test
     public void metadataOfTheFirstFormatIsReadWithoutIdentities() {
-        final PackedBuffer old = PackedBuffer.writer().num(5).num(1).num(11).str("a").str("x:1").str("one");
+        final PackedBuffer old =
+                PackedBuffer.writer().num(5).num(1).num(11).str("a").str("x:1").str("one");
         MEMBERS.buffer(old.num(1).num(0).num(1));
         old.num(1).num(11);
         old.num(1).num(1).str("a").str("y:1").str("two");
--- a/testing/src/test/java/brookpath/testing/MovePlanTest.java
+++ b/testing/src/test/java/brookpath/testing/MovePlanTest.java
@@ -4,13 +4,13 @@
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
-import brookpath.coordination.group.Member;
-import brookpath.coordination.configuration.MovePlan;
-import brookpath.coordination.configuration.MovePlan.Move;
-import brookpath.coordination.configuration.Placement;
 import brookpath.coordination.configuration.ClusterMetadata;
 import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
 import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.configuration.MovePlan;
+import brookpath.coordination.configuration.MovePlan.Move;
+import brookpath.coordination.configuration.Placement;
+import brookpath.coordination.group.Member;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -43,7 +43,8 @@
             final List<GroupInfo> groups = Placement.found(nodes.subList(0, first), 1 + random.nextInt(24), 3).stream()
                     .map(g -> new GroupInfo(g.id(), true, g.membership()))
                     .toList();
-            final List<Integer> retiring = n > 4 && random.nextBoolean() ? List.of(11 + random.nextInt(first)) : List.of();
+            final List<Integer> retiring =
+                    n > 4 && random.nextBoolean() ? List.of(11 + random.nextInt(first)) : List.of();
             ClusterMetadata r = new ClusterMetadata(1, nodes, groups, retiring);
             final Set<Integer> all = new HashSet<>();
             nodes.forEach(x -> all.add(x.node()));
--- a/testing/src/test/java/brookpath/testing/PrefixTest.java
+++ b/testing/src/test/java/brookpath/testing/PrefixTest.java
@@ -32,8 +32,8 @@
                             .append("\",\"keepingSeconds\":30}");
                 }
             }
-            final ConfigurationReader.Reading reading =
-                    ConfigurationReader.read(doc.append("]}").toString().getBytes(UTF_8), 1, LIMITS, Configuration.NONE);
+            final ConfigurationReader.Reading reading = ConfigurationReader.read(
+                    doc.append("]}").toString().getBytes(UTF_8), 1, LIMITS, Configuration.NONE);
             assertTrue(reading.findings().isEmpty(), reading.findings().toString());
             for (int i = 0; i < 50; i++) {
                 final String topic = word(random, 1 + random.nextInt(6));
@@ -59,8 +59,8 @@
                         + "{\"name\":\"a\",\"prefix\":\"p.\",\"keepingSeconds\":30,\"open\":\"yes\",\"answerMs\":0},"
                         + "{\"name\":\"b\",\"prefix\":\"p.\",\"keepingSeconds\":30},{\"name\":\"c\",\"prefix\":\"p q\",\"keepingSeconds\":30}],"
                         + "\"tenants\":[{\"name\":\"t\",\"spaces\":[\"*\"],\"keys\":[\"key-12345\"]},{\"name\":\"u\",\"spaces\":[\"*\"],\"keys\":[\"key-12345\"]}]}";
-        final Configuration present =
-                ConfigurationReader.stored("{\"basedOn\":0,\"changeId\":\"y\",\"spaces\":[],\"tenants\":[]}".getBytes(UTF_8), 3);
+        final Configuration present = ConfigurationReader.stored(
+                "{\"basedOn\":0,\"changeId\":\"y\",\"spaces\":[],\"tenants\":[]}".getBytes(UTF_8), 3);
         final String all = ConfigurationReader.read(doc.getBytes(UTF_8), 4, LIMITS, present)
                 .findings()
                 .toString();
--- a/testing/src/test/java/brookpath/testing/PublishForwarderTest.java
+++ b/testing/src/test/java/brookpath/testing/PublishForwarderTest.java
@@ -6,10 +6,13 @@
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Action;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.heartbeat.HeartbeatMonitor;
-import brookpath.coordination.heartbeat.HeartbeatPromises;
+import brookpath.coordination.configuration.ClusterMetadata;
+import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
+import brookpath.coordination.configuration.Configuration;
 import brookpath.coordination.group.Member;
 import brookpath.coordination.group.Membership;
+import brookpath.coordination.heartbeat.HeartbeatMonitor;
+import brookpath.coordination.heartbeat.HeartbeatPromises;
 import brookpath.coordination.message.PeerMessage.Heartbeat;
 import brookpath.coordination.message.PeerMessage.HeartbeatEntry;
 import brookpath.coordination.message.PeerMessage.Publish;
@@ -18,9 +21,6 @@
 import brookpath.coordination.node.gateway.PublishForwarder;
 import brookpath.coordination.route.Route;
 import brookpath.coordination.route.RouteFinder;
-import brookpath.coordination.configuration.ClusterMetadata;
-import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
-import brookpath.coordination.configuration.Configuration;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -61,11 +61,15 @@
         sent.clear();
         responses.clear();
         forwarder = new PublishForwarder(
-                TIMING, time -> new RouteFinder(Configuration.NONE, METADATA, heartbeats.table(), true, "a", TIMING), () -> ++ids, out);
+                TIMING,
+                time -> new RouteFinder(Configuration.NONE, METADATA, heartbeats.table(), true, "a", TIMING),
+                () -> ++ids,
+                out);
     }
 
     private void leaders(final int node, final long term) {
-        final HeartbeatEntry entry = new HeartbeatEntry(GROUP, 1, term, HeartbeatEntry.LEADER, 0, 1, 1, term, 1, node, 50);
+        final HeartbeatEntry entry =
+                new HeartbeatEntry(GROUP, 1, term, HeartbeatEntry.LEADER, 0, 1, 1, term, 1, node, 50);
         final Actions round = new Actions();
         heartbeats.heartbeatNow(now, round);
         final Heartbeat asked = round.drain().stream()
--- a/testing/src/test/java/brookpath/testing/StatusHandoffTest.java
+++ b/testing/src/test/java/brookpath/testing/StatusHandoffTest.java
@@ -10,8 +10,8 @@
 import org.testng.annotations.Test;
 
 /**
- * All interleavings of the state thread, which publishes entries and then wishes for a heartbeat, with the listener's look
- * at both.
+ * All interleavings of the state thread, which publishes entries and then wishes for a heartbeat, with the listener's
+ * look at both.
  */
 public final class StatusHandoffTest {
     private static final List<HeartbeatEntry> OLD = List.of(entry(0));
@@ -22,7 +22,8 @@
     }
 
     /** The entries that the heartbeats told in which a wish was spent, for one interleaving. */
-    private static List<List<HeartbeatEntry>> heartbeats(final boolean wishFirst, final int publishedAt, final int wishedAt) {
+    private static List<List<HeartbeatEntry>> heartbeats(
+            final boolean wishFirst, final int publishedAt, final int wishedAt) {
         final StatusHandoff handoff = new StatusHandoff();
         handoff.publish(OLD);
         final List<List<HeartbeatEntry>> told = new ArrayList<>();
--- a/testing/src/test/java/brookpath/testing/StorageFailureDetectorTest.java
+++ b/testing/src/test/java/brookpath/testing/StorageFailureDetectorTest.java
@@ -3,10 +3,10 @@
 import static org.testng.Assert.assertEquals;
 
 import brookpath.coordination.TimingBounds;
-import brookpath.coordination.configuration.Placement;
 import brookpath.coordination.configuration.ClusterMetadata;
 import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
 import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.configuration.Placement;
 import brookpath.coordination.configuration.StorageFailureDetector;
 import java.util.List;
 import java.util.Map;
--- a/testing/src/test/java/brookpath/testing/WriteAheadLogTest.java
+++ b/testing/src/test/java/brookpath/testing/WriteAheadLogTest.java
@@ -45,14 +45,17 @@
                             final Recovery logRecord = WriteAheadLog.recover(disk);
                             assertFalse(logRecord.damaged(), "seed " + seed + ": " + logRecord.findings());
                             assertTrue(
-                                    snapshot == null ? logRecord.snapshot() == null : Arrays.equals(snapshot, logRecord.snapshot()),
+                                    snapshot == null
+                                            ? logRecord.snapshot() == null
+                                            : Arrays.equals(snapshot, logRecord.snapshot()),
                                     "seed " + seed);
                             assertTrue(
                                     logRecord.entries().size() >= synced
                                             && logRecord.entries().size() <= written.size(),
                                     "seed " + seed);
                             for (int e = 0; e < logRecord.entries().size(); e++) {
-                                assertEquals(logRecord.entries().get(e), written.get(e), "seed " + seed + " entry " + e);
+                                assertEquals(
+                                        logRecord.entries().get(e), written.get(e), "seed " + seed + " entry " + e);
                             }
                             cut += written.size() - logRecord.entries().size();
                             written = new ArrayList<>(logRecord.entries());
@@ -90,7 +93,8 @@
             damaged += logRecord.damaged() ? 1 : 0;
             assertTrue(
                     logRecord.damaged()
-                            || (logRecord.entries().size() < n && !logRecord.findings().isEmpty()),
+                            || (logRecord.entries().size() < n
+                                    && !logRecord.findings().isEmpty()),
                     "seed " + seed + " took damage for whole");
         }
         assertTrue(damaged > 200, "only " + damaged + " damages were seen");
--- a/testing/src/test/java/brookpath/testing/sim/AddressReuseTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/AddressReuseTest.java
@@ -6,12 +6,12 @@
 import static org.testng.Assert.assertNotNull;
 import static org.testng.Assert.assertTrue;
 
+import brookpath.coordination.configuration.ClusterMetadata;
+import brookpath.coordination.configuration.ControlState;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.node.ControllerNode;
 import brookpath.coordination.node.NodeRequest;
 import brookpath.coordination.node.StorageNode;
-import brookpath.coordination.configuration.ControlState;
-import brookpath.coordination.configuration.ClusterMetadata;
 import brookpath.state.record.PackedBuffer;
 import java.util.List;
 import org.testng.annotations.Test;
--- a/testing/src/test/java/brookpath/testing/sim/CallIdsTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/CallIdsTest.java
@@ -7,15 +7,15 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Action;
+import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
 import brookpath.coordination.heartbeat.HeartbeatTable;
-import brookpath.coordination.message.PeerMessage.ControlRequest;
-import brookpath.coordination.message.PeerMessage.ControlReply;
 import brookpath.coordination.message.PeerMessage.ConfigurationPoll;
 import brookpath.coordination.message.PeerMessage.ConfigurationReply;
+import brookpath.coordination.message.PeerMessage.ControlReply;
+import brookpath.coordination.message.PeerMessage.ControlRequest;
 import brookpath.coordination.node.GatewayNode;
-import brookpath.coordination.node.NodeRequest;
 import brookpath.coordination.node.Node.Time;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.node.NodeRequest;
 import brookpath.state.record.PackedBuffer;
 import java.util.List;
 import org.testng.annotations.Test;
@@ -41,7 +41,8 @@
     }
 
     private static ConfigurationReply grant(final ConfigurationPoll poll) {
-        return new ConfigurationReply(poll.pollId(), true, 1, 1, 0, new byte[0], 0, new byte[0], GATEWAY.node(), NOW.wall());
+        return new ConfigurationReply(
+                poll.pollId(), true, 1, 1, 0, new byte[0], 0, new byte[0], GATEWAY.node(), NOW.wall());
     }
 
     @Test
--- a/testing/src/test/java/brookpath/testing/sim/ConfigurationUpdatesTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ConfigurationUpdatesTest.java
@@ -9,15 +9,15 @@
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Action;
 import brookpath.coordination.action.Actions;
+import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.configuration.ConfigurationClient;
+import brookpath.coordination.configuration.ControlState;
+import brookpath.coordination.configuration.VersionUpdates;
 import brookpath.coordination.message.PeerMessage.ConfigurationPoll;
 import brookpath.coordination.message.PeerMessage.ConfigurationReply;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.node.GatewayNode;
 import brookpath.coordination.node.Node.Time;
-import brookpath.coordination.configuration.ControlState;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
-import brookpath.coordination.configuration.ConfigurationClient;
-import brookpath.coordination.configuration.VersionUpdates;
 import brookpath.state.record.Delta;
 import brookpath.state.record.LogRecord;
 import java.util.List;
@@ -208,7 +208,12 @@
     public void aDifferenceThatDoesNotFitIsAskedForWhole() {
         final Actions out = new Actions();
         final ConfigurationClient client = new ConfigurationClient(
-                new NodeInfo(31, "a", "sim:31", "", 31), ConfigurationPoll.GATEWAY, List.of(1), 100, TimingBounds.DEFAULT, out);
+                new NodeInfo(31, "a", "sim:31", "", 31),
+                ConfigurationPoll.GATEWAY,
+                List.of(1),
+                100,
+                TimingBounds.DEFAULT,
+                out);
         client.tick(NOW);
         assertTrue(client.onReply(reply(poll(out), 1, Delta.whole(text(1))), NOW));
         assertEquals(client.configuration().version(), 1);
@@ -233,7 +238,9 @@
         return poll;
     }
 
-    private static ConfigurationReply reply(final ConfigurationPoll poll, final long version, final byte[] configuration) {
-        return new ConfigurationReply(poll.pollId(), true, 1, 1, version, configuration, 0, new byte[0], 31, NOW.wall());
+    private static ConfigurationReply reply(
+            final ConfigurationPoll poll, final long version, final byte[] configuration) {
+        return new ConfigurationReply(
+                poll.pollId(), true, 1, 1, version, configuration, 0, new byte[0], 31, NOW.wall());
     }
 }
--- a/testing/src/test/java/brookpath/testing/sim/ControlMembershipTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ControlMembershipTest.java
@@ -314,10 +314,11 @@
             final SimulatedProcess leader = leader();
             acknowledged("in-between");
             final boolean diskLost = seed % 2 == 0;
-            final SimulatedProcess victim = world.processes.get(nodes(membership().voters()).stream()
-                    .filter(id -> id != leader.id && (diskLost ? id != 4 : id < 4))
-                    .reduce((a, b) -> b)
-                    .orElseThrow());
+            final SimulatedProcess victim =
+                    world.processes.get(nodes(membership().voters()).stream()
+                            .filter(id -> id != leader.id && (diskLost ? id != 4 : id < 4))
+                            .reduce((a, b) -> b)
+                            .orElseThrow());
             world.kill(victim, true);
             if (diskLost) {
                 victim.disk.wipe();
--- a/testing/src/test/java/brookpath/testing/sim/ControlReadsTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ControlReadsTest.java
@@ -128,7 +128,9 @@
         assertTrue(longest < world.timing.heartbeat() / 2, "a read took " + longest + " ms");
     }
 
-    /** Thousands of reads may not push their own heartbeats out of what is remembered, nor cost the leader its lease. */
+    /**
+     * Thousands of reads may not push their own heartbeats out of what is remembered, nor cost the leader its lease.
+     */
     @Test
     public void manyReadsAtOnceAreAllAnswered() {
         begin(112);
@@ -206,8 +208,8 @@
             cutFrom(lost);
             cutTo(lost);
             world.run(world.now() + 2 * world.timing.down() + world.timing.heartbeat());
-            for (final Asked asked :
-                    List.of(askConfiguration(lost), askChange(lost, document(1, "cut-" + lost.id)), askRetire(lost, 11))) {
+            for (final Asked asked : List.of(
+                    askConfiguration(lost), askChange(lost, document(1, "cut-" + lost.id)), askRetire(lost, 11))) {
                 world.run(world.now() + 20);
                 assertEquals(asked.status(), 503, asked.toString());
                 assertTrue(asked.response.retryAfterMs() > 0, asked.toString());
--- a/testing/src/test/java/brookpath/testing/sim/ControlScene.java
+++ b/testing/src/test/java/brookpath/testing/sim/ControlScene.java
@@ -3,12 +3,12 @@
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.testng.Assert.assertNotNull;
 
+import brookpath.coordination.configuration.ClusterMetadata;
+import brookpath.coordination.configuration.ControlState;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.node.ControllerNode;
 import brookpath.coordination.node.NodeRequest;
-import brookpath.coordination.configuration.ControlState;
-import brookpath.coordination.configuration.ClusterMetadata;
 import brookpath.state.record.PackedBuffer;
 import java.util.ArrayList;
 import java.util.List;
--- a/testing/src/test/java/brookpath/testing/sim/ControlStateSizeTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ControlStateSizeTest.java
@@ -6,15 +6,15 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Action;
-import brookpath.coordination.heartbeat.HeartbeatTable;
+import brookpath.coordination.configuration.ControlState;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Member;
+import brookpath.coordination.heartbeat.HeartbeatTable;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.node.ControllerNode;
-import brookpath.coordination.node.NodeRequest;
 import brookpath.coordination.node.Node.Time;
+import brookpath.coordination.node.NodeRequest;
 import brookpath.coordination.node.control.Founding;
-import brookpath.coordination.configuration.ControlState;
 import java.util.ArrayList;
 import java.util.List;
 import org.testng.annotations.Test;
@@ -39,7 +39,8 @@
         assertTrue(committed > 0);
         for (final int id : world.controllers) {
             if (id != leader.id) {
-                // why: the followers answer heartbeats, so the leader leads on, but nothing that it appends reaches a disk
+                // why: the followers answer heartbeats, so the leader leads on, but nothing that it appends reaches a
+                // disk
                 // there
                 world.processes.get(id).syncMs = 1_000_000;
             }
@@ -47,7 +48,8 @@
         final List<Response> responses = new ArrayList<>();
         for (int i = 0; i < CHANGES_BEYOND_ANY_BOUND; i++) {
             final String doc = world.callers.operators.document(committed + i, "waits-" + i, true);
-            world.callers.asked(leader, id -> new NodeRequest.Operate(id, "change", doc.getBytes(UTF_8)), responses::add);
+            world.callers.asked(
+                    leader, id -> new NodeRequest.Operate(id, "change", doc.getBytes(UTF_8)), responses::add);
             world.run(world.now() + 20);
             assertEquals(committedVersion(leader), committed, "after " + (i + 1) + " changes that are not accepted");
             assertTrue(committedMetadataVersion(leader) > 0, "no roster after " + (i + 1) + " changes");
@@ -83,7 +85,8 @@
         final int snapshot =
                 node.group().checkpoint().stream().mapToInt(e -> e.length).sum();
         assertTrue(snapshot <= MAX_SNAPSHOT_BYTES, "the snapshot has " + snapshot + " bytes");
-        System.out.println("after " + MANY_CHANGES + " changes: log at most " + largest + " bytes, snapshot " + snapshot);
+        System.out.println(
+                "after " + MANY_CHANGES + " changes: log at most " + largest + " bytes, snapshot " + snapshot);
     }
 
     private static byte[] document(final int basedOn) {
@@ -94,7 +97,13 @@
 
     private static ControllerNode alone() {
         final ControllerNode node = new ControllerNode(
-                1, List.of(new Member(1, 50, "")), new Founding(1, 1, 1, 0), TimingBounds.DEFAULT, 1, 0, Long.MAX_VALUE);
+                1,
+                List.of(new Member(1, 50, "")),
+                new Founding(1, 1, 1, 0),
+                TimingBounds.DEFAULT,
+                1,
+                0,
+                Long.MAX_VALUE);
         obey(node, node.start(true, time(0)), 0);
         return node;
     }
--- a/testing/src/test/java/brookpath/testing/sim/FullDiskTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/FullDiskTest.java
@@ -6,13 +6,13 @@
 import static org.testng.Assert.assertNotNull;
 import static org.testng.Assert.assertTrue;
 
+import brookpath.coordination.configuration.Configuration;
+import brookpath.coordination.configuration.Placement;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.node.ControllerNode;
 import brookpath.coordination.node.NodeRequest;
 import brookpath.coordination.node.StorageNode;
-import brookpath.coordination.configuration.Placement;
-import brookpath.coordination.configuration.Configuration;
 import java.util.List;
 import org.testng.annotations.Test;
 
--- a/testing/src/test/java/brookpath/testing/sim/FullSyncTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/FullSyncTest.java
@@ -6,8 +6,8 @@
 
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.node.StorageNode;
-import brookpath.state.record.PackedBuffer;
 import brookpath.state.record.LogRecord;
+import brookpath.state.record.PackedBuffer;
 import java.util.Arrays;
 import org.testng.annotations.Test;
 
--- a/testing/src/test/java/brookpath/testing/sim/JoinedSessionsTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/JoinedSessionsTest.java
@@ -6,6 +6,9 @@
 import static org.testng.Assert.assertTrue;
 
 import brookpath.coordination.action.Action;
+import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.configuration.Configuration;
+import brookpath.coordination.configuration.Placement;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.node.ControllerNode;
@@ -14,9 +17,6 @@
 import brookpath.coordination.node.NodeRequest;
 import brookpath.coordination.node.StorageNode;
 import brookpath.coordination.node.control.Founding;
-import brookpath.coordination.configuration.Placement;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
-import brookpath.coordination.configuration.Configuration;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.LongFunction;
@@ -77,7 +77,8 @@
     }
 
     private SimulatedProcess leader() {
-        final int g = Placement.groupOf(TOPIC, new Configuration.Space("permits", 30_000, false, 2), FleetSize.SMALL.groups());
+        final int g = Placement.groupOf(
+                TOPIC, new Configuration.Space("permits", 30_000, false, 2), FleetSize.SMALL.groups());
         for (final int id : world.storages) {
             final SimulatedProcess p = world.processes.get(id);
             final GroupMachine m = p.alive && p.node instanceof StorageNode s ? s.group(g) : null;
@@ -157,7 +158,9 @@
             final SimulatedProcess leader = leader();
             final List<Response> got = new ArrayList<>();
             world.callers.asked(
-                    world.processes.get(31), i -> new NodeRequest.Publish(i, "key-members", TOPIC, "ana", 2, "x"), got::add);
+                    world.processes.get(31),
+                    i -> new NodeRequest.Publish(i, "key-members", TOPIC, "ana", 2, "x"),
+                    got::add);
             // why: a little later each time, so that the publish has come further each time
             world.run(world.now() + seed - 30);
             world.kill(leader, true);
@@ -248,20 +251,29 @@
         begin(27);
         final String doc = world.callers.operators.document(1, "numbered", true);
         final String numbered = "{\"version\":17,\"annotation\":\"as it was: {\\\"x\\\":35.0}\"," + doc.substring(1);
-        final Response r =
-                ask(1, i -> new NodeRequest.Operate(i, "change", numbered.getBytes(java.nio.charset.StandardCharsets.UTF_8)));
+        final Response r = ask(
+                1,
+                i -> new NodeRequest.Operate(i, "change", numbered.getBytes(java.nio.charset.StandardCharsets.UTF_8)));
         assertEquals(r.status(), 200, r.toString());
         assertTrue(r.json().contains("\"version\":17"), r.toString());
         final Response read = ask(2, i -> new NodeRequest.Operate(i, "spec", new byte[0]));
         assertTrue(
                 read.json().contains("\"version\":17") && read.json().contains("as it was: {\\\"x\\\":35.0}"),
                 read.json());
-        assertEquals(((GatewayNode) world.processes.get(31).node).client().configuration().version(), 17);
+        assertEquals(
+                ((GatewayNode) world.processes.get(31).node)
+                        .client()
+                        .configuration()
+                        .version(),
+                17);
         final String again = numbered.replace("numbered", "lower")
                 .replace("\"basedOn\":1", "\"basedOn\":17")
                 .replace("\"version\":17", "\"version\":16");
         assertEquals(
-                ask(3, i -> new NodeRequest.Operate(i, "change", again.getBytes(java.nio.charset.StandardCharsets.UTF_8)))
+                ask(
+                                3,
+                                i -> new NodeRequest.Operate(
+                                        i, "change", again.getBytes(java.nio.charset.StandardCharsets.UTF_8)))
                         .status(),
                 422);
     }
--- a/testing/src/test/java/brookpath/testing/sim/OrderRepeatsTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/OrderRepeatsTest.java
@@ -5,10 +5,10 @@
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
-import brookpath.coordination.message.Response;
-import brookpath.coordination.configuration.ControlState;
 import brookpath.coordination.configuration.ClusterMetadata;
 import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
+import brookpath.coordination.configuration.ControlState;
+import brookpath.coordination.message.Response;
 import brookpath.state.record.LogRecord;
 import java.util.ArrayList;
 import java.util.List;
@@ -32,7 +32,8 @@
     private void untilEmpty(final int node) {
         for (int i = 0; i < 300; i++) {
             world.run(world.now() + 100);
-            if (metadata(leader()).groups().stream().noneMatch(g -> g.membership().holds(node))) {
+            if (metadata(leader()).groups().stream()
+                    .noneMatch(g -> g.membership().holds(node))) {
                 return;
             }
         }
--- a/testing/src/test/java/brookpath/testing/sim/RejoinAfterManyChangesTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/RejoinAfterManyChangesTest.java
@@ -4,10 +4,10 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
+import brookpath.coordination.configuration.ControlState;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.node.ControllerNode;
 import brookpath.coordination.node.NodeRequest;
-import brookpath.coordination.configuration.ControlState;
 import org.testng.annotations.Test;
 
 /** A control member that was away for hundreds of changes catches up, and never leads with what it had before. */
@@ -126,6 +126,8 @@
     }
 
     private static long committedVersion(final SimulatedProcess p) {
-        return ((ControlState) group(p).live()).configurationAt(group(p).committed()).version();
+        return ((ControlState) group(p).live())
+                .configurationAt(group(p).committed())
+                .version();
     }
 }
--- a/testing/src/test/java/brookpath/testing/sim/UsageRepeatTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/UsageRepeatTest.java
@@ -4,9 +4,9 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
+import brookpath.coordination.configuration.ControlState;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.node.ControllerNode;
-import brookpath.coordination.configuration.ControlState;
 import org.testng.annotations.Test;
 
 /** A usage report whose end is told at a bad moment goes again. */
