--- a/testing/src/main/java/brookpath/testing/mutate/Mutants.java
+++ b/testing/src/main/java/brookpath/testing/mutate/Mutants.java
@@ -31,7 +31,15 @@
     /** The staged scenes, and the tests of single state machines that are as quick. */
     private static final String SCENES = String.join(
             ",",
-            "brookpath.testing.sim.ScenesTest",
+            "brookpath.testing.sim.LeaderElectionScenariosTest",
+            "brookpath.testing.sim.LogReplicationScenariosTest",
+            "brookpath.testing.sim.ReplicaLossScenariosTest",
+            "brookpath.testing.sim.PlacementScenariosTest",
+            "brookpath.testing.sim.PublishScenariosTest",
+            "brookpath.testing.sim.SessionScenariosTest",
+            "brookpath.testing.sim.ConfigurationScenariosTest",
+            "brookpath.testing.sim.UsageScenariosTest",
+            "brookpath.testing.sim.TopicStateTest",
             "brookpath.testing.sim.ControlReadsTest",
             "brookpath.testing.sim.OrderRepeatsTest",
             "brookpath.testing.ControlStateTest",
@@ -155,7 +163,13 @@
             return "| " + m.name + " | group fuzz | " + seen + " |";
         }
         seen = run(
-                work, mutatedCp, "^(  [0-9]+:|seed [0-9]+: java).*", "brookpath.testing.sim.Sweep", "1", seeds, m.faults);
+                work,
+                mutatedCp,
+                "^(  [0-9]+:|seed [0-9]+: java).*",
+                "brookpath.testing.sim.Sweep",
+                "1",
+                seeds,
+                m.faults);
         return seen != null
                 ? "| " + m.name + " | sweep " + m.faults + " | " + seen + " |"
                 : "| " + m.name + " | NOT SEEN | |";
