--- a/coordination/src/main/java/brookpath/coordination/configuration/ClusterMetadata.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/ClusterMetadata.java
@@ -22,8 +22,8 @@
         List<NodeInfo> controllers,
         Membership control) {
     /**
-     * What a saved cluster metadata begins with. The first format began with the version, which is never negative; this one adds
-     * the machines' identities.
+     * What a saved cluster metadata begins with. The first format began with the version, which is never negative; this
+     * one adds the machines' identities.
      */
     private static final long FORMAT = -2;
 
@@ -124,7 +124,8 @@
     }
 
     public byte[] save() {
-        final PackedBuffer buffer = PackedBuffer.writer().num(FORMAT).num(version).num(nodes.size());
+        final PackedBuffer buffer =
+                PackedBuffer.writer().num(FORMAT).num(version).num(nodes.size());
         nodes.forEach(n -> n.buffer(buffer));
         buffer.num(groups.size());
         for (final GroupInfo g : groups) {
--- a/coordination/src/main/java/brookpath/coordination/configuration/CommittedVersions.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/CommittedVersions.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * The versions of one value by their log position: the newest committed one, however long it stays so, and all that were
- * appended after it. What is older than the newest committed one is dropped.
+ * The versions of one value by their log position: the newest committed one, however long it stays so, and all that
+ * were appended after it. What is older than the newest committed one is dropped.
  */
 final class CommittedVersions<T> {
     /** A version and where its record lies. */
--- a/coordination/src/main/java/brookpath/coordination/configuration/ConfigurationClient.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/ConfigurationClient.java
@@ -2,10 +2,10 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
+import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
 import brookpath.coordination.message.PeerMessage.ConfigurationPoll;
 import brookpath.coordination.message.PeerMessage.ConfigurationReply;
 import brookpath.coordination.node.Node.Time;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
 import brookpath.state.record.Delta;
 import java.util.ArrayList;
 import java.util.List;
@@ -50,8 +50,8 @@
     private long clockAhead = Long.MIN_VALUE;
 
     /**
-     * @param info this process as others are told of it; peers reach a storage machine or a controller at its
-     *     address, callers a gateway
+     * @param info this process as others are told of it; peers reach a storage machine or a controller at its address,
+     *     callers a gateway
      * @param firstId where the polls' IDs begin, another place in each life of the process: a reply that a third node
      *     carries may outlive the one that asked, and must grant no lease to its successor
      */
@@ -270,7 +270,8 @@
     private boolean take(final ConfigurationReply m) throws Delta.MismatchException {
         final boolean newConfiguration = m.configurationVersion() > configuration.version();
         final boolean newMetadata = m.metadataVersion() > metadata.version();
-        final byte[] nextConfiguration = newConfiguration ? Delta.apply(configurationBytes, m.configuration()) : configurationBytes;
+        final byte[] nextConfiguration =
+                newConfiguration ? Delta.apply(configurationBytes, m.configuration()) : configurationBytes;
         final byte[] nextMetadata = newMetadata ? Delta.apply(metadataBytes, m.metadata()) : metadataBytes;
         if (newConfiguration) {
             configuration = ConfigurationReader.stored(nextConfiguration, m.configurationVersion());
--- a/coordination/src/main/java/brookpath/coordination/configuration/ConfigurationReader.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/ConfigurationReader.java
@@ -163,8 +163,9 @@
         if (obj.containsKey("annotation") && !(obj.get("annotation") instanceof JsonString)) {
             find("/annotation", "must be a string");
         }
-        return new Configuration(numbered, basedOn, changeId, Map.copyOf(spaces), Map.copyOf(tenants), Map.copyOf(keys), (int)
-                num(obj, "", "topicsPerSession", 1, 10_000, (long) Configuration.NONE.topicsPerSession()));
+        return new Configuration(
+                numbered, basedOn, changeId, Map.copyOf(spaces), Map.copyOf(tenants), Map.copyOf(keys), (int)
+                        num(obj, "", "topicsPerSession", 1, 10_000, (long) Configuration.NONE.topicsPerSession()));
     }
 
     private interface Item<T> {
--- a/coordination/src/main/java/brookpath/coordination/configuration/ControlState.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/ControlState.java
@@ -2,8 +2,8 @@
 
 import brookpath.coordination.group.LogState;
 import brookpath.state.record.Delta;
-import brookpath.state.record.PackedBuffer;
 import brookpath.state.record.LogRecord;
+import brookpath.state.record.PackedBuffer;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -53,7 +53,8 @@
     private final Retirements retirements = new Retirements();
 
     /** A configuration in full. */
-    public static byte[] configurationBody(final String changeId, final long sum, final long version, final byte[] doc) {
+    public static byte[] configurationBody(
+            final String changeId, final long sum, final long version, final byte[] doc) {
         return configurationBody(CONFIGURATION, changeId, sum, version, doc);
     }
 
@@ -63,7 +64,11 @@
      * @param newest what {@link #configurationAt} gives for the end of the log that the record is appended to
      */
     public static byte[] configurationBody(
-            final StoredConfiguration newest, final String changeId, final long sum, final long version, final byte[] doc) {
+            final StoredConfiguration newest,
+            final String changeId,
+            final long sum,
+            final long version,
+            final byte[] doc) {
         final byte[] delta = Delta.between(newest.doc(), doc);
         return delta.length < doc.length
                 ? configurationBody(CONFIGURATION_DELTA, changeId, sum, version, delta)
@@ -95,7 +100,11 @@
     }
 
     public static byte[] deliveredBody(final long window, final boolean delivered) {
-        return PackedBuffer.writer().num(DELIVERED).num(window).num(delivered ? 1 : 0).done();
+        return PackedBuffer.writer()
+                .num(DELIVERED)
+                .num(window)
+                .num(delivered ? 1 : 0)
+                .done();
     }
 
     private static void packWindow(final PackedBuffer buffer, final Window w) {
@@ -164,7 +173,10 @@
                 final long sum = in.num();
                 final long version = in.num();
                 final byte[] content = in.bytes();
-                addConfiguration(logRecord.index(), version, kind == CONFIGURATION ? content : followingNewest(logRecord, content));
+                addConfiguration(
+                        logRecord.index(),
+                        version,
+                        kind == CONFIGURATION ? content : followingNewest(logRecord, content));
                 outcomes.add(changeId, new ChangeOutcomes.Outcome(logRecord.index(), sum, version));
             }
             case REFUSAL -> {
@@ -192,7 +204,8 @@
             return Delta.apply(configurationAt(Long.MAX_VALUE).doc(), delta);
         } catch (final Delta.MismatchException ex) {
             // why: the records before this one decide the base, and each stands on a checksum of its own
-            throw new IllegalStateException("configuration record at " + logRecord.index() + ": " + ex.getMessage(), ex);
+            throw new IllegalStateException(
+                    "configuration record at " + logRecord.index() + ": " + ex.getMessage(), ex);
         }
     }
 
@@ -245,8 +258,10 @@
 
     @Override
     public byte[] save() {
-        final PackedBuffer buffer = PackedBuffer.writer().num(configurations.all().size());
-        configurations.all()
+        final PackedBuffer buffer =
+                PackedBuffer.writer().num(configurations.all().size());
+        configurations
+                .all()
                 .forEach(s -> buffer.num(s.index())
                         .num(s.value().version())
                         .bytes(s.value().doc()));
--- a/coordination/src/main/java/brookpath/coordination/configuration/MovePlan.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/MovePlan.java
@@ -1,9 +1,9 @@
 package brookpath.coordination.configuration;
 
-import brookpath.coordination.group.Member;
-import brookpath.coordination.group.Membership;
 import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
 import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.group.Member;
+import brookpath.coordination.group.Membership;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
@@ -12,8 +12,8 @@
 
 /**
  * Which copies are to move, and which masterships: asked by the controller again and again, and by the planner, which
- * changes nothing. It follows from the cluster metadata alone, so that any control leader goes on with what another began;
- * nothing of a move is kept but the memberships themselves.
+ * changes nothing. It follows from the cluster metadata alone, so that any control leader goes on with what another
+ * began; nothing of a move is kept but the memberships themselves.
  */
 public final class MovePlan {
     /** Groups whose copies move at the same time, so that the others are not slowed. */
@@ -52,7 +52,8 @@
 
     private MovePlan() {}
 
-    public static Retirement retire(final ClusterMetadata metadata, final int node, final boolean on, final Set<Integer> alive) {
+    public static Retirement retire(
+            final ClusterMetadata metadata, final int node, final boolean on, final Set<Integer> alive) {
         final List<Finding> findings = new ArrayList<>();
         if (metadata.node(node) == null) {
             findings.add(new Finding("/storages/" + node, "no such storage machine"));
@@ -74,7 +75,9 @@
         return new Retirement(then, findings);
     }
 
-    /** The cluster metadata after one step of a move, as the group's leader takes it; null where nothing is left of it. */
+    /**
+     * The cluster metadata after one step of a move, as the group's leader takes it; null where nothing is left of it.
+     */
     public static ClusterMetadata after(final ClusterMetadata metadata, final Move m) {
         final GroupInfo g = metadata.groups().get(m.group());
         final Member from = Membership.find(g.members(), m.from());
@@ -214,8 +217,9 @@
     }
 
     private static int load(final ClusterMetadata metadata, final int node) {
-        return (int)
-                metadata.groups().stream().filter(g -> g.membership().holds(node)).count();
+        return (int) metadata.groups().stream()
+                .filter(g -> g.membership().holds(node))
+                .count();
     }
 
     private static int mostLoaded(final ClusterMetadata metadata, final List<Member> members) {
--- a/coordination/src/main/java/brookpath/coordination/configuration/Placement.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/Placement.java
@@ -1,9 +1,9 @@
 package brookpath.coordination.configuration;
 
-import brookpath.coordination.group.Member;
-import brookpath.coordination.group.Membership;
 import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
 import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.group.Member;
+import brookpath.coordination.group.Membership;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
--- a/coordination/src/main/java/brookpath/coordination/configuration/StorageFailureDetector.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/StorageFailureDetector.java
@@ -17,7 +17,11 @@
     private final long now;
 
     /** @param heardAt when each storage machine polled last; one that has not polled this control leader is missing */
-    public StorageFailureDetector(final TimingBounds timing, final ClusterMetadata metadata, final Map<Integer, Long> heardAt, final long now) {
+    public StorageFailureDetector(
+            final TimingBounds timing,
+            final ClusterMetadata metadata,
+            final Map<Integer, Long> heardAt,
+            final long now) {
         this.timing = timing;
         this.metadata = metadata;
         this.heardAt = heardAt;
--- a/coordination/src/main/java/brookpath/coordination/configuration/StoredConfiguration.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/StoredConfiguration.java
@@ -6,7 +6,8 @@
  */
 public final class StoredConfiguration {
     /** The version before the first change. */
-    public static final StoredConfiguration NONE = new StoredConfiguration(0, 0, new byte[0], new byte[0], Configuration.NONE);
+    public static final StoredConfiguration NONE =
+            new StoredConfiguration(0, 0, new byte[0], new byte[0], Configuration.NONE);
 
     private final long index;
     private final long version;
@@ -18,7 +19,12 @@
         this(index, version, document, null, null);
     }
 
-    private StoredConfiguration(final long index, final long version, final byte[] document, final byte[] lean, final Configuration configuration) {
+    private StoredConfiguration(
+            final long index,
+            final long version,
+            final byte[] document,
+            final byte[] lean,
+            final Configuration configuration) {
         this.index = index;
         this.version = version;
         this.document = document;
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlMembers.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlMembers.java
@@ -1,14 +1,14 @@
 package brookpath.coordination.node.control;
 
 import brookpath.coordination.TimingBounds;
-import brookpath.coordination.heartbeat.HeartbeatTable;
+import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Member;
 import brookpath.coordination.group.Membership;
 import brookpath.coordination.group.MembershipPlan;
 import brookpath.coordination.group.MembershipPlan.Candidate;
 import brookpath.coordination.group.MembershipPlan.Limits;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.heartbeat.HeartbeatTable;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -37,7 +37,8 @@
     private final long steadyMs;
     private final TreeMap<Integer, Watched> watched = new TreeMap<>();
 
-    public ControlMembers(final int self, final GroupMachine group, final TimingBounds timing, final int toleratedLosses) {
+    public ControlMembers(
+            final int self, final GroupMachine group, final TimingBounds timing, final int toleratedLosses) {
         this.self = self;
         this.group = group;
         // why: the machine that replaces a dead one may itself be lost soon; timing.md has the arithmetic
--- a/coordination/src/main/java/brookpath/coordination/node/control/GroupMoves.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/GroupMoves.java
@@ -2,12 +2,12 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.group.MoveOrder;
-import brookpath.coordination.message.PeerMessage.ControlRequest;
-import brookpath.coordination.configuration.MovePlan;
 import brookpath.coordination.configuration.ClusterMetadata;
 import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
+import brookpath.coordination.configuration.MovePlan;
 import brookpath.coordination.configuration.StorageFailureDetector;
+import brookpath.coordination.group.MoveOrder;
+import brookpath.coordination.message.PeerMessage.ControlRequest;
 import brookpath.state.record.PackedBuffer;
 import java.util.Set;
 import java.util.TreeMap;
@@ -33,7 +33,11 @@
 
     /** @param copies of each group */
     public GroupMoves(
-            final ControlView view, final PollRegistry polls, final int copies, final TimingBounds timing, final Actions out) {
+            final ControlView view,
+            final PollRegistry polls,
+            final int copies,
+            final TimingBounds timing,
+            final Actions out) {
         this.view = view;
         this.polls = polls;
         this.copies = copies;
@@ -55,7 +59,8 @@
     /** Orders the moves that are due, and at most one switchover. */
     public void drive(final long now) {
         final ClusterMetadata metadata = view.metadata();
-        final StorageFailureDetector silence = new StorageFailureDetector(timing, metadata, polls.storagesHeardAt(), now);
+        final StorageFailureDetector silence =
+                new StorageFailureDetector(timing, metadata, polls.storagesHeardAt(), now);
         final Set<Integer> gone = silence.gone(polls.dutySince(), plannedGone);
         if (now < nextMove && metadata.version() == plannedVersion && gone.equals(plannedGone)) {
             return;
--- a/coordination/src/main/java/brookpath/coordination/node/control/MetadataKeeper.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/MetadataKeeper.java
@@ -1,17 +1,17 @@
 package brookpath.coordination.node.control;
 
 import brookpath.coordination.TimingBounds;
+import brookpath.coordination.configuration.ClusterMetadata;
+import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
+import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.configuration.ControlState;
+import brookpath.coordination.configuration.Placement;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Membership;
 import brookpath.coordination.message.PeerMessage.ControlRequest;
 import brookpath.coordination.node.Node.Time;
-import brookpath.coordination.configuration.ControlState;
-import brookpath.coordination.configuration.Placement;
-import brookpath.coordination.configuration.ClusterMetadata;
-import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
-import brookpath.state.record.PackedBuffer;
 import brookpath.state.record.LogRecord;
+import brookpath.state.record.PackedBuffer;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -134,7 +134,9 @@
         final int id = (int) in.num();
         final Membership membership = Membership.load(in);
         final ClusterMetadata metadata = view.newestMetadata();
-        if (id < 0 || id >= metadata.groups().size() || metadata.groups().get(id).version() >= membership.version()) {
+        if (id < 0
+                || id >= metadata.groups().size()
+                || metadata.groups().get(id).version() >= membership.version()) {
             return;
         }
         append(metadata.with(new GroupInfo(id, metadata.groups().get(id).founded(), membership)), time);
--- a/coordination/src/main/java/brookpath/coordination/node/control/PendingAnswers.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/PendingAnswers.java
@@ -33,7 +33,8 @@
     /** When the last extra round of heartbeats was asked for. */
     private long askedAt = Long.MIN_VALUE / 2;
 
-    public PendingAnswers(final GroupMachine group, final TimingBounds timing, final Replies replies, final Actions out) {
+    public PendingAnswers(
+            final GroupMachine group, final TimingBounds timing, final Replies replies, final Actions out) {
         this.group = group;
         this.timing = timing;
         this.replies = replies;
@@ -50,7 +51,8 @@
     }
 
     /** Answers the request once a majority has been heard after now, and the answer is known. */
-    public void add(final int from, final ControlRequest op, final RequestKind kind, final Answer answer, final Time time) {
+    public void add(
+            final int from, final ControlRequest op, final RequestKind kind, final Answer answer, final Time time) {
         final long now = time.mono();
         if (pending.size() >= MAX_PENDING) {
             replies.respond(from, op.requestId(), replies.unavailable("too many requests are under way"));
@@ -69,7 +71,10 @@
         }
     }
 
-    /** The next periodic heartbeat may be far off, so an extra round of heartbeats is sent: one at a time for all requests. */
+    /**
+     * The next periodic heartbeat may be far off, so an extra round of heartbeats is sent: one at a time for all
+     * requests.
+     */
     private void askMajority(final long now) {
         // why: only so many heartbeats are remembered, and an answer to a forgotten one counts for nothing
         if (group.majoritySince(askedAt) || now - askedAt >= timing.heartbeat() / 4) {
@@ -96,7 +101,8 @@
 
     /** This process is the control leader no longer. */
     public void end() {
-        pending.forEach(p -> replies.respond(p.from, p.requestId, replies.lost(p.kind, "the control master stepped down")));
+        pending.forEach(
+                p -> replies.respond(p.from, p.requestId, replies.lost(p.kind, "the control master stepped down")));
         pending.clear();
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/control/PollRegistry.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/PollRegistry.java
@@ -2,14 +2,14 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.group.GroupMachine;
-import brookpath.coordination.message.PeerMessage.ConfigurationPoll;
-import brookpath.coordination.message.PeerMessage.ConfigurationReply;
-import brookpath.coordination.configuration.FleetClock;
 import brookpath.coordination.configuration.ClusterMetadata;
 import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.configuration.FleetClock;
 import brookpath.coordination.configuration.StoredConfiguration;
 import brookpath.coordination.configuration.VersionUpdates;
+import brookpath.coordination.group.GroupMachine;
+import brookpath.coordination.message.PeerMessage.ConfigurationPoll;
+import brookpath.coordination.message.PeerMessage.ConfigurationReply;
 import brookpath.state.record.PackedBuffer;
 import jakarta.json.Json;
 import jakarta.json.JsonArrayBuilder;
@@ -140,7 +140,9 @@
             }
         });
         // why: a process that is gone and whose lease has run out serves nothing, so nobody needs to wait for it
-        pollers.values().removeIf(p -> p.heldSince < 0 && now > p.leaseEnds && now - p.heardAt > 2 * timing.configurationLease());
+        pollers.values()
+                .removeIf(
+                        p -> p.heldSince < 0 && now > p.leaseEnds && now - p.heardAt > 2 * timing.configurationLease());
     }
 
     /** The processes that polled. */
@@ -152,7 +154,8 @@
     private void answer(final Poller p, final long now) {
         final StoredConfiguration configuration = view.configuration();
         final ClusterMetadata metadata = view.metadata();
-        final boolean news = p.last.configurationVersion() < configuration.version() || p.last.metadataVersion() < metadata.version();
+        final boolean news = p.last.configurationVersion() < configuration.version()
+                || p.last.metadataVersion() < metadata.version();
         noteVersions(configuration, metadata);
         // why: a lease that a predecessor granted may be about to run out, so the first poll is never held
         // why: until it knows the clock, a storage machine accepts nothing
@@ -284,7 +287,9 @@
      */
     public byte[] openGateways(final long now) {
         final List<ConfigurationPoll> gateways = pollers.values().stream()
-                .filter(p -> p.is(ConfigurationPoll.GATEWAY) && !p.last.drain() && now - p.heardAt <= 2 * timing.configurationHold())
+                .filter(p -> p.is(ConfigurationPoll.GATEWAY)
+                        && !p.last.drain()
+                        && now - p.heardAt <= 2 * timing.configurationHold())
                 .map(p -> p.last)
                 .toList();
         final PackedBuffer buffer = PackedBuffer.writer().num(gateways.size());
--- a/coordination/src/main/java/brookpath/coordination/node/control/RelayedRequests.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/RelayedRequests.java
@@ -2,8 +2,8 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.message.PeerMessage.ControlRequest;
 import brookpath.coordination.message.PeerMessage.ControlReply;
+import brookpath.coordination.message.PeerMessage.ControlRequest;
 import brookpath.coordination.message.Response;
 import java.util.TreeMap;
 import java.util.function.LongSupplier;
@@ -24,7 +24,8 @@
     private final TreeMap<Long, Relayed> relayed = new TreeMap<>();
 
     /** @param ids of relayed requests, never the same twice */
-    public RelayedRequests(final TimingBounds timing, final Replies replies, final LongSupplier ids, final Actions out) {
+    public RelayedRequests(
+            final TimingBounds timing, final Replies replies, final LongSupplier ids, final Actions out) {
         this.timing = timing;
         this.replies = replies;
         this.ids = ids;
--- a/coordination/src/main/java/brookpath/coordination/node/control/Replies.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/Replies.java
@@ -4,9 +4,9 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
+import brookpath.coordination.configuration.Finding;
 import brookpath.coordination.message.PeerMessage.ControlReply;
 import brookpath.coordination.message.Response;
-import brookpath.coordination.configuration.Finding;
 import java.util.List;
 
 /** Gives responses to whoever asked: a caller of this process, or another process. */
@@ -33,7 +33,11 @@
 
     /** Responds as above, but nothing that may have become untrue is given after the deadline. */
     public void respondBefore(
-            final long deadline, final RequestKind kind, final int from, final long requestId, final Response response) {
+            final long deadline,
+            final RequestKind kind,
+            final int from,
+            final long requestId,
+            final Response response) {
         final boolean staysTrue = kind.order() && response.status() / 100 == 2;
         respond(
                 from,
