--- a/coordination/src/main/java/brookpath/coordination/node/control/ChangeOrders.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ChangeOrders.java
@@ -1,14 +1,14 @@
 package brookpath.coordination.node.control;
 
-import brookpath.coordination.group.GroupMachine;
-import brookpath.coordination.message.PeerMessage.ControlRequest;
-import brookpath.coordination.message.Response;
-import brookpath.coordination.node.Node.Time;
 import brookpath.coordination.configuration.ChangeOutcomes.Outcome;
+import brookpath.coordination.configuration.ConfigurationReader;
 import brookpath.coordination.configuration.ControlState;
 import brookpath.coordination.configuration.Finding;
-import brookpath.coordination.configuration.ConfigurationReader;
 import brookpath.coordination.configuration.StoredConfiguration;
+import brookpath.coordination.group.GroupMachine;
+import brookpath.coordination.message.PeerMessage.ControlRequest;
+import brookpath.coordination.message.Response;
+import brookpath.coordination.node.Node.Time;
 import brookpath.state.record.LogRecord;
 import java.util.List;
 import java.util.zip.CRC32C;
@@ -25,6 +25,7 @@
     private static final int MAX_CHANGES = 64;
 
     private final GroupMachine group;
+    private final ControlView view;
     private final ConfigurationReader.Limits limits;
     private final Followers followers;
     private final PendingAnswers pending;
@@ -32,21 +33,19 @@
 
     public ChangeOrders(
             final GroupMachine group,
+            final ControlView view,
             final ConfigurationReader.Limits limits,
             final Followers followers,
             final PendingAnswers pending,
             final Replies replies) {
         this.group = group;
+        this.view = view;
         this.limits = limits;
         this.followers = followers;
         this.pending = pending;
         this.replies = replies;
     }
 
-    private ControlState state() {
-        return (ControlState) group.live();
-    }
-
     /** Takes or refuses a document, or answers again for one that was taken before. */
     public void change(final int from, final ControlRequest op, final Time time) {
         if (op.body().length > ConfigurationReader.MAX_BYTES) {
@@ -60,8 +59,9 @@
         }
         // why: compared with the newest appended, not the newest committed, so that of two racing changes one loses for
         // certain
-        final StoredConfiguration newest = state().configurationAt(Long.MAX_VALUE);
-        final ConfigurationReader.Reading reading = ConfigurationReader.read(op.body(), newest.version() + 1, limits, newest.configuration());
+        final StoredConfiguration newest = view.newestConfiguration();
+        final ConfigurationReader.Reading reading =
+                ConfigurationReader.read(op.body(), newest.version() + 1, limits, newest.configuration());
         if (!reading.json()
                 || reading.configuration() == null
                 || reading.configuration().changeId().isEmpty()) {
@@ -71,8 +71,8 @@
         final String changeId = reading.configuration().changeId();
         final long checksum = checksum(op.body());
         final Response refusal = refusal(reading, newest);
-        final boolean appends = state().outcomes().of(changeId) == null && refusal == null;
-        if (appends && state().appendedAfter(group.committed()) >= MAX_UNCOMMITTED) {
+        final boolean appends = view.state().outcomes().of(changeId) == null && refusal == null;
+        if (appends && view.uncommitted() >= MAX_UNCOMMITTED) {
             replies.respond(from, op.requestId(), replies.unavailable("too many changes wait for their copies"));
             return;
         }
@@ -82,7 +82,7 @@
             group.append(LogRecord.CONTROL, body, time.mono(), time.wall());
         }
         final PendingAnswers.Answer answer = at -> {
-            final Outcome outcome = state().outcomes().of(changeId);
+            final Outcome outcome = view.state().outcomes().of(changeId);
             return outcome != null
                     ? taken(changeId, checksum, outcome, at.mono())
                     : refusedBy(newest.version(), refusal);
@@ -115,7 +115,7 @@
 
     /** A lost race is final only once the version that won is committed. */
     private Response refusedBy(final long winner, final Response refusal) {
-        return state().configurationAt(group.committed()).version() >= winner ? refusal : null;
+        return view.configuration().version() >= winner ? refusal : null;
     }
 
     private Response taken(final String changeId, final long checksum, final Outcome outcome, final long now) {
@@ -142,7 +142,7 @@
 
     /** What became of a change: confirmed, spreading, or unknown. */
     public Response outcome(final String changeId, final int retryAfterMs, final long now) {
-        final Outcome outcome = state().outcomes().of(changeId);
+        final Outcome outcome = view.state().outcomes().of(changeId);
         if (outcome == null || outcome.index() > group.committed()) {
             return new Response(404, 0, "{\"outcome\":\"unknown\"}");
         }
--- /dev/null
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlLeader.java
@@ -0,0 +1,166 @@
+package brookpath.coordination.node.control;
+
+import brookpath.coordination.TimingBounds;
+import brookpath.coordination.action.Actions;
+import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.configuration.ConfigurationReader;
+import brookpath.coordination.configuration.FleetClock;
+import brookpath.coordination.group.GroupMachine;
+import brookpath.coordination.group.Quorums;
+import brookpath.coordination.heartbeat.HeartbeatTable;
+import brookpath.coordination.message.PeerMessage.ConfigurationPoll;
+import brookpath.coordination.message.PeerMessage.ControlRequest;
+import brookpath.coordination.node.Node.Time;
+import brookpath.coordination.node.NodeRequest;
+import brookpath.coordination.node.usage.UsageReporter;
+import java.util.HashSet;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.function.LongSupplier;
+
+/**
+ * The duties of a controller while it leads the control group: it answers polls and grants leases, takes requests,
+ * keeps the cluster metadata and the group's membership up to date, moves topic groups and reports usage. A controller
+ * that does not lead has this object too, with nothing in it. Not thread-safe.
+ */
+public final class ControlLeader {
+    private final int self;
+    private final GroupMachine group;
+    private final ControlView view;
+    private final FleetClock clock = new FleetClock();
+    private final ControlMembers members;
+    private final PollRegistry polls;
+    private final MetadataKeeper metadataKeeper;
+    private final GroupMoves moves;
+    private final PendingAnswers pending;
+    private final UsageReporter usage;
+    private final ControlRequestHandler requests;
+
+    /**
+     * @param info this controller as others are told of it
+     * @param ids of usage reports, never the same twice
+     */
+    public ControlLeader(
+            final NodeInfo info,
+            final GroupMachine group,
+            final ControlView view,
+            final Founding founding,
+            final TimingBounds timing,
+            final Replies replies,
+            final LongSupplier ids,
+            final Actions out) {
+        self = info.node();
+        this.group = group;
+        this.view = view;
+        members = new ControlMembers(self, group, timing, founding.toleratedLosses());
+        polls = new PollRegistry(self, group, view, clock, timing, out);
+        metadataKeeper = new MetadataKeeper(info, group, view, polls, founding, timing);
+        moves = new GroupMoves(view, polls, founding.copies(), timing, out);
+        pending = new PendingAnswers(group, timing, replies, out);
+        usage = new UsageReporter(self, group, view, clock, timing, ids, out);
+        final ConfigurationReader.Limits limits = new ConfigurationReader.Limits(
+                founding.copies(), Quorums.floor(founding.copies(), founding.toleratedLosses()));
+        requests = new ControlRequestHandler(
+                self,
+                group,
+                view,
+                new ChangeOrders(group, view, limits, polls, pending, replies),
+                new RetireOrders(group, view, polls, pending),
+                metadataKeeper,
+                moves,
+                polls,
+                usage,
+                pending,
+                replies,
+                timing,
+                out);
+    }
+
+    /** Watches which members of the control group answer; done by every member, leader or not. */
+    public void watchMembers(final HeartbeatTable table, final long now) {
+        members.watch(table, now);
+    }
+
+    /**
+     * Does what is due after any event of the control group: takes up or ends the duties, answers what can be answered.
+     */
+    public void afterEvent(final HeartbeatTable table, final Time time) {
+        if (group.mayAct(time.mono())) {
+            act(table, time);
+        } else if (group.role() == GroupMachine.LEADER) {
+            pending.step(time);
+        } else {
+            stepDown();
+        }
+    }
+
+    private void act(final HeartbeatTable table, final Time time) {
+        final long now = time.mono();
+        polls.onDuty(now);
+        if (group.tellsMembers()) {
+            members.advance(table, polls.observers(now), controllerZones(), now, time.wall());
+        }
+        clock.hear(self, time.wall(), now);
+        polls.answerHeld(now);
+        final Set<Integer> heard = new HashSet<>(polls.nodes());
+        heard.add(self);
+        clock.keep(heard);
+        pending.step(time);
+    }
+
+    /** Forgets what a successor learns anew, and ends the requests that are not answered yet. */
+    private void stepDown() {
+        if (polls.isOnDuty()) {
+            polls.clear();
+            clock.clear();
+            usage.clear();
+            moves.clear();
+        }
+        pending.end();
+    }
+
+    private Map<Integer, String> controllerZones() {
+        final Map<Integer, String> zones = new TreeMap<>();
+        view.newestMetadata().controllers().forEach(controller -> zones.put(controller.node(), controller.zone()));
+        return zones;
+    }
+
+    /** Does the periodic duties; only for a leader that may act. */
+    public void tick(final Time time) {
+        if (!view.backlogged()) {
+            metadataKeeper.update(time);
+            moves.drive(time.mono());
+        }
+        usage.total(
+                view.metadata(), view.configuration().configuration().tenants().keySet(), time);
+        usage.report(time);
+    }
+
+    /** Takes a poll, and answers it now or once there is news; only for a leader that may act. */
+    public void onPoll(final int from, final ConfigurationPoll poll, final Time time) {
+        clock.hear(poll.node(), poll.wall(), time.mono());
+        polls.poll(from, poll, time.mono());
+        pending.step(time);
+    }
+
+    /** Carries out a request; one that comes while this controller may not act is refused. */
+    public void onRequest(final int from, final ControlRequest request, final Time time) {
+        requests.handle(from, request, time);
+    }
+
+    /** Takes the outcome of a usage report. */
+    public void onPosted(final NodeRequest.Posted posted, final Time time) {
+        usage.posted(posted, time);
+    }
+
+    /** Whether requests wait for their answers. */
+    public boolean hasPendingRequests() {
+        return !pending.isEmpty();
+    }
+
+    /** The zone of each process that polled, added to those given. */
+    public void addZones(final Map<Integer, String> zones) {
+        polls.addZones(zones);
+    }
+}
--- /dev/null
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlRequestHandler.java
@@ -0,0 +1,149 @@
+package brookpath.coordination.node.control;
+
+import static java.nio.charset.StandardCharsets.UTF_8;
+
+import brookpath.coordination.TimingBounds;
+import brookpath.coordination.action.Actions;
+import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
+import brookpath.coordination.configuration.StoredConfiguration;
+import brookpath.coordination.group.GroupMachine;
+import brookpath.coordination.message.PeerMessage.ControlReply;
+import brookpath.coordination.message.PeerMessage.ControlRequest;
+import brookpath.coordination.message.Response;
+import brookpath.coordination.node.Node.Time;
+import brookpath.coordination.node.usage.UsageReporter;
+import brookpath.state.record.PackedBuffer;
+import jakarta.json.Json;
+import java.util.List;
+import java.util.Set;
+
+/**
+ * Dispatches the requests that reach the control leader by their kind. Reads are answered from the committed state once
+ * a majority has been heard after the request came in. Not thread-safe.
+ */
+final class ControlRequestHandler {
+    /** Kinds that append a cluster metadata record. */
+    private static final Set<RequestKind> APPENDING =
+            Set.of(RequestKind.FOUNDED, RequestKind.MEMBERS, RequestKind.RETIRE, RequestKind.RETIRE_NAMED);
+
+    private final int self;
+    private final GroupMachine group;
+    private final ControlView view;
+    private final ChangeOrders changes;
+    private final RetireOrders retirements;
+    private final MetadataKeeper metadataKeeper;
+    private final GroupMoves moves;
+    private final PollRegistry polls;
+    private final UsageReporter usage;
+    private final PendingAnswers pending;
+    private final Replies replies;
+    private final TimingBounds timing;
+    private final Actions out;
+
+    ControlRequestHandler(
+            final int self,
+            final GroupMachine group,
+            final ControlView view,
+            final ChangeOrders changes,
+            final RetireOrders retirements,
+            final MetadataKeeper metadataKeeper,
+            final GroupMoves moves,
+            final PollRegistry polls,
+            final UsageReporter usage,
+            final PendingAnswers pending,
+            final Replies replies,
+            final TimingBounds timing,
+            final Actions out) {
+        this.self = self;
+        this.group = group;
+        this.view = view;
+        this.changes = changes;
+        this.retirements = retirements;
+        this.metadataKeeper = metadataKeeper;
+        this.moves = moves;
+        this.polls = polls;
+        this.usage = usage;
+        this.pending = pending;
+        this.replies = replies;
+        this.timing = timing;
+        this.out = out;
+    }
+
+    void handle(final int from, final ControlRequest request, final Time time) {
+        if (!group.mayAct(time.mono())) {
+            replies.respond(from, request.requestId(), replies.unavailable("this node is not the control master"));
+            return;
+        }
+        final RequestKind kind = RequestKind.of(request.kind());
+        if (view.backlogged() && APPENDING.contains(kind)) {
+            // why: refused before anything is appended, so it is certain; a change may be the repeat of one that is
+            // under way
+            replies.respond(from, request.requestId(), replies.unavailable("too many records wait for their copies"));
+            return;
+        }
+        switch (kind) {
+            case FOUNDED -> metadataKeeper.founded(request, time);
+            case MEMBERS -> metadataKeeper.members(request, time);
+            case USAGE -> takeUsage(from, request);
+            case GATEWAYS ->
+                out.send(from, new ControlReply(request.requestId(), 200, 0, polls.openGateways(time.mono())));
+            case CHANGE -> changes.change(from, request, time);
+            case RETIRE -> retirements.retire(from, request, time);
+            case RETIRE_NAMED -> retirements.retireNamed(from, request, time);
+            default -> pending.add(from, request, kind, at -> read(kind, request, at.mono()), time);
+        }
+    }
+
+    /** Answers from the committed state, which a majority backs. */
+    private Response read(final RequestKind kind, final ControlRequest request, final long now) {
+        return switch (kind) {
+            case CONFIGURATION -> readConfiguration();
+            case OUTCOME -> changes.outcome(new String(request.body(), UTF_8), timing.retryAfterMs(), now);
+            case RETIRED -> retirements.retired(new String(request.body(), UTF_8));
+            case HANDOVER -> handover(request);
+            case WINDOWS -> new Response(200, 0, usage.windowsJson());
+            case NODES -> new Response(200, 0, nodesJson(now));
+            default -> new Response(404, 0, "{}");
+        };
+    }
+
+    private Response readConfiguration() {
+        final StoredConfiguration stored = view.configuration();
+        if (stored.version() == 0) {
+            return new Response(404, 0, "{\"version\":0}");
+        }
+        final String document = new String(stored.doc(), UTF_8);
+        return new Response(200, 0, "{\"version\":" + stored.version() + ",\"document\":" + document + "}");
+    }
+
+    /** Asks a group's members for a manual switchover; nothing is recorded, and it may be asked again. */
+    private Response handover(final ControlRequest request) {
+        final int id = (int) PackedBuffer.reader(request.body()).num();
+        final List<GroupInfo> groups = view.metadata().groups();
+        if (id < 0 || id >= groups.size()) {
+            return new Response(404, 0, "{\"outcome\":\"no such group\"}");
+        }
+        groups.get(id)
+                .members()
+                .forEach(member -> out.send(member.node(), new ControlRequest(0, "handover", request.body())));
+        return new Response(202, 0, "{\"outcome\":\"asked\"}");
+    }
+
+    private void takeUsage(final int from, final ControlRequest request) {
+        final int id = (int) PackedBuffer.reader(request.body()).num();
+        if (view.metadata().node(from) != null) {
+            moves.mastered(id, from);
+        }
+        final byte[] included = PackedBuffer.writer().num(usage.tell(request)).done();
+        out.send(from, new ControlReply(request.requestId(), 200, 0, included));
+    }
+
+    private String nodesJson(final long now) {
+        return Json.createObjectBuilder()
+                .add("controlMaster", self)
+                .add("epoch", group.term())
+                .add("nodes", polls.nodesJson(now))
+                .build()
+                .toString();
+    }
+}
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlStatus.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlStatus.java
@@ -1,9 +1,9 @@
 package brookpath.coordination.node.control;
 
-import brookpath.coordination.group.Member;
 import brookpath.coordination.configuration.ClusterMetadata;
 import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
 import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.group.Member;
 import jakarta.json.Json;
 import jakarta.json.JsonArrayBuilder;
 import jakarta.json.JsonObject;
@@ -13,8 +13,30 @@
 public final class ControlStatus {
     private ControlStatus() {}
 
+    /**
+     * The status page of a controller.
+     *
+     * @param control the control group as {@code GroupStatus} shows it
+     */
+    public static String json(
+            final int self, final ControlView view, final Founding founding, final JsonObject control) {
+        final ClusterMetadata metadata = view.metadata();
+        return Json.createObjectBuilder()
+                .add("node", self)
+                .add("role", "bailiff")
+                .add("specVersion", view.configuration().version())
+                .add("rosterVersion", metadata.version())
+                .add("control", control)
+                .add("placement", placement(metadata))
+                .add("copies", founding.copies())
+                .add("storages", storages(metadata))
+                .add("retiring", Json.createArrayBuilder(metadata.retiring()))
+                .build()
+                .toString();
+    }
+
     /** Where each topic group lies. */
-    public static JsonArrayBuilder placement(final ClusterMetadata metadata) {
+    private static JsonArrayBuilder placement(final ClusterMetadata metadata) {
         final JsonArrayBuilder placed = Json.createArrayBuilder();
         metadata.groups().forEach(g -> placed.add(group(g)));
         return placed;
@@ -42,7 +64,7 @@
     }
 
     /** The storage machines. */
-    public static JsonArrayBuilder storages(final ClusterMetadata metadata) {
+    private static JsonArrayBuilder storages(final ClusterMetadata metadata) {
         final JsonArrayBuilder storages = Json.createArrayBuilder();
         metadata.nodes().forEach(n -> storages.add(storage(n)));
         return storages;
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlView.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlView.java
@@ -1,9 +1,9 @@
 package brookpath.coordination.node.control;
 
-import brookpath.coordination.group.GroupMachine;
-import brookpath.coordination.configuration.ControlState;
 import brookpath.coordination.configuration.ClusterMetadata;
+import brookpath.coordination.configuration.ControlState;
 import brookpath.coordination.configuration.StoredConfiguration;
+import brookpath.coordination.group.GroupMachine;
 
 /** What follows from the control log, as a member of the control group sees it. */
 public final class ControlView {
@@ -23,6 +23,11 @@
         return state().configurationAt(group.committed());
     }
 
+    /** The newest configuration in the log, committed or not: what the next version builds on. */
+    public StoredConfiguration newestConfiguration() {
+        return state().configurationAt(Long.MAX_VALUE);
+    }
+
     /** The newest committed cluster metadata. */
     public ClusterMetadata metadata() {
         return state().metadataAt(group.committed());
@@ -33,8 +38,13 @@
         return state().metadataAt(Long.MAX_VALUE);
     }
 
+    /** How many configurations and cluster metadata are in the log and not committed yet. */
+    public int uncommitted() {
+        return state().appendedAfter(group.committed());
+    }
+
     /** Whether so much waits for its copies that nothing more is to be appended. */
     public boolean backlogged() {
-        return group.diskBacklogged() || state().appendedAfter(group.committed()) >= ChangeOrders.MAX_UNCOMMITTED;
+        return group.diskBacklogged() || uncommitted() >= ChangeOrders.MAX_UNCOMMITTED;
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/control/RetireOrders.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/RetireOrders.java
@@ -2,17 +2,17 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
+import brookpath.coordination.configuration.ClusterMetadata;
+import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.configuration.ControlState;
+import brookpath.coordination.configuration.MovePlan;
+import brookpath.coordination.configuration.Retirements.Retirement;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.message.PeerMessage.ControlRequest;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.node.Node.Time;
-import brookpath.coordination.configuration.ControlState;
-import brookpath.coordination.configuration.MovePlan;
-import brookpath.coordination.configuration.Retirements.Retirement;
-import brookpath.coordination.configuration.ClusterMetadata;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
-import brookpath.state.record.PackedBuffer;
 import brookpath.state.record.LogRecord;
+import brookpath.state.record.PackedBuffer;
 
 /**
  * Orders to empty a storage machine, or to keep it after all. An order is acknowledged once the record that took it is
@@ -54,27 +54,18 @@
     }
 
     private final GroupMachine group;
+    private final ControlView view;
     private final Followers followers;
     private final PendingAnswers pending;
 
-    public RetireOrders(final GroupMachine group, final Followers followers, final PendingAnswers pending) {
+    RetireOrders(
+            final GroupMachine group, final ControlView view, final Followers followers, final PendingAnswers pending) {
         this.group = group;
+        this.view = view;
         this.followers = followers;
         this.pending = pending;
     }
 
-    private ControlState state() {
-        return (ControlState) group.live();
-    }
-
-    private ClusterMetadata committed() {
-        return state().metadataAt(group.committed());
-    }
-
-    private ClusterMetadata newest() {
-        return state().metadataAt(Long.MAX_VALUE);
-    }
-
     /** Empties a machine given by its number, or keeps it after all. */
     public void retire(final int from, final ControlRequest op, final Time time) {
         final PackedBuffer in = PackedBuffer.reader(op.body());
@@ -103,16 +94,16 @@
         final NodeInfo node = target.in(metadata);
         return node != null
                 ? metadata.retiring().contains(node.node()) == on
-                : on && target.retired(state(), position) != null;
+                : on && target.retired(view.state(), position) != null;
     }
 
     private boolean appended(final Target target, final boolean on) {
-        return done(newest(), Long.MAX_VALUE, target, on);
+        return done(view.newestMetadata(), Long.MAX_VALUE, target, on);
     }
 
     /** Appends the order unless it is there already, or something speaks against it just now. */
     private void append(final Target target, final boolean on, final Time time) {
-        final ClusterMetadata metadata = newest();
+        final ClusterMetadata metadata = view.newestMetadata();
         final NodeInfo node = target.in(metadata);
         if (node == null || appended(target, on)) {
             return;
@@ -123,27 +114,29 @@
         }
     }
 
-    private MovePlan.Retirement plan(final ClusterMetadata metadata, final int node, final boolean on, final Time time) {
+    private MovePlan.Retirement plan(
+            final ClusterMetadata metadata, final int node, final boolean on, final Time time) {
         return MovePlan.retire(metadata, node, on, followers.aliveStorages(time.mono()));
     }
 
     private Response answer(final Target target, final boolean on, final Time time) {
-        if (done(committed(), group.committed(), target, on)) {
+        if (done(view.metadata(), group.committed(), target, on)) {
             return new Response(202, 0, "{\"outcome\":\"" + (on ? "retiring" : "kept") + "\"}");
         }
         append(target, on, time);
         // why: a refusal is final, so it must follow from what is committed, and not from machines not heard yet
-        final boolean settled = newest().version() == committed().version() && followers.heardAll(time.mono());
+        final boolean settled =
+                view.newestMetadata().version() == view.metadata().version() && followers.heardAll(time.mono());
         return appended(target, on) || !settled ? null : refusal(target, on, time);
     }
 
     private Response refusal(final Target target, final boolean on, final Time time) {
-        final NodeInfo node = target.in(committed());
+        final NodeInfo node = target.in(view.metadata());
         if (node == null && target instanceof ByName) {
             return unknown();
         }
         final int number = target instanceof ByNumber t ? t.node : node.node();
-        return Replies.refused(409, plan(committed(), number, on, time).findings());
+        return Replies.refused(409, plan(view.metadata(), number, on, time).findings());
     }
 
     private static Response unknown() {
@@ -152,7 +145,7 @@
 
     /** Whether a machine that was to be emptied holds nothing any more, by the committed cluster metadata. */
     public Response retired(final String name) {
-        final ClusterMetadata metadata = committed();
+        final ClusterMetadata metadata = view.metadata();
         final Target target = new ByName(name);
         if (!done(metadata, group.committed(), target, true)) {
             return unknown();
@@ -160,7 +153,7 @@
         final NodeInfo node = target.in(metadata);
         final int number = node != null
                 ? node.node()
-                : target.retired(state(), group.committed()).node();
+                : target.retired(view.state(), group.committed()).node();
         // why: where another machine has the number now, the one that retired is gone
         final boolean replaced = node == null && metadata.node(number) != null;
         final boolean holds =
--- a/coordination/src/main/java/brookpath/coordination/node/usage/UsageReporter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/usage/UsageReporter.java
@@ -2,17 +2,18 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
+import brookpath.coordination.configuration.ClusterMetadata;
+import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
+import brookpath.coordination.configuration.ControlState;
+import brookpath.coordination.configuration.FleetClock;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.message.PeerMessage.ControlRequest;
-import brookpath.coordination.node.NodeRequest;
 import brookpath.coordination.node.Node.Time;
-import brookpath.coordination.configuration.ControlState;
-import brookpath.coordination.configuration.FleetClock;
-import brookpath.coordination.configuration.ClusterMetadata;
-import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
+import brookpath.coordination.node.NodeRequest;
+import brookpath.coordination.node.control.ControlView;
 import brookpath.coordination.topic.TopicState;
-import brookpath.state.record.PackedBuffer;
 import brookpath.state.record.LogRecord;
+import brookpath.state.record.PackedBuffer;
 import jakarta.json.Json;
 import jakarta.json.JsonArrayBuilder;
 import java.util.ArrayList;
@@ -46,6 +47,7 @@
 
     private final int self;
     private final GroupMachine group;
+    private final ControlView view;
     private final FleetClock clock;
     private final TimingBounds timing;
     private final LongSupplier ids;
@@ -57,22 +59,20 @@
     public UsageReporter(
             final int self,
             final GroupMachine group,
+            final ControlView view,
             final FleetClock clock,
             final TimingBounds timing,
             final LongSupplier ids,
             final Actions out) {
         this.self = self;
         this.group = group;
+        this.view = view;
         this.clock = clock;
         this.timing = timing;
         this.ids = ids;
         this.out = out;
     }
 
-    private ControlState state() {
-        return (ControlState) group.live();
-    }
-
     /** What a leader knows and its successor must learn anew. */
     public void clear() {
         told.clear();
@@ -88,7 +88,7 @@
         final int id = (int) in.num();
         final long after = in.num();
         final long closed = in.num();
-        final long included = state().included(id);
+        final long included = view.state().included(id);
         if (after <= included) {
             final List<TopicState.Count> counts = new ArrayList<>();
             for (long n = in.num(); n > 0; n--) {
@@ -105,7 +105,7 @@
         if (told.isEmpty() || metadata.groups().isEmpty() || !clock.known()) {
             return;
         }
-        final long last = state().lastWindow();
+        final long last = view.state().lastWindow();
         final long window = last >= 0
                 ? last + 1
                 : told.values().stream().mapToLong(Told::closed).min().orElse(0);
@@ -120,7 +120,7 @@
         tenants.forEach(t -> sums.put(t, new long[3]));
         final TreeMap<Integer, Long> upTo = new TreeMap<>();
         told.forEach((id, t) -> {
-            final long included = state().included(id);
+            final long included = view.state().included(id);
             final long through = Math.min(window, t.closed);
             for (final TopicState.Count c : t.counts) {
                 if (c.window() > included && c.window() <= through) {
@@ -142,7 +142,7 @@
     /** Posts what the log has committed and the platform has not taken yet. */
     public void report(final Time time) {
         final long now = time.mono();
-        for (final ControlState.Window w : state().untold(group.committed())) {
+        for (final ControlState.Window w : view.state().untold(group.committed())) {
             if (posts.values().stream().noneMatch(p -> p.window.window() == w.window())) {
                 posts.put(ids.getAsLong(), new Post(w));
             }
@@ -190,7 +190,8 @@
         final boolean ok = j.outcome() == PostOutcome.ACCEPTED;
         if (group.mayAct(time.mono()) && (ok || p.goes >= MAX_GOES)) {
             posts.remove(j.requestId());
-            group.append(LogRecord.CONTROL, ControlState.deliveredBody(p.window.window(), ok), time.mono(), time.wall());
+            group.append(
+                    LogRecord.CONTROL, ControlState.deliveredBody(p.window.window(), ok), time.mono(), time.wall());
         }
     }
 
@@ -208,7 +209,7 @@
 
     public String windowsJson() {
         final JsonArrayBuilder arr = Json.createArrayBuilder();
-        for (final ControlState.Window w : state().windows()) {
+        for (final ControlState.Window w : view.state().windows()) {
             if (w.index() <= group.committed()) {
                 final JsonArrayBuilder used = Json.createArrayBuilder();
                 w.used()
@@ -217,7 +218,7 @@
                                 .add("publishes", u.publishes())
                                 .add("bytes", u.bytes())
                                 .add("late", u.late())));
-                final Boolean was = state().told(w.window());
+                final Boolean was = view.state().told(w.window());
                 arr.add(Json.createObjectBuilder()
                         .add("windowStartMs", w.window() * timing.windowMs())
                         .add("platform", was == null ? "on its way" : was ? "told" : "given up")
--- a/state/src/main/java/brookpath/state/record/Delta.java
+++ b/state/src/main/java/brookpath/state/record/Delta.java
@@ -42,11 +42,6 @@
         return between(EMPTY, result);
     }
 
-    /** Whether a difference is from an empty base, so that it fits whatever its receiver has. */
-    public static boolean isWhole(final byte[] delta) {
-        return delta.length >= HEADER && little(delta).getInt(0) == 0;
-    }
-
     /** What turns the base into the result. Linear in the sizes of both for documents that differ in a few places. */
     public static byte[] between(final byte[] base, final byte[] result) {
         final Writer writer = new Writer(result);
--- a/testing/src/test/java/brookpath/testing/DeltaTest.java
+++ b/testing/src/test/java/brookpath/testing/DeltaTest.java
@@ -82,11 +82,11 @@
     public void theWholeFitsAnyBase() throws Delta.MismatchException {
         final byte[] result = random(new Random(2), 1_000);
         final byte[] whole = Delta.whole(result);
-        assertTrue(Delta.isWhole(whole));
+        assertTrue(DeltaBase.isEmpty(whole));
         assertEquals(Delta.apply(new byte[0], whole), result);
         assertEquals(Delta.apply(random(new Random(3), 500), whole), result);
-        assertFalse(Delta.isWhole(Delta.between(result, result)));
-        assertFalse(Delta.isWhole(new byte[0]));
+        assertFalse(DeltaBase.isEmpty(Delta.between(result, result)));
+        assertFalse(DeltaBase.isEmpty(new byte[0]));
     }
 
     @Test
@@ -108,7 +108,8 @@
             final byte[] base = random(random, 1 + random.nextInt(300));
             final byte[] result = edited(random, base);
             final byte[] delta = Delta.between(base, result);
-            final byte[] damaged = random.nextBoolean() ? delta.clone() : Arrays.copyOf(delta, random.nextInt(delta.length));
+            final byte[] damaged =
+                    random.nextBoolean() ? delta.clone() : Arrays.copyOf(delta, random.nextInt(delta.length));
             if (damaged.length == delta.length) {
                 damaged[random.nextInt(delta.length)] ^= (byte) (1 << random.nextInt(8));
             }
--- a/testing/src/test/java/brookpath/testing/sim/ConfigurationUpdatesTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ConfigurationUpdatesTest.java
@@ -9,17 +9,18 @@
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Action;
 import brookpath.coordination.action.Actions;
+import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.configuration.ConfigurationClient;
+import brookpath.coordination.configuration.ControlState;
+import brookpath.coordination.configuration.VersionUpdates;
 import brookpath.coordination.message.PeerMessage.ConfigurationPoll;
 import brookpath.coordination.message.PeerMessage.ConfigurationReply;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.node.GatewayNode;
 import brookpath.coordination.node.Node.Time;
-import brookpath.coordination.configuration.ControlState;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
-import brookpath.coordination.configuration.ConfigurationClient;
-import brookpath.coordination.configuration.VersionUpdates;
 import brookpath.state.record.Delta;
 import brookpath.state.record.LogRecord;
+import brookpath.testing.DeltaBase;
 import java.util.List;
 import java.util.Map;
 import org.testng.annotations.DataProvider;
@@ -160,11 +161,11 @@
         }
         assertEquals(updates.since(40), VersionUpdates.NO_NEWS);
         assertEquals(updates.since(41), VersionUpdates.NO_NEWS);
-        assertFalse(Delta.isWhole(updates.since(39)));
+        assertFalse(DeltaBase.isEmpty(updates.since(39)));
         assertEquals(Delta.apply(text(39), updates.since(39)), text(40));
         assertEquals(Delta.apply(text(25), updates.since(25)), text(40));
-        assertTrue(Delta.isWhole(updates.since(24)), "a version that is told no more");
-        assertTrue(Delta.isWhole(updates.since(-1)), "a follower that knows nothing");
+        assertTrue(DeltaBase.isEmpty(updates.since(24)), "a version that is told no more");
+        assertTrue(DeltaBase.isEmpty(updates.since(-1)), "a follower that knows nothing");
         updates.clear();
         assertEquals(updates.since(1), VersionUpdates.NO_NEWS);
     }
@@ -175,7 +176,7 @@
         updates.newest(0, text(0));
         assertEquals(updates.since(-1), VersionUpdates.NO_NEWS);
         updates.newest(1, text(1));
-        assertTrue(Delta.isWhole(updates.since(0)), "whoever has no document got a difference from one");
+        assertTrue(DeltaBase.isEmpty(updates.since(0)), "whoever has no document got a difference from one");
     }
 
     @Test
@@ -193,7 +194,7 @@
         final VersionUpdates updates = new VersionUpdates();
         updates.newest(1, new byte[2_700_000]);
         updates.newest(2, new byte[2_800_000]);
-        assertTrue(Delta.isWhole(updates.since(1)));
+        assertTrue(DeltaBase.isEmpty(updates.since(1)));
         updates.newest(3, new byte[5_000_000]);
         assertEquals(Delta.apply(new byte[0], updates.since(2)), new byte[5_000_000]);
     }
@@ -208,7 +209,12 @@
     public void aDifferenceThatDoesNotFitIsAskedForWhole() {
         final Actions out = new Actions();
         final ConfigurationClient client = new ConfigurationClient(
-                new NodeInfo(31, "a", "sim:31", "", 31), ConfigurationPoll.GATEWAY, List.of(1), 100, TimingBounds.DEFAULT, out);
+                new NodeInfo(31, "a", "sim:31", "", 31),
+                ConfigurationPoll.GATEWAY,
+                List.of(1),
+                100,
+                TimingBounds.DEFAULT,
+                out);
         client.tick(NOW);
         assertTrue(client.onReply(reply(poll(out), 1, Delta.whole(text(1))), NOW));
         assertEquals(client.configuration().version(), 1);
@@ -233,7 +239,9 @@
         return poll;
     }
 
-    private static ConfigurationReply reply(final ConfigurationPoll poll, final long version, final byte[] configuration) {
-        return new ConfigurationReply(poll.pollId(), true, 1, 1, version, configuration, 0, new byte[0], 31, NOW.wall());
+    private static ConfigurationReply reply(
+            final ConfigurationPoll poll, final long version, final byte[] configuration) {
+        return new ConfigurationReply(
+                poll.pollId(), true, 1, 1, version, configuration, 0, new byte[0], 31, NOW.wall());
     }
 }
