--- a/coordination/src/main/java/brookpath/coordination/message/Response.java
+++ b/coordination/src/main/java/brookpath/coordination/message/Response.java
@@ -1,9 +1,10 @@
 package brookpath.coordination.message;
 
 /**
- * The response to a caller's or operator's request, as HTTP tells it. A retryAfterMs of 0 says nothing about coming
- * back.
+ * The response to a caller's or operator's request. Immutable.
  *
+ * @param status the code of a {@link ResponseStatus}, or one that a controller of a newer version has sent
+ * @param retryAfterMs when the request may be sent again, in milliseconds from now; 0 says nothing about that
  * @param code a refusal's kind in one word, as in the JSON; empty elsewhere
  * @param expiry until when it may be given, and what is said after that; null where it stays true
  */
@@ -19,10 +20,29 @@
         this(status, retryAfterMs, json, code, null);
     }
 
+    public Response(final ResponseStatus status, final int retryAfterMs, final String json, final String code) {
+        this(status.code(), retryAfterMs, json, code);
+    }
+
+    public Response(final ResponseStatus status, final int retryAfterMs, final String json) {
+        this(status.code(), retryAfterMs, json, "");
+    }
+
+    /** A response by its code, as it came over the wire. */
     public Response(final int status, final int retryAfterMs, final String json) {
         this(status, retryAfterMs, json, "");
     }
 
+    /** Whether this is the outcome. */
+    public boolean is(final ResponseStatus outcome) {
+        return status == outcome.code();
+    }
+
+    /** Whether the request succeeded. */
+    public boolean isSuccess() {
+        return ResponseStatus.isSuccess(status);
+    }
+
     /** The same response, valid only before the given time of the process's monotonic clock. */
     public Response until(final long at, final Response instead) {
         return new Response(status, retryAfterMs, json, code, new Expiry(at, instead));
--- a/coordination/src/main/java/brookpath/coordination/node/ControllerNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/ControllerNode.java
@@ -16,6 +16,7 @@
 import brookpath.coordination.message.PeerMessage.ControlRequest;
 import brookpath.coordination.message.PeerMessage.HeartbeatEntry;
 import brookpath.coordination.message.Response;
+import brookpath.coordination.message.ResponseStatus;
 import brookpath.coordination.node.control.ControlLeader;
 import brookpath.coordination.node.control.ControlStatus;
 import brookpath.coordination.node.control.ControlView;
@@ -177,7 +178,7 @@
             client.tick(time);
         }
         if (retreat != NO_REQUEST && group.retreat(now)) {
-            out.respond(retreat, new Response(200, 0, "{}"));
+            out.respond(retreat, new Response(ResponseStatus.OK, 0, "{}"));
             retreat = NO_REQUEST;
         }
         if (group.mayAct(now)) {
@@ -288,7 +289,7 @@
         } else if (request instanceof NodeRequest.Posted posted) {
             leader.onPosted(posted, time);
         } else if (request instanceof NodeRequest.Status status) {
-            out.respond(status.requestId(), new Response(200, 0, statusJson(time)));
+            out.respond(status.requestId(), new Response(ResponseStatus.OK, 0, statusJson(time)));
         } else if (request instanceof NodeRequest.ReadinessProbe probe) {
             final boolean ready = group.mayAct(now) || controlLeader(now) != 0;
             out.respond(probe.requestId(), ReadinessProbe.response(ready, false));
--- a/coordination/src/main/java/brookpath/coordination/node/GatewayNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/GatewayNode.java
@@ -17,6 +17,7 @@
 import brookpath.coordination.message.PeerMessage.Publish;
 import brookpath.coordination.message.PeerMessage.PublishReply;
 import brookpath.coordination.message.Response;
+import brookpath.coordination.message.ResponseStatus;
 import brookpath.coordination.node.gateway.GatewayAddresses;
 import brookpath.coordination.node.gateway.LeaseQueue;
 import brookpath.coordination.node.gateway.ListenerCountRequests;
@@ -47,7 +48,6 @@
 
     private static final int DRAIN_DIVISOR = 2;
     private static final int OK = 200;
-    private static final int UNAUTHORIZED = 401;
 
     private final String zone;
     private final ConfigurationClient client;
@@ -293,7 +293,7 @@
         if (!serves(now)) {
             refuse(request.requestId(), "spec", "this node has not heard from the control plane lately");
         } else if (!request.key().isEmpty() && client.configuration().tenantOf(request.key()) == null) {
-            out.respond(request.requestId(), Refusals.refused(UNAUTHORIZED, 0, "key", "unknown key"));
+            out.respond(request.requestId(), Refusals.refused(ResponseStatus.UNAUTHORIZED, 0, "key", "unknown key"));
         } else if (client.draining()) {
             refuseDraining(request.requestId());
             out.move(request.requestId(), otherGateways.next());
--- a/coordination/src/main/java/brookpath/coordination/node/ReadinessProbe.java
+++ b/coordination/src/main/java/brookpath/coordination/node/ReadinessProbe.java
@@ -1,6 +1,7 @@
 package brookpath.coordination.node;
 
 import brookpath.coordination.message.Response;
+import brookpath.coordination.message.ResponseStatus;
 
 /** Readiness, by which the platform picks healthy nodes. */
 final class ReadinessProbe {
@@ -9,6 +10,7 @@
     static Response response(final boolean leased, final boolean draining) {
         final boolean ready = leased && !draining;
         final String why = draining ? "draining" : leased ? "serving" : "no spec lease";
-        return new Response(ready ? 200 : 503, 0, "{\"ready\":" + ready + ",\"why\":\"" + why + "\"}");
+        final ResponseStatus status = ready ? ResponseStatus.OK : ResponseStatus.UNAVAILABLE;
+        return new Response(status, 0, "{\"ready\":" + ready + ",\"why\":\"" + why + "\"}");
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/control/ChangeOrders.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ChangeOrders.java
@@ -8,6 +8,7 @@
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.message.PeerMessage.ControlRequest;
 import brookpath.coordination.message.Response;
+import brookpath.coordination.message.ResponseStatus;
 import brookpath.coordination.node.Node.Time;
 import brookpath.state.record.LogRecord;
 import java.util.List;
@@ -50,7 +51,7 @@
     public void change(final int from, final ControlRequest op, final Time time) {
         if (op.body().length > ConfigurationReader.MAX_BYTES) {
             final Finding finding = new Finding("/", "larger than " + ConfigurationReader.MAX_BYTES + " bytes");
-            replies.respond(from, op.requestId(), Replies.refused(413, List.of(finding)));
+            replies.respond(from, op.requestId(), Replies.refused(ResponseStatus.TOO_LARGE, List.of(finding)));
             return;
         }
         if (pending.count(RequestKind.CHANGE) >= MAX_CHANGES) {
@@ -65,7 +66,11 @@
         if (!reading.json()
                 || reading.configuration() == null
                 || reading.configuration().changeId().isEmpty()) {
-            replies.respond(from, op.requestId(), Replies.refused(reading.json() ? 422 : 400, reading.findings()));
+            replies.respond(
+                    from,
+                    op.requestId(),
+                    Replies.refused(
+                            reading.json() ? ResponseStatus.INVALID : ResponseStatus.BAD_REQUEST, reading.findings()));
             return;
         }
         final String changeId = reading.configuration().changeId();
@@ -99,17 +104,20 @@
     /** Why the document cannot follow the newest version, null where it can. */
     private static Response refusal(final ConfigurationReader.Reading reading, final StoredConfiguration newest) {
         if (!reading.findings().isEmpty()) {
-            return refused(422, reading.configuration().changeId(), "\"findings\":" + Finding.json(reading.findings()));
+            return refused(
+                    ResponseStatus.INVALID,
+                    reading.configuration().changeId(),
+                    "\"findings\":" + Finding.json(reading.findings()));
         }
         return reading.configuration().basedOn() == newest.version()
                 ? null
                 : refused(
-                        409,
+                        ResponseStatus.CONFLICT,
                         reading.configuration().changeId(),
                         "\"why\":\"basedOn is not the present version\",\"version\":" + newest.version());
     }
 
-    private static Response refused(final int status, final String changeId, final String why) {
+    private static Response refused(final ResponseStatus status, final String changeId, final String why) {
         return new Response(status, 0, "{\"outcome\":\"refused\",\"changeId\":\"" + changeId + "\"," + why + "}");
     }
 
@@ -123,7 +131,8 @@
             return null;
         }
         if (outcome.checksum() != checksum) {
-            return refused(409, changeId, "\"why\":\"the change ID was used for another document\"");
+            return refused(
+                    ResponseStatus.CONFLICT, changeId, "\"why\":\"the change ID was used for another document\"");
         }
         if (!followers.everywhere(outcome.version(), now)) {
             return null;
@@ -133,7 +142,7 @@
     }
 
     private static Response confirmed(final String changeId, final Outcome outcome) {
-        return new Response(200, 0, told("confirmed", changeId, outcome));
+        return new Response(ResponseStatus.OK, 0, told("confirmed", changeId, outcome));
     }
 
     private static String told(final String what, final String changeId, final Outcome outcome) {
@@ -144,10 +153,10 @@
     public Response outcome(final String changeId, final int retryAfterMs, final long now) {
         final Outcome outcome = view.state().outcomes().of(changeId);
         if (outcome == null || outcome.index() > group.committed()) {
-            return new Response(404, 0, "{\"outcome\":\"unknown\"}");
+            return new Response(ResponseStatus.NOT_FOUND, 0, "{\"outcome\":\"unknown\"}");
         }
         return followers.everywhere(outcome.version(), now)
                 ? confirmed(changeId, outcome)
-                : new Response(202, retryAfterMs, told("spreading", changeId, outcome));
+                : new Response(ResponseStatus.ACCEPTED, retryAfterMs, told("spreading", changeId, outcome));
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlRequestHandler.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlRequestHandler.java
@@ -10,6 +10,7 @@
 import brookpath.coordination.message.PeerMessage.ControlReply;
 import brookpath.coordination.message.PeerMessage.ControlRequest;
 import brookpath.coordination.message.Response;
+import brookpath.coordination.message.ResponseStatus;
 import brookpath.coordination.node.Node.Time;
 import brookpath.coordination.node.usage.UsageReporter;
 import brookpath.state.record.PackedBuffer;
@@ -86,7 +87,10 @@
             case MEMBERS -> metadataKeeper.members(request, time);
             case USAGE -> takeUsage(from, request);
             case GATEWAYS ->
-                out.send(from, new ControlReply(request.requestId(), 200, 0, polls.openGateways(time.mono())));
+                out.send(
+                        from,
+                        new ControlReply(
+                                request.requestId(), ResponseStatus.OK.code(), 0, polls.openGateways(time.mono())));
             case CHANGE -> changes.change(from, request, time);
             case RETIRE -> retirements.retire(from, request, time);
             case RETIRE_NAMED -> retirements.retireNamed(from, request, time);
@@ -101,19 +105,20 @@
             case OUTCOME -> changes.outcome(new String(request.body(), UTF_8), timing.retryAfterMs(), now);
             case RETIRED -> retirements.retired(new String(request.body(), UTF_8));
             case HANDOVER -> handover(request);
-            case WINDOWS -> new Response(200, 0, usage.windowsJson());
-            case NODES -> new Response(200, 0, nodesJson(now));
-            default -> new Response(404, 0, "{}");
+            case WINDOWS -> new Response(ResponseStatus.OK, 0, usage.windowsJson());
+            case NODES -> new Response(ResponseStatus.OK, 0, nodesJson(now));
+            default -> new Response(ResponseStatus.NOT_FOUND, 0, "{}");
         };
     }
 
     private Response readConfiguration() {
         final StoredConfiguration stored = view.configuration();
         if (stored.version() == 0) {
-            return new Response(404, 0, "{\"version\":0}");
+            return new Response(ResponseStatus.NOT_FOUND, 0, "{\"version\":0}");
         }
         final String document = new String(stored.doc(), UTF_8);
-        return new Response(200, 0, "{\"version\":" + stored.version() + ",\"document\":" + document + "}");
+        return new Response(
+                ResponseStatus.OK, 0, "{\"version\":" + stored.version() + ",\"document\":" + document + "}");
     }
 
     /** Asks a group's members for a manual switchover; nothing is recorded, and it may be asked again. */
@@ -121,12 +126,12 @@
         final int id = (int) PackedBuffer.reader(request.body()).num();
         final List<GroupInfo> groups = view.metadata().groups();
         if (id < 0 || id >= groups.size()) {
-            return new Response(404, 0, "{\"outcome\":\"no such group\"}");
+            return new Response(ResponseStatus.NOT_FOUND, 0, "{\"outcome\":\"no such group\"}");
         }
         groups.get(id)
                 .members()
                 .forEach(member -> out.send(member.node(), new ControlRequest(0, "handover", request.body())));
-        return new Response(202, 0, "{\"outcome\":\"asked\"}");
+        return new Response(ResponseStatus.ACCEPTED, 0, "{\"outcome\":\"asked\"}");
     }
 
     private void takeUsage(final int from, final ControlRequest request) {
@@ -135,7 +140,7 @@
             moves.mastered(id, from);
         }
         final byte[] included = PackedBuffer.writer().num(usage.tell(request)).done();
-        out.send(from, new ControlReply(request.requestId(), 200, 0, included));
+        out.send(from, new ControlReply(request.requestId(), ResponseStatus.OK.code(), 0, included));
     }
 
     private String nodesJson(final long now) {
--- a/coordination/src/main/java/brookpath/coordination/node/control/Replies.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/Replies.java
@@ -7,6 +7,7 @@
 import brookpath.coordination.configuration.Finding;
 import brookpath.coordination.message.PeerMessage.ControlReply;
 import brookpath.coordination.message.Response;
+import brookpath.coordination.message.ResponseStatus;
 import java.util.List;
 
 /** Gives responses to whoever asked: a caller of this process, or another process. */
@@ -38,7 +39,7 @@
             final int from,
             final long requestId,
             final Response response) {
-        final boolean staysTrue = kind.order() && response.status() / 100 == 2;
+        final boolean staysTrue = kind.order() && response.isSuccess();
         respond(
                 from,
                 requestId,
@@ -58,7 +59,8 @@
 
     /** Certainly not done, and worth another try. */
     public Response unavailable(final String why) {
-        return new Response(503, timing.retryAfterMs(), "{\"outcome\":\"refused\",\"why\":\"" + why + "\"}");
+        return new Response(
+                ResponseStatus.UNAVAILABLE, timing.retryAfterMs(), "{\"outcome\":\"refused\",\"why\":\"" + why + "\"}");
     }
 
     /** The request was sent on, and nobody knows its end: an order may have been taken. */
@@ -67,13 +69,13 @@
             return unavailable(why);
         }
         return new Response(
-                504,
+                ResponseStatus.UNSETTLED,
                 timing.retryAfterMs(),
                 "{\"outcome\":\"unsettled\",\"why\":\"" + why + "; send it again as it was\"}");
     }
 
     /** A refusal for what is wrong with the request. */
-    public static Response refused(final int status, final List<Finding> findings) {
+    public static Response refused(final ResponseStatus status, final List<Finding> findings) {
         return new Response(status, 0, "{\"outcome\":\"refused\",\"findings\":" + Finding.json(findings) + "}");
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/control/RetireOrders.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/RetireOrders.java
@@ -10,6 +10,7 @@
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.message.PeerMessage.ControlRequest;
 import brookpath.coordination.message.Response;
+import brookpath.coordination.message.ResponseStatus;
 import brookpath.coordination.node.Node.Time;
 import brookpath.state.record.LogRecord;
 import brookpath.state.record.PackedBuffer;
@@ -121,7 +122,7 @@
 
     private Response answer(final Target target, final boolean on, final Time time) {
         if (done(view.metadata(), group.committed(), target, on)) {
-            return new Response(202, 0, "{\"outcome\":\"" + (on ? "retiring" : "kept") + "\"}");
+            return new Response(ResponseStatus.ACCEPTED, 0, "{\"outcome\":\"" + (on ? "retiring" : "kept") + "\"}");
         }
         append(target, on, time);
         // why: a refusal is final, so it must follow from what is committed, and not from machines not heard yet
@@ -136,11 +137,12 @@
             return unknown();
         }
         final int number = target instanceof ByNumber t ? t.node : node.node();
-        return Replies.refused(409, plan(view.metadata(), number, on, time).findings());
+        return Replies.refused(
+                ResponseStatus.CONFLICT, plan(view.metadata(), number, on, time).findings());
     }
 
     private static Response unknown() {
-        return new Response(404, 0, "{\"outcome\":\"unknown\"}");
+        return new Response(ResponseStatus.NOT_FOUND, 0, "{\"outcome\":\"unknown\"}");
     }
 
     /** Whether a machine that was to be emptied holds nothing any more, by the committed cluster metadata. */
@@ -158,6 +160,6 @@
         final boolean replaced = node == null && metadata.node(number) != null;
         final boolean holds =
                 metadata.groups().stream().anyMatch(g -> g.membership().holds(number));
-        return new Response(200, 0, "{\"empty\":" + (replaced || !holds) + "}");
+        return new Response(ResponseStatus.OK, 0, "{\"empty\":" + (replaced || !holds) + "}");
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/PublishForwarder.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/PublishForwarder.java
@@ -5,6 +5,7 @@
 import brookpath.coordination.message.PeerMessage.Publish;
 import brookpath.coordination.message.PeerMessage.PublishReply;
 import brookpath.coordination.message.Response;
+import brookpath.coordination.message.ResponseStatus;
 import brookpath.coordination.node.NodeRequest;
 import brookpath.coordination.route.Refusals;
 import brookpath.coordination.route.Route;
@@ -28,8 +29,6 @@
     private static final int MAX_PUBLISHES = 4_096;
 
     private static final int OK = 200;
-    private static final int CONFLICT = 409;
-    private static final int GATEWAY_TIMEOUT = 504;
 
     private final TimingBounds timing;
     private final LongFunction<RouteFinder> routes;
@@ -186,7 +185,8 @@
             return;
         }
         note(publish.request(), "node " + from + " said " + reply.why());
-        out.respond(publish.request().requestId(), Refusals.refused(CONFLICT, 0, "sequence", reply.why()));
+        out.respond(
+                publish.request().requestId(), Refusals.refused(ResponseStatus.CONFLICT, 0, "sequence", reply.why()));
     }
 
     private void notTaken(
@@ -258,7 +258,7 @@
         note(request, why);
         out.respond(
                 request.requestId(),
-                Refusals.response(GATEWAY_TIMEOUT, timing.retryAfterMs(), "unsettled", "unsettled", why));
+                Refusals.response(ResponseStatus.UNSETTLED, timing.retryAfterMs(), "unsettled", "unsettled", why));
     }
 
     /** The notes are what is left to explain a publish from afterwards; committed ones explain themselves. */
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/Subscriptions.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/Subscriptions.java
@@ -6,6 +6,7 @@
 import brookpath.coordination.message.PeerMessage.FetchReply;
 import brookpath.coordination.message.PeerMessage.ListenerReport;
 import brookpath.coordination.message.Response;
+import brookpath.coordination.message.ResponseStatus;
 import brookpath.coordination.node.Cursor;
 import brookpath.coordination.node.NodeRequest;
 import brookpath.coordination.route.Refusals;
@@ -25,7 +26,6 @@
  */
 public final class Subscriptions {
     private static final int OK = 200;
-    private static final int BAD_REQUEST = 400;
     private static final long START_AT_END = -1;
 
     /** Why a topic may not be listened to any longer. */
@@ -193,7 +193,7 @@
     }
 
     private void refuseInvalid(final long requestId, final String code, final String why) {
-        out.respond(requestId, Refusals.refused(BAD_REQUEST, 0, code, why));
+        out.respond(requestId, Refusals.refused(ResponseStatus.BAD_REQUEST, 0, code, why));
     }
 
     // ---- a new configuration
--- a/coordination/src/main/java/brookpath/coordination/route/Refusals.java
+++ b/coordination/src/main/java/brookpath/coordination/route/Refusals.java
@@ -2,27 +2,27 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.message.Response;
+import brookpath.coordination.message.ResponseStatus;
 import jakarta.json.Json;
 
 /** Builds the responses to requests that are not carried out. */
 public final class Refusals {
-    private static final int SERVICE_UNAVAILABLE = 503;
-
     private Refusals() {}
 
     /** A request that was certainly not carried out. */
-    public static Response refused(final int status, final int retryAfterMs, final String code, final String why) {
+    public static Response refused(
+            final ResponseStatus status, final int retryAfterMs, final String code, final String why) {
         return response(status, retryAfterMs, "refused", code, why);
     }
 
     /** A request that was certainly not carried out and may be repeated after the time that the response names. */
     public static Response retryLater(final TimingBounds timing, final String code, final String why) {
-        return refused(SERVICE_UNAVAILABLE, timing.retryAfterMs(), code, why);
+        return refused(ResponseStatus.UNAVAILABLE, timing.retryAfterMs(), code, why);
     }
 
     /** Whether the same request may be carried out later. */
     public static boolean isTemporary(final Response refusal) {
-        return refusal.status() == SERVICE_UNAVAILABLE;
+        return refusal.is(ResponseStatus.UNAVAILABLE);
     }
 
     /**
@@ -33,7 +33,11 @@
      * @param why the reason in a sentence
      */
     public static Response response(
-            final int status, final int retryAfterMs, final String outcome, final String code, final String why) {
+            final ResponseStatus status,
+            final int retryAfterMs,
+            final String outcome,
+            final String code,
+            final String why) {
         final String json = Json.createObjectBuilder()
                 .add("outcome", outcome)
                 .add("code", code)
--- a/coordination/src/main/java/brookpath/coordination/route/Route.java
+++ b/coordination/src/main/java/brookpath/coordination/route/Route.java
@@ -1,6 +1,8 @@
 package brookpath.coordination.route;
 
+import brookpath.coordination.TimingBounds;
 import brookpath.coordination.message.Response;
+import brookpath.coordination.message.ResponseStatus;
 
 /**
  * Where a request goes, and why; or the refusal that it gets.
@@ -14,11 +16,15 @@
 public record Route(Response refusal, String tenant, int group, int node, String because) {
     private static final int NO_GROUP = -1;
 
-    static Route refused(final int status, final int retryAfterMs, final String code, final String because) {
+    static Route refused(final ResponseStatus status, final int retryAfterMs, final String code, final String because) {
         final Response refusal = Refusals.refused(status, retryAfterMs, code, because);
         return new Route(refusal, "", NO_GROUP, 0, because);
     }
 
+    static Route unavailable(final TimingBounds timing, final String code, final String because) {
+        return refused(ResponseStatus.UNAVAILABLE, timing.retryAfterMs(), code, because);
+    }
+
     /** Whether the request is refused. */
     public boolean isRefused() {
         return refusal != null;
--- a/coordination/src/main/java/brookpath/coordination/route/RouteFinder.java
+++ b/coordination/src/main/java/brookpath/coordination/route/RouteFinder.java
@@ -1,6 +1,7 @@
 package brookpath.coordination.route;
 
 import static brookpath.coordination.route.Route.refused;
+import static brookpath.coordination.route.Route.unavailable;
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.configuration.ClusterMetadata;
@@ -11,6 +12,7 @@
 import brookpath.coordination.group.Member;
 import brookpath.coordination.heartbeat.HeartbeatTable;
 import brookpath.coordination.message.PeerMessage.HeartbeatEntry;
+import brookpath.coordination.message.ResponseStatus;
 import java.util.function.IntPredicate;
 
 /** Decides where a request goes, from immutable tables alone. Whoever asks sends it there. */
@@ -61,26 +63,28 @@
     /** May the key use the topic, and which group holds it? The node is left open. */
     public Route admit(final String key, final String topic) {
         if (!topic.matches(TOPIC)) {
-            return refused(400, 0, "topic", "a topic is 1 to 200 printable characters without a space");
+            return refused(
+                    ResponseStatus.BAD_REQUEST, 0, "topic", "a topic is 1 to 200 printable characters without a space");
         }
         if (!leased) {
             // the key may have been removed since; safety comes first
-            return refused(503, timing.retryAfterMs(), "spec", "this node has not heard from the control plane lately");
+            return unavailable(timing, "spec", "this node has not heard from the control plane lately");
         }
         final Configuration.Tenant tenant = configuration.tenantOf(key);
         final Configuration.Space space = configuration.spaceOf(topic);
         // the key is judged first; who has none learns nothing of the spaces but whether one is open
         if (tenant == null && (!key.isEmpty() || (space != null && !space.open()))) {
-            return refused(401, 0, "key", key.isEmpty() ? "a key is needed" : "unknown key");
+            return refused(ResponseStatus.UNAUTHORIZED, 0, "key", key.isEmpty() ? "a key is needed" : "unknown key");
         }
         if (space == null) {
-            return refused(403, 0, UNKNOWN_SPACE, "no space has a topic of this name");
+            return refused(ResponseStatus.FORBIDDEN, 0, UNKNOWN_SPACE, "no space has a topic of this name");
         }
         if (tenant != null && !tenant.uses(space.name())) {
-            return refused(403, 0, "topic", "space \"" + space.name() + "\" is not among the tenant's");
+            return refused(
+                    ResponseStatus.FORBIDDEN, 0, "topic", "space \"" + space.name() + "\" is not among the tenant's");
         }
         if (metadata.groups().isEmpty()) {
-            return refused(503, timing.retryAfterMs(), "placement", "no groups are placed yet");
+            return unavailable(timing, "placement", "no groups are placed yet");
         }
         final int group = Placement.groupOf(topic, space, metadata.groups().size());
         return new Route(
@@ -124,7 +128,7 @@
     public Route toLeader(final Route route, final long now) {
         final Leader leader = leader(route.group(), now);
         if (leader.node == 0) {
-            return refused(503, timing.retryAfterMs(), "master", "group " + route.group() + " has no master just now");
+            return unavailable(timing, "master", "group " + route.group() + " has no master just now");
         }
         return new Route(
                 null,
