--- a/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
@@ -16,12 +16,10 @@
 import brookpath.coordination.message.PeerMessage.VoteRequest;
 import brookpath.state.record.LogRecord;
 import brookpath.state.record.PackedBuffer;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import java.util.TreeSet;
 import java.util.function.Supplier;
 
 /**
@@ -40,43 +38,28 @@
     /** So many bytes of records go in one reply: a slow link must not keep the heartbeats behind it for long. */
     private static final int REPLY_BYTES = 64 << 10;
 
-    private static final int DEFERENCE = 3;
-
-    /** A message that goes out once a write is synced. */
-    private record Waiting(long write, int node, PeerMessage message, long since) {}
-
     private final int id;
-    private final HeartbeatPromises promises;
     private final int self;
     private final TimingBounds timing;
     private final int toleratedLosses;
     private final RaftLog log;
     private final Actions out;
-    private final SplittableRandom random;
 
     private final GroupMembership membership;
-    private boolean founded;
     private final PeerView peers;
     private final LeaderLease lease;
-    private long startedAt = Long.MIN_VALUE;
 
     private final ReplicaRecovery recovery;
     private final VoteStore voteStore;
 
     private final LogSweep sweep;
-    private final ArrayDeque<Waiting> afterSync = new ArrayDeque<>();
+    private final DeferredMessages deferredMessages = new DeferredMessages();
+    private final LeaderElection election;
 
     private final RoleState roleState;
     private final ReplicaProgress progress;
     private final TreeMap<Integer, Pull> held = new TreeMap<>();
 
-    private final TreeSet<Integer> votes = new TreeSet<>();
-    private long goEndsAt;
-    private long nextGo;
-    private int lostGoes;
-    private String obstacle = "";
-    private long deferUntil = Long.MIN_VALUE / 2;
-    private boolean retreats;
     private long nextTrim = Long.MIN_VALUE;
 
     private int pullSource;
@@ -98,7 +81,6 @@
             final Supplier<LogState> states,
             final HeartbeatPromises promises,
             final Actions out) {
-        this.promises = promises;
         this.id = id;
         this.self = self;
         this.timing = timing;
@@ -114,7 +96,20 @@
         sweep = new LogSweep(log);
         progress = new ReplicaProgress(self, membership, log);
         snapshotSender = new SnapshotSender(timing.recoverMs());
-        random = new SplittableRandom(seed * 31 + id * 7919L + self);
+        election = new LeaderElection(
+                id,
+                self,
+                timing,
+                roleState,
+                membership,
+                voteStore,
+                log,
+                recovery,
+                peers,
+                lease,
+                promises,
+                deferredMessages,
+                new SplittableRandom(seed * 31 + id * 7919L + self));
     }
 
     // ---- what others may read
@@ -350,7 +345,7 @@
      * Since when the process runs that this member is part of: the promises that a former one gave were given before.
      */
     public void bornAt(final long mono) {
-        startedAt = mono;
+        election.startedAt(mono);
     }
 
     public void configure(final List<Member> newMembers, final int version, final boolean isFounded, final long now) {
@@ -360,14 +355,9 @@
     public void configure(final Membership placed, final boolean isFounded, final long now) {
         membership.place(placed);
         useMembership();
-        // why: whoever has voted in a term is bound by no leader of an earlier one, also after a restart
-        promises.raise(id, term(), self, true, now);
-        founded = isFounded;
-        if (startedAt == Long.MIN_VALUE) {
-            startedAt = now;
-        }
+        election.configure(isFounded, now);
         // why: an empty folder of a founded group has lost its log; it must not vote as if it had never had one
-        recovery.initialise(founded);
+        recovery.initialise(isFounded);
     }
 
     // ---- events
@@ -418,7 +408,7 @@
      * nothing.
      */
     public boolean retreat(final long now) {
-        retreats = true;
+        election.withdraw();
         if (roleState.isLeader() && !lease.transferring(now)) {
             handOverToAny(now);
         }
@@ -466,12 +456,7 @@
                 yieldForDisk(now);
             }
         }
-        if (roleState.isCandidate() && now >= goEndsAt) {
-            roleState.becomeFollower();
-            lostGoes++;
-            nextGo = now + spread();
-            roleState.explain("go for epoch " + term() + " lost");
-        }
+        election.expire(now);
         final int heard = roleState.isLeader() ? (lease.held(now) ? self : 0) : liveLeader(now);
         if (heard != roleState.leader()) {
             roleState.hear(heard);
@@ -480,15 +465,13 @@
                 out.heartbeatNow();
             }
             if (heard != self && heard != 0) {
-                lostGoes = 0;
+                election.onLeaderHeard();
             }
             pulling = false;
         }
         if (roleState.isFollower() && roleState.leader() == 0) {
             inSync = false;
-            if (now >= nextGo && mayStand(now)) {
-                stand(now, false);
-            }
+            election.standIfDue(now);
         }
         lookBehind(now);
         sweepLog();
@@ -514,12 +497,13 @@
     /** All writes up to this number are synced. */
     public void synced(final long number, final long now) {
         log.synced(number);
-        while (!afterSync.isEmpty() && afterSync.peek().write <= number) {
-            final Waiting w = afterSync.poll();
-            if (w.node == self) {
-                onVoteReply(self, (VoteReply) w.message, now);
+        for (DeferredMessages.Deferred next = deferredMessages.poll(number);
+                next != null;
+                next = deferredMessages.poll(number)) {
+            if (next.node() == self) {
+                onVoteReply(self, (VoteReply) next.message(), now);
             } else {
-                out.send(w.node, w.message);
+                out.send(next.node(), next.message());
             }
         }
         final String recovered = recovery.synced(number, wantFull);
@@ -543,10 +527,10 @@
                     && m.term() == term()
                     && !lost()
                     && !log.hasUnsynced()) {
-                stand(now, true);
+                election.stand(now, true);
             }
         } else if (message instanceof VoteRequest m) {
-            onVoteAsk(from, m, now);
+            onVoteRequest(from, m, now);
         } else if (message instanceof VoteReply m) {
             onVoteReply(from, m, now);
         } else if (message instanceof Pull m) {
@@ -582,113 +566,16 @@
 
     // ---- election
 
-    private boolean mayStand(final long now) {
-        obstacle = obstacle(now);
-        return obstacle.isEmpty();
-    }
-
-    /** What keeps this member from standing, empty for nothing. */
-    private String obstacle(final long now) {
-        if (lost() || !recovery.isInitialised()) {
-            return "its copy is being rebuilt";
-        }
-        if (retreats) {
-            return "it is about to leave";
-        }
-        if (now - startedAt <= timing.down()) {
-            return "it has just started";
-        }
-        if (diskLag(now) > timing.diskPatience()) {
-            return "its disk takes nothing";
-        }
-        int answering = 1;
-        int better = 0;
-        for (final Member m : members()) {
-            if (m.node() == self) {
-                continue;
-            }
-            final HeartbeatEntry e = peers.entry(m.node(), now);
-            if (e == null || e.sync() == SYNC_LOST) {
-                continue;
-            }
-            if (e.role() == LEADER && e.term() >= term()) {
-                return "node " + m.node() + " is the master";
-            }
-            if (e.leaderHeard() != 0 && e.leaderHeard() != self) {
-                return "node " + m.node() + " hears master " + e.leaderHeard();
-            }
-            // why: one that is heard but does not answer is down; waiting for its longer log would wait for ever, and
-            // the
-            // voters' own logs decide anyway
-            if (peers.up(m.node())) {
-                if (RaftLog.newer(e.endTerm(), e.endIndex(), log.syncedTerm(), log.syncedIndex())) {
-                    return "node " + m.node() + " has a newer log";
-                }
-                answering++;
-                if (e.endIndex() == log.syncedIndex()
-                        && e.endTerm() == log.syncedTerm()
-                        && membership.outranks(m.node(), self)) {
-                    better++;
-                }
-            }
-        }
-        final int needed = founded ? membership.majority() : members().size();
-        if (answering < needed) {
-            return "only " + answering + " of " + needed + " answer";
-        }
-        // why: the tie order says who wins, so the lower ranks give the higher ones a head start, for a few goes
-        return lostGoes >= DEFERENCE || better == 0 || deferred(now, better) ? "" : "gives a higher rank a head start";
-    }
-
     /** What kept this member from standing when it last looked. */
     public String obstacle() {
-        return obstacle;
-    }
-
-    private boolean deferred(final long now, final int better) {
-        if (now - deferUntil > timing.down()) {
-            deferUntil = now + better * timing.goDeadline();
-        }
-        return now >= deferUntil;
+        return election.obstacle();
     }
 
-    private void stand(final long now, final boolean manual) {
-        final long next = voteStore.highestTermSeen() + 1;
-        if (!promises.raise(id, next, self, manual, now)) {
-            obstacle = "it has just answered a master's beat";
-            return;
-        }
-        final long write = voteStore.vote(next, self);
-        votes.clear();
-        goEndsAt = now + timing.goDeadline();
-        roleState.becomeCandidate("stands for epoch " + term());
-        for (final Member m : members()) {
-            afterSync.add(new Waiting(
-                    write,
-                    m.node(),
-                    m.node() == self
-                            ? new VoteReply(id, term(), true, term(), "own vote")
-                            : new VoteRequest(
-                                    id,
-                                    groupVersion(),
-                                    term(),
-                                    log.syncedIndex(),
-                                    log.syncedTerm(),
-                                    membership.weight(self),
-                                    lostGoes,
-                                    manual),
-                    now));
-        }
-    }
-
-    private void onVoteAsk(final int from, final VoteRequest m, final long now) {
+    private void onVoteRequest(final int from, final VoteRequest m, final long now) {
         if (!roleState.isLeader()) {
             voteStore.observe(m.term());
         }
-        String refusal = refusal(from, m, now);
-        if (refusal == null && !promises.raise(id, m.term(), from, m.manual(), now)) {
-            refusal = "has just answered a master's beat";
-        }
+        final String refusal = election.refusal(from, m, now);
         if (refusal != null) {
             out.send(from, new VoteReply(id, m.term(), false, voteStore.highestTermSeen(), refusal));
             return;
@@ -696,45 +583,7 @@
         if (roleState.isLeader()) {
             stepDown("node " + from + " takes over");
         }
-        // why: a vote that is forgotten after a crash could be given twice
-        final long write = voteStore.vote(m.term(), from);
-        roleState.becomeFollower();
-        nextGo = now + timing.down();
-        roleState.explain("voted for " + from + " in epoch " + term());
-        afterSync.add(new Waiting(write, from, new VoteReply(id, term(), true, term(), "granted"), now));
-    }
-
-    private String refusal(final int from, final VoteRequest m, final long now) {
-        if (recovery.isDiskLost() || !recovery.isInitialised()) {
-            return "copy is being rebuilt";
-        }
-        if (now - startedAt <= timing.down()) {
-            // why: before the restart it may have answered a leader's heartbeat whose lease still runs
-            return "just started";
-        }
-        if (m.groupVersion() < groupVersion() && m.endTerm() <= log.syncedTerm()) {
-            return "older group version";
-        }
-        if (!voteStore.mayVote(m.term(), from)) {
-            return "epoch " + term() + " is taken";
-        }
-        if (roleState.isLeader() && (!m.manual() || !lease.transferring(now))) {
-            return "master lives";
-        }
-        // why: the table's indexes may be stale; the voter's own log as it is now is what counts
-        if (RaftLog.newer(log.syncedTerm(), log.syncedIndex(), m.endTerm(), m.endIndex())) {
-            return "own log is newer";
-        }
-        if (m.endIndex() == log.syncedIndex()
-                && m.endTerm() == log.syncedTerm()
-                && membership.outranks(self, from)
-                && m.goes() < DEFERENCE
-                && !m.manual()
-                && mayStand(now)) {
-            nextGo = now;
-            return "ranks higher and stands itself";
-        }
-        return null;
+        election.grant(from, m.term(), now);
     }
 
     private void onVoteReply(final int from, final VoteReply m, final long now) {
@@ -742,23 +591,22 @@
             return;
         }
         voteStore.observe(m.termSeen());
-        if (!roleState.isCandidate() || m.term() != term() || !m.granted()) {
-            return;
+        if (election.wins(from, m)) {
+            lead(now);
         }
-        votes.add(from);
-        if (votes.size() < (founded ? membership.majority() : members().size())) {
-            return;
-        }
-        // why: records of earlier terms count as committed only once a record of this one is
-        roleState.becomeLeader(endIndex() + 1, "won epoch " + term() + " with votes of " + votes, now);
+    }
+
+    /** Begins a leadership that was won. */
+    private void lead(final long now) {
+        election.win(now);
         snapshotReceiver.reset();
-        lostGoes = 0;
         progress.clear();
         lease.reset();
         held.clear();
         pulling = false;
         out.note("group " + id + ": " + why());
         out.heartbeatNow();
+        // why: records of earlier terms count as committed only once a record of this one is
         append(LogRecord.OPEN, new byte[0], now, 0);
     }
 
@@ -783,10 +631,6 @@
         return lease.majoritySince(since);
     }
 
-    private long spread() {
-        return (long) (timing.goDeadline() * (0.2 + random.nextDouble() * Math.min(4, lostGoes)));
-    }
-
     // ---- replication
 
     private void pull(final long now) {
@@ -1107,12 +951,6 @@
         return matched;
     }
 
-    /** How long the oldest write that this group waits for has been under way. */
-    private long diskLag(final long now) {
-        final long votes = afterSync.isEmpty() ? 0 : now - afterSync.peek().since;
-        return Math.max(log.syncLag(now), votes);
-    }
-
     /** Whether so much waits for this member's own disk that nothing more is to be appended. */
     public boolean diskBacklogged() {
         return log.syncBacklogged();
@@ -1122,7 +960,7 @@
     private void yieldForDisk(final long now) {
         // why: without a majority among the others none of them can win, and this one had better go on
         final boolean othersCanElect = active(now) - 1 >= membership.majority();
-        if (diskLag(now) > timing.diskPatience() && othersCanElect && !lease.transferring(now)) {
+        if (election.diskLag(now) > timing.diskPatience() && othersCanElect && !lease.transferring(now)) {
             handOverToAny(now);
         }
     }
