--- a/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
@@ -19,7 +19,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import java.util.TreeMap;
 import java.util.function.Supplier;
 
 /**
@@ -35,9 +34,6 @@
     public static final int SYNC_CATCH_UP = 1;
     public static final int SYNC_LOST = 2;
 
-    /** So many bytes of records go in one reply: a slow link must not keep the heartbeats behind it for long. */
-    private static final int REPLY_BYTES = 64 << 10;
-
     private final int id;
     private final int self;
     private final TimingBounds timing;
@@ -58,7 +54,7 @@
 
     private final RoleState roleState;
     private final ReplicaProgress progress;
-    private final TreeMap<Integer, Pull> held = new TreeMap<>();
+    private final LogAppender appender;
 
     private long nextTrim = Long.MIN_VALUE;
 
@@ -66,7 +62,6 @@
     private long pullSentAt;
     private boolean pulling;
     private boolean wantFull;
-    private final SnapshotSender snapshotSender;
     private final SnapshotReceiver snapshotReceiver = new SnapshotReceiver();
 
     private boolean inSync;
@@ -90,12 +85,13 @@
         membership = new GroupMembership(self);
         voteStore = new VoteStore(id, out);
         peers = new PeerView(id, self);
-        lease = new LeaderLease(id, self, timing, membership, voteStore, peers);
         log = new RaftLog(id, states, this::useMembership, out);
+        lease = new LeaderLease(id, self, timing, roleState, membership, voteStore, log, peers);
         recovery = new ReplicaRecovery(id, log, out);
         sweep = new LogSweep(log);
         progress = new ReplicaProgress(self, membership, log);
-        snapshotSender = new SnapshotSender(timing.recoverMs());
+        appender =
+                new LogAppender(id, timing, roleState, membership, voteStore, log, lease, progress, this::whole, out);
         election = new LeaderElection(
                 id,
                 self,
@@ -251,11 +247,7 @@
 
     /** May this member act as the leader just now? Asked again immediately before each response. */
     public boolean mayAct(final long now) {
-        return roleState.isLeader()
-                && roleState.openIndex() > 0
-                && log.committedIndex() >= roleState.openIndex()
-                && lease.held(now)
-                && !lease.transferring(now);
+        return lease.mayAct(now);
     }
 
     /** Has a follower the committed position of a leader that it hears? */
@@ -367,7 +359,7 @@
         membership.refresh(log);
         // why: the record that removes a member must not end at that member, which could then neither stand nor help
         // another with an older log
-        held.keySet().removeIf(node -> !membership.holds(node));
+        appender.dropPendingOfOthers();
     }
 
     /** One step of a membership change, as a record. False, and nothing is done, where it would not be safe now. */
@@ -560,7 +552,7 @@
         final LogRecord logRecord =
                 LogRecord.of(endIndex() + 1, term(), Math.max(log.lastStamp(), wall), kind, body, now);
         log.append(logRecord);
-        serveHeld(now);
+        appender.answerPending(now);
         return logRecord.index();
     }
 
@@ -602,7 +594,7 @@
         snapshotReceiver.reset();
         progress.clear();
         lease.reset();
-        held.clear();
+        appender.dropPending();
         pulling = false;
         out.note("group " + id + ": " + why());
         out.heartbeatNow();
@@ -612,7 +604,7 @@
 
     private void stepDown(final String reason) {
         roleState.stepDown("stepped down: " + reason);
-        held.clear();
+        appender.dropPending();
         progress.clearVoters();
         pulling = false;
         inSync = false;
@@ -685,153 +677,27 @@
         return 0;
     }
 
-    private void onPull(final int from, final Pull m, final long now) {
+    private void onPull(final int from, final Pull pull, final long now) {
         final boolean learner = !membership.isVoter(from);
-        if (m.term() > term() && !learner) {
-            voteStore.observe(m.term());
+        if (pull.term() > term() && !learner) {
+            voteStore.observe(pull.term());
             if (roleState.isLeader()) {
-                stepDown("sibling " + from + " is in epoch " + m.term());
+                stepDown("sibling " + from + " is in epoch " + pull.term());
             }
             return;
         }
-        if (roleState.isLeader()
-                && !m.lost()
-                && log.termAt(m.syncedIndex()) == m.syncedTerm()
-                && chainAt(m.syncedIndex()) != m.chain()) {
-            // why: the same (term, index) must mean the same log; where it does not, the copy is no copy and is sent
-            // whole
-            progress.forget(from);
-            held.remove(from);
-            out.note("group " + id + ": the copy of node " + from + " differs at or before " + m.syncedIndex()
-                    + " and is sent whole");
-            sendWhole(from, m, mayAct(now) ? PullReply.ACTING_LEADER : PullReply.LEADER, now);
-            return;
-        }
         if (roleState.isLeader()) {
-            if (learner) {
-                // why: a learner's copy is looked at to see when it may vote, and counts for nothing until then; one
-                // that stood in vain in a later term, before it was removed, may not vote in this one
-                progress.forgetVoter(from);
-                final boolean mayVote = !m.lost() && m.term() <= term();
-                progress.learnerSynced(
-                        from,
-                        mayVote && log.termAt(m.syncedIndex()) == m.syncedTerm()
-                                ? m.syncedIndex()
-                                : ReplicaProgress.UNKNOWN);
-            } else if (m.lost()) {
-                progress.forgetVoter(from);
-            } else if (m.term() == term()
-                    && m.syncedIndex() > log.baseIndex()
-                    && m.syncedIndex() <= endIndex()
-                    && log.termAt(m.syncedIndex()) == m.syncedTerm()) {
-                // why: the same (term, index) means the same log up to there, so this copy holds everything before it
-                // too
-                progress.voterSynced(from, m.syncedIndex());
+            if (appender.differs(pull)) {
+                appender.replaceLog(from, pull, now);
+                return;
+            }
+            if (appender.acknowledge(from, pull)) {
                 advance(now);
             }
         } else if (!inSync(now)) {
             return;
         }
-        held.remove(from);
-        if (!reply(from, m, now)) {
-            held.put(from, m);
-        }
-    }
-
-    private boolean reply(final int to, final Pull m, final long now) {
-        final long prev = m.nextIndex() - 1;
-        // why: only a leader that has opened its term knows everything that was committed before it
-        final int lead =
-                mayAct(now) ? PullReply.ACTING_LEADER : roleState.isLeader() ? PullReply.LEADER : PullReply.FOLLOWER;
-        if (m.nextIndex() < 0 || prev < log.baseIndex()) {
-            sendWhole(to, m, lead, now);
-            return true;
-        }
-        if (prev > endIndex() || log.termAt(prev) != m.prevTerm()) {
-            long tryIndex = Math.min(endIndex(), prev - 1);
-            while (tryIndex > log.baseIndex() && log.termAt(tryIndex) > m.prevTerm()) {
-                tryIndex--;
-            }
-            out.send(
-                    to,
-                    new PullReply(
-                            id,
-                            groupVersion(),
-                            term(),
-                            MISMATCH,
-                            lead,
-                            log.committedIndex(),
-                            prev,
-                            m.prevTerm(),
-                            tryIndex,
-                            new byte[0],
-                            List.of()));
-            return true;
-        }
-        final List<LogRecord> part = new ArrayList<>();
-        int bytes = 0;
-        for (long index = m.nextIndex(); index <= endIndex() && bytes < REPLY_BYTES; index++) {
-            if (!whole(index)) {
-                return true;
-            }
-            part.add(logRecord(index));
-            bytes += logRecord(index).bytes().length;
-        }
-        // why: a member that rebuilds its copy has to hear from an acting leader how far, also where nothing follows
-        final boolean news =
-                m.committed() == Pull.UNKNOWN ? lead == PullReply.ACTING_LEADER : m.committed() < log.committedIndex();
-        if (part.isEmpty() && !news && m.term() >= term()) {
-            return false;
-        }
-        out.send(
-                to,
-                new PullReply(
-                        id,
-                        groupVersion(),
-                        term(),
-                        RECORDS,
-                        lead,
-                        log.committedIndex(),
-                        prev,
-                        m.prevTerm(),
-                        0,
-                        new byte[0],
-                        part));
-        return true;
-    }
-
-    /** Sends the next part of this copy's snapshot, which is built for the first who asks and kept for the others. */
-    private void sendWhole(final int to, final Pull m, final int lead, final long now) {
-        if (!snapshotSender.serves(m.snapshotSum(), Math.min(m.syncedIndex(), endIndex()))) {
-            for (long index = log.baseIndex() + 1; index <= endIndex(); index++) {
-                if (!whole(index)) {
-                    return;
-                }
-            }
-            snapshotSender.hold(log.snapshot(), endIndex(), now);
-        }
-        final SnapshotSender.Part part = snapshotSender.part(m.snapshotSum(), m.snapshotOffset(), now);
-        out.send(
-                to,
-                new PullReply(
-                        id,
-                        groupVersion(),
-                        term(),
-                        FULL,
-                        lead,
-                        log.committedIndex(),
-                        m.nextIndex() - 1,
-                        m.prevTerm(),
-                        0,
-                        part.bytes(),
-                        List.of(),
-                        part.sum(),
-                        part.total(),
-                        part.offset()));
-    }
-
-    private void serveHeld(final long now) {
-        held.entrySet().removeIf(h -> reply(h.getKey(), h.getValue(), now));
+        appender.answer(from, pull, now);
     }
 
     /**
@@ -919,7 +785,7 @@
             if (m.standing() == PullReply.ACTING_LEADER && recovery.needsTarget()) {
                 recovery.target(m.committed());
             }
-            serveHeld(now);
+            appender.answerPending(now);
         }
         if (!log.hasUnsynced()) {
             synced(0, now);
@@ -967,7 +833,7 @@
 
     /** No snapshot under way, in or out, is of the log as it is from here on. */
     private void dropTransfers() {
-        snapshotSender.drop();
+        appender.dropSnapshot();
         snapshotReceiver.reset();
     }
 
@@ -983,7 +849,7 @@
                 out.heartbeatNow();
             }
             log.commit(index);
-            serveHeld(now);
+            appender.answerPending(now);
         }
     }
 
@@ -992,8 +858,7 @@
             return;
         }
         nextTrim = now + timing.heartbeat();
-        snapshotSender.expire(now);
-        log.trim(snapshotSender.trimLimit(), now);
+        appender.trim(now);
     }
 
     /** A digest of the whole log up to there; -1 where this copy does not reach. */
--- a/coordination/src/main/java/brookpath/coordination/group/LeaderLease.java
+++ b/coordination/src/main/java/brookpath/coordination/group/LeaderLease.java
@@ -16,8 +16,10 @@
     private final int group;
     private final int self;
     private final TimingBounds timing;
+    private final RoleState roleState;
     private final GroupMembership membership;
     private final VoteStore voteStore;
+    private final RaftLog log;
     private final PeerView peers;
     private long transferringUntil = NEVER;
 
@@ -25,17 +27,33 @@
             final int group,
             final int self,
             final TimingBounds timing,
+            final RoleState roleState,
             final GroupMembership membership,
             final VoteStore voteStore,
+            final RaftLog log,
             final PeerView peers) {
         this.group = group;
         this.self = self;
         this.timing = timing;
+        this.roleState = roleState;
         this.membership = membership;
         this.voteStore = voteStore;
+        this.log = log;
         this.peers = peers;
     }
 
+    /**
+     * Whether this member may act as the leader now: it has committed the record that opened its term, holds the lease
+     * and has asked nobody to take over.
+     */
+    boolean mayAct(final long now) {
+        return roleState.isLeader()
+                && roleState.openIndex() > 0
+                && log.committedIndex() >= roleState.openIndex()
+                && held(now)
+                && !transferring(now);
+    }
+
     /** Whether the group's voters grant the lease now. */
     boolean held(final long now) {
         return held(membership.voters(), now);
