--- a/transport/src/main/java/brookpath/transport/identity/ProcessIdentity.java
+++ b/transport/src/main/java/brookpath/transport/identity/ProcessIdentity.java
@@ -1,10 +1,10 @@
 package brookpath.transport.identity;
 
 /**
- * Who a process is, as the other end of each session is told.
+ * The identity of a process, as it is told to the other end of each session.
  *
  * @param node its node number, which follows from its settings and may be used again by another machine
- * @param life a random number drawn at the process's start
+ * @param incarnation a random number drawn at the process's start
  * @param machine a random number drawn at the machine's first start, kept on its disk
  */
-public record ProcessIdentity(int node, long life, long machine) {}
+public record ProcessIdentity(int node, long incarnation, long machine) {}
--- a/transport/src/main/java/brookpath/transport/identity/RandomNumbers.java
+++ b/transport/src/main/java/brookpath/transport/identity/RandomNumbers.java
@@ -27,8 +27,8 @@
     }
 
     /**
-     * Where a process's counter of IDs begins: two lives' IDs do not meet. Positive, and with as much room above it as
-     * it was drawn from, so that the IDs rise for ever.
+     * Where a process's counter of IDs begins: the IDs of two incarnations do not meet. Positive, and with as much room
+     * above it as it was drawn from, so that the IDs rise for ever.
      */
     public static long firstId() {
         return draw() >>> 2;
--- /dev/null
+++ b/transport/src/main/java/brookpath/transport/log/package-info.java
@@ -0,0 +1,2 @@
+/** The log: a ring of lines in memory, written out when an error is logged. */
+package brookpath.transport.log;
--- a/transport/src/main/java/brookpath/transport/loop/Host.java
+++ b/transport/src/main/java/brookpath/transport/loop/Host.java
@@ -151,7 +151,7 @@
         } else if (events.refusesPeers()) {
             // why: what is lost with the session is asked again or unsettled, as with any broken session; what is
             // merely dropped would be waited for
-            wire.hangUp(from);
+            wire.closeSessions(from);
         } else {
             events.add((node, time) -> node.message(from, message, time));
         }
--- a/transport/src/main/java/brookpath/transport/wire/Hello.java
+++ b/transport/src/main/java/brookpath/transport/wire/Hello.java
@@ -18,11 +18,11 @@
         return alloc.buffer(BYTES)
                 .writeInt(own.node())
                 .writeInt(MAGIC)
-                .writeLong(own.life())
+                .writeLong(own.incarnation())
                 .writeLong(own.machine());
     }
 
-    /** Throws IllegalArgumentException for a frame that is none. */
+    /** Throws {@link IllegalArgumentException} for a frame that is no hello. */
     static ProcessIdentity decode(final ByteBuf frame) {
         if (frame.readableBytes() != BYTES) {
             throw new IllegalArgumentException("a session that does not begin with a hello");
--- a/transport/src/main/java/brookpath/transport/wire/Peer.java
+++ b/transport/src/main/java/brookpath/transport/wire/Peer.java
@@ -5,27 +5,28 @@
 import java.util.List;
 
 /**
- * The sessions with one node, all of them with the same life of it. Its monitor orders what comes from the node: once a
- * newer life is heard, nothing of an older one is handed on.
+ * The sessions with one node, all of them with the same incarnation of it. Its monitor orders what comes from the node:
+ * once a newer incarnation is heard, nothing of an older one is delivered.
  */
 final class Peer {
-    private long life;
+    private long incarnation;
     private Channel dialled;
     private Channel accepted;
 
     /**
-     * A session with this life began. Sessions with another life are ended by it.
+     * A session with this incarnation began. It ends those with another one.
      *
      * @param byUs whether this process dialled
-     * @param replaced told before anything of the new life is handed on
+     * @param replaced run before anything of the new incarnation is delivered, where it replaces another
      */
-    synchronized void begin(final long newLife, final Channel channel, final boolean byUs, final Runnable replaced) {
-        if (life != newLife) {
+    synchronized void begin(
+            final long newIncarnation, final Channel channel, final boolean byUs, final Runnable replaced) {
+        if (incarnation != newIncarnation) {
             final boolean other = dialled != null || accepted != null;
             close();
             dialled = null;
             accepted = null;
-            life = newLife;
+            incarnation = newIncarnation;
             if (other) {
                 replaced.run();
             }
@@ -37,24 +38,24 @@
         }
     }
 
-    /** Hands something of that life on; false where a newer life has been heard since. */
-    synchronized boolean handOn(final long ofLife, final Runnable what) {
-        if (life != ofLife) {
+    /** Delivers something of an incarnation; false where a newer one has been heard since. */
+    synchronized boolean deliver(final long ofIncarnation, final Runnable delivery) {
+        if (incarnation != ofIncarnation) {
             return false;
         }
-        what.run();
+        delivery.run();
         return true;
     }
 
-    /** A session ended; false where it was with a life that is gone. */
-    synchronized boolean end(final long ofLife, final Channel channel) {
+    /** A session ended; false where it was with an incarnation that is gone. */
+    synchronized boolean end(final long ofIncarnation, final Channel channel) {
         if (dialled == channel) {
             dialled = null;
         }
         if (accepted == channel) {
             accepted = null;
         }
-        return life == ofLife;
+        return incarnation == ofIncarnation;
     }
 
     /** The session to send on, null for none. */
--- /dev/null
+++ b/transport/src/main/java/brookpath/transport/wire/SessionHandler.java
@@ -0,0 +1,122 @@
+package brookpath.transport.wire;
+
+import brookpath.coordination.message.PeerMessage;
+import brookpath.protocol.frame.FrameCodec;
+import brookpath.transport.identity.ProcessIdentity;
+import io.netty.buffer.ByteBuf;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.SimpleChannelInboundHandler;
+import java.io.IOException;
+import java.util.concurrent.Future;
+import java.util.concurrent.TimeUnit;
+
+/** One session: the hello in each direction, then the frames. On the session's own Netty thread. */
+final class SessionHandler extends SimpleChannelInboundHandler<ByteBuf> {
+    /** In place of an expected node: the other side dialled, so it may be any. */
+    static final int ANY_NODE = 0;
+
+    /** Whoever sends no hello for so long is no process of this fleet, or is frozen; a later attempt finds out. */
+    private static final int HELLO_TIMEOUT_MS = 3_000;
+
+    private final Wire wire;
+    private final FrameCodec codec = new FrameCodec();
+    private final int expectedNode;
+    private final String address;
+    /** Who the other side is; null until its hello. */
+    private ProcessIdentity remote;
+
+    private Peer peer;
+    private Future<?> helloTimeout;
+
+    /**
+     * @param expectedNode whom this process dialled, or {@link #ANY_NODE}
+     * @param address where it dialled
+     */
+    SessionHandler(final Wire wire, final int expectedNode, final String address) {
+        this.wire = wire;
+        this.expectedNode = expectedNode;
+        this.address = address;
+    }
+
+    private boolean dialledByUs() {
+        return expectedNode != ANY_NODE;
+    }
+
+    @Override
+    public void channelActive(final ChannelHandlerContext ctx) {
+        helloTimeout = ctx.executor().schedule(() -> ctx.close(), HELLO_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        if (dialledByUs()) {
+            sendHello(ctx);
+        }
+    }
+
+    private void sendHello(final ChannelHandlerContext ctx) {
+        ctx.writeAndFlush(Hello.encode(wire.self(), ctx.alloc()), ctx.voidPromise());
+    }
+
+    @Override
+    protected void channelRead0(final ChannelHandlerContext ctx, final ByteBuf buffer) {
+        if (remote == null) {
+            receiveHello(ctx, Hello.decode(buffer));
+        } else {
+            receiveFrame(ctx, buffer);
+        }
+    }
+
+    private void receiveHello(final ChannelHandlerContext ctx, final ProcessIdentity sender) {
+        helloTimeout.cancel(false);
+        if (dialledByUs() && !wire.isCurrent(expectedNode, address)) {
+            ctx.close();
+            return;
+        }
+        if (sender.node() == wire.self().node() || (dialledByUs() && sender.node() != expectedNode)) {
+            wire.countWrongNode();
+            ctx.close();
+            return;
+        }
+        if (!dialledByUs()) {
+            sendHello(ctx);
+        }
+        remote = sender;
+        wire.heard(sender.node());
+        peer = wire.peer(sender.node());
+        peer.begin(
+                sender.incarnation(),
+                ctx.channel(),
+                dialledByUs(),
+                () -> wire.inbox().sessionLost(sender.node()));
+        if (dialledByUs()) {
+            wire.inbox().sessionUp(sender.node());
+        }
+    }
+
+    private void receiveFrame(final ChannelHandlerContext ctx, final ByteBuf buffer) {
+        wire.heard(remote.node());
+        final byte[] frame = new byte[buffer.readableBytes()];
+        buffer.readBytes(frame);
+        final PeerMessage message = codec.decode(frame, 0, frame.length);
+        wire.countReceived(remote.node(), frame.length);
+        if (!peer.deliver(remote.incarnation(), () -> wire.inbox().frame(remote.node(), message))) {
+            ctx.close();
+        }
+    }
+
+    @Override
+    public void channelInactive(final ChannelHandlerContext ctx) {
+        if (helloTimeout != null) {
+            helloTimeout.cancel(false);
+        }
+        if (remote != null && peer.end(remote.incarnation(), ctx.channel())) {
+            wire.inbox().sessionLost(remote.node());
+        }
+    }
+
+    @Override
+    public void exceptionCaught(final ChannelHandlerContext ctx, final Throwable cause) {
+        // why: a malformed frame ends this session alone; whatever follows it on the stream cannot be trusted
+        if (!(cause instanceof IOException)) {
+            wire.countMalformed();
+        }
+        ctx.close();
+    }
+}
--- a/transport/src/main/java/brookpath/transport/wire/Wire.java
+++ b/transport/src/main/java/brookpath/transport/wire/Wire.java
@@ -7,12 +7,12 @@
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
-import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
+import io.netty.channel.ChannelOutboundBuffer;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
-import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.nio.NioIoHandler;
 import io.netty.channel.socket.SocketChannel;
 import io.netty.channel.socket.nio.NioChannelOption;
@@ -23,48 +23,55 @@
 import java.net.InetSocketAddress;
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
-import java.util.concurrent.Future;
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.LongAdder;
 import jdk.net.ExtendedSocketOptions;
 
 /**
- * Sessions between our own processes: frames with a length field. The first frame each way is a hello, which says who
- * its sender is: a dialler sends nothing else before it knows that it reached the node that it meant, and whatever
- * follows a hello is taken for that life of that node alone.
+ * Sessions between the processes of a fleet, over TCP: frames with a length field. The first frame each way is a
+ * {@link Hello}, which identifies its sender: a dialler sends nothing else before it knows that it reached the node
+ * that it meant, and whatever follows a hello counts as from that incarnation of that node alone. Thread-safe; nothing
+ * here blocks but {@link #listen}.
  */
 public final class Wire implements AutoCloseable {
-    /** Called on Netty's threads. */
+    /** What arrives here. Called on Netty's threads, in order for each node. */
     public interface Inbox {
+        /** A message from a node whose identity is known. */
         void frame(int from, PeerMessage message);
 
+        /** A session with the node ended, or its process was replaced by a newer incarnation. */
         void sessionLost(int node);
 
         /** There is a session with the node that was not there before. */
         void sessionUp(int node);
     }
 
-    /** A session with this much unsent takes no more; one large frame may still go on top. */
-    private static final int HIGH_WATER = 4 << 20;
-    /** A machine without power says nothing; probes, a second apart, find that out where nothing is sent. */
-    private static final ChannelOption<Integer> KEEP_IDLE = NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPIDLE);
+    /** A session with this many bytes unsent takes no more; one large frame may still go on top. */
+    private static final int HIGH_WATER_MARK_BYTES = 4 << 20;
+    /** A machine without power sends nothing, not even a reset; probes find that out where nothing is sent. */
+    private static final ChannelOption<Integer> KEEP_ALIVE_IDLE_S =
+            NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPIDLE);
 
-    private static final ChannelOption<Integer> KEEP_EVERY =
+    private static final ChannelOption<Integer> KEEP_ALIVE_INTERVAL_S =
             NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPINTERVAL);
-    private static final ChannelOption<Integer> KEEP_COUNT = NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPCOUNT);
-    private static final int KEEPS = 3;
+    private static final ChannelOption<Integer> KEEP_ALIVE_PROBES =
+            NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPCOUNT);
+    private static final int MAX_KEEP_ALIVE_PROBES = 3;
     private static final int LENGTH_BYTES = Integer.BYTES;
-    /** An opening packet that was lost goes again after a second; another go is sooner. */
-    private static final int CONNECT_MS = 400;
-    /** Who says nothing of itself for so long is no process of ours, or is frozen; a later go finds out. */
-    private static final int HELLO_MS = 3_000;
+    /** TCP repeats a lost SYN after a second; another attempt to connect is sooner. */
+    private static final int CONNECT_TIMEOUT_MS = 400;
+
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    private static final int SHUTDOWN_TIMEOUT_MS = 200;
 
     private final ProcessIdentity self;
     private final Inbox inbox;
     private final long redialMs;
-    private final long deadMs;
-    private final Map<Integer, Long> unanswered = new ConcurrentHashMap<>();
+    private final long deadPeerMs;
+    /** When something was first sent to a node, in monotonic milliseconds, since it was last heard. */
+    private final Map<Integer, Long> unansweredSinceMs = new ConcurrentHashMap<>();
+
     private final MultiThreadIoEventLoopGroup loops;
     private final Map<Integer, String> addresses = new ConcurrentHashMap<>();
     private final Map<Integer, Peer> peers = new ConcurrentHashMap<>();
@@ -77,30 +84,36 @@
     private Channel server;
 
     /**
+     * @param self the identity that is told to peers
      * @param redialMs about how long after a session ended another is tried
-     * @param deadMs the sessions with a node from which nothing came for so long though something was sent are ended:
-     *     it may have lost power
-     * @param threads that carry the traffic
+     * @param deadPeerMs the sessions with a node from which nothing came for so long though something was sent are
+     *     ended: it may have lost power
+     * @param threads how many threads carry the traffic
      */
     public Wire(
-            final ProcessIdentity self, final Inbox inbox, final long redialMs, final long deadMs, final int threads) {
+            final ProcessIdentity self,
+            final Inbox inbox,
+            final long redialMs,
+            final long deadPeerMs,
+            final int threads) {
         this.self = self;
-        this.deadMs = deadMs;
+        this.deadPeerMs = deadPeerMs;
         loops = new MultiThreadIoEventLoopGroup(threads, NioIoHandler.newFactory());
         this.inbox = inbox;
         this.redialMs = redialMs;
     }
 
+    /** Accepts sessions from here on; gives the port. */
     public int listen(final String host, final int port) throws InterruptedException {
         server = new ServerBootstrap()
                 .group(loops)
                 .channel(NioServerSocketChannel.class)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(ChannelOption.SO_KEEPALIVE, true)
-                .childOption(KEEP_IDLE, 1)
-                .childOption(KEEP_EVERY, 1)
-                .childOption(KEEP_COUNT, KEEPS)
-                .childHandler(pipeline(0, ""))
+                .childOption(KEEP_ALIVE_IDLE_S, 1)
+                .childOption(KEEP_ALIVE_INTERVAL_S, 1)
+                .childOption(KEEP_ALIVE_PROBES, MAX_KEEP_ALIVE_PROBES)
+                .childHandler(pipeline(SessionHandler.ANY_NODE, ""))
                 .bind(host, port)
                 .sync()
                 .channel();
@@ -112,6 +125,7 @@
         return loops;
     }
 
+    /** Sessions that were ended for a frame that could not be decoded. */
     public long malformed() {
         return malformed.sum();
     }
@@ -126,12 +140,13 @@
         return bytesOut;
     }
 
+    /** Bytes received so far, per peer. */
     public Map<Integer, LongAdder> bytesIn() {
         return bytesIn;
     }
 
     /** Ends the sessions with a node; whoever dialled dials again. */
-    public void hangUp(final int node) {
+    public void closeSessions(final int node) {
         final Peer peer = peers.get(node);
         if (peer != null) {
             peer.close();
@@ -159,13 +174,13 @@
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.SO_KEEPALIVE, true)
-                .option(KEEP_IDLE, 1)
-                .option(KEEP_EVERY, 1)
-                .option(KEEP_COUNT, KEEPS)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                .option(KEEP_ALIVE_IDLE_S, 1)
+                .option(KEEP_ALIVE_INTERVAL_S, 1)
+                .option(KEEP_ALIVE_PROBES, MAX_KEEP_ALIVE_PROBES)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .handler(pipeline(node, address))
                 .connect(address.substring(0, sep), Integer.parseInt(address.substring(sep + 1)))
-                .addListener((io.netty.channel.ChannelFuture f) -> {
+                .addListener((ChannelFuture f) -> {
                     if (f.isSuccess()) {
                         f.channel().closeFuture().addListener(c -> redial(node, address));
                     } else {
@@ -185,30 +200,38 @@
     /** False where there is certainly no session to send it on. */
     public boolean send(final int node, final PeerMessage message) {
         final Peer peer = peers.get(node);
-        final Channel ch = peer == null ? null : peer.channel();
-        if (ch == null
-                || !ch.isActive()
-                || (ch.unsafe().outboundBuffer() != null
-                        && ch.unsafe().outboundBuffer().totalPendingWriteBytes() > HIGH_WATER)) {
+        final Channel channel = peer == null ? null : peer.channel();
+        if (channel == null || !channel.isActive() || isCongested(channel)) {
             return false;
         }
-        final long now = System.nanoTime() / 1_000_000;
-        final Long since = unanswered.putIfAbsent(node, now);
-        if (since != null && now - since > deadMs) {
+        if (isDead(node)) {
             // why: by node, not by session: of the two sessions that two nodes may have, one may carry all that goes
             // one way
-            unanswered.remove(node);
-            hangUp(node);
+            unansweredSinceMs.remove(node);
+            closeSessions(node);
             return false;
         }
         final byte[] frame = codecs.get().encode(message);
-        final ByteBuf buf = ch.alloc().buffer(frame.length).writeBytes(frame);
+        final ByteBuf buffer = channel.alloc().buffer(frame.length).writeBytes(frame);
         bytesOut.computeIfAbsent(node, k -> new LongAdder()).add(LENGTH_BYTES + frame.length);
-        ch.writeAndFlush(buf, ch.voidPromise());
+        channel.writeAndFlush(buffer, channel.voidPromise());
         return true;
     }
 
-    private ChannelInitializer<SocketChannel> pipeline(final int meant, final String address) {
+    private static boolean isCongested(final Channel channel) {
+        final ChannelOutboundBuffer unsent = channel.unsafe().outboundBuffer();
+        return unsent != null && unsent.totalPendingWriteBytes() > HIGH_WATER_MARK_BYTES;
+    }
+
+    /** Whether nothing came from a node for too long, though something was sent; notes that something is sent now. */
+    private boolean isDead(final int node) {
+        final long nowMs = System.nanoTime() / NANOS_PER_MILLI;
+        final Long sinceMs = unansweredSinceMs.putIfAbsent(node, nowMs);
+        return sinceMs != null && nowMs - sinceMs > deadPeerMs;
+    }
+
+    /** @param expectedNode whom this process dials, {@link SessionHandler#ANY_NODE} where the other side does */
+    private ChannelInitializer<SocketChannel> pipeline(final int expectedNode, final String address) {
         return new ChannelInitializer<>() {
             @Override
             protected void initChannel(final SocketChannel ch) {
@@ -217,94 +240,45 @@
                                 new LengthFieldBasedFrameDecoder(
                                         FrameCodec.MAX_FRAME, 0, LENGTH_BYTES, 0, LENGTH_BYTES),
                                 new LengthFieldPrepender(LENGTH_BYTES),
-                                new Receiver(meant, address));
+                                new SessionHandler(Wire.this, expectedNode, address));
             }
         };
     }
 
-    private final class Receiver extends SimpleChannelInboundHandler<ByteBuf> {
-        private final FrameCodec codec = new FrameCodec();
-        /** Whom this process dialled, 0 where the other side did. */
-        private final int meant;
+    // ---- from the sessions
 
-        private final String address;
-        private ProcessIdentity other;
-        private Peer peer;
-        private Future<?> patience;
+    ProcessIdentity self() {
+        return self;
+    }
 
-        Receiver(final int meant, final String address) {
-            this.meant = meant;
-            this.address = address;
-        }
+    Inbox inbox() {
+        return inbox;
+    }
 
-        @Override
-        public void channelActive(final ChannelHandlerContext ctx) {
-            patience = ctx.executor().schedule(() -> ctx.close(), HELLO_MS, TimeUnit.MILLISECONDS);
-            if (meant != 0) {
-                ctx.writeAndFlush(Hello.encode(self, ctx.alloc()), ctx.voidPromise());
-            }
-        }
+    /** Whether this is still where the node is to be reached. */
+    boolean isCurrent(final int node, final String address) {
+        return address.equals(addresses.get(node));
+    }
 
-        @Override
-        protected void channelRead0(final ChannelHandlerContext ctx, final ByteBuf buf) {
-            if (other == null) {
-                hello(ctx, Hello.decode(buf));
-            } else {
-                frame(ctx, buf);
-            }
-        }
+    Peer peer(final int node) {
+        return peers.computeIfAbsent(node, k -> new Peer());
+    }
 
-        private void hello(final ChannelHandlerContext ctx, final ProcessIdentity told) {
-            patience.cancel(false);
-            final boolean outdated = meant != 0 && !address.equals(addresses.get(meant));
-            if (outdated || told.node() == self.node() || (meant != 0 && told.node() != meant)) {
-                if (!outdated) {
-                    wrongNodes.increment();
-                }
-                ctx.close();
-                return;
-            }
-            if (meant == 0) {
-                ctx.writeAndFlush(Hello.encode(self, ctx.alloc()), ctx.voidPromise());
-            }
-            other = told;
-            unanswered.remove(told.node());
-            peer = peers.computeIfAbsent(told.node(), k -> new Peer());
-            peer.begin(told.life(), ctx.channel(), meant != 0, () -> inbox.sessionLost(told.node()));
-            if (meant != 0) {
-                inbox.sessionUp(told.node());
-            }
-        }
+    /** Something came from the node. */
+    void heard(final int node) {
+        unansweredSinceMs.remove(node);
+    }
 
-        private void frame(final ChannelHandlerContext ctx, final ByteBuf buf) {
-            unanswered.remove(other.node());
-            final byte[] bytes = new byte[buf.readableBytes()];
-            buf.readBytes(bytes);
-            final PeerMessage message = codec.decode(bytes, 0, bytes.length);
-            bytesIn.computeIfAbsent(other.node(), k -> new LongAdder()).add(LENGTH_BYTES + bytes.length);
-            if (!peer.handOn(other.life(), () -> inbox.frame(other.node(), message))) {
-                ctx.close();
-            }
-        }
+    void countReceived(final int node, final int frameLength) {
+        bytesIn.computeIfAbsent(node, k -> new LongAdder()).add(LENGTH_BYTES + frameLength);
+    }
 
-        @Override
-        public void channelInactive(final ChannelHandlerContext ctx) {
-            if (patience != null) {
-                patience.cancel(false);
-            }
-            if (other != null && peer.end(other.life(), ctx.channel())) {
-                inbox.sessionLost(other.node());
-            }
-        }
+    void countMalformed() {
+        malformed.increment();
+    }
 
-        @Override
-        public void exceptionCaught(final ChannelHandlerContext ctx, final Throwable cause) {
-            // why: a malformed frame ends this session alone; whatever follows it on the stream cannot be trusted
-            if (!(cause instanceof java.io.IOException)) {
-                malformed.increment();
-            }
-            ctx.close();
-        }
+    void countWrongNode() {
+        wrongNodes.increment();
     }
 
     @Override
@@ -314,6 +288,6 @@
             server.close();
         }
         peers.values().forEach(Peer::close);
-        loops.shutdownGracefully(0, 200, TimeUnit.MILLISECONDS);
+        loops.shutdownGracefully(0, SHUTDOWN_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 }
