--- /dev/null
+++ b/state/src/main/java/brookpath/state/wal/EntryFormat.java
@@ -0,0 +1,70 @@
+package brookpath.state.wal;
+
+import static java.nio.ByteOrder.LITTLE_ENDIAN;
+
+import java.nio.ByteBuffer;
+import java.util.zip.CRC32C;
+
+/**
+ * The layout of an entry in a file, little endian: length (4 bytes), checksum (4), how many bytes of the file were
+ * synced when the entry was written (8), then the bytes themselves. An entry without bytes is a sync mark: it says only
+ * how much was synced.
+ */
+final class EntryFormat {
+    static final int HEADER_BYTES = 16;
+    static final int NO_ENTRY = -1;
+
+    private static final int LENGTH_OFFSET = 0;
+    private static final int CHECKSUM_OFFSET = 4;
+    private static final int SYNCED_OFFSET = 8;
+    private static final int CHECKSUM_MASK = 0x5bd1e995;
+
+    private EntryFormat() {}
+
+    /**
+     * The bytes of an entry as they are written.
+     *
+     * @param synced how many bytes of the file are synced
+     */
+    static byte[] encode(final byte[] entry, final long synced) {
+        final ByteBuffer buffer =
+                ByteBuffer.allocate(HEADER_BYTES + entry.length).order(LITTLE_ENDIAN);
+        buffer.putInt(LENGTH_OFFSET, entry.length);
+        buffer.putLong(SYNCED_OFFSET, synced);
+        buffer.put(HEADER_BYTES, entry);
+        buffer.putInt(CHECKSUM_OFFSET, checksum(buffer.array(), 0, entry.length));
+        return buffer.array();
+    }
+
+    /** The length in bytes of the complete entry at a position of a file, {@link #NO_ENTRY} where there is none. */
+    @SuppressWarnings("ByteBufferBackingArray") // why: the buffer wraps a whole file from its first byte
+    static int lengthAt(final ByteBuffer file, final int position) {
+        final int room = file.capacity() - position - HEADER_BYTES;
+        if (room < 0) {
+            return NO_ENTRY;
+        }
+        final int length = file.getInt(position + LENGTH_OFFSET);
+        if (length < 0 || length > WriteAheadLog.MAX_ENTRY || length > room) {
+            return NO_ENTRY;
+        }
+        final long synced = syncedAt(file, position);
+        if (synced < 0 || synced > position) {
+            return NO_ENTRY;
+        }
+        final int checksum = file.getInt(position + CHECKSUM_OFFSET);
+        return checksum == checksum(file.array(), position, length) ? length : NO_ENTRY;
+    }
+
+    /** How many bytes of the file were synced when the entry at the position was written, as it says itself. */
+    static long syncedAt(final ByteBuffer file, final int position) {
+        return file.getLong(position + SYNCED_OFFSET);
+    }
+
+    /** Of length, synced bytes and entry; without the length a run of zeros would pass for a sync mark. */
+    private static int checksum(final byte[] file, final int position, final int length) {
+        final CRC32C crc = new CRC32C();
+        crc.update(file, position + LENGTH_OFFSET, Integer.BYTES);
+        crc.update(file, position + SYNCED_OFFSET, Long.BYTES + length);
+        return (int) crc.getValue() ^ CHECKSUM_MASK;
+    }
+}
--- /dev/null
+++ b/state/src/main/java/brookpath/state/wal/LogRecovery.java
@@ -0,0 +1,163 @@
+package brookpath.state.wal;
+
+import brookpath.state.disk.Disk;
+import brookpath.state.disk.DiskFile;
+import brookpath.state.record.PackedBuffer;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.TreeSet;
+
+/** Reads the files of a log back, at the start of a process or to look them over. */
+final class LogRecovery {
+    private static final long NO_SNAPSHOT = -1;
+
+    private final Disk disk;
+    private final TreeSet<Long> snapshots = new TreeSet<>();
+    private final TreeSet<Long> segments = new TreeSet<>();
+    private final List<String> findings = new ArrayList<>();
+    private final List<byte[]> entries = new ArrayList<>();
+    private byte[] snapshot;
+    private boolean damaged;
+
+    private LogRecovery(final Disk disk) {
+        this.disk = disk;
+    }
+
+    /** See {@link WriteAheadLog#recover}. */
+    static WriteAheadLog.Recovery recover(final Disk disk) {
+        return new LogRecovery(disk).recover();
+    }
+
+    private WriteAheadLog.Recovery recover() {
+        listFiles();
+        final long current = readSnapshot();
+        if (!damaged && segments.contains(current)) {
+            readSegment(current);
+        }
+        if (damaged) {
+            deleteAll();
+            return new WriteAheadLog.Recovery(new WriteAheadLog(disk, 0), null, List.of(), findings, true);
+        }
+        final WriteAheadLog writeAheadLog = new WriteAheadLog(disk, current);
+        writeAheadLog.deleteBefore(current);
+        return new WriteAheadLog.Recovery(writeAheadLog, snapshot, entries, findings, false);
+    }
+
+    private void listFiles() {
+        for (final String name : disk.list()) {
+            if (LogFiles.isTemporary(name)) {
+                // why: a snapshot that was not renamed never replaced anything
+                disk.delete(name);
+            } else if (LogFiles.isSnapshot(name)) {
+                snapshots.add(LogFiles.number(name));
+            } else if (LogFiles.isSegment(name)) {
+                segments.add(LogFiles.number(name));
+            }
+        }
+    }
+
+    /** Reads the newest snapshot and gives its number, which is that of the segment to go on with. */
+    private long readSnapshot() {
+        if (snapshots.isEmpty()) {
+            final long first = segments.isEmpty() ? 0 : segments.first();
+            if (first > 0) {
+                damaged = true;
+                findings.add(LogFiles.segment(first) + ": its snapshot is missing");
+            }
+            return first;
+        }
+        final long newest = snapshots.last();
+        final SegmentScan scan = SegmentScan.of(disk, LogFiles.snapshot(newest));
+        if (scan.isSnapshot()) {
+            snapshot = scan.entries().get(0);
+        } else {
+            damaged = true;
+            findings.add(LogFiles.snapshot(newest) + ": unreadable snapshot");
+        }
+        return newest;
+    }
+
+    private void readSegment(final long number) {
+        final String name = LogFiles.segment(number);
+        final SegmentScan scan = SegmentScan.of(disk, name);
+        entries.addAll(scan.entries());
+        if (scan.isDamaged()) {
+            damaged = true;
+            findings.add(scan.damage());
+        } else if (scan.isTorn()) {
+            cutTornTail(name, scan.tornAt());
+        }
+    }
+
+    /** The bytes after the last complete entry were never confirmed as synced, so nobody counted on them. */
+    private void cutTornTail(final String name, final long tornAt) {
+        final DiskFile file = disk.open(name);
+        file.truncate(tornAt);
+        file.sync();
+        file.close();
+        findings.add(name + ": torn tail cut at byte " + tornAt);
+    }
+
+    private void deleteAll() {
+        snapshots.forEach(number -> disk.delete(LogFiles.snapshot(number)));
+        segments.forEach(number -> disk.delete(LogFiles.segment(number)));
+        disk.syncFolder();
+    }
+
+    /** See {@link WriteAheadLog#inspect}. */
+    static WriteAheadLog.Inspection inspect(final Disk disk) {
+        final List<String> findings = new ArrayList<>();
+        final long newest = newestSnapshot(disk);
+        final byte[] snapshot = newest == NO_SNAPSHOT ? null : inspectSnapshot(disk, newest, findings);
+        final String segment = LogFiles.segment(Math.max(newest, 0));
+        final List<byte[]> entries = inspectSegment(disk, segment, findings);
+        final String snapshotName = newest == NO_SNAPSHOT ? "" : LogFiles.snapshot(newest);
+        return new WriteAheadLog.Inspection(snapshotName, snapshot, segment, entries, findings);
+    }
+
+    private static long newestSnapshot(final Disk disk) {
+        long newest = NO_SNAPSHOT;
+        for (final String name : disk.list()) {
+            if (LogFiles.isSnapshot(name) && LogFiles.hasNumber(name)) {
+                newest = Math.max(newest, LogFiles.number(name));
+            }
+        }
+        return newest;
+    }
+
+    private static byte[] inspectSnapshot(final Disk disk, final long number, final List<String> findings) {
+        final SegmentScan scan = SegmentScan.of(disk, LogFiles.snapshot(number));
+        if (scan.isSnapshot()) {
+            return scan.entries().get(0);
+        }
+        findings.add(LogFiles.snapshot(number) + ": unreadable snapshot");
+        return null;
+    }
+
+    private static List<byte[]> inspectSegment(final Disk disk, final String name, final List<String> findings) {
+        if (!disk.list().contains(name)) {
+            findings.add(name + ": missing");
+            return List.of();
+        }
+        final SegmentScan scan = SegmentScan.of(disk, name);
+        if (scan.isDamaged()) {
+            findings.add(scan.damage());
+        } else if (scan.isTorn()) {
+            findings.add(name + ": torn tail from byte " + scan.tornAt() + "; the next start cuts it");
+        }
+        return scan.entries();
+    }
+
+    /** The entries that a snapshot packs, then those of its segment: what an owner replays. */
+    static List<byte[]> replayed(final byte[] snapshot, final List<byte[]> entries) {
+        final List<byte[]> all = new ArrayList<>();
+        if (snapshot != null) {
+            final PackedBuffer packed = PackedBuffer.reader(snapshot);
+            while (packed.more()) {
+                all.add(packed.bytes());
+            }
+        }
+        all.addAll(entries);
+        return all;
+    }
+}
--- a/testing/src/main/java/brookpath/testing/sim/SimulatedProcess.java
+++ b/testing/src/main/java/brookpath/testing/sim/SimulatedProcess.java
@@ -154,7 +154,7 @@
         if (disk != null) {
             world.at(world.now() + 10_000, () -> {
                 if (alive && life == ofLife) {
-                    if (!frozen() && !diskBusy && !writeAheadLog.whole()) {
+                    if (!frozen() && !diskBusy && !writeAheadLog.isIntact()) {
                         world.count("damage found by the sweep of the disk");
                         run(p -> p.node.damaged(p.time()));
                     }
--- a/transport/src/main/java/brookpath/transport/loop/DiskLoop.java
+++ b/transport/src/main/java/brookpath/transport/loop/DiskLoop.java
@@ -81,7 +81,7 @@
         if (nowMs >= nextScrubMs) {
             // why: what went bad on the disk is to be found while the copy in memory is still there
             nextScrubMs = nowMs + scrubPeriodMs;
-            if (!writeAheadLog.whole()) {
+            if (!writeAheadLog.isIntact()) {
                 events.add(Node::damaged);
             }
         }
