--- a/testing/src/test/java/brookpath/platform/control/DocumentsTest.java
+++ b/testing/src/test/java/brookpath/platform/control/ConfigurationTranslatorTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.Test;
 
 /** Configurations of the platform as the product judges them. */
-public final class DocumentsTest {
+public final class ConfigurationTranslatorTest {
     private static final String ROUTE =
             "{\"Name\":\"r-1\",\"Hostname\":\"\",\"PathPrefix\":\"kafi810.\",\"RouteKind\":\"retained\",\"TimeoutMs\":1500,"
                     + "\"TargetLatencyMs\":120,\"Priority\":1,\"RetentionS\":34.5,\"OrderedDelivery\":\"topic\",\"Public\":false}";
@@ -25,16 +25,17 @@
             + TENANT + "]}";
 
     private static ConfigurationReader.Reading judged(
-            final String configuration, final long based, final Configuration present) {
+            final String configuration, final long based, final Configuration present)
+            throws UnreadableConfigurationException {
         return ConfigurationReader.read(
-                Documents.change(configuration.getBytes(UTF_8), based),
+                ConfigurationTranslator.toChange(configuration.getBytes(UTF_8), based),
                 present.version() + 1,
                 new ConfigurationReader.Limits(3, 2),
                 present);
     }
 
     @Test
-    public void aGoodOneIsTakenAndReadBackAsItWas() {
+    public void aGoodOneIsTakenAndReadBackAsItWas() throws UnreadableConfigurationException {
         final ConfigurationReader.Reading reading = judged(GOOD, 0, Configuration.NONE);
         assertTrue(reading.findings().isEmpty(), reading.findings().toString());
         final Configuration configuration = reading.configuration();
@@ -45,15 +46,16 @@
         assertTrue(configuration.spaceOf("kalo181.x").open()
                 && !configuration.spaceOf("kafi810.x").open());
         assertTrue(configuration.tenantOf("9wu3fexd9dnn2ctnfzs9").uses("r-2"));
-        final String readBack =
-                "{\"version\":7,\"document\":" + new String(Documents.change(GOOD.getBytes(UTF_8), 0), UTF_8) + "}";
-        assertEquals(new String(Documents.configuration(readBack), UTF_8), GOOD);
-        assertFalse(new String(ConfigurationReader.lean(Documents.change(GOOD.getBytes(UTF_8), 0)), UTF_8)
-                .contains("TargetLatencyMs"));
+        final String readBack = "{\"version\":7,\"document\":"
+                + new String(ConfigurationTranslator.toChange(GOOD.getBytes(UTF_8), 0), UTF_8) + "}";
+        assertEquals(new String(ConfigurationTranslator.toConfiguration(readBack), UTF_8), GOOD);
+        assertFalse(
+                new String(ConfigurationReader.lean(ConfigurationTranslator.toChange(GOOD.getBytes(UTF_8), 0)), UTF_8)
+                        .contains("TargetLatencyMs"));
     }
 
     @Test
-    public void whatIsInvalidIsFound() {
+    public void whatIsInvalidIsFound() throws UnreadableConfigurationException {
         final Configuration present = judged(GOOD, 0, Configuration.NONE).configuration();
         final String next = GOOD.replace("\"Revision\":7", "\"Revision\":9");
         assertTrue(judged(next, 7, present).findings().isEmpty());
@@ -68,20 +70,22 @@
         }
         for (int cut = 0; cut < GOOD.length(); cut += 7) {
             final String part = GOOD.substring(0, cut);
-            assertThrows(RuntimeException.class, () -> Documents.change(part.getBytes(UTF_8), 0));
+            assertThrows(
+                    UnreadableConfigurationException.class,
+                    () -> ConfigurationTranslator.toChange(part.getBytes(UTF_8), 0));
         }
         assertThrows(
-                RuntimeException.class,
-                () -> Documents.change(
+                UnreadableConfigurationException.class,
+                () -> ConfigurationTranslator.toChange(
                         GOOD.replace("\"Public\":false", "\"Service\":\"none\"").getBytes(UTF_8), 0));
         assertThrows(
-                RuntimeException.class,
-                () -> Documents.change(
+                UnreadableConfigurationException.class,
+                () -> ConfigurationTranslator.toChange(
                         GOOD.replace("\"Revision\":7", "\"Revision\":7.5").getBytes(UTF_8), 0));
     }
 
     @Test
-    public void theSameOnTheSameVersionIsTheSameChange() {
+    public void theSameOnTheSameVersionIsTheSameChange() throws UnreadableConfigurationException {
         final String id = judged(GOOD, 0, Configuration.NONE).configuration().changeId();
         assertEquals(judged(GOOD, 0, Configuration.NONE).configuration().changeId(), id);
         assertNotEquals(judged(GOOD, 1, Configuration.NONE).configuration().changeId(), id);
@@ -90,14 +94,14 @@
     }
 
     @Test
-    public void theLargestConfigurationThatIsReadFitsAChange() {
+    public void theLargestConfigurationThatIsReadFitsAChange() throws UnreadableConfigurationException {
         final StringBuilder routes = new StringBuilder(ROUTE);
-        for (int i = 2; routes.length() < PlatformHttpServer.MOST_BODY - 1_000; i++) {
+        for (int i = 2; routes.length() < PlatformHttpServer.MAX_BODY_BYTES - 1_000; i++) {
             routes.append(',').append(ROUTE.replace("r-1", "r-" + i).replace("kafi810.", "kafa" + i + "."));
         }
         final String largest = GOOD.replace(ROUTE + "," + OTHER, routes);
-        assertTrue(largest.length() <= PlatformHttpServer.MOST_BODY, largest.length() + " bytes");
-        final byte[] change = Documents.change(largest.getBytes(UTF_8), 0);
+        assertTrue(largest.length() <= PlatformHttpServer.MAX_BODY_BYTES, largest.length() + " bytes");
+        final byte[] change = ConfigurationTranslator.toChange(largest.getBytes(UTF_8), 0);
         assertTrue(change.length <= ConfigurationReader.MAX_BYTES, change.length + " bytes as a change");
         assertTrue(judged(largest, 0, Configuration.NONE).findings().isEmpty());
     }
--- a/testing/src/test/java/brookpath/platform/line/LineCodecTest.java
+++ b/testing/src/test/java/brookpath/platform/line/LineDecoderTest.java
@@ -5,7 +5,6 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import brookpath.platform.line.LineCodec.Message;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.embedded.EmbeddedChannel;
 import java.util.ArrayList;
@@ -14,14 +13,14 @@
 import org.testng.annotations.Test;
 
 /** The line protocol against an oracle that knows what was written, however the bytes are cut. */
-public final class LineCodecTest {
-    private static String text(final Message m) {
-        return String.join(" ", m.words()) + "|" + m.body() + "|" + m.flaw();
+public final class LineDecoderTest {
+    private static String text(final ClientMessage m) {
+        return String.join(" ", m.words()) + "|" + m.body() + "|" + m.rejection();
     }
 
     private static List<String> read(final EmbeddedChannel ch) {
         final List<String> got = new ArrayList<>();
-        for (Message m = ch.readInbound(); m != null; m = ch.readInbound()) {
+        for (ClientMessage m = ch.readInbound(); m != null; m = ch.readInbound()) {
             got.add(text(m));
         }
         return got;
@@ -37,7 +36,7 @@
                 if (random.nextBoolean()) {
                     final int len = switch (random.nextInt(5)) {
                         case 0 -> random.nextInt(20);
-                        case 1 -> LineCodec.MOST_BODY + 1 + random.nextInt(50);
+                        case 1 -> LineDecoder.MAX_BODY_BYTES + 1 + random.nextInt(50);
                         default -> 20 + random.nextInt(300);
                     };
                     final boolean odd = random.nextInt(6) == 0 && len > 0;
@@ -51,9 +50,9 @@
                             .append("\r\n")
                             .append(body)
                             .append("\r\n");
-                    final String flaw = len > LineCodec.MOST_BODY
+                    final String flaw = len > LineDecoder.MAX_BODY_BYTES
                             ? "TOOLARGE"
-                            : len < LineCodec.LEAST_BODY || odd ? "MALFORMED" : null;
+                            : len < LineDecoder.MIN_BODY_BYTES || odd ? "MALFORMED" : null;
                     expected.add(
                             "PUBLISH t." + i + " " + i + " " + len + "|" + (flaw == null ? body : null) + "|" + flaw);
                 } else {
@@ -61,7 +60,7 @@
                     expected.add("SUBSCRIBE t." + i + " c" + i + "|null|null");
                 }
             }
-            final EmbeddedChannel ch = new EmbeddedChannel(new LineCodec());
+            final EmbeddedChannel ch = new EmbeddedChannel(new LineDecoder());
             final byte[] bytes = sent.toString().getBytes(US_ASCII);
             for (int at = 0; at < bytes.length; ) {
                 final int n = Math.min(bytes.length - at, 1 + random.nextInt(700));
@@ -82,7 +81,7 @@
             "x".repeat(5_000),
             "PUBLISH t 1 20\r\n" + "b".repeat(25)
         }) {
-            final EmbeddedChannel ch = new EmbeddedChannel(new LineCodec());
+            final EmbeddedChannel ch = new EmbeddedChannel(new LineDecoder());
             ch.writeInbound(Unpooled.copiedBuffer(nonsense, US_ASCII));
             assertFalse(ch.isActive(), nonsense.substring(0, Math.min(30, nonsense.length())));
         }
@@ -94,7 +93,7 @@
             final SplittableRandom random = new SplittableRandom(seed);
             final byte[] bytes = new byte[random.nextInt(2_000)];
             random.nextBytes(bytes);
-            final EmbeddedChannel ch = new EmbeddedChannel(new LineCodec());
+            final EmbeddedChannel ch = new EmbeddedChannel(new LineDecoder());
             ch.writeInbound(Unpooled.copiedBuffer("HELLO a b\r\n", US_ASCII), Unpooled.wrappedBuffer(bytes));
             assertEquals(read(ch).get(0), "HELLO a b|null|null", "seed " + seed);
             ch.checkException();
--- a/testing/src/test/java/brookpath/testing/PlatformHttpServerTest.java
+++ b/testing/src/test/java/brookpath/testing/PlatformHttpServerTest.java
@@ -5,9 +5,9 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
+import brookpath.platform.control.HttpAnswer;
+import brookpath.platform.control.HttpCall;
 import brookpath.platform.control.PlatformHttpServer;
-import brookpath.platform.control.PlatformHttpServer.Answer;
-import brookpath.platform.control.PlatformHttpServer.Call;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.embedded.EmbeddedChannel;
@@ -21,26 +21,26 @@
 /** Each answer on a connection belongs to the call that stands at its place, whatever is done first. */
 public final class PlatformHttpServerTest {
     private static final Pattern STATUS = Pattern.compile("HTTP/1\\.1 (\\d{3})");
-    private static final int MOST_BODY = PlatformHttpServer.MOST_BODY;
+    private static final int MAX_BODY_BYTES = PlatformHttpServer.MAX_BODY_BYTES;
 
     /** Answers nothing by itself: the test completes each call when it likes. */
-    private static final class SlowDesk implements PlatformHttpServer.RequestDispatcher {
-        final List<Call> calls = new ArrayList<>();
-        final List<CompletableFuture<Answer>> answers = new ArrayList<>();
+    private static final class SlowHandler implements PlatformHttpServer.RequestHandler {
+        final List<HttpCall> calls = new ArrayList<>();
+        final List<CompletableFuture<HttpAnswer>> answers = new ArrayList<>();
 
         @Override
-        public CompletableFuture<Answer> ask(final Call call) {
+        public CompletableFuture<HttpAnswer> handle(final HttpCall call) {
             calls.add(call);
             answers.add(new CompletableFuture<>());
             return answers.get(answers.size() - 1);
         }
 
         void answer(final int call, final int status) {
-            answers.get(call).complete(Answer.of(status));
+            answers.get(call).complete(HttpAnswer.of(status));
         }
     }
 
-    private static EmbeddedChannel connect(final SlowDesk dispatcher) {
+    private static EmbeddedChannel connect(final SlowHandler dispatcher) {
         final EmbeddedChannel channel = new EmbeddedChannel();
         PlatformHttpServer.install(channel.pipeline(), dispatcher);
         return channel;
@@ -71,7 +71,7 @@
 
     @Test
     public void answersLeaveInTheOrderOfTheCalls() {
-        final SlowDesk slow = new SlowDesk();
+        final SlowHandler slow = new SlowHandler();
         final EmbeddedChannel ch = connect(slow);
         say(ch, get("/1") + get("/2") + get("/3"));
         assertEquals(slow.calls.size(), 3);
@@ -84,13 +84,13 @@
 
     @Test
     public void callsBeyondTheBoundAreNotTakenUntilOthersAreAnswered() {
-        final SlowDesk slow = new SlowDesk();
+        final SlowHandler slow = new SlowHandler();
         final EmbeddedChannel ch = connect(slow);
-        final int calls = 3 * PlatformHttpServer.MOST_PENDING;
+        final int calls = 3 * PlatformHttpServer.MAX_PENDING;
         for (int i = 0; i < calls; i++) {
             say(ch, get("/" + i));
         }
-        assertEquals(slow.calls.size(), PlatformHttpServer.MOST_PENDING);
+        assertEquals(slow.calls.size(), PlatformHttpServer.MAX_PENDING);
         assertFalse(ch.config().isAutoRead(), "the connection is still read");
         final List<Integer> heard = new ArrayList<>();
         for (int i = 0; i < calls; i++) {
@@ -106,9 +106,9 @@
 
     @Test
     public void anOversizedBodyIsRefusedAfterTheAnswersOfEarlierCalls() {
-        final SlowDesk slow = new SlowDesk();
+        final SlowHandler slow = new SlowHandler();
         final EmbeddedChannel ch = connect(slow);
-        final String body = "b".repeat(MOST_BODY + 1);
+        final String body = "b".repeat(MAX_BODY_BYTES + 1);
         say(ch, get("/1"));
         say(ch, "POST /2 HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
         say(ch, get("/3"));
@@ -121,7 +121,7 @@
 
     @Test
     public void aCallThatCannotBeReadIsRefusedInItsTurnAndEndsTheConnection() {
-        final SlowDesk slow = new SlowDesk();
+        final SlowHandler slow = new SlowHandler();
         final EmbeddedChannel ch = connect(slow);
         say(ch, get("/1") + "GET /2 HTTP/1.1\r\nHost: x\r\nContent-Length: nonsense\r\n\r\n" + get("/3"));
         assertEquals(statuses(ch), List.of());
@@ -133,7 +133,7 @@
 
     @Test
     public void goOnIsSaidAfterTheAnswersOfEarlierCalls() {
-        final SlowDesk slow = new SlowDesk();
+        final SlowHandler slow = new SlowHandler();
         final EmbeddedChannel ch = connect(slow);
         say(ch, get("/1"));
         say(ch, "POST /2 HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\nExpect: 100-continue\r\n\r\n");
@@ -148,11 +148,11 @@
 
     @Test
     public void anExpectedBodyThatIsTooLargeIsRefusedBeforeItIsSent() {
-        final SlowDesk slow = new SlowDesk();
+        final SlowHandler slow = new SlowHandler();
         final EmbeddedChannel ch = connect(slow);
         say(
                 ch,
-                "POST /1 HTTP/1.1\r\nHost: x\r\nContent-Length: " + (MOST_BODY + 1)
+                "POST /1 HTTP/1.1\r\nHost: x\r\nContent-Length: " + (MAX_BODY_BYTES + 1)
                         + "\r\nExpect: 100-continue\r\n\r\n");
         assertEquals(statuses(ch), List.of(413));
         assertFalse(ch.isOpen());
@@ -161,7 +161,7 @@
 
     @Test
     public void nothingFollowsTheAnswerAfterWhichTheConnectionCloses() {
-        final SlowDesk slow = new SlowDesk();
+        final SlowHandler slow = new SlowHandler();
         final EmbeddedChannel ch = connect(slow);
         say(ch, "GET /1 HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n" + get("/2"));
         assertEquals(slow.calls.size(), 1, "a call after the last one was taken");
@@ -172,7 +172,7 @@
 
     @Test
     public void anAnswerToAConnectionThatIsGoneGoesNowhere() {
-        final SlowDesk slow = new SlowDesk();
+        final SlowHandler slow = new SlowHandler();
         final EmbeddedChannel old = connect(slow);
         say(old, get("/1") + get("/2"));
         old.close();
@@ -190,7 +190,7 @@
 
     @Test
     public void aFailureIsAnsweredInItsTurn() {
-        final SlowDesk slow = new SlowDesk();
+        final SlowHandler slow = new SlowHandler();
         final EmbeddedChannel ch = connect(slow);
         say(ch, get("/1") + get("/2"));
         slow.answers.get(1).completeExceptionally(new IllegalStateException("no"));
