--- a/testing/src/main/java/brookpath/testing/model/GuidedWalk.java
+++ b/testing/src/main/java/brookpath/testing/model/GuidedWalk.java
@@ -1,6 +1,7 @@
 package brookpath.testing.model;
 
 import brookpath.testing.model.Choice.Kind;
+import brookpath.testing.sim.ActionObserver;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -17,19 +18,27 @@
 
     private final StartState start;
     private final SplittableRandom random;
+    private final ActionObserver observer;
     private final List<Choice> path = new ArrayList<>();
     private ModelWorld world;
     private Choice last = Choice.run(0);
 
     GuidedWalk(final StartState start, final long seed) {
+        this(start, new SplittableRandom(seed * 31 + start.name().hashCode()), ActionObserver.NONE);
+    }
+
+    /** A walk whose random numbers do not depend on the name of the start state. */
+    GuidedWalk(final StartState start, final SplittableRandom random, final ActionObserver observer) {
         this.start = start;
-        random = new SplittableRandom(seed * 31 + start.name().hashCode());
+        this.random = random;
+        this.observer = observer;
     }
 
     /** The broken schedule, or null. */
     Finding walk(final int length) {
         try {
             world = start.create();
+            world.observer = observer;
             while (path.size() < length) {
                 last = pick(Choices.of(world));
                 path.add(last);
--- a/testing/src/main/java/brookpath/testing/model/ModelWorld.java
+++ b/testing/src/main/java/brookpath/testing/model/ModelWorld.java
@@ -7,6 +7,7 @@
 import brookpath.coordination.group.Membership;
 import brookpath.coordination.message.PeerMessage;
 import brookpath.state.record.LogRecord;
+import brookpath.testing.sim.ActionObserver;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -31,6 +32,9 @@
     final List<ModelMember> members = new ArrayList<>();
     final List<InFlight> flying = new ArrayList<>();
     final Invariants invariants = new Invariants(this);
+    /** Sees the actions of all members. */
+    ActionObserver observer = ActionObserver.NONE;
+
     long now = START;
     Membership placed;
     int appended;
@@ -271,6 +275,7 @@
         final List<Action> actions = new ArrayList<>(m.out.drain());
         actions.addAll(m.heartbeatOut.drain());
         for (final Action action : actions) {
+            observer.observe(now, m.id, action);
             if (action instanceof Action.Send send) {
                 invariants.onSend(m, send.node(), send.message());
                 send(m, send);
--- a/testing/src/main/java/brookpath/testing/sim/ControlDay.java
+++ b/testing/src/main/java/brookpath/testing/sim/ControlDay.java
@@ -66,9 +66,10 @@
     private final Operators operators;
     private final ControlFaults faults;
 
-    private ControlDay(final Plan plan) {
+    private ControlDay(final Plan plan, final ActionObserver observer) {
         this.plan = plan;
         world = new SimulatedCluster(plan.seed(), SHAPE, EnumSet.noneOf(Mutation.class));
+        world.observer = observer;
         fleet = new ControlFleet(world);
         calls = new ControlCall(world, history.calls);
         operators = new Operators(world, fleet, history, calls);
@@ -78,7 +79,12 @@
 
     /** Plays the day. */
     public static Outcome play(final Plan plan) {
-        return new ControlDay(plan).play();
+        return play(plan, ActionObserver.NONE);
+    }
+
+    /** Plays the day and shows the observer the actions of all processes. */
+    public static Outcome play(final Plan plan, final ActionObserver observer) {
+        return new ControlDay(plan, observer).play();
     }
 
     private Outcome play() {
--- a/testing/src/main/java/brookpath/testing/sim/SimulatedCluster.java
+++ b/testing/src/main/java/brookpath/testing/sim/SimulatedCluster.java
@@ -53,6 +53,9 @@
     /** Set before the first run: how many machines at once the fleet is founded to lose. */
     int toleratedLosses = 1;
 
+    /** Sees the actions of all processes; set before the first run. */
+    ActionObserver observer = ActionObserver.NONE;
+
     private long now;
     private long order;
 
--- a/testing/src/main/java/brookpath/testing/sim/SimulatedDay.java
+++ b/testing/src/main/java/brookpath/testing/sim/SimulatedDay.java
@@ -118,19 +118,32 @@
     private int strikes;
     private final DayFaults failures;
 
-    private SimulatedDay(final Plan plan) {
+    private SimulatedDay(final Plan plan, final ActionObserver observer) {
         this.plan = plan;
         world = new SimulatedCluster(plan.seed, plan.shape, plan.mutations);
+        world.observer = observer;
         failures = new DayFaults(world);
     }
 
     public static Outcome live(final Plan plan) {
-        return new SimulatedDay(plan).live();
+        return live(plan, ActionObserver.NONE);
+    }
+
+    /** Plays the day and shows the observer the actions of all processes. */
+    public static Outcome live(final Plan plan, final ActionObserver observer) {
+        return new SimulatedDay(plan, observer).live();
+    }
+
+    /**
+     * Plays the day up to its last fault, without the recovery, and shows the observer the actions of all processes.
+     */
+    public static void playFaults(final Plan plan, final ActionObserver observer) {
+        new SimulatedDay(plan, observer).playFaults();
     }
 
     /** A calm day's world after its people have been about for the plan's length, for measurements. */
     static SimulatedCluster calm(final Plan plan) {
-        final SimulatedDay day = new SimulatedDay(plan);
+        final SimulatedDay day = new SimulatedDay(plan, ActionObserver.NONE);
         day.begin();
         day.world.run(day.world.now() + plan.lengthMs);
         return day.world;
@@ -149,6 +162,11 @@
     }
 
     private Outcome live() {
+        playFaults();
+        return morningAfter();
+    }
+
+    private void playFaults() {
         begin();
         world.callers.operators.raceOnAndOn(2_000);
         long next = world.now() + plan.faultEveryMs;
@@ -174,7 +192,6 @@
         if (plan.ending == Ending.ONE_GONE) {
             failures.loseOne();
         }
-        return morningAfter();
     }
 
     /**
--- a/testing/src/main/java/brookpath/testing/sim/SimulatedProcess.java
+++ b/testing/src/main/java/brookpath/testing/sim/SimulatedProcess.java
@@ -285,6 +285,7 @@
 
     private void flushHeartbeats() {
         heartbeatOut.drain().forEach(a -> {
+            world.observer.observe(world.now(), id, a);
             if (a instanceof Action.Send s) {
                 world.net.send(this, s.node(), s.message());
             }
@@ -312,6 +313,7 @@
             if (!alive) {
                 return;
             }
+            world.observer.observe(world.now(), id, action);
             if (action instanceof Action.Send a) {
                 if (!world.net.send(this, a.node(), a.message())) {
                     final long ofLife = life;
--- /dev/null
+++ b/testing/src/test/java/brookpath/testing/TraceDigest.java
@@ -0,0 +1,162 @@
+package brookpath.testing;
+
+import static java.nio.charset.StandardCharsets.UTF_8;
+
+import brookpath.coordination.action.Action;
+import brookpath.coordination.message.PeerMessage;
+import brookpath.coordination.message.Response;
+import brookpath.protocol.frame.FrameCodec;
+import brookpath.testing.sim.ActionObserver;
+import java.nio.ByteBuffer;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.util.HexFormat;
+import java.util.regex.Pattern;
+
+/**
+ * SHA-256 of all actions of a simulated run. What is hashed are the times, the node numbers, the encoded frames, the
+ * stored bytes and the responses, under a fixed code for each kind of action. Names in the source code, log lines and
+ * sentences that explain a refusal to a person leave no trace in it, so that they may be reworded. Not thread-safe.
+ */
+final class TraceDigest implements ActionObserver {
+    private static final byte SEND = 1;
+    private static final byte WRITE = 2;
+    private static final byte ROLL = 3;
+    private static final byte RESPOND = 4;
+    private static final byte DELIVER_LINE = 5;
+    private static final byte DELIVER_STORED = 6;
+    private static final byte TOPIC_ENDED = 7;
+    private static final byte MOVE = 8;
+    private static final byte CLOSE = 9;
+    private static final byte POST = 10;
+
+    /** The members of our JSON responses whose value is a sentence for people. */
+    private static final Pattern EXPLANATION =
+            Pattern.compile("(\"(?:why|what|because|obstacle)\":)\"(?:[^\"\\\\]|\\\\.)*+\"");
+
+    private final FrameCodec codec = new FrameCodec();
+    private final MessageDigest digest;
+    private final ByteBuffer number = ByteBuffer.allocate(Long.BYTES);
+    private long actions;
+
+    TraceDigest() {
+        try {
+            digest = MessageDigest.getInstance("SHA-256");
+        } catch (final NoSuchAlgorithmException ex) {
+            throw new IllegalStateException(ex);
+        }
+    }
+
+    /** How many actions were hashed so far. */
+    long actions() {
+        return actions;
+    }
+
+    /** The digest of all that was observed, in hexadecimal digits. May be asked for once. */
+    String hex() {
+        return HexFormat.of().formatHex(digest.digest());
+    }
+
+    @Override
+    public void observe(final long nowMs, final int node, final Action action) {
+        if (action instanceof Action.Send a) {
+            begin(SEND, nowMs, node);
+            add(a.node());
+            add(codec.encode(withoutExplanation(a.message())));
+        } else if (action instanceof Action.Write a) {
+            begin(WRITE, nowMs, node);
+            add(a.number());
+            add(a.entry());
+        } else if (action instanceof Action.Roll a) {
+            begin(ROLL, nowMs, node);
+            add(a.number());
+            add(a.snapshot());
+        } else if (action instanceof Action.Respond a) {
+            begin(RESPOND, nowMs, node);
+            add(a.requestId());
+            add(a.response());
+        } else if (action instanceof Action.ToSession a) {
+            observeSession(nowMs, node, a);
+        } else if (action instanceof Action.Post a) {
+            begin(POST, nowMs, node);
+            add(a.requestId());
+            add(a.key());
+            add(a.json());
+        }
+        // why: log lines are free to change, and an early heartbeat shows in the frames that it sends
+    }
+
+    private void observeSession(final long nowMs, final int node, final Action.ToSession action) {
+        if (action instanceof Action.Deliver a) {
+            begin(DELIVER_LINE, nowMs, node);
+            add(a.sessionId());
+            add(a.line());
+        } else if (action instanceof Action.Hand a) {
+            begin(DELIVER_STORED, nowMs, node);
+            add(a.sessionId());
+            add(a.logRecord().bytes());
+        } else if (action instanceof Action.Ended a) {
+            begin(TOPIC_ENDED, nowMs, node);
+            add(a.sessionId());
+            add(a.topic());
+            add(a.why());
+        } else if (action instanceof Action.Move a) {
+            begin(MOVE, nowMs, node);
+            add(a.sessionId());
+            add(a.address());
+        } else if (action instanceof Action.CloseSession a) {
+            begin(CLOSE, nowMs, node);
+            add(a.sessionId());
+        } else {
+            throw new IllegalArgumentException("an action that the digest does not know: " + action);
+        }
+    }
+
+    private static PeerMessage withoutExplanation(final PeerMessage message) {
+        if (message instanceof PeerMessage.VoteReply m) {
+            return new PeerMessage.VoteReply(m.group(), m.term(), m.granted(), m.termSeen(), "");
+        } else if (message instanceof PeerMessage.PublishReply m) {
+            return new PeerMessage.PublishReply(m.requestId(), m.outcome(), m.position(), m.leaderHint(), m.term(), "");
+        } else if (message instanceof PeerMessage.ControlReply m) {
+            final byte[] body = withoutExplanation(new String(m.body(), UTF_8)).getBytes(UTF_8);
+            return new PeerMessage.ControlReply(m.requestId(), m.status(), m.retryAfterMs(), body);
+        }
+        return message;
+    }
+
+    private static String withoutExplanation(final String json) {
+        return EXPLANATION.matcher(json).replaceAll("$1\"\"");
+    }
+
+    private void begin(final byte kind, final long nowMs, final int node) {
+        actions++;
+        digest.update(kind);
+        add(nowMs);
+        add(node);
+    }
+
+    private void add(final Response response) {
+        add(response.status());
+        add(response.retryAfterMs());
+        add(withoutExplanation(response.json()));
+        add(response.code());
+        final boolean expires = response.expiry() != null;
+        add(expires ? response.expiry().at() : -1);
+        if (expires) {
+            add(response.expiry().instead());
+        }
+    }
+
+    private void add(final long value) {
+        digest.update(number.putLong(0, value).array());
+    }
+
+    private void add(final String text) {
+        add(text.getBytes(UTF_8));
+    }
+
+    private void add(final byte[] bytes) {
+        add(bytes.length);
+        digest.update(bytes);
+    }
+}
