--- a/testing/src/test/java/brookpath/testing/FrameCodecTest.java
+++ b/testing/src/test/java/brookpath/testing/FrameCodecTest.java
@@ -121,7 +121,7 @@
     }
 
     /** Records hold arrays and flyweights, which have no equality of their own. */
-    private static String text(final Object v) throws Exception {
+    static String text(final Object v) throws Exception {
         if (v instanceof byte[] b) {
             return Arrays.toString(b);
         } else if (v instanceof LogRecord r) {
