--- /dev/null
+++ b/testing/src/test/java/brookpath/testing/sim/StoredDataWriter.java
@@ -0,0 +1,73 @@
+package brookpath.testing.sim;
+
+import brookpath.state.disk.Disk;
+import brookpath.state.disk.DiskFile;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+
+/**
+ * Writes the data folders that {@code StoredDataTest} reads: one of a controller and one of a storage node, as they lie
+ * on the disk after a clean stop. The arguments are the directory to write to, and nothing else.
+ *
+ * <p>The folders that are checked in were written once, by release 0.1.0 at commit a7d0cd1, with wire schema version 4,
+ * log entries of the kinds 1 to 5 and control log bodies of the kinds 3 to 6. They stay as they are: a later release
+ * has to read them. A change of the format gets folders of its own beside them. They were written with
+ *
+ * <pre>java -cp (test class path of this module) brookpath.testing.sim.StoredDataWriter DIRECTORY</pre>
+ */
+public final class StoredDataWriter extends ControlScene {
+    private static final long SEED = 7;
+    private static final int CHANGES = 400;
+    private static final long PUBLISH_EVERY_MS = 200;
+    private static final long BUSY_MS = 50_000;
+    private static final long SETTLE_MS = 8_000;
+    private static final int TOPICS = 4;
+    private static final int CONTROLLER = 2;
+    private static final int STORAGE_NODE = 12;
+
+    public static void main(final String[] args) throws IOException {
+        new StoredDataWriter().write(Path.of(args[0]));
+    }
+
+    private void write(final Path directory) throws IOException {
+        begin(SEED);
+        for (int i = 0; i < TOPICS; i++) {
+            world.callers.publisher("ana", Callers.topic(i), "key-members", PUBLISH_EVERY_MS, 30);
+        }
+        for (int i = 1; i <= CHANGES; i++) {
+            settled(document(i, "change-" + i), "change-" + i);
+        }
+        // why: an election on both kinds of machine, so that the term and the vote are not the first ones
+        restart(leader());
+        restart(world.processes.get(STORAGE_NODE));
+        world.run(world.now() + BUSY_MS);
+        world.callers.quiet = true;
+        world.run(world.now() + SETTLE_MS);
+        for (final int id : List.of(CONTROLLER, STORAGE_NODE)) {
+            world.kill(world.processes.get(id), false);
+        }
+        copy(world.processes.get(CONTROLLER).disk, directory.resolve("controller"));
+        copy(world.processes.get(STORAGE_NODE).disk, directory.resolve("storage-node"));
+    }
+
+    private void restart(final SimulatedProcess process) {
+        world.kill(process, false);
+        world.run(world.now() + SETTLE_MS);
+        world.restart(process);
+        world.run(world.now() + SETTLE_MS);
+    }
+
+    private static void copy(final Disk disk, final Path folder) throws IOException {
+        Files.createDirectories(folder);
+        for (final String name : disk.list()) {
+            final DiskFile file = disk.open(name);
+            try {
+                Files.write(folder.resolve(name), file.readAll());
+            } finally {
+                file.close();
+            }
+        }
+    }
+}
