--- a/coordination/src/main/java/brookpath/coordination/node/gateway/PublishForwarder.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/PublishForwarder.java
@@ -30,7 +30,6 @@
     /** The most publishes that are under way at a time. */
     private static final int MAX_PUBLISHES = 4_096;
 
-
     private final TimingBounds timing;
     private final LongFunction<RouteFinder> routes;
     private final LongSupplier ids;
