--- a/coordination/src/main/java/brookpath/coordination/node/ControllerNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/ControllerNode.java
@@ -21,9 +21,9 @@
 import brookpath.coordination.node.control.ControlStatus;
 import brookpath.coordination.node.control.ControlView;
 import brookpath.coordination.node.control.ForwardedPolls;
-import brookpath.coordination.node.control.Founding;
-import brookpath.coordination.node.control.RelayedRequests;
-import brookpath.coordination.node.control.Replies;
+import brookpath.coordination.node.control.GroupBootstrap;
+import brookpath.coordination.node.control.ForwardedRequests;
+import brookpath.coordination.node.control.ControlResponder;
 import brookpath.state.record.PackedBuffer;
 import java.util.HashSet;
 import java.util.List;
@@ -38,7 +38,7 @@
 
     private static final int NO_REQUEST = 0;
 
-    private final Founding founding;
+    private final GroupBootstrap founding;
     /** Whom the settings name as the control group's founders; once the log tells of members, these count no more. */
     private final List<Member> founders;
 
@@ -47,8 +47,8 @@
 
     private final GroupMachine group;
     private final ControlView view;
-    private final Replies replies;
-    private final RelayedRequests relayed;
+    private final ControlResponder replies;
+    private final ForwardedRequests relayed;
     private final ForwardedPolls forwardedPolls;
     private final ControlLeader leader;
     /** The log is rolled into a checkpoint beyond so many bytes. */
@@ -61,7 +61,7 @@
     public ControllerNode(
             final int self,
             final List<Member> founders,
-            final Founding founding,
+            final GroupBootstrap founding,
             final TimingBounds timing,
             final long seed,
             final long firstId,
@@ -86,7 +86,7 @@
             final NodeInfo info,
             final List<Member> founders,
             final List<Integer> seeds,
-            final Founding founding,
+            final GroupBootstrap founding,
             final TimingBounds timing,
             final long seed,
             final long firstId,
@@ -99,8 +99,8 @@
         group = new GroupMachine(
                 CONTROL, self, timing, founding.toleratedLosses(), seed, ControlState::new, promises, out);
         view = new ControlView(group);
-        replies = new Replies(self, timing, out);
-        relayed = new RelayedRequests(timing, replies, this::nextId, out);
+        replies = new ControlResponder(self, timing, out);
+        relayed = new ForwardedRequests(timing, replies, this::nextId, out);
         forwardedPolls = new ForwardedPolls(group, out);
         leader = new ControlLeader(info, group, view, founding, timing, replies, this::nextId, out);
         client = new ConfigurationClient(info, ConfigurationPoll.CONTROLLER, seeds, firstId, timing, out);
--- a/coordination/src/main/java/brookpath/coordination/node/control/MetadataKeeper.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ClusterMetadataUpdater.java
@@ -19,21 +19,21 @@
  * Keeps the cluster metadata up, as a duty of the control leader: which machines there are, where the topic groups lie,
  * and who their members are. Each step is a record of the control log.
  */
-public final class MetadataKeeper {
+public final class ClusterMetadataUpdater {
     private final NodeInfo info;
     private final GroupMachine group;
     private final ControlView view;
-    private final PollRegistry polls;
-    private final Founding founding;
+    private final ConfigurationLeaseGranter polls;
+    private final GroupBootstrap founding;
     private final TimingBounds timing;
 
     /** @param info this controller as others are told of it */
-    public MetadataKeeper(
+    public ClusterMetadataUpdater(
             final NodeInfo info,
             final GroupMachine group,
             final ControlView view,
-            final PollRegistry polls,
-            final Founding founding,
+            final ConfigurationLeaseGranter polls,
+            final GroupBootstrap founding,
             final TimingBounds timing) {
         this.info = info;
         this.group = group;
--- a/coordination/src/main/java/brookpath/coordination/node/control/ChangeOrders.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ConfigurationChangeHandler.java
@@ -19,7 +19,7 @@
  * committed and in force everywhere. A refusal is no record: it follows from the document and from the version that it
  * lost to, and is given only once that version is committed.
  */
-public final class ChangeOrders {
+public final class ConfigurationChangeHandler {
     /** Beyond so many configurations and cluster metadata that are not committed yet, nothing more is appended. */
     public static final int MAX_UNCOMMITTED = 16;
 
@@ -28,17 +28,17 @@
     private final GroupMachine group;
     private final ControlView view;
     private final ConfigurationReader.Limits limits;
-    private final Followers followers;
-    private final PendingAnswers pending;
-    private final Replies replies;
+    private final ConfigurationFollowers followers;
+    private final PendingRequests pending;
+    private final ControlResponder replies;
 
-    public ChangeOrders(
+    public ConfigurationChangeHandler(
             final GroupMachine group,
             final ControlView view,
             final ConfigurationReader.Limits limits,
-            final Followers followers,
-            final PendingAnswers pending,
-            final Replies replies) {
+            final ConfigurationFollowers followers,
+            final PendingRequests pending,
+            final ControlResponder replies) {
         this.group = group;
         this.view = view;
         this.limits = limits;
@@ -51,10 +51,10 @@
     public void change(final int from, final ControlRequest op, final Time time) {
         if (op.body().length > ConfigurationReader.MAX_BYTES) {
             final Finding finding = new Finding("/", "larger than " + ConfigurationReader.MAX_BYTES + " bytes");
-            replies.respond(from, op.requestId(), Replies.refused(ResponseStatus.TOO_LARGE, List.of(finding)));
+            replies.respond(from, op.requestId(), ControlResponder.refused(ResponseStatus.TOO_LARGE, List.of(finding)));
             return;
         }
-        if (pending.count(RequestKind.CHANGE) >= MAX_CHANGES) {
+        if (pending.count(ControlRequestKind.CHANGE) >= MAX_CHANGES) {
             replies.respond(from, op.requestId(), replies.unavailable("too many changes are under way"));
             return;
         }
@@ -69,7 +69,7 @@
             replies.respond(
                     from,
                     op.requestId(),
-                    Replies.refused(
+                    ControlResponder.refused(
                             reading.json() ? ResponseStatus.INVALID : ResponseStatus.BAD_REQUEST, reading.findings()));
             return;
         }
@@ -86,13 +86,13 @@
                     newest, changeId, checksum, reading.configuration().version(), op.body());
             group.append(LogRecord.CONTROL, body, time.mono(), time.wall());
         }
-        final PendingAnswers.Answer answer = at -> {
+        final PendingRequests.Answer answer = at -> {
             final Outcome outcome = view.state().outcomes().of(changeId);
             return outcome != null
                     ? taken(changeId, checksum, outcome, at.mono())
                     : refusedBy(newest.version(), refusal);
         };
-        pending.add(from, op, RequestKind.CHANGE, answer, time);
+        pending.add(from, op, ControlRequestKind.CHANGE, answer, time);
     }
 
     private static long checksum(final byte[] document) {
--- a/coordination/src/main/java/brookpath/coordination/node/control/Followers.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ConfigurationFollowers.java
@@ -3,7 +3,7 @@
 import java.util.Set;
 
 /** What the control leader knows of the processes that follow it. */
-public interface Followers {
+public interface ConfigurationFollowers {
     /** Whether every live process has taken the committed version, or its lease on what was before has run out. */
     boolean everywhere(long version, long now);
 
--- a/coordination/src/main/java/brookpath/coordination/node/control/PollRegistry.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ConfigurationLeaseGranter.java
@@ -24,7 +24,7 @@
  * The processes that poll this control leader: what each has, until when its lease runs, and when it was heard. Polls
  * are held until there is news; the answer to one grants a lease on the configuration that it brings or confirms.
  */
-public final class PollRegistry implements Followers {
+public final class ConfigurationLeaseGranter implements ConfigurationFollowers {
     private static final long NO_DUTY = -1;
     private static final long NOT_HELD = -1;
 
@@ -68,7 +68,7 @@
 
     private long newcomerAt;
 
-    public PollRegistry(
+    public ConfigurationLeaseGranter(
             final int self,
             final GroupMachine group,
             final ControlView view,
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlMembers.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlGroupMembership.java
@@ -19,7 +19,7 @@
  * Keeps the control group's membership up: watches who answers, and as the acting leader appends the steps that
  * {@link MembershipPlan} names.
  */
-public final class ControlMembers {
+public final class ControlGroupMembership {
     /** When a member was first watched, and when it last failed to answer. */
     private static final class Watched {
         final long since;
@@ -37,7 +37,7 @@
     private final long steadyMs;
     private final TreeMap<Integer, Watched> watched = new TreeMap<>();
 
-    public ControlMembers(
+    public ControlGroupMembership(
             final int self, final GroupMachine group, final TimingBounds timing, final int toleratedLosses) {
         this.self = self;
         this.group = group;
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlLeader.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlLeader.java
@@ -29,11 +29,11 @@
     private final GroupMachine group;
     private final ControlView view;
     private final FleetClock clock = new FleetClock();
-    private final ControlMembers members;
-    private final PollRegistry polls;
-    private final MetadataKeeper metadataKeeper;
-    private final GroupMoves moves;
-    private final PendingAnswers pending;
+    private final ControlGroupMembership members;
+    private final ConfigurationLeaseGranter polls;
+    private final ClusterMetadataUpdater metadataKeeper;
+    private final GroupMoveDriver moves;
+    private final PendingRequests pending;
     private final UsageReporter usage;
     private final ControlRequestHandler requests;
 
@@ -45,19 +45,19 @@
             final NodeInfo info,
             final GroupMachine group,
             final ControlView view,
-            final Founding founding,
+            final GroupBootstrap founding,
             final TimingBounds timing,
-            final Replies replies,
+            final ControlResponder replies,
             final LongSupplier ids,
             final Actions out) {
         self = info.node();
         this.group = group;
         this.view = view;
-        members = new ControlMembers(self, group, timing, founding.toleratedLosses());
-        polls = new PollRegistry(self, group, view, clock, timing, out);
-        metadataKeeper = new MetadataKeeper(info, group, view, polls, founding, timing);
-        moves = new GroupMoves(view, polls, founding.copies(), timing, out);
-        pending = new PendingAnswers(group, timing, replies, out);
+        members = new ControlGroupMembership(self, group, timing, founding.toleratedLosses());
+        polls = new ConfigurationLeaseGranter(self, group, view, clock, timing, out);
+        metadataKeeper = new ClusterMetadataUpdater(info, group, view, polls, founding, timing);
+        moves = new GroupMoveDriver(view, polls, founding.copies(), timing, out);
+        pending = new PendingRequests(group, timing, replies, out);
         usage = new UsageReporter(self, group, view, clock, timing, ids, out);
         final ConfigurationReader.Limits limits = new ConfigurationReader.Limits(
                 founding.copies(), Quorums.floor(founding.copies(), founding.toleratedLosses()));
@@ -65,8 +65,8 @@
                 self,
                 group,
                 view,
-                new ChangeOrders(group, view, limits, polls, pending, replies),
-                new RetireOrders(group, view, polls, pending),
+                new ConfigurationChangeHandler(group, view, limits, polls, pending, replies),
+                new StorageRetirementHandler(group, view, polls, pending),
                 metadataKeeper,
                 moves,
                 polls,
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlRequestHandler.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlRequestHandler.java
@@ -24,20 +24,20 @@
  */
 final class ControlRequestHandler {
     /** Kinds that append a cluster metadata record. */
-    private static final Set<RequestKind> APPENDING =
-            Set.of(RequestKind.FOUNDED, RequestKind.MEMBERS, RequestKind.RETIRE, RequestKind.RETIRE_NAMED);
+    private static final Set<ControlRequestKind> APPENDING =
+            Set.of(ControlRequestKind.FOUNDED, ControlRequestKind.MEMBERS, ControlRequestKind.RETIRE, ControlRequestKind.RETIRE_NAMED);
 
     private final int self;
     private final GroupMachine group;
     private final ControlView view;
-    private final ChangeOrders changes;
-    private final RetireOrders retirements;
-    private final MetadataKeeper metadataKeeper;
-    private final GroupMoves moves;
-    private final PollRegistry polls;
+    private final ConfigurationChangeHandler changes;
+    private final StorageRetirementHandler retirements;
+    private final ClusterMetadataUpdater metadataKeeper;
+    private final GroupMoveDriver moves;
+    private final ConfigurationLeaseGranter polls;
     private final UsageReporter usage;
-    private final PendingAnswers pending;
-    private final Replies replies;
+    private final PendingRequests pending;
+    private final ControlResponder replies;
     private final TimingBounds timing;
     private final Actions out;
 
@@ -45,14 +45,14 @@
             final int self,
             final GroupMachine group,
             final ControlView view,
-            final ChangeOrders changes,
-            final RetireOrders retirements,
-            final MetadataKeeper metadataKeeper,
-            final GroupMoves moves,
-            final PollRegistry polls,
+            final ConfigurationChangeHandler changes,
+            final StorageRetirementHandler retirements,
+            final ClusterMetadataUpdater metadataKeeper,
+            final GroupMoveDriver moves,
+            final ConfigurationLeaseGranter polls,
             final UsageReporter usage,
-            final PendingAnswers pending,
-            final Replies replies,
+            final PendingRequests pending,
+            final ControlResponder replies,
             final TimingBounds timing,
             final Actions out) {
         this.self = self;
@@ -75,7 +75,7 @@
             replies.respond(from, request.requestId(), replies.unavailable("this node is not the control master"));
             return;
         }
-        final RequestKind kind = RequestKind.of(request.kind());
+        final ControlRequestKind kind = ControlRequestKind.of(request.kind());
         if (view.backlogged() && APPENDING.contains(kind)) {
             // why: refused before anything is appended, so it is certain; a change may be the repeat of one that is
             // under way
@@ -99,7 +99,7 @@
     }
 
     /** Answers from the committed state, which a majority backs. */
-    private Response read(final RequestKind kind, final ControlRequest request, final long now) {
+    private Response read(final ControlRequestKind kind, final ControlRequest request, final long now) {
         return switch (kind) {
             case CONFIGURATION -> readConfiguration();
             case OUTCOME -> changes.outcome(new String(request.body(), UTF_8), timing.retryAfterMs(), now);
--- a/coordination/src/main/java/brookpath/coordination/node/control/RequestKind.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlRequestKind.java
@@ -1,7 +1,7 @@
 package brookpath.coordination.node.control;
 
 /** What an operator or another process may ask of the control leader, by its name on the wire. */
-public enum RequestKind {
+public enum ControlRequestKind {
     /** A configuration document. */
     CHANGE("change", true),
     /** Empties a storage machine given by its number, or keeps it after all. */
@@ -34,7 +34,7 @@
     private final String wireName;
     private final boolean order;
 
-    RequestKind(final String wireName, final boolean order) {
+    ControlRequestKind(final String wireName, final boolean order) {
         this.wireName = wireName;
         this.order = order;
     }
@@ -45,8 +45,8 @@
     }
 
     /** The kind of this name, {@link #UNKNOWN} where there is none. */
-    public static RequestKind of(final String wireName) {
-        for (final RequestKind kind : values()) {
+    public static ControlRequestKind of(final String wireName) {
+        for (final ControlRequestKind kind : values()) {
             if (kind.wireName.equals(wireName)) {
                 return kind;
             }
--- a/coordination/src/main/java/brookpath/coordination/node/control/Replies.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlResponder.java
@@ -11,12 +11,12 @@
 import java.util.List;
 
 /** Gives responses to whoever asked: a caller of this process, or another process. */
-public final class Replies {
+public final class ControlResponder {
     private final int self;
     private final TimingBounds timing;
     private final Actions out;
 
-    public Replies(final int self, final TimingBounds timing, final Actions out) {
+    public ControlResponder(final int self, final TimingBounds timing, final Actions out) {
         this.self = self;
         this.timing = timing;
         this.out = out;
@@ -35,7 +35,7 @@
     /** Responds as above, but nothing that may have become untrue is given after the deadline. */
     public void respondBefore(
             final long deadline,
-            final RequestKind kind,
+            final ControlRequestKind kind,
             final int from,
             final long requestId,
             final Response response) {
@@ -47,7 +47,7 @@
     }
 
     /** Passes on what the control leader answered, as above. */
-    public void relay(final long deadline, final RequestKind kind, final int from, final ControlReply reply) {
+    public void relay(final long deadline, final ControlRequestKind kind, final int from, final ControlReply reply) {
         if (from == self) {
             final String json = new String(reply.body(), UTF_8);
             respondBefore(
@@ -64,7 +64,7 @@
     }
 
     /** The request was sent on, and nobody knows its end: an order may have been taken. */
-    public Response lost(final RequestKind kind, final String why) {
+    public Response lost(final ControlRequestKind kind, final String why) {
         if (!kind.order()) {
             return unavailable(why);
         }
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlStatus.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlStatus.java
@@ -19,7 +19,7 @@
      * @param control the control group as {@code GroupStatus} shows it
      */
     public static String json(
-            final int self, final ControlView view, final Founding founding, final JsonObject control) {
+            final int self, final ControlView view, final GroupBootstrap founding, final JsonObject control) {
         final ClusterMetadata metadata = view.metadata();
         return Json.createObjectBuilder()
                 .add("node", self)
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlView.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlView.java
@@ -45,6 +45,6 @@
 
     /** Whether so much waits for its copies that nothing more is to be appended. */
     public boolean backlogged() {
-        return group.diskBacklogged() || uncommitted() >= ChangeOrders.MAX_UNCOMMITTED;
+        return group.diskBacklogged() || uncommitted() >= ConfigurationChangeHandler.MAX_UNCOMMITTED;
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/control/RelayedRequests.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ForwardedRequests.java
@@ -12,20 +12,20 @@
  * Requests that this process carries to the control leader, for its own callers or for other processes. Each ends by
  * this process's monotonic clock: an answer that comes later is dropped, however it was held up.
  */
-public final class RelayedRequests {
+public final class ForwardedRequests {
     private static final int MAX_RELAYED = 1_024;
 
-    private record Relayed(long requestId, int from, int leader, RequestKind kind, long deadline) {}
+    private record Relayed(long requestId, int from, int leader, ControlRequestKind kind, long deadline) {}
 
     private final TimingBounds timing;
-    private final Replies replies;
+    private final ControlResponder replies;
     private final LongSupplier ids;
     private final Actions out;
     private final TreeMap<Long, Relayed> relayed = new TreeMap<>();
 
     /** @param ids of relayed requests, never the same twice */
-    public RelayedRequests(
-            final TimingBounds timing, final Replies replies, final LongSupplier ids, final Actions out) {
+    public ForwardedRequests(
+            final TimingBounds timing, final ControlResponder replies, final LongSupplier ids, final Actions out) {
         this.timing = timing;
         this.replies = replies;
         this.ids = ids;
@@ -41,7 +41,7 @@
         if (leader == 0 || relayed.size() >= MAX_RELAYED) {
             return false;
         }
-        final RequestKind kind = RequestKind.of(op.kind());
+        final ControlRequestKind kind = ControlRequestKind.of(op.kind());
         final long deadline = now + (kind.order() ? timing.opDeadline() : timing.readDeadline());
         final long id = ids.getAsLong();
         relayed.put(id, new Relayed(op.requestId(), from, leader, kind, deadline));
--- a/coordination/src/main/java/brookpath/coordination/node/control/Founding.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/GroupBootstrap.java
@@ -9,4 +9,4 @@
  *     open, no more come
  * @param toleratedLosses how many machines may be lost at once
  */
-public record Founding(int groups, int copies, int storages, int toleratedLosses) {}
+public record GroupBootstrap(int groups, int copies, int storages, int toleratedLosses) {}
--- a/coordination/src/main/java/brookpath/coordination/node/control/GroupMoves.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/GroupMoveDriver.java
@@ -16,9 +16,9 @@
  * Drives on the moves of topic groups that {@link MovePlan} names, and hands masterships back to the members that rank
  * first. Orders are told to the groups' members again and again; nothing here is replicated.
  */
-public final class GroupMoves {
+public final class GroupMoveDriver {
     private final ControlView view;
-    private final PollRegistry polls;
+    private final ConfigurationLeaseGranter polls;
     private final int copies;
     private final TimingBounds timing;
     private final Actions out;
@@ -32,9 +32,9 @@
     private final TreeMap<Integer, Integer> leaders = new TreeMap<>();
 
     /** @param copies of each group */
-    public GroupMoves(
+    public GroupMoveDriver(
             final ControlView view,
-            final PollRegistry polls,
+            final ConfigurationLeaseGranter polls,
             final int copies,
             final TimingBounds timing,
             final Actions out) {
--- a/coordination/src/main/java/brookpath/coordination/node/control/PendingAnswers.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/PendingRequests.java
@@ -13,7 +13,7 @@
  * Requests that the control leader has taken and not answered yet. Each is answered only by a leader that had contact
  * with a majority which began after the request came in (a read index), so that no answer is older than its question.
  */
-public final class PendingAnswers {
+public final class PendingRequests {
     private static final int MAX_PENDING = 1_024;
 
     /** Looks at the replicated state. It is asked again with each event until it answers. */
@@ -23,18 +23,18 @@
     }
 
     private record Pending(
-            int from, long requestId, RequestKind kind, long term, long arrivedAt, long deadline, Answer answer) {}
+            int from, long requestId, ControlRequestKind kind, long term, long arrivedAt, long deadline, Answer answer) {}
 
     private final GroupMachine group;
     private final TimingBounds timing;
-    private final Replies replies;
+    private final ControlResponder replies;
     private final Actions out;
     private final List<Pending> pending = new ArrayList<>();
     /** When the last extra round of heartbeats was asked for. */
     private long askedAt = Long.MIN_VALUE / 2;
 
-    public PendingAnswers(
-            final GroupMachine group, final TimingBounds timing, final Replies replies, final Actions out) {
+    public PendingRequests(
+            final GroupMachine group, final TimingBounds timing, final ControlResponder replies, final Actions out) {
         this.group = group;
         this.timing = timing;
         this.replies = replies;
@@ -46,13 +46,13 @@
     }
 
     /** How many requests of this kind wait. */
-    public long count(final RequestKind kind) {
+    public long count(final ControlRequestKind kind) {
         return pending.stream().filter(p -> p.kind == kind).count();
     }
 
     /** Answers the request once a majority has been heard after now, and the answer is known. */
     public void add(
-            final int from, final ControlRequest op, final RequestKind kind, final Answer answer, final Time time) {
+            final int from, final ControlRequest op, final ControlRequestKind kind, final Answer answer, final Time time) {
         final long now = time.mono();
         if (pending.size() >= MAX_PENDING) {
             replies.respond(from, op.requestId(), replies.unavailable("too many requests are under way"));
--- a/coordination/src/main/java/brookpath/coordination/node/control/RetireOrders.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/StorageRetirementHandler.java
@@ -19,7 +19,7 @@
  * Orders to empty a storage machine, or to keep it after all. An order is acknowledged once the record that took it is
  * committed, and again however often it is repeated, also when the machine is long gone.
  */
-public final class RetireOrders {
+public final class StorageRetirementHandler {
     /** The machine that an order names, by its number or by its name. */
     private sealed interface Target {
         NodeInfo in(ClusterMetadata metadata);
@@ -56,11 +56,11 @@
 
     private final GroupMachine group;
     private final ControlView view;
-    private final Followers followers;
-    private final PendingAnswers pending;
+    private final ConfigurationFollowers followers;
+    private final PendingRequests pending;
 
-    RetireOrders(
-            final GroupMachine group, final ControlView view, final Followers followers, final PendingAnswers pending) {
+    StorageRetirementHandler(
+            final GroupMachine group, final ControlView view, final ConfigurationFollowers followers, final PendingRequests pending) {
         this.group = group;
         this.view = view;
         this.followers = followers;
@@ -71,18 +71,18 @@
     public void retire(final int from, final ControlRequest op, final Time time) {
         final PackedBuffer in = PackedBuffer.reader(op.body());
         final Target target = new ByNumber((int) in.num());
-        take(from, op, RequestKind.RETIRE, target, in.num() == 1, time);
+        take(from, op, ControlRequestKind.RETIRE, target, in.num() == 1, time);
     }
 
     /** Empties a machine given by its name. */
     public void retireNamed(final int from, final ControlRequest op, final Time time) {
-        take(from, op, RequestKind.RETIRE_NAMED, new ByName(new String(op.body(), UTF_8)), true, time);
+        take(from, op, ControlRequestKind.RETIRE_NAMED, new ByName(new String(op.body(), UTF_8)), true, time);
     }
 
     private void take(
             final int from,
             final ControlRequest op,
-            final RequestKind kind,
+            final ControlRequestKind kind,
             final Target target,
             final boolean on,
             final Time time) {
@@ -137,7 +137,7 @@
             return unknown();
         }
         final int number = target instanceof ByNumber t ? t.node : node.node();
-        return Replies.refused(
+        return ControlResponder.refused(
                 ResponseStatus.CONFLICT, plan(view.metadata(), number, on, time).findings());
     }
 
--- a/programs/src/main/java/brookpath/programs/boot/ProcessAssembly.java
+++ b/programs/src/main/java/brookpath/programs/boot/ProcessAssembly.java
@@ -11,7 +11,7 @@
 import brookpath.coordination.node.Node;
 import brookpath.coordination.node.Node.Time;
 import brookpath.coordination.node.StorageNode;
-import brookpath.coordination.node.control.Founding;
+import brookpath.coordination.node.control.GroupBootstrap;
 import brookpath.state.disk.DiskFullException;
 import brookpath.state.disk.FolderDisk;
 import brookpath.state.disk.MachineIdentity;
@@ -54,7 +54,7 @@
             List<Member> founders,
             Map<Integer, String> seeds,
             TimingBounds timing,
-            Founding founding,
+            GroupBootstrap founding,
             boolean found,
             String data,
             long rollBytes,
--- a/programs/src/main/java/brookpath/programs/boot/ProcessLauncher.java
+++ b/programs/src/main/java/brookpath/programs/boot/ProcessLauncher.java
@@ -6,7 +6,7 @@
 import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
 import brookpath.coordination.group.Member;
 import brookpath.coordination.node.NodeRequest;
-import brookpath.coordination.node.control.Founding;
+import brookpath.coordination.node.control.GroupBootstrap;
 import brookpath.programs.boot.ProcessAssembly.Role;
 import brookpath.programs.settings.Settings;
 import brookpath.programs.settings.SettingsReader;
@@ -149,7 +149,7 @@
                             founders,
                             s.seeds(),
                             s.timing(),
-                            new Founding(s.groups(), s.copies(), s.storages(), s.toleratedLosses()),
+                            new GroupBootstrap(s.groups(), s.copies(), s.storages(), s.toleratedLosses()),
                             s.found(),
                             gateway ? "" : s.data(),
                             s.rollBytes(),
--- a/testing/src/main/java/brookpath/testing/sim/ControlFleet.java
+++ b/testing/src/main/java/brookpath/testing/sim/ControlFleet.java
@@ -6,7 +6,7 @@
 import brookpath.coordination.node.GatewayNode;
 import brookpath.coordination.node.Node;
 import brookpath.coordination.node.StorageNode;
-import brookpath.coordination.node.control.Founding;
+import brookpath.coordination.node.control.GroupBootstrap;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -70,7 +70,7 @@
                 info(process, ""),
                 founders,
                 seeds,
-                new Founding(world.groups, COPIES, STORAGES, TOLERATED_LOSSES),
+                new GroupBootstrap(world.groups, COPIES, STORAGES, TOLERATED_LOSSES),
                 world.timing,
                 world.random.nextLong(),
                 firstId(),
--- a/testing/src/main/java/brookpath/testing/sim/SimulatedCluster.java
+++ b/testing/src/main/java/brookpath/testing/sim/SimulatedCluster.java
@@ -6,7 +6,7 @@
 import brookpath.coordination.node.ControllerNode;
 import brookpath.coordination.node.GatewayNode;
 import brookpath.coordination.node.StorageNode;
-import brookpath.coordination.node.control.Founding;
+import brookpath.coordination.node.control.GroupBootstrap;
 import brookpath.testing.oracle.History;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -83,7 +83,7 @@
                 final ControllerNode node = new ControllerNode(
                         process.id,
                         members,
-                        new Founding(groups, 3, 4, toleratedLosses),
+                        new GroupBootstrap(groups, 3, 4, toleratedLosses),
                         controlTiming,
                         random.nextLong(),
                         process.life << 32,
@@ -122,7 +122,7 @@
                     process.info(),
                     List.of(),
                     seeds,
-                    new Founding(groups, 3, 4, toleratedLosses),
+                    new GroupBootstrap(groups, 3, 4, toleratedLosses),
                     controlTiming,
                     random.nextLong(),
                     process.life << 32,
--- a/testing/src/test/java/brookpath/testing/DataFolderCheckTest.java
+++ b/testing/src/test/java/brookpath/testing/DataFolderCheckTest.java
@@ -9,7 +9,7 @@
 import brookpath.coordination.group.Member;
 import brookpath.coordination.node.ControllerNode;
 import brookpath.coordination.node.Node.Time;
-import brookpath.coordination.node.control.Founding;
+import brookpath.coordination.node.control.GroupBootstrap;
 import brookpath.state.disk.FolderDisk;
 import brookpath.state.record.LogRecord;
 import brookpath.state.record.PackedBuffer;
@@ -86,7 +86,7 @@
         try (FolderDisk disk = new FolderDisk(folder)) {
             final WriteAheadLog writeAheadLog = WriteAheadLog.recover(disk).writeAheadLog();
             final ControllerNode node = new ControllerNode(
-                    1, List.of(new Member(1, 50, "")), new Founding(2, 1, 1, 0), TimingBounds.DEFAULT, 1, 1, 1 << 20);
+                    1, List.of(new Member(1, 50, "")), new GroupBootstrap(2, 1, 1, 0), TimingBounds.DEFAULT, 1, 1, 1 << 20);
             long written = obey(writeAheadLog, node.start(true, new Time(0, 0)));
             for (long now = 100; now < 3_000; now += 100) {
                 written = Math.max(
--- a/testing/src/test/java/brookpath/testing/sim/ControlStateSizeTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ControlStateSizeTest.java
@@ -14,7 +14,7 @@
 import brookpath.coordination.node.ControllerNode;
 import brookpath.coordination.node.Node.Time;
 import brookpath.coordination.node.NodeRequest;
-import brookpath.coordination.node.control.Founding;
+import brookpath.coordination.node.control.GroupBootstrap;
 import java.util.ArrayList;
 import java.util.List;
 import org.testng.annotations.Test;
@@ -99,7 +99,7 @@
         final ControllerNode node = new ControllerNode(
                 1,
                 List.of(new Member(1, 50, "")),
-                new Founding(1, 1, 1, 0),
+                new GroupBootstrap(1, 1, 1, 0),
                 TimingBounds.DEFAULT,
                 1,
                 0,
--- a/testing/src/test/java/brookpath/testing/sim/JoinedSessionsTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/JoinedSessionsTest.java
@@ -16,7 +16,7 @@
 import brookpath.coordination.node.GatewayNode;
 import brookpath.coordination.node.NodeRequest;
 import brookpath.coordination.node.StorageNode;
-import brookpath.coordination.node.control.Founding;
+import brookpath.coordination.node.control.GroupBootstrap;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.LongFunction;
@@ -290,7 +290,7 @@
                         new NodeInfo(4, "d", "sim:4", "four"),
                         List.of(),
                         List.of(1, 2, 3),
-                        new Founding(4, 3, 4, 1),
+                        new GroupBootstrap(4, 3, 4, 1),
                         world.timing,
                         7,
                         process.life << 32,
