--- a/coordination/src/main/java/brookpath/coordination/configuration/ConfigurationClient.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/ConfigurationClient.java
@@ -1,8 +1,9 @@
 package brookpath.coordination.configuration;
 
+import brookpath.coordination.metadata.ClusterMetadata;
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.message.PeerMessage.ConfigurationPoll;
 import brookpath.coordination.message.PeerMessage.ConfigurationReply;
 import brookpath.coordination.node.Node.Time;
--- a/coordination/src/main/java/brookpath/coordination/configuration/StoredConfiguration.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/StoredConfiguration.java
@@ -15,7 +15,7 @@
     private byte[] lean;
     private Configuration configuration;
 
-    StoredConfiguration(final long index, final long version, final byte[] document) {
+    public StoredConfiguration(final long index, final long version, final byte[] document) {
         this(index, version, document, null, null);
     }
 
--- a/coordination/src/main/java/brookpath/coordination/configuration/ChangeOutcomes.java
+++ b/coordination/src/main/java/brookpath/coordination/controllog/ChangeOutcomes.java
@@ -1,4 +1,4 @@
-package brookpath.coordination.configuration;
+package brookpath.coordination.controllog;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
--- a/coordination/src/main/java/brookpath/coordination/configuration/CommittedVersions.java
+++ b/coordination/src/main/java/brookpath/coordination/controllog/CommittedVersions.java
@@ -1,4 +1,4 @@
-package brookpath.coordination.configuration;
+package brookpath.coordination.controllog;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/coordination/src/main/java/brookpath/coordination/configuration/ControlState.java
+++ b/coordination/src/main/java/brookpath/coordination/controllog/ControlState.java
@@ -1,5 +1,7 @@
-package brookpath.coordination.configuration;
+package brookpath.coordination.controllog;
 
+import brookpath.coordination.configuration.StoredConfiguration;
+import brookpath.coordination.metadata.ClusterMetadata;
 import brookpath.coordination.group.LogState;
 import brookpath.state.record.Delta;
 import brookpath.state.record.LogRecord;
--- a/coordination/src/main/java/brookpath/coordination/configuration/Retirements.java
+++ b/coordination/src/main/java/brookpath/coordination/controllog/Retirements.java
@@ -1,6 +1,7 @@
-package brookpath.coordination.configuration;
+package brookpath.coordination.controllog;
 
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.metadata.ClusterMetadata;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.state.record.PackedBuffer;
 import java.util.ArrayList;
 import java.util.List;
--- a/coordination/src/main/java/brookpath/coordination/configuration/ClusterMetadata.java
+++ b/coordination/src/main/java/brookpath/coordination/metadata/ClusterMetadata.java
@@ -1,4 +1,4 @@
-package brookpath.coordination.configuration;
+package brookpath.coordination.metadata;
 
 import brookpath.coordination.group.Member;
 import brookpath.coordination.group.Membership;
--- a/coordination/src/main/java/brookpath/coordination/configuration/FleetClock.java
+++ b/coordination/src/main/java/brookpath/coordination/metadata/FleetClock.java
@@ -1,4 +1,4 @@
-package brookpath.coordination.configuration;
+package brookpath.coordination.metadata;
 
 import java.util.Arrays;
 import java.util.Set;
--- a/coordination/src/main/java/brookpath/coordination/node/ControllerNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/ControllerNode.java
@@ -2,10 +2,10 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Action;
-import brookpath.coordination.configuration.ClusterMetadata;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.metadata.ClusterMetadata;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.configuration.ConfigurationClient;
-import brookpath.coordination.configuration.ControlState;
+import brookpath.coordination.controllog.ControlState;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Member;
 import brookpath.coordination.group.Membership;
--- a/coordination/src/main/java/brookpath/coordination/node/GatewayNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/GatewayNode.java
@@ -1,7 +1,7 @@
 package brookpath.coordination.node;
 
 import brookpath.coordination.TimingBounds;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.configuration.ConfigurationClient;
 import brookpath.coordination.message.PeerMessage;
 import brookpath.coordination.message.PeerMessage.ConfigurationPoll;
--- a/coordination/src/main/java/brookpath/coordination/node/GatewayStatus.java
+++ b/coordination/src/main/java/brookpath/coordination/node/GatewayStatus.java
@@ -1,6 +1,6 @@
 package brookpath.coordination.node;
 
-import brookpath.coordination.configuration.ClusterMetadata;
+import brookpath.coordination.metadata.ClusterMetadata;
 import brookpath.coordination.configuration.ConfigurationClient;
 import brookpath.coordination.heartbeat.HeartbeatTable;
 import brookpath.coordination.route.Route;
--- a/coordination/src/main/java/brookpath/coordination/node/Node.java
+++ b/coordination/src/main/java/brookpath/coordination/node/Node.java
@@ -3,7 +3,7 @@
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Action;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.configuration.ClusterMetadata;
+import brookpath.coordination.metadata.ClusterMetadata;
 import brookpath.coordination.heartbeat.HeartbeatPromises;
 import brookpath.coordination.heartbeat.HeartbeatTable;
 import brookpath.coordination.message.PeerMessage;
--- a/coordination/src/main/java/brookpath/coordination/node/StorageNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/StorageNode.java
@@ -7,8 +7,8 @@
 import static brookpath.coordination.message.PeerMessage.PublishReply.UNSETTLED;
 
 import brookpath.coordination.TimingBounds;
-import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.metadata.ClusterMetadata.GroupInfo;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.configuration.Configuration;
 import brookpath.coordination.configuration.ConfigurationClient;
 import brookpath.coordination.group.GroupMachine;
--- a/coordination/src/main/java/brookpath/coordination/node/control/ClusterMetadataUpdater.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ClusterMetadataUpdater.java
@@ -1,11 +1,11 @@
 package brookpath.coordination.node.control;
 
 import brookpath.coordination.TimingBounds;
-import brookpath.coordination.configuration.ClusterMetadata;
-import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
-import brookpath.coordination.configuration.ControlState;
-import brookpath.coordination.configuration.Placement;
+import brookpath.coordination.metadata.ClusterMetadata;
+import brookpath.coordination.metadata.ClusterMetadata.GroupInfo;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
+import brookpath.coordination.controllog.ControlState;
+import brookpath.coordination.placement.Placement;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Membership;
 import brookpath.coordination.message.PeerMessage.ControlRequest;
--- a/coordination/src/main/java/brookpath/coordination/node/control/ConfigurationChangeHandler.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ConfigurationChangeHandler.java
@@ -1,8 +1,8 @@
 package brookpath.coordination.node.control;
 
-import brookpath.coordination.configuration.ChangeOutcomes.Outcome;
+import brookpath.coordination.controllog.ChangeOutcomes.Outcome;
 import brookpath.coordination.configuration.ConfigurationReader;
-import brookpath.coordination.configuration.ControlState;
+import brookpath.coordination.controllog.ControlState;
 import brookpath.coordination.configuration.Finding;
 import brookpath.coordination.configuration.StoredConfiguration;
 import brookpath.coordination.group.GroupMachine;
--- a/coordination/src/main/java/brookpath/coordination/node/control/ConfigurationLeaseGranter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ConfigurationLeaseGranter.java
@@ -2,9 +2,9 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.configuration.ClusterMetadata;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
-import brookpath.coordination.configuration.FleetClock;
+import brookpath.coordination.metadata.ClusterMetadata;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
+import brookpath.coordination.metadata.FleetClock;
 import brookpath.coordination.configuration.StoredConfiguration;
 import brookpath.coordination.configuration.VersionUpdates;
 import brookpath.coordination.group.GroupMachine;
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlGroupMembership.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlGroupMembership.java
@@ -1,7 +1,7 @@
 package brookpath.coordination.node.control;
 
 import brookpath.coordination.TimingBounds;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Member;
 import brookpath.coordination.group.Membership;
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlLeader.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlLeader.java
@@ -2,9 +2,9 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.configuration.ConfigurationReader;
-import brookpath.coordination.configuration.FleetClock;
+import brookpath.coordination.metadata.FleetClock;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Quorums;
 import brookpath.coordination.heartbeat.HeartbeatTable;
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlRequestHandler.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlRequestHandler.java
@@ -4,7 +4,7 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
+import brookpath.coordination.metadata.ClusterMetadata.GroupInfo;
 import brookpath.coordination.configuration.StoredConfiguration;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.message.PeerMessage.ControlReply;
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlStatus.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlStatus.java
@@ -1,8 +1,8 @@
 package brookpath.coordination.node.control;
 
-import brookpath.coordination.configuration.ClusterMetadata;
-import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.metadata.ClusterMetadata;
+import brookpath.coordination.metadata.ClusterMetadata.GroupInfo;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.group.Member;
 import jakarta.json.Json;
 import jakarta.json.JsonArrayBuilder;
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlView.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlView.java
@@ -1,7 +1,7 @@
 package brookpath.coordination.node.control;
 
-import brookpath.coordination.configuration.ClusterMetadata;
-import brookpath.coordination.configuration.ControlState;
+import brookpath.coordination.metadata.ClusterMetadata;
+import brookpath.coordination.controllog.ControlState;
 import brookpath.coordination.configuration.StoredConfiguration;
 import brookpath.coordination.group.GroupMachine;
 
--- a/coordination/src/main/java/brookpath/coordination/node/control/GroupMoveDriver.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/GroupMoveDriver.java
@@ -2,10 +2,10 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.configuration.ClusterMetadata;
-import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
-import brookpath.coordination.configuration.MovePlan;
-import brookpath.coordination.configuration.StorageFailureDetector;
+import brookpath.coordination.metadata.ClusterMetadata;
+import brookpath.coordination.metadata.ClusterMetadata.GroupInfo;
+import brookpath.coordination.placement.MovePlan;
+import brookpath.coordination.placement.StorageFailureDetector;
 import brookpath.coordination.group.MoveOrder;
 import brookpath.coordination.message.PeerMessage.ControlRequest;
 import brookpath.state.record.PackedBuffer;
--- a/coordination/src/main/java/brookpath/coordination/node/control/StorageRetirementHandler.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/StorageRetirementHandler.java
@@ -2,11 +2,11 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import brookpath.coordination.configuration.ClusterMetadata;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
-import brookpath.coordination.configuration.ControlState;
-import brookpath.coordination.configuration.MovePlan;
-import brookpath.coordination.configuration.Retirements.Retirement;
+import brookpath.coordination.metadata.ClusterMetadata;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
+import brookpath.coordination.controllog.ControlState;
+import brookpath.coordination.placement.MovePlan;
+import brookpath.coordination.controllog.Retirements.Retirement;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.message.PeerMessage.ControlRequest;
 import brookpath.coordination.message.Response;
--- a/coordination/src/main/java/brookpath/coordination/node/usage/UsageReporter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/usage/UsageReporter.java
@@ -2,10 +2,10 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.configuration.ClusterMetadata;
-import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
-import brookpath.coordination.configuration.ControlState;
-import brookpath.coordination.configuration.FleetClock;
+import brookpath.coordination.metadata.ClusterMetadata;
+import brookpath.coordination.metadata.ClusterMetadata.GroupInfo;
+import brookpath.coordination.controllog.ControlState;
+import brookpath.coordination.metadata.FleetClock;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.message.PeerMessage.ControlRequest;
 import brookpath.coordination.node.Node.Time;
--- a/coordination/src/main/java/brookpath/coordination/configuration/Placement.java
+++ b/coordination/src/main/java/brookpath/coordination/placement/Placement.java
@@ -1,7 +1,9 @@
-package brookpath.coordination.configuration;
+package brookpath.coordination.placement;
 
-import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.configuration.Configuration;
+import brookpath.coordination.metadata.ClusterMetadata;
+import brookpath.coordination.metadata.ClusterMetadata.GroupInfo;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.group.Member;
 import brookpath.coordination.group.Membership;
 import java.util.ArrayList;
--- a/coordination/src/main/java/brookpath/coordination/configuration/StorageFailureDetector.java
+++ b/coordination/src/main/java/brookpath/coordination/placement/StorageFailureDetector.java
@@ -1,5 +1,6 @@
-package brookpath.coordination.configuration;
+package brookpath.coordination.placement;
 
+import brookpath.coordination.metadata.ClusterMetadata;
 import brookpath.coordination.TimingBounds;
 import java.util.HashSet;
 import java.util.Map;
--- a/coordination/src/main/java/brookpath/coordination/route/RouteFinder.java
+++ b/coordination/src/main/java/brookpath/coordination/route/RouteFinder.java
@@ -4,10 +4,10 @@
 import static brookpath.coordination.route.Route.unavailable;
 
 import brookpath.coordination.TimingBounds;
-import brookpath.coordination.configuration.ClusterMetadata;
-import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
+import brookpath.coordination.metadata.ClusterMetadata;
+import brookpath.coordination.metadata.ClusterMetadata.GroupInfo;
 import brookpath.coordination.configuration.Configuration;
-import brookpath.coordination.configuration.Placement;
+import brookpath.coordination.placement.Placement;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Member;
 import brookpath.coordination.heartbeat.HeartbeatTable;
--- a/programs/src/main/java/brookpath/programs/boot/ProcessAssembly.java
+++ b/programs/src/main/java/brookpath/programs/boot/ProcessAssembly.java
@@ -2,8 +2,8 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Action;
-import brookpath.coordination.configuration.ClusterMetadata;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.metadata.ClusterMetadata;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.configuration.ConfigurationClient;
 import brookpath.coordination.group.Member;
 import brookpath.coordination.node.ControllerNode;
--- a/programs/src/main/java/brookpath/programs/boot/ProcessLauncher.java
+++ b/programs/src/main/java/brookpath/programs/boot/ProcessLauncher.java
@@ -3,7 +3,7 @@
 import static brookpath.programs.settings.Settings.host;
 import static brookpath.programs.settings.Settings.port;
 
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.group.Member;
 import brookpath.coordination.node.NodeRequest;
 import brookpath.coordination.node.control.GroupBootstrap;
--- a/testing/src/main/java/brookpath/testing/fleet/FleetScenario.java
+++ b/testing/src/main/java/brookpath/testing/fleet/FleetScenario.java
@@ -1,7 +1,7 @@
 package brookpath.testing.fleet;
 
 import brookpath.coordination.configuration.Configuration;
-import brookpath.coordination.configuration.Placement;
+import brookpath.coordination.placement.Placement;
 import brookpath.testing.sim.Callers;
 import java.io.IOException;
 import java.util.ArrayList;
--- a/testing/src/main/java/brookpath/testing/sim/Callers.java
+++ b/testing/src/main/java/brookpath/testing/sim/Callers.java
@@ -4,7 +4,7 @@
 
 import brookpath.coordination.action.Action;
 import brookpath.coordination.configuration.Configuration;
-import brookpath.coordination.configuration.Placement;
+import brookpath.coordination.placement.Placement;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.node.NodeRequest;
 import brookpath.testing.oracle.History.Sent;
--- a/testing/src/main/java/brookpath/testing/sim/ControlFleet.java
+++ b/testing/src/main/java/brookpath/testing/sim/ControlFleet.java
@@ -1,6 +1,6 @@
 package brookpath.testing.sim;
 
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.group.Member;
 import brookpath.coordination.node.ControllerNode;
 import brookpath.coordination.node.GatewayNode;
--- a/testing/src/main/java/brookpath/testing/sim/CrashPoint.java
+++ b/testing/src/main/java/brookpath/testing/sim/CrashPoint.java
@@ -3,7 +3,7 @@
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import brookpath.coordination.action.Action;
-import brookpath.coordination.configuration.ControlState;
+import brookpath.coordination.controllog.ControlState;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.message.PeerMessage;
 import brookpath.coordination.node.ControllerNode;
--- a/testing/src/main/java/brookpath/testing/sim/SimulatedProcess.java
+++ b/testing/src/main/java/brookpath/testing/sim/SimulatedProcess.java
@@ -2,7 +2,7 @@
 
 import brookpath.coordination.action.Action;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.heartbeat.HeartbeatMonitor;
 import brookpath.coordination.heartbeat.HeartbeatTable;
 import brookpath.coordination.heartbeat.StatusHandoff;
--- a/testing/src/test/java/brookpath/testing/ControlStateTest.java
+++ b/testing/src/test/java/brookpath/testing/ControlStateTest.java
@@ -5,10 +5,10 @@
 import static org.testng.Assert.assertNotNull;
 import static org.testng.Assert.assertNull;
 
-import brookpath.coordination.configuration.ChangeOutcomes.Outcome;
-import brookpath.coordination.configuration.ClusterMetadata;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
-import brookpath.coordination.configuration.ControlState;
+import brookpath.coordination.controllog.ChangeOutcomes.Outcome;
+import brookpath.coordination.metadata.ClusterMetadata;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
+import brookpath.coordination.controllog.ControlState;
 import brookpath.coordination.group.Membership;
 import brookpath.coordination.message.Response;
 import brookpath.state.record.LogRecord;
--- a/testing/src/test/java/brookpath/testing/MachineIdentityTest.java
+++ b/testing/src/test/java/brookpath/testing/MachineIdentityTest.java
@@ -7,9 +7,9 @@
 import static org.testng.Assert.assertThrows;
 import static org.testng.Assert.assertTrue;
 
-import brookpath.coordination.configuration.ClusterMetadata;
-import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.metadata.ClusterMetadata;
+import brookpath.coordination.metadata.ClusterMetadata.GroupInfo;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.group.Member;
 import brookpath.coordination.group.Membership;
 import brookpath.state.disk.DiskFile;
--- a/testing/src/test/java/brookpath/testing/MovePlanTest.java
+++ b/testing/src/test/java/brookpath/testing/MovePlanTest.java
@@ -4,12 +4,12 @@
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
-import brookpath.coordination.configuration.ClusterMetadata;
-import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
-import brookpath.coordination.configuration.MovePlan;
-import brookpath.coordination.configuration.MovePlan.Move;
-import brookpath.coordination.configuration.Placement;
+import brookpath.coordination.metadata.ClusterMetadata;
+import brookpath.coordination.metadata.ClusterMetadata.GroupInfo;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
+import brookpath.coordination.placement.MovePlan;
+import brookpath.coordination.placement.MovePlan.Move;
+import brookpath.coordination.placement.Placement;
 import brookpath.coordination.group.Member;
 import java.util.ArrayList;
 import java.util.HashSet;
--- a/testing/src/test/java/brookpath/testing/StorageFailureDetectorTest.java
+++ b/testing/src/test/java/brookpath/testing/StorageFailureDetectorTest.java
@@ -3,11 +3,11 @@
 import static org.testng.Assert.assertEquals;
 
 import brookpath.coordination.TimingBounds;
-import brookpath.coordination.configuration.ClusterMetadata;
-import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
-import brookpath.coordination.configuration.Placement;
-import brookpath.coordination.configuration.StorageFailureDetector;
+import brookpath.coordination.metadata.ClusterMetadata;
+import brookpath.coordination.metadata.ClusterMetadata.GroupInfo;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
+import brookpath.coordination.placement.Placement;
+import brookpath.coordination.placement.StorageFailureDetector;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
--- a/testing/src/test/java/brookpath/testing/sim/AddressReuseTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/AddressReuseTest.java
@@ -6,8 +6,8 @@
 import static org.testng.Assert.assertNotNull;
 import static org.testng.Assert.assertTrue;
 
-import brookpath.coordination.configuration.ClusterMetadata;
-import brookpath.coordination.configuration.ControlState;
+import brookpath.coordination.metadata.ClusterMetadata;
+import brookpath.coordination.controllog.ControlState;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.node.ControllerNode;
 import brookpath.coordination.node.NodeRequest;
--- a/testing/src/test/java/brookpath/testing/sim/CallIdsTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/CallIdsTest.java
@@ -7,7 +7,7 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Action;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.heartbeat.HeartbeatTable;
 import brookpath.coordination.message.PeerMessage.ConfigurationPoll;
 import brookpath.coordination.message.PeerMessage.ConfigurationReply;
--- a/testing/src/test/java/brookpath/testing/sim/ControlScene.java
+++ b/testing/src/test/java/brookpath/testing/sim/ControlScene.java
@@ -3,8 +3,8 @@
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.testng.Assert.assertNotNull;
 
-import brookpath.coordination.configuration.ClusterMetadata;
-import brookpath.coordination.configuration.ControlState;
+import brookpath.coordination.metadata.ClusterMetadata;
+import brookpath.coordination.controllog.ControlState;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.node.ControllerNode;
--- a/testing/src/test/java/brookpath/testing/sim/ControlStateSizeTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ControlStateSizeTest.java
@@ -6,7 +6,7 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Action;
-import brookpath.coordination.configuration.ControlState;
+import brookpath.coordination.controllog.ControlState;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Member;
 import brookpath.coordination.heartbeat.HeartbeatTable;
--- a/testing/src/test/java/brookpath/testing/sim/FullDiskTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/FullDiskTest.java
@@ -7,7 +7,7 @@
 import static org.testng.Assert.assertTrue;
 
 import brookpath.coordination.configuration.Configuration;
-import brookpath.coordination.configuration.Placement;
+import brookpath.coordination.placement.Placement;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.node.ControllerNode;
--- a/testing/src/test/java/brookpath/testing/sim/OrderRepeatsTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/OrderRepeatsTest.java
@@ -5,9 +5,9 @@
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
-import brookpath.coordination.configuration.ClusterMetadata;
-import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
-import brookpath.coordination.configuration.ControlState;
+import brookpath.coordination.metadata.ClusterMetadata;
+import brookpath.coordination.metadata.ClusterMetadata.GroupInfo;
+import brookpath.coordination.controllog.ControlState;
 import brookpath.coordination.message.Response;
 import brookpath.state.record.LogRecord;
 import java.util.ArrayList;
--- a/testing/src/test/java/brookpath/testing/sim/RejoinAfterManyChangesTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/RejoinAfterManyChangesTest.java
@@ -4,7 +4,7 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import brookpath.coordination.configuration.ControlState;
+import brookpath.coordination.controllog.ControlState;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.node.ControllerNode;
 import brookpath.coordination.node.NodeRequest;
--- a/testing/src/test/java/brookpath/testing/sim/UsageRepeatTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/UsageRepeatTest.java
@@ -4,7 +4,7 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import brookpath.coordination.configuration.ControlState;
+import brookpath.coordination.controllog.ControlState;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.node.ControllerNode;
 import org.testng.annotations.Test;
--- a/tools/src/main/java/brookpath/tools/datafolder/DataFolderCheck.java
+++ b/tools/src/main/java/brookpath/tools/datafolder/DataFolderCheck.java
@@ -4,7 +4,7 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.configuration.ControlState;
+import brookpath.coordination.controllog.ControlState;
 import brookpath.coordination.configuration.StoredConfiguration;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.heartbeat.HeartbeatPromises;
--- a/tools/src/main/java/brookpath/tools/plan/Plan.java
+++ b/tools/src/main/java/brookpath/tools/plan/Plan.java
@@ -2,13 +2,13 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import brookpath.coordination.configuration.ClusterMetadata;
-import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
+import brookpath.coordination.metadata.ClusterMetadata;
+import brookpath.coordination.metadata.ClusterMetadata.GroupInfo;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.configuration.Configuration;
 import brookpath.coordination.configuration.ConfigurationReader;
 import brookpath.coordination.configuration.Finding;
-import brookpath.coordination.configuration.MovePlan;
+import brookpath.coordination.placement.MovePlan;
 import brookpath.coordination.group.Member;
 import brookpath.coordination.group.Membership;
 import brookpath.coordination.group.Quorums;
