--- a/coordination/src/main/java/brookpath/coordination/configuration/Configuration.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/Configuration.java
@@ -20,6 +20,7 @@
     /** Among a tenant's spaces: every one there is. */
     public static final String ALL = "*";
 
+    /** The configuration before the first change. */
     public static final Configuration NONE = new Configuration(0, 0, "", Map.of(), Map.of(), Map.of(), 64);
 
     public Configuration(
@@ -56,11 +57,13 @@
 
     /** A tenant and the spaces that its keys open. */
     public record Tenant(String name, Set<String> spaces) {
+        /** Whether the tenant's keys open the space of this name. */
         public boolean uses(final String space) {
             return spaces.contains(space) || spaces.contains(ALL);
         }
     }
 
+    /** The tenant that a key belongs to, null for none. */
     public Tenant tenantOf(final String key) {
         final String name = keys.get(key);
         return name == null ? null : tenants.get(name);
--- a/coordination/src/main/java/brookpath/coordination/configuration/ConfigurationClient.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/ConfigurationClient.java
@@ -16,6 +16,8 @@
     /** Told in place of a version, so that the answer brings the whole. */
     private static final int NOTHING_KNOWN = -1;
 
+    private static final int NO_LEADER = 0;
+
     private final NodeInfo info;
     private final int self;
     private final int role;
@@ -74,14 +76,17 @@
         target = controllers.isEmpty() ? 0 : controllers.get(turn);
     }
 
+    /** The newest configuration that this process has. */
     public Configuration configuration() {
         return configuration;
     }
 
+    /** The newest cluster metadata that this process has. */
     public ClusterMetadata metadata() {
         return metadata;
     }
 
+    /** The controller that is polled, 0 for none. */
     public int controlLeader() {
         return target;
     }
@@ -91,10 +96,12 @@
         return leased(now) && !relay ? target : 0;
     }
 
+    /** Tells the control leader with the next poll whether this process drains. */
     public void drain(final boolean on) {
         drain = on;
     }
 
+    /** Whether this process drains. */
     public boolean draining() {
         return drain;
     }
@@ -104,6 +111,7 @@
         return known && now < leaseUntil;
     }
 
+    /** The end of the lease by this process's monotonic clock, in milliseconds. */
     public long leaseUntil() {
         return known ? leaseUntil : Long.MIN_VALUE;
     }
@@ -118,6 +126,7 @@
         return clockKnown() ? time.mono() + clockAhead : 0;
     }
 
+    /** Sends the next poll where it is due, and gives up one that is not answered in time. */
     public void tick(final Time time) {
         final long now = time.mono();
         if (polling && now - sentAt > timing.configurationDeadline()) {
@@ -133,7 +142,7 @@
      * The one that was asked cannot be reached. Another may reach it, so it is asked to carry the poll, for a while.
      */
     private void unreached(final long now) {
-        // why: before a first answer nothing says that the one is unreachable rather than not up yet
+        // Before a first answer nothing says that the one is unreachable rather than not up yet
         relay = known;
         relayUntil = now + 2 * timing.changeMs() * 4 / 5;
         nextSeed();
@@ -175,7 +184,7 @@
                 known.add(b.node());
             }
         });
-        // why: machines of the first days may be gone for good
+        // Machines of the first days may be gone for good
         if (!metadata.controllers().isEmpty()) {
             known.removeIf(n -> n != target && metadata.controllers().stream().noneMatch(b -> b.node() == n));
         }
@@ -217,39 +226,25 @@
     }
 
     /** True when the configuration or the cluster metadata is a newer one. */
-    public boolean onReply(final ConfigurationReply m, final Time time) {
-        final long now = time.mono();
-        if (!polling || m.pollId() != pollId) {
+    public boolean onReply(final ConfigurationReply reply, final Time time) {
+        if (!polling || reply.pollId() != pollId) {
             return false;
         }
         polling = false;
-        if (!m.leader()) {
-            if (!relay && m.leaderHint() != 0 && m.leaderHint() != target && controllers.contains(m.leaderHint())) {
-                target = m.leaderHint();
-                nextAt = now;
-            } else if (!relay && m.leaderHint() != 0 && m.leaderHint() != target) {
-                // why: a leader that no settings named is known by number only; whoever names it carries the poll, and
-                // the cluster metadata tells the rest
-                relay = true;
-                leaderUnknown = true;
-                relayUntil = now + timing.configurationHold();
-                nextAt = now;
-            } else {
-                nextSeed();
-                nextAt = now + timing.tick();
-            }
+        if (!reply.leader()) {
+            followLeaderHint(reply.leaderHint(), time.mono());
             return false;
         }
-        if (m.configurationVersion() < configuration.version()) {
-            // why: a process that has shown a version never goes back, whoever says so
-            out.grave("spec went back from " + configuration.version() + " to " + m.configurationVersion());
+        if (reply.configurationVersion() < configuration.version()) {
+            // A process that has shown a version never goes back, whoever says so
+            out.grave("spec went back from " + configuration.version() + " to " + reply.configurationVersion());
             return false;
         }
-        final boolean news;
+        final boolean changed;
         try {
-            news = take(m) || !known;
+            changed = take(reply) || !known;
         } catch (final Delta.MismatchException ex) {
-            // why: no lease without the configuration that it is for; the whole fits whatever there is
+            // No lease without the configuration that it is for; the whole fits whatever there is
             out.note("asks for the whole configuration: " + ex.getMessage());
             wantsWhole = true;
             poll(time);
@@ -257,14 +252,37 @@
         }
         wantsWhole = false;
         known = true;
-        askDirectly(m.leaderHint());
-        // why: the lease runs from when the poll was sent, which is before it was granted
+        askDirectly(reply.leaderHint());
+        renewLease(reply, time.mono());
+        poll(time);
+        return changed;
+    }
+
+    /** The one that was asked does not lead: asks whom it names, else the next controller. */
+    private void followLeaderHint(final int hint, final long now) {
+        final boolean usable = !relay && hint != NO_LEADER && hint != target;
+        if (usable && controllers.contains(hint)) {
+            target = hint;
+            nextAt = now;
+        } else if (usable) {
+            // A leader that no settings named is known by number only; whoever names it forwards the poll, and the
+            // cluster metadata tells the rest
+            relay = true;
+            leaderUnknown = true;
+            relayUntil = now + timing.configurationHold();
+            nextAt = now;
+        } else {
+            nextSeed();
+            nextAt = now + timing.tick();
+        }
+    }
+
+    private void renewLease(final ConfigurationReply reply, final long now) {
+        // The lease runs from when the poll was sent, which is before it was granted
         leaseUntil = Math.max(leaseUntil, sentAt + timing.configurationLease());
-        if (m.wall() != 0) {
-            clockAhead = m.wall() - now;
+        if (reply.wall() != 0) {
+            clockAhead = reply.wall() - now;
         }
-        poll(time);
-        return news;
     }
 
     /** Takes what is newer in the reply; nothing of it where one part does not fit. True where there was something. */
--- a/coordination/src/main/java/brookpath/coordination/configuration/ConfigurationReader.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/ConfigurationReader.java
@@ -30,6 +30,11 @@
 
     private static final long MAX_KEEPING_S = 3_600;
     private static final long MAX_ANSWER_MS = 600_000;
+    private static final long MS_PER_S = 1_000;
+    private static final int MAX_NAME = 64;
+    private static final int MAX_CHANGE_ID = 128;
+    private static final int MAX_REPLICAS = 7;
+    private static final int MAX_TOPICS_PER_SESSION = 10_000;
 
     /** What a space may ask of the groups. */
     public record Limits(int members, int floor) {}
@@ -44,6 +49,12 @@
         this.limits = limits;
     }
 
+    /**
+     * Reads a change document.
+     *
+     * @param version the version that it gets where it names none
+     * @param present the configuration that it is to follow
+     */
     public static Reading read(final byte[] doc, final long version, final Limits limits, final Configuration present) {
         final ConfigurationReader rd = new ConfigurationReader(limits);
         final JsonValue root;
@@ -79,93 +90,125 @@
         }
     }
 
+    /** The configuration of a document that was accepted before. */
     public static Configuration stored(final byte[] doc, final long version) {
-        return read(doc, version, new Limits(7, 1), Configuration.NONE).configuration;
+        return read(doc, version, new Limits(MAX_REPLICAS, 1), Configuration.NONE).configuration;
     }
 
     private Configuration configuration(final JsonObject obj, final long version, final Configuration present) {
         only(obj, "", Set.of("version", "basedOn", "changeId", "spaces", "tenants", "topicsPerSession", "annotation"));
-        // why: users who number their documents themselves need those numbers in basedOn, in the outcome and when they
+        // Users who number their documents themselves need those numbers in basedOn, in the outcome and when they
         // read it back
         final long numbered = num(obj, "", "version", present.version() + 1, Long.MAX_VALUE >> 1, version);
         final long basedOn = num(obj, "", "basedOn", 0, Long.MAX_VALUE, null);
-        final String changeId = name(obj, "", "changeId", 128);
+        final String changeId = name(obj, "", "changeId", MAX_CHANGE_ID);
+        final Map<String, Space> spaces = spaces(obj, present);
+        final Map<String, Tenant> tenants = new LinkedHashMap<>();
+        final Map<String, String> keys = new LinkedHashMap<>();
+        each(obj, "", "tenants", (item, at) -> tenant(item, at, spaces.keySet(), tenants, keys));
+        if (obj.containsKey("annotation") && !(obj.get("annotation") instanceof JsonString)) {
+            find("/annotation", "must be a string");
+        }
+        final long topicsPerSession =
+                num(obj, "", "topicsPerSession", 1, MAX_TOPICS_PER_SESSION, (long) Configuration.NONE.topicsPerSession());
+        return new Configuration(
+                numbered,
+                basedOn,
+                changeId,
+                Map.copyOf(spaces),
+                Map.copyOf(tenants),
+                Map.copyOf(keys),
+                (int) topicsPerSession);
+    }
+
+    /** @param present the configuration that the document is to follow */
+    private Map<String, Space> spaces(final JsonObject obj, final Configuration present) {
         final Map<String, Space> spaces = new LinkedHashMap<>();
-        final Map<String, String> prefixes = new LinkedHashMap<>();
+        final Map<String, String> nameByPrefix = new LinkedHashMap<>();
         each(obj, "", "spaces", (item, at) -> {
-            only(item, at, Set.of("name", "prefix", "keepingSeconds", "order", "replSize", "open", "answerMs"));
-            final String name = name(item, at, "name", 64);
-            final long keeping = num(item, at, "keepingSeconds", 1, MAX_KEEPING_S, null);
-            final String order = str(item, at, "order", "sender");
-            if (!order.equals("sender") && !order.equals("one")) {
-                find(at + "/order", "must be \"sender\" or \"one\"");
+            final Space space = space(item, at, present, nameByPrefix);
+            if (spaces.put(space.name(), space) != null) {
+                find(at + "/name", "space \"" + space.name() + "\" is there twice");
             }
-            final int replSize = (int) num(item, at, "replSize", -1, 7, (long) limits.floor);
-            if (replSize > limits.members) {
-                find(at + "/replSize", replSize + " copies cannot be met by groups of " + limits.members);
-            } else if (replSize > 0 && replSize < limits.floor) {
-                find(at + "/replSize", replSize + " is less than the floor of " + limits.floor + " copies");
+        });
+        return spaces;
+    }
+
+    private Space space(
+            final JsonObject item,
+            final String at,
+            final Configuration present,
+            final Map<String, String> nameByPrefix) {
+        only(item, at, Set.of("name", "prefix", "keepingSeconds", "order", "replSize", "open", "answerMs"));
+        final String name = name(item, at, "name", MAX_NAME);
+        final long keepingS = num(item, at, "keepingSeconds", 1, MAX_KEEPING_S, null);
+        final String order = str(item, at, "order", "sender");
+        if (!order.equals("sender") && !order.equals("one")) {
+            find(at + "/order", "must be \"sender\" or \"one\"");
+        }
+        final boolean one = order.equals("one");
+        final int replSize = replSize(item, at);
+        final Space before = present.spaces().get(name);
+        if (before != null && before.one() != one) {
+            find(at + "/order", "cannot change while the space \"" + name + "\" exists");
+        }
+        final String prefix = prefix(item, at, name, nameByPrefix);
+        final long answerMs = num(item, at, "answerMs", 1, MAX_ANSWER_MS, 0L);
+        return new Space(name, prefix, keepingS * MS_PER_S, one, replSize, yes(item, at, "open"), answerMs);
+    }
+
+    private int replSize(final JsonObject item, final String at) {
+        final int replSize = (int) num(item, at, "replSize", -1, MAX_REPLICAS, (long) limits.floor);
+        if (replSize > limits.members) {
+            find(at + "/replSize", replSize + " copies cannot be met by groups of " + limits.members);
+        } else if (replSize > 0 && replSize < limits.floor) {
+            find(at + "/replSize", replSize + " is less than the floor of " + limits.floor + " copies");
+        }
+        return replSize;
+    }
+
+    private String prefix(
+            final JsonObject item, final String at, final String name, final Map<String, String> nameByPrefix) {
+        final String prefix = str(item, at, "prefix", name + "/");
+        if (!prefix.matches("[!-~]{1,128}")) {
+            find(at + "/prefix", "must be 1 to 128 printable characters without a space");
+        }
+        final String other = nameByPrefix.put(prefix, name);
+        if (other != null) {
+            find(at + "/prefix", "space \"" + other + "\" has the same prefix");
+        }
+        return prefix;
+    }
+
+    private void tenant(
+            final JsonObject item,
+            final String at,
+            final Set<String> spaces,
+            final Map<String, Tenant> tenants,
+            final Map<String, String> keys) {
+        only(item, at, Set.of("name", "spaces", "keys"));
+        final String name = name(item, at, "name", MAX_NAME);
+        final Set<String> opened = new LinkedHashSet<>();
+        strings(item, at, "spaces", (space, place) -> {
+            if (!spaces.contains(space) && !space.equals(Configuration.ALL)) {
+                find(place, "no space \"" + space + "\" in this document");
             }
-            final Space was = present.spaces().get(name);
-            if (was != null && was.one() != order.equals("one")) {
-                find(at + "/order", "cannot change while the space \"" + name + "\" exists");
+            if (!opened.add(space)) {
+                find(place, "space \"" + space + "\" is there twice");
             }
-            final String prefix = str(item, at, "prefix", name + "/");
-            if (!prefix.matches("[!-~]{1,128}")) {
-                find(at + "/prefix", "must be 1 to 128 printable characters without a space");
+        });
+        strings(item, at, "keys", (key, place) -> {
+            if (!key.matches("[A-Za-z0-9._~+/=-]{8,128}")) {
+                find(place, "a key has 8 to 128 letters, digits or ._~+/=-");
             }
-            final String other = prefixes.put(prefix, name);
+            final String other = keys.put(key, name);
             if (other != null) {
-                find(at + "/prefix", "space \"" + other + "\" has the same prefix");
-            }
-            final long answerMs = num(item, at, "answerMs", 1, MAX_ANSWER_MS, 0L);
-            if (spaces.put(
-                            name,
-                            new Space(
-                                    name,
-                                    prefix,
-                                    keeping * 1000,
-                                    order.equals("one"),
-                                    replSize,
-                                    yes(item, at, "open"),
-                                    answerMs))
-                    != null) {
-                find(at + "/name", "space \"" + name + "\" is there twice");
-            }
-        });
-        final Map<String, Tenant> tenants = new LinkedHashMap<>();
-        final Map<String, String> keys = new LinkedHashMap<>();
-        each(obj, "", "tenants", (item, at) -> {
-            only(item, at, Set.of("name", "spaces", "keys"));
-            final String name = name(item, at, "name", 64);
-            final Set<String> mine = new LinkedHashSet<>();
-            strings(item, at, "spaces", (space, place) -> {
-                if (!spaces.containsKey(space) && !space.equals(Configuration.ALL)) {
-                    find(place, "no space \"" + space + "\" in this document");
-                }
-                if (!mine.add(space)) {
-                    find(place, "space \"" + space + "\" is there twice");
-                }
-            });
-            strings(item, at, "keys", (key, place) -> {
-                if (!key.matches("[A-Za-z0-9._~+/=-]{8,128}")) {
-                    find(place, "a key has 8 to 128 letters, digits or ._~+/=-");
-                }
-                final String other = keys.put(key, name);
-                if (other != null) {
-                    find(place, "the key is also held by tenant \"" + other + "\"");
-                }
-            });
-            if (tenants.put(name, new Tenant(name, Set.copyOf(mine))) != null) {
-                find(at + "/name", "tenant \"" + name + "\" is there twice");
+                find(place, "the key is also held by tenant \"" + other + "\"");
             }
         });
-        if (obj.containsKey("annotation") && !(obj.get("annotation") instanceof JsonString)) {
-            find("/annotation", "must be a string");
+        if (tenants.put(name, new Tenant(name, Set.copyOf(opened))) != null) {
+            find(at + "/name", "tenant \"" + name + "\" is there twice");
         }
-        return new Configuration(
-                numbered, basedOn, changeId, Map.copyOf(spaces), Map.copyOf(tenants), Map.copyOf(keys), (int)
-                        num(obj, "", "topicsPerSession", 1, 10_000, (long) Configuration.NONE.topicsPerSession()));
     }
 
     private interface Item<T> {
--- a/coordination/src/main/java/brookpath/coordination/configuration/Finding.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/Finding.java
@@ -11,6 +11,7 @@
         return place + ": " + what;
     }
 
+    /** The findings as a JSON array. */
     public static String json(final List<Finding> findings) {
         return array(findings).build().toString();
     }
--- a/coordination/src/main/java/brookpath/coordination/configuration/StoredConfiguration.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/StoredConfiguration.java
@@ -32,10 +32,12 @@
         this.configuration = configuration;
     }
 
+    /** The record's position in the control log. */
     public long index() {
         return index;
     }
 
+    /** The configuration's version. */
     public long version() {
         return version;
     }
@@ -53,6 +55,7 @@
         return lean;
     }
 
+    /** The parsed document. */
     public Configuration configuration() {
         if (configuration == null) {
             configuration = ConfigurationReader.stored(document, version);
--- a/coordination/src/main/java/brookpath/coordination/controllog/ChangeOutcomes.java
+++ b/coordination/src/main/java/brookpath/coordination/controllog/ChangeOutcomes.java
@@ -15,7 +15,8 @@
  */
 public final class ChangeOutcomes {
     private static final int KEPT = 4_096;
-    private static final int TOOK_EFFECT = 200;
+    /** The status by which the format of earlier releases marks a change that took effect. */
+    private static final int STORED_TOOK_EFFECT = 200;
 
     /**
      * A change that took effect.
@@ -78,7 +79,7 @@
             final long status = in.num();
             final long version = in.num();
             in.bytes();
-            if (status == TOOK_EFFECT) {
+            if (status == STORED_TOOK_EFFECT) {
                 add(changeId, new Outcome(index, checksum, version));
             }
         }
--- a/coordination/src/main/java/brookpath/coordination/controllog/ControlState.java
+++ b/coordination/src/main/java/brookpath/coordination/controllog/ControlState.java
@@ -13,12 +13,16 @@
 
 /** What follows from the control log: the configurations, the cluster metadata, and the outcome of each change. */
 public final class ControlState implements LogState {
+    /** A configuration in full. */
     public static final int CONFIGURATION = 1;
     /** Written by earlier releases; says nothing any more. */
     private static final int REFUSAL = 2;
 
+    /** The cluster metadata. */
     public static final int METADATA = 3;
+    /** The usage of a window. */
     public static final int USAGE = 4;
+    /** That the platform has accepted a window's usage, or that it was given up. */
     public static final int DELIVERED = 5;
     /** A configuration as its difference from the one in the record of a configuration before it. */
     public static final int CONFIGURATION_DELTA = 6;
@@ -27,7 +31,7 @@
     private static final int KEPT_WINDOWS = 360;
 
     /** Totals that the platform has been told are kept for as many windows, for those who ask what was reported. */
-    private static final int KEPT_TOLD_WINDOWS = 64;
+    private static final int KEPT_DELIVERED_WINDOWS = 64;
 
     /** So many committed records, and so many bytes of them, stay in memory for followers that lag. */
     private static final int KEPT_RECORDS = 256;
@@ -47,7 +51,7 @@
     public record Window(long index, long window, List<Used> used) {}
 
     private final TreeMap<Long, Window> windows = new TreeMap<>();
-    private final TreeMap<Long, Boolean> settled = new TreeMap<>();
+    private final TreeMap<Long, Boolean> deliveries = new TreeMap<>();
     private final TreeMap<Integer, Long> included = new TreeMap<>();
     private final CommittedVersions<StoredConfiguration> configurations = new CommittedVersions<>();
     private final CommittedVersions<ClusterMetadata> metadatas = new CommittedVersions<>();
@@ -88,6 +92,7 @@
                 .done();
     }
 
+    /** The body of a record with the cluster metadata. */
     public static byte[] metadataBody(final ClusterMetadata metadata) {
         return PackedBuffer.writer().num(METADATA).bytes(metadata.save()).done();
     }
@@ -101,6 +106,7 @@
         return buffer.done();
     }
 
+    /** The body of a record that says what became of a window's report. */
     public static byte[] deliveredBody(final long window, final boolean delivered) {
         return PackedBuffer.writer()
                 .num(DELIVERED)
@@ -126,14 +132,14 @@
     private void addWindow(final Window w) {
         windows.put(w.window, w);
         if (windows.size() > KEPT_WINDOWS) {
-            settled.remove(windows.pollFirstEntry().getKey());
+            deliveries.remove(windows.pollFirstEntry().getKey());
         }
     }
 
-    private void settle(final long window, final boolean delivered) {
-        settled.put(window, delivered);
-        if (settled.size() > KEPT_TOLD_WINDOWS) {
-            windows.remove(settled.pollFirstEntry().getKey());
+    private void recordDelivery(final long window, final boolean delivered) {
+        deliveries.put(window, delivered);
+        if (deliveries.size() > KEPT_DELIVERED_WINDOWS) {
+            windows.remove(deliveries.pollFirstEntry().getKey());
         }
     }
 
@@ -142,24 +148,26 @@
         return windows.isEmpty() ? -1 : windows.lastKey();
     }
 
+    /** Through which of its windows a group is counted, -1 for none. */
     public long included(final int group) {
         return included.getOrDefault(group, -1L);
     }
 
     /** Windows of which the platform has not been told yet. */
-    public List<Window> untold(final long position) {
+    public List<Window> undelivered(final long position) {
         return windows.values().stream()
-                .filter(w -> w.index <= position && !settled.containsKey(w.window))
+                .filter(w -> w.index <= position && !deliveries.containsKey(w.window))
                 .toList();
     }
 
+    /** The totals that are kept, oldest first. */
     public Iterable<Window> windows() {
         return windows.values();
     }
 
     /** Null while it is on its way, false where it was given up. */
-    public Boolean told(final long window) {
-        return settled.get(window);
+    public Boolean deliveryOutcome(final long window) {
+        return deliveries.get(window);
     }
 
     @Override
@@ -182,7 +190,7 @@
                 outcomes.add(changeId, new ChangeOutcomes.Outcome(logRecord.index(), sum, version));
             }
             case REFUSAL -> {
-                // why: a refusal follows from the document and from what was committed before it
+                // A refusal follows from the document and from what was committed before it
             }
             case METADATA -> {
                 final ClusterMetadata metadata = ClusterMetadata.load(in.bytes());
@@ -195,7 +203,7 @@
                     included.put((int) in.num(), in.num());
                 }
             }
-            case DELIVERED -> settle(in.num(), in.num() == 1);
+            case DELIVERED -> recordDelivery(in.num(), in.num() == 1);
             default -> throw new IllegalStateException("unknown control record at " + logRecord.index());
         }
     }
@@ -205,7 +213,7 @@
         try {
             return Delta.apply(configurationAt(Long.MAX_VALUE).doc(), delta);
         } catch (final Delta.MismatchException ex) {
-            // why: the records before this one decide the base, and each stands on a checksum of its own
+            // The records before this one decide the base, and each stands on a checksum of its own
             throw new IllegalStateException(
                     "configuration record at " + logRecord.index() + ": " + ex.getMessage(), ex);
         }
@@ -248,12 +256,12 @@
 
     @Override
     public void trimmed(final LogRecord logRecord) {
-        // why: nothing is read back from the control log by position, so nothing needs to know what is gone
+        // Nothing is read back from the control log by position, so nothing needs to know what is gone
     }
 
     @Override
     public boolean keeps(final LogRecord logRecord, final long now, final int newerRecords, final long newerBytes) {
-        // why: by count and size, not by age: a snapshot serves whoever lags more, and a run of large changes must not
+        // By count and size, not by age: a snapshot serves whoever lags more, and a run of large changes must not
         // fill the memory
         return newerRecords < KEPT_RECORDS && newerBytes < KEPT_BYTES;
     }
@@ -271,8 +279,8 @@
         metadatas.all().forEach(r -> buffer.num(r.index()).bytes(r.value().save()));
         buffer.num(windows.size());
         windows.values().forEach(w -> packWindow(buffer.num(w.index), w));
-        buffer.num(settled.size());
-        settled.forEach((w, told) -> buffer.num(w).num(told ? 1 : 0));
+        buffer.num(deliveries.size());
+        deliveries.forEach((w, delivered) -> buffer.num(w).num(delivered ? 1 : 0));
         buffer.num(included.size());
         included.forEach((g, w) -> buffer.num(g).num(w));
         outcomes.save(buffer.num(COMPACT_OUTCOMES));
@@ -293,7 +301,7 @@
             addWindow(unpackWindow(in.num(), in));
         }
         for (long n = in.num(); n > 0; n--) {
-            settle(in.num(), in.num() == 1);
+            recordDelivery(in.num(), in.num() == 1);
         }
         for (long n = in.num(); n > 0; n--) {
             included.put((int) in.num(), in.num());
--- a/coordination/src/main/java/brookpath/coordination/controllog/Retirements.java
+++ b/coordination/src/main/java/brookpath/coordination/controllog/Retirements.java
@@ -45,7 +45,7 @@
     void apply(final long index, final ClusterMetadata metadata) {
         for (final NodeInfo info : metadata.nodes()) {
             if (!metadata.retiring().contains(info.node())) {
-                // why: it was kept after all, or another machine bears the name now
+                // It was kept after all, or another machine bears the name now
                 retirements.removeIf(r -> r.isOf(info));
             } else if (retirements.stream().noneMatch(r -> r.isOf(info))) {
                 retirements.add(new Retirement(index, info.node(), info.name()));
--- a/coordination/src/main/java/brookpath/coordination/metadata/ClusterMetadata.java
+++ b/coordination/src/main/java/brookpath/coordination/metadata/ClusterMetadata.java
@@ -27,6 +27,7 @@
      */
     private static final long FORMAT = -2;
 
+    /** The cluster metadata before the first record. */
     public static final ClusterMetadata NONE = new ClusterMetadata(0, List.of(), List.of(), List.of());
 
     /**
@@ -114,6 +115,7 @@
         return new ClusterMetadata(version + 1, nodes, groups, retiring, List.copyOf(newControllers), newControl);
     }
 
+    /** The storage node of this number, null for none. */
     public NodeInfo node(final int id) {
         for (final NodeInfo n : nodes) {
             if (n.node() == id) {
@@ -123,6 +125,7 @@
         return null;
     }
 
+    /** The form in which it is stored and sent. */
     public byte[] save() {
         final PackedBuffer buffer =
                 PackedBuffer.writer().num(FORMAT).num(version).num(nodes.size());
@@ -138,6 +141,11 @@
         return control.buffer(buffer).done();
     }
 
+    /**
+     * Reads what {@link #save} gave, also that of earlier formats.
+     *
+     * @throws IllegalStateException where the format is that of a newer version
+     */
     public static ClusterMetadata load(final byte[] saved) {
         if (saved.length == 0) {
             return NONE;
--- a/coordination/src/main/java/brookpath/coordination/node/ControllerNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/ControllerNode.java
@@ -47,8 +47,8 @@
 
     private final GroupMachine group;
     private final ControlView view;
-    private final ControlResponder replies;
-    private final ForwardedRequests relayed;
+    private final ControlResponder responder;
+    private final ForwardedRequests forwarded;
     private final ForwardedPolls forwardedPolls;
     private final ControlLeader leader;
     /** The log is rolled into a checkpoint beyond so many bytes. */
@@ -99,10 +99,10 @@
         group = new GroupMachine(
                 CONTROL, self, timing, founding.toleratedLosses(), seed, ControlState::new, promises, out);
         view = new ControlView(group);
-        replies = new ControlResponder(self, timing, out);
-        relayed = new ForwardedRequests(timing, replies, this::nextId, out);
+        responder = new ControlResponder(self, timing, out);
+        forwarded = new ForwardedRequests(timing, responder, this::nextId, out);
         forwardedPolls = new ForwardedPolls(group, out);
-        leader = new ControlLeader(info, group, view, founding, timing, replies, this::nextId, out);
+        leader = new ControlLeader(info, group, view, founding, timing, responder, this::nextId, out);
         client = new ConfigurationClient(info, ConfigurationPoll.CONTROLLER, seeds, firstId, timing, out);
     }
 
@@ -120,13 +120,13 @@
         if (found) {
             group.found();
         }
-        // why: one that no founder and no log names is no member; it carries requests and polls, and a membership that
+        // One that no founder and no log names is no member; it forwards requests and polls, and a membership that
         // names it may come later
         if (founders.stream().anyMatch(m -> m.node() == self)
                 || group.membership().holds(self)) {
             group.configure(founders, 1, true, time.mono());
         }
-        // why: all that the settings name may be gone by now, but the log names others
+        // All that the settings name may be gone by now, but the log names others
         client.suggest(view.newestMetadata().controllers());
         return out.drain();
     }
@@ -184,7 +184,7 @@
         if (group.mayAct(now)) {
             leader.tick(time);
         }
-        relayed.tick(now);
+        forwarded.tick(now);
         if (out.bytesSinceRoll() > rollBytes) {
             onDamage(time);
         }
@@ -211,12 +211,12 @@
         } else if (message instanceof ConfigurationReply reply) {
             onConfigurationReply(reply, time);
         } else if (message instanceof ControlRequest request) {
-            // why: a request is forwarded once at most, so that no two controllers send it to and fro
-            if (isPeer(from) || group.mayAct(now) || !relayed.carry(from, request, leaderForRequests(now), now)) {
+            // A request is forwarded once at most, so that no two controllers send it to and fro
+            if (isPeer(from) || group.mayAct(now) || !forwarded.forward(from, request, leaderForRequests(now), now)) {
                 leader.onRequest(from, request, time);
             }
         } else if (message instanceof ControlReply reply) {
-            relayed.onReply(from, reply, now);
+            forwarded.onReply(from, reply, now);
         } else {
             group.on(from, message, now);
             leader.afterEvent(table, time);
@@ -260,7 +260,7 @@
             }
             forwardedPolls.onUnsent(poll);
         } else if (message instanceof ControlRequest request) {
-            relayed.unsent(request);
+            forwarded.unsent(request);
         }
     }
 
@@ -271,13 +271,13 @@
         if (isPeer(node)) {
             forwardedPolls.onSessionLost();
         }
-        relayed.sessionLost(node);
+        forwarded.sessionLost(node);
     }
 
     @Override
     public long restMs(final Time time) {
-        final boolean busy = retreat != NO_REQUEST || leader.hasPendingRequests() || !relayed.isEmpty();
-        // why: one that is no member of the control group has nothing under way but what it carries
+        final boolean busy = retreat != NO_REQUEST || leader.hasPendingRequests() || !forwarded.isEmpty();
+        // One that is no member of the control group has nothing in flight but what it forwards
         return !busy && (group.calm() || !group.membership().holds(self)) ? timing.heartbeat() / 2 : timing.tick();
     }
 
@@ -305,8 +305,8 @@
         final ControlRequest request = new ControlRequest(operate.requestId(), operate.kind(), operate.body());
         if (group.mayAct(now)) {
             leader.onRequest(self, request, time);
-        } else if (!relayed.carry(self, request, leaderForRequests(now), now)) {
-            out.respond(operate.requestId(), replies.unavailable("the control group has no master just now"));
+        } else if (!forwarded.forward(self, request, leaderForRequests(now), now)) {
+            out.respond(operate.requestId(), responder.unavailable("the control group has no master just now"));
         }
     }
 
--- a/coordination/src/main/java/brookpath/coordination/node/control/ClusterMetadataUpdater.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ClusterMetadataUpdater.java
@@ -23,8 +23,8 @@
     private final NodeInfo info;
     private final GroupMachine group;
     private final ControlView view;
-    private final ConfigurationLeaseGranter polls;
-    private final GroupBootstrap founding;
+    private final ConfigurationLeaseGranter leases;
+    private final GroupBootstrap bootstrap;
     private final TimingBounds timing;
 
     /** @param info this controller as others are told of it */
@@ -32,21 +32,21 @@
             final NodeInfo info,
             final GroupMachine group,
             final ControlView view,
-            final ConfigurationLeaseGranter polls,
-            final GroupBootstrap founding,
+            final ConfigurationLeaseGranter leases,
+            final GroupBootstrap bootstrap,
             final TimingBounds timing) {
         this.info = info;
         this.group = group;
         this.view = view;
-        this.polls = polls;
-        this.founding = founding;
+        this.leases = leases;
+        this.bootstrap = bootstrap;
         this.timing = timing;
     }
 
     /** Appends what has changed: machines that came, moved or went, the control group's members, the first groups. */
     public void update(final Time time) {
         if (!group.tellsMembers()) {
-            // why: from here on the log says who the members are, also to one that comes back with other seeds than the
+            // From here on the log says who the members are, also to one that comes back with other seeds than the
             // founders
             final Membership present = group.membership();
             group.change(new Membership(present.version() + 1, present.voters(), List.of()), time.mono(), time.wall());
@@ -57,10 +57,10 @@
         final List<NodeInfo> controllers = new ArrayList<>(metadata.controllers());
         final List<Integer> retiring = new ArrayList<>(metadata.retiring());
         boolean changed = take(controllers, info, retiring);
-        for (final NodeInfo storage : polls.storages()) {
+        for (final NodeInfo storage : leases.storageNodes()) {
             changed |= take(nodes, storage, retiring);
         }
-        for (final NodeInfo controller : polls.controllers()) {
+        for (final NodeInfo controller : leases.controllers()) {
             changed |= take(controllers, controller, retiring);
         }
         changed |= group.membershipSettled()
@@ -68,7 +68,7 @@
         List<GroupInfo> groups = metadata.groups();
         if (groups.isEmpty() && mayFound(nodes.size(), time.mono())) {
             groups =
-                    Placement.found(nodes, founding.groups() > 0 ? founding.groups() : nodes.size(), founding.copies());
+                    Placement.initial(nodes, bootstrap.groups() > 0 ? bootstrap.groups() : nodes.size(), bootstrap.replicas());
             changed = true;
         }
         if (changed) {
@@ -86,15 +86,15 @@
     }
 
     private boolean mayFound(final int storages, final long now) {
-        return storages >= founding.storages()
-                && (founding.groups() > 0 || now - polls.newcomerAt() >= timing.changeMs() / 2);
+        return storages >= bootstrap.storageNodes()
+                && (bootstrap.groups() > 0 || now - leases.newProcessSeenAt() >= timing.changeMs() / 2);
     }
 
     /** Not a member, and not heard for long: nobody needs to know of it any more. */
     private boolean isGone(final NodeInfo controller, final long now) {
         return controller.node() != info.node()
-                && now - polls.dutySince() > timing.recoverMs()
-                && !polls.nodes().contains(controller.node())
+                && now - leases.leadingSince() > timing.recoverMs()
+                && !leases.nodes().contains(controller.node())
                 && !group.membership().holds(controller.node());
     }
 
@@ -118,7 +118,7 @@
     }
 
     /** A group's leader tells that its group has been founded. */
-    public void founded(final ControlRequest op, final Time time) {
+    public void onGroupFounded(final ControlRequest op, final Time time) {
         final int id = (int) PackedBuffer.reader(op.body()).num();
         final ClusterMetadata metadata = view.newestMetadata();
         for (final GroupInfo g : metadata.groups()) {
@@ -129,7 +129,7 @@
     }
 
     /** A group's leader tells the membership that its log has committed. */
-    public void members(final ControlRequest op, final Time time) {
+    public void onMembershipCommitted(final ControlRequest op, final Time time) {
         final PackedBuffer in = PackedBuffer.reader(op.body());
         final int id = (int) in.num();
         final Membership membership = Membership.load(in);
--- a/coordination/src/main/java/brookpath/coordination/node/control/ConfigurationChangeHandler.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ConfigurationChangeHandler.java
@@ -30,7 +30,7 @@
     private final ConfigurationReader.Limits limits;
     private final ConfigurationFollowers followers;
     private final PendingRequests pending;
-    private final ControlResponder replies;
+    private final ControlResponder responder;
 
     public ConfigurationChangeHandler(
             final GroupMachine group,
@@ -38,52 +38,68 @@
             final ConfigurationReader.Limits limits,
             final ConfigurationFollowers followers,
             final PendingRequests pending,
-            final ControlResponder replies) {
+            final ControlResponder responder) {
         this.group = group;
         this.view = view;
         this.limits = limits;
         this.followers = followers;
         this.pending = pending;
-        this.replies = replies;
+        this.responder = responder;
     }
 
     /** Takes or refuses a document, or answers again for one that was taken before. */
-    public void change(final int from, final ControlRequest op, final Time time) {
-        if (op.body().length > ConfigurationReader.MAX_BYTES) {
+    public void change(final int from, final ControlRequest request, final Time time) {
+        if (request.body().length > ConfigurationReader.MAX_BYTES) {
             final Finding finding = new Finding("/", "larger than " + ConfigurationReader.MAX_BYTES + " bytes");
-            replies.respond(from, op.requestId(), ControlResponder.refused(ResponseStatus.TOO_LARGE, List.of(finding)));
+            responder.respond(
+                    from,
+                    request.requestId(),
+                    ControlResponder.refused(ResponseStatus.TOO_LARGE, List.of(finding)));
             return;
         }
         if (pending.count(ControlRequestKind.CHANGE) >= MAX_CHANGES) {
-            replies.respond(from, op.requestId(), replies.unavailable("too many changes are under way"));
+            responder.respond(from, request.requestId(), responder.unavailable("too many changes are under way"));
             return;
         }
-        // why: compared with the newest appended, not the newest committed, so that of two racing changes one loses for
+        // Compared with the newest appended, not the newest committed, so that of two racing changes one loses for
         // certain
         final StoredConfiguration newest = view.newestConfiguration();
         final ConfigurationReader.Reading reading =
-                ConfigurationReader.read(op.body(), newest.version() + 1, limits, newest.configuration());
-        if (!reading.json()
-                || reading.configuration() == null
-                || reading.configuration().changeId().isEmpty()) {
-            replies.respond(
-                    from,
-                    op.requestId(),
-                    ControlResponder.refused(
-                            reading.json() ? ResponseStatus.INVALID : ResponseStatus.BAD_REQUEST, reading.findings()));
-            return;
+                ConfigurationReader.read(request.body(), newest.version() + 1, limits, newest.configuration());
+        if (isIdentified(reading)) {
+            take(from, request, newest, reading, time);
+        } else {
+            final ResponseStatus status = reading.json() ? ResponseStatus.INVALID : ResponseStatus.BAD_REQUEST;
+            responder.respond(from, request.requestId(), ControlResponder.refused(status, reading.findings()));
         }
+    }
+
+    /** Whether the document could be read so far that it has a change ID, by which its outcome is known. */
+    private static boolean isIdentified(final ConfigurationReader.Reading reading) {
+        return reading.json()
+                && reading.configuration() != null
+                && !reading.configuration().changeId().isEmpty();
+    }
+
+    /** Appends the document where nothing speaks against it, and answers once its outcome is certain. */
+    private void take(
+            final int from,
+            final ControlRequest request,
+            final StoredConfiguration newest,
+            final ConfigurationReader.Reading reading,
+            final Time time) {
         final String changeId = reading.configuration().changeId();
-        final long checksum = checksum(op.body());
+        final long checksum = checksum(request.body());
         final Response refusal = refusal(reading, newest);
         final boolean appends = view.state().outcomes().of(changeId) == null && refusal == null;
         if (appends && view.uncommitted() >= MAX_UNCOMMITTED) {
-            replies.respond(from, op.requestId(), replies.unavailable("too many changes wait for their copies"));
+            responder.respond(
+                    from, request.requestId(), responder.unavailable("too many changes wait for their copies"));
             return;
         }
         if (appends) {
             final byte[] body = ControlState.configurationBody(
-                    newest, changeId, checksum, reading.configuration().version(), op.body());
+                    newest, changeId, checksum, reading.configuration().version(), request.body());
             group.append(LogRecord.CONTROL, body, time.mono(), time.wall());
         }
         final PendingRequests.Answer answer = at -> {
@@ -92,7 +108,7 @@
                     ? taken(changeId, checksum, outcome, at.mono())
                     : refusedBy(newest.version(), refusal);
         };
-        pending.add(from, op, ControlRequestKind.CHANGE, answer, time);
+        pending.add(from, request, ControlRequestKind.CHANGE, answer, time);
     }
 
     private static long checksum(final byte[] document) {
@@ -134,18 +150,18 @@
             return refused(
                     ResponseStatus.CONFLICT, changeId, "\"why\":\"the change ID was used for another document\"");
         }
-        if (!followers.everywhere(outcome.version(), now)) {
+        if (!followers.isAppliedEverywhere(outcome.version(), now)) {
             return null;
         }
-        followers.confirmed(outcome.version());
+        followers.onConfirmed(outcome.version());
         return confirmed(changeId, outcome);
     }
 
     private static Response confirmed(final String changeId, final Outcome outcome) {
-        return new Response(ResponseStatus.OK, 0, told("confirmed", changeId, outcome));
+        return new Response(ResponseStatus.OK, 0, outcomeJson("confirmed", changeId, outcome));
     }
 
-    private static String told(final String what, final String changeId, final Outcome outcome) {
+    private static String outcomeJson(final String what, final String changeId, final Outcome outcome) {
         return "{\"outcome\":\"" + what + "\",\"changeId\":\"" + changeId + "\",\"version\":" + outcome.version() + "}";
     }
 
@@ -155,8 +171,8 @@
         if (outcome == null || outcome.index() > group.committed()) {
             return new Response(ResponseStatus.NOT_FOUND, 0, "{\"outcome\":\"unknown\"}");
         }
-        return followers.everywhere(outcome.version(), now)
+        return followers.isAppliedEverywhere(outcome.version(), now)
                 ? confirmed(changeId, outcome)
-                : new Response(ResponseStatus.ACCEPTED, retryAfterMs, told("spreading", changeId, outcome));
+                : new Response(ResponseStatus.ACCEPTED, retryAfterMs, outcomeJson("spreading", changeId, outcome));
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/control/ConfigurationLeaseGranter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ConfigurationLeaseGranter.java
@@ -25,19 +25,19 @@
  * are held until there is news; the answer to one grants a lease on the configuration that it brings or confirms.
  */
 public final class ConfigurationLeaseGranter implements ConfigurationFollowers {
-    private static final long NO_DUTY = -1;
-    private static final long NOT_HELD = -1;
+    private static final long NOT_LEADING = -1;
+    private static final long NOT_PENDING = -1;
 
     private static final class Poller {
         ConfigurationPoll last;
         /** Whom its replies go to: itself, or the controller that carries its polls. */
         int via;
 
-        long heldSince = NOT_HELD;
+        long pendingSince = NOT_PENDING;
         long leaseEnds = Long.MIN_VALUE;
         long heardAt;
         /** It has been told the fleet's clock. */
-        boolean clockTold;
+        boolean clockSent;
         /** Since when it has been heard without a break. */
         long since = -1;
 
@@ -64,9 +64,9 @@
     /** When each version that waits for its confirmation was first seen committed. */
     private final TreeMap<Long, Long> committedAt = new TreeMap<>();
     /** Since when this process acts as the control leader. */
-    private long dutySince = NO_DUTY;
+    private long leadingSince = NOT_LEADING;
 
-    private long newcomerAt;
+    private long newProcessSeenAt;
 
     public ConfigurationLeaseGranter(
             final int self,
@@ -84,30 +84,30 @@
     }
 
     /** This process acts as the control leader. */
-    public void onDuty(final long now) {
-        if (dutySince < 0) {
-            dutySince = now;
+    public void onLeading(final long now) {
+        if (leadingSince < 0) {
+            leadingSince = now;
         }
     }
 
     /** Whether it was the acting leader when it was last asked. */
-    public boolean isOnDuty() {
-        return dutySince >= 0;
+    public boolean isLeading() {
+        return leadingSince >= 0;
     }
 
     /** Since when this process acts as the control leader, negative where it does not. */
-    public long dutySince() {
-        return dutySince;
+    public long leadingSince() {
+        return leadingSince;
     }
 
     /** When a process polled that was not known. */
-    public long newcomerAt() {
-        return newcomerAt;
+    public long newProcessSeenAt() {
+        return newProcessSeenAt;
     }
 
     /** It is the control leader no longer: a successor learns all of this anew. */
     public void clear() {
-        dutySince = NO_DUTY;
+        leadingSince = NOT_LEADING;
         pollers.clear();
         configurationUpdates.clear();
         metadataUpdates.clear();
@@ -117,9 +117,9 @@
     // ---- polls
 
     /** Takes a poll and answers it, now or when there is news. */
-    public void poll(final int from, final ConfigurationPoll m, final long now) {
+    public void onPoll(final int from, final ConfigurationPoll m, final long now) {
         if (!pollers.containsKey(m.node())) {
-            newcomerAt = now;
+            newProcessSeenAt = now;
         }
         final Poller p = pollers.computeIfAbsent(m.node(), k -> new Poller());
         p.via = from;
@@ -128,21 +128,21 @@
             p.since = now;
         }
         p.heardAt = now;
-        p.heldSince = now;
+        p.pendingSince = now;
         answer(p, now);
     }
 
     /** Answers held polls that have waited long enough or have news, and forgets processes that are gone. */
-    public void answerHeld(final long now) {
+    public void answerPending(final long now) {
         pollers.forEach((node, p) -> {
-            if (p.heldSince >= 0) {
+            if (p.pendingSince >= 0) {
                 answer(p, now);
             }
         });
-        // why: a process that is gone and whose lease has run out serves nothing, so nobody needs to wait for it
+        // A process that is gone and whose lease has run out serves nothing, so nobody needs to wait for it
         pollers.values()
                 .removeIf(
-                        p -> p.heldSince < 0 && now > p.leaseEnds && now - p.heardAt > 2 * timing.configurationLease());
+                        p -> p.pendingSince < 0 && now > p.leaseEnds && now - p.heardAt > 2 * timing.configurationLease());
     }
 
     /** The processes that polled. */
@@ -157,16 +157,16 @@
         final boolean news = p.last.configurationVersion() < configuration.version()
                 || p.last.metadataVersion() < metadata.version();
         noteVersions(configuration, metadata);
-        // why: a lease that a predecessor granted may be about to run out, so the first poll is never held
-        // why: until it knows the clock, a storage machine accepts nothing
+        // A lease that a predecessor granted may be about to run out, so the first poll is never held
+        // Until it knows the clock, a storage machine accepts nothing
         if (!news
-                && (p.clockTold || !clock.known())
+                && (p.clockSent || !clock.known())
                 && p.leaseEnds != Long.MIN_VALUE
-                && now - p.heldSince < timing.configurationHold()) {
+                && now - p.pendingSince < timing.configurationHold()) {
             return;
         }
-        p.heldSince = NOT_HELD;
-        p.clockTold = clock.known();
+        p.pendingSince = NOT_PENDING;
+        p.clockSent = clock.known();
         p.leaseEnds = now + timing.configurationLease();
         out.send(
                 p.via,
@@ -195,20 +195,20 @@
     // ---- confirmations
 
     @Override
-    public boolean everywhere(final long version, final long now) {
+    public boolean isAppliedEverywhere(final long version, final long now) {
         committedAt.putIfAbsent(version, now);
-        // why: a predecessor may have granted leases that this leader has not seen
-        if (dutySince < 0 || now - dutySince <= timing.confirmWait()) {
+        // A predecessor may have granted leases that this leader has not seen
+        if (leadingSince < 0 || now - leadingSince <= timing.confirmWait()) {
             return false;
         }
         if (timing.leaseMs() > timing.changeMs() && now - committedAt.get(version) >= timing.confirmWait()) {
-            // why: who has not taken it by now cannot be reached, and its lease ends no later than leaseMs from here
+            // Who has not taken it by now cannot be reached, and its lease ends no later than leaseMs from here
             return true;
         }
         for (final Poller p : pollers.values()) {
             if (!p.is(ConfigurationPoll.CONTROLLER)
                     && p.last.configurationVersion() < version
-                    && (now <= p.leaseEnds || p.heldSince >= 0)) {
+                    && (now <= p.leaseEnds || p.pendingSince >= 0)) {
                 return false;
             }
         }
@@ -216,19 +216,19 @@
     }
 
     @Override
-    public void confirmed(final long version) {
+    public void onConfirmed(final long version) {
         committedAt.headMap(version).clear();
     }
 
     @Override
-    public boolean heardAll(final long now) {
-        return dutySince >= 0 && now - dutySince > timing.configurationLease();
+    public boolean hasHeardAll(final long now) {
+        return leadingSince >= 0 && now - leadingSince > timing.configurationLease();
     }
 
     // ---- who is there
 
     @Override
-    public Set<Integer> aliveStorages(final long now) {
+    public Set<Integer> aliveStorageNodes(final long now) {
         final Set<Integer> alive = new HashSet<>();
         pollers.forEach((node, p) -> {
             if (p.is(ConfigurationPoll.STORAGE) && now - p.heardAt <= timing.configurationLease()) {
@@ -239,14 +239,14 @@
     }
 
     /** Storage machines that have been heard for several times the recovery bound without a break. */
-    public Set<Integer> steadyStorages(final long now) {
-        final Set<Integer> steady = aliveStorages(now);
+    public Set<Integer> steadyStorageNodes(final long now) {
+        final Set<Integer> steady = aliveStorageNodes(now);
         steady.removeIf(n -> now - pollers.get(n).since < 2 * timing.recoverMs());
         return steady;
     }
 
     /** When each storage machine was heard last. */
-    public Map<Integer, Long> storagesHeardAt() {
+    public Map<Integer, Long> storageNodesHeardAt() {
         final Map<Integer, Long> heardAt = new TreeMap<>();
         pollers.forEach((node, p) -> {
             if (p.is(ConfigurationPoll.STORAGE)) {
@@ -257,7 +257,7 @@
     }
 
     /** The storage machines that polled. */
-    public List<NodeInfo> storages() {
+    public List<NodeInfo> storageNodes() {
         return machines(ConfigurationPoll.STORAGE);
     }
 
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlGroupMembership.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlGroupMembership.java
@@ -41,7 +41,7 @@
             final int self, final GroupMachine group, final TimingBounds timing, final int toleratedLosses) {
         this.self = self;
         this.group = group;
-        // why: the machine that replaces a dead one may itself be lost soon; timing.md has the arithmetic
+        // The machine that replaces a dead one may itself be lost soon; timing.md has the arithmetic
         limits = new Limits(Limits.votersFor(toleratedLosses), timing.changeMs() * 4 / 5, timing.recoverMs());
         steadyMs = 2 * timing.recoverMs();
     }
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlLeader.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlLeader.java
@@ -30,8 +30,8 @@
     private final ControlView view;
     private final FleetClock clock = new FleetClock();
     private final ControlGroupMembership members;
-    private final ConfigurationLeaseGranter polls;
-    private final ClusterMetadataUpdater metadataKeeper;
+    private final ConfigurationLeaseGranter leases;
+    private final ClusterMetadataUpdater metadataUpdater;
     private final GroupMoveDriver moves;
     private final PendingRequests pending;
     private final UsageReporter usage;
@@ -45,34 +45,34 @@
             final NodeInfo info,
             final GroupMachine group,
             final ControlView view,
-            final GroupBootstrap founding,
+            final GroupBootstrap bootstrap,
             final TimingBounds timing,
-            final ControlResponder replies,
+            final ControlResponder responder,
             final LongSupplier ids,
             final Actions out) {
         self = info.node();
         this.group = group;
         this.view = view;
-        members = new ControlGroupMembership(self, group, timing, founding.toleratedLosses());
-        polls = new ConfigurationLeaseGranter(self, group, view, clock, timing, out);
-        metadataKeeper = new ClusterMetadataUpdater(info, group, view, polls, founding, timing);
-        moves = new GroupMoveDriver(view, polls, founding.copies(), timing, out);
-        pending = new PendingRequests(group, timing, replies, out);
+        members = new ControlGroupMembership(self, group, timing, bootstrap.toleratedLosses());
+        leases = new ConfigurationLeaseGranter(self, group, view, clock, timing, out);
+        metadataUpdater = new ClusterMetadataUpdater(info, group, view, leases, bootstrap, timing);
+        moves = new GroupMoveDriver(view, leases, bootstrap.replicas(), timing, out);
+        pending = new PendingRequests(group, timing, responder, out);
         usage = new UsageReporter(self, group, view, clock, timing, ids, out);
         final ConfigurationReader.Limits limits = new ConfigurationReader.Limits(
-                founding.copies(), Quorums.floor(founding.copies(), founding.toleratedLosses()));
+                bootstrap.replicas(), Quorums.floor(bootstrap.replicas(), bootstrap.toleratedLosses()));
         requests = new ControlRequestHandler(
                 self,
                 group,
                 view,
-                new ConfigurationChangeHandler(group, view, limits, polls, pending, replies),
-                new StorageRetirementHandler(group, view, polls, pending),
-                metadataKeeper,
+                new ConfigurationChangeHandler(group, view, limits, leases, pending, responder),
+                new StorageRetirementHandler(group, view, leases, pending),
+                metadataUpdater,
                 moves,
-                polls,
+                leases,
                 usage,
                 pending,
-                replies,
+                responder,
                 timing,
                 out);
     }
@@ -97,13 +97,13 @@
 
     private void act(final HeartbeatTable table, final Time time) {
         final long now = time.mono();
-        polls.onDuty(now);
+        leases.onLeading(now);
         if (group.tellsMembers()) {
-            members.advance(table, polls.observers(now), controllerZones(), now, time.wall());
+            members.advance(table, leases.observers(now), controllerZones(), now, time.wall());
         }
         clock.hear(self, time.wall(), now);
-        polls.answerHeld(now);
-        final Set<Integer> heard = new HashSet<>(polls.nodes());
+        leases.answerPending(now);
+        final Set<Integer> heard = new HashSet<>(leases.nodes());
         heard.add(self);
         clock.keep(heard);
         pending.step(time);
@@ -111,8 +111,8 @@
 
     /** Forgets what a successor learns anew, and ends the requests that are not answered yet. */
     private void stepDown() {
-        if (polls.isOnDuty()) {
-            polls.clear();
+        if (leases.isLeading()) {
+            leases.clear();
             clock.clear();
             usage.clear();
             moves.clear();
@@ -129,8 +129,8 @@
     /** Does the periodic duties; only for a leader that may act. */
     public void tick(final Time time) {
         if (!view.backlogged()) {
-            metadataKeeper.update(time);
-            moves.drive(time.mono());
+            metadataUpdater.update(time);
+            moves.orderDue(time.mono());
         }
         usage.total(
                 view.metadata(), view.configuration().configuration().tenants().keySet(), time);
@@ -140,7 +140,7 @@
     /** Takes a poll, and answers it now or once there is news; only for a leader that may act. */
     public void onPoll(final int from, final ConfigurationPoll poll, final Time time) {
         clock.hear(poll.node(), poll.wall(), time.mono());
-        polls.poll(from, poll, time.mono());
+        leases.onPoll(from, poll, time.mono());
         pending.step(time);
     }
 
@@ -161,6 +161,6 @@
 
     /** The zone of each process that polled, added to those given. */
     public void addZones(final Map<Integer, String> zones) {
-        polls.addZones(zones);
+        leases.addZones(zones);
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlRequestHandler.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlRequestHandler.java
@@ -27,17 +27,20 @@
     private static final Set<ControlRequestKind> APPENDING =
             Set.of(ControlRequestKind.FOUNDED, ControlRequestKind.MEMBERS, ControlRequestKind.RETIRE, ControlRequestKind.RETIRE_NAMED);
 
+    /** The request ID of a request that wants no reply. */
+    private static final long NO_REPLY = 0;
+
     private final int self;
     private final GroupMachine group;
     private final ControlView view;
     private final ConfigurationChangeHandler changes;
     private final StorageRetirementHandler retirements;
-    private final ClusterMetadataUpdater metadataKeeper;
+    private final ClusterMetadataUpdater metadataUpdater;
     private final GroupMoveDriver moves;
-    private final ConfigurationLeaseGranter polls;
+    private final ConfigurationLeaseGranter leases;
     private final UsageReporter usage;
     private final PendingRequests pending;
-    private final ControlResponder replies;
+    private final ControlResponder responder;
     private final TimingBounds timing;
     private final Actions out;
 
@@ -47,12 +50,12 @@
             final ControlView view,
             final ConfigurationChangeHandler changes,
             final StorageRetirementHandler retirements,
-            final ClusterMetadataUpdater metadataKeeper,
+            final ClusterMetadataUpdater metadataUpdater,
             final GroupMoveDriver moves,
-            final ConfigurationLeaseGranter polls,
+            final ConfigurationLeaseGranter leases,
             final UsageReporter usage,
             final PendingRequests pending,
-            final ControlResponder replies,
+            final ControlResponder responder,
             final TimingBounds timing,
             final Actions out) {
         this.self = self;
@@ -60,37 +63,37 @@
         this.view = view;
         this.changes = changes;
         this.retirements = retirements;
-        this.metadataKeeper = metadataKeeper;
+        this.metadataUpdater = metadataUpdater;
         this.moves = moves;
-        this.polls = polls;
+        this.leases = leases;
         this.usage = usage;
         this.pending = pending;
-        this.replies = replies;
+        this.responder = responder;
         this.timing = timing;
         this.out = out;
     }
 
     void handle(final int from, final ControlRequest request, final Time time) {
         if (!group.mayAct(time.mono())) {
-            replies.respond(from, request.requestId(), replies.unavailable("this node is not the control master"));
+            responder.respond(from, request.requestId(), responder.unavailable("this node is not the control master"));
             return;
         }
         final ControlRequestKind kind = ControlRequestKind.of(request.kind());
         if (view.backlogged() && APPENDING.contains(kind)) {
-            // why: refused before anything is appended, so it is certain; a change may be the repeat of one that is
+            // Refused before anything is appended, so it is certain; a change may be the repeat of one that is
             // under way
-            replies.respond(from, request.requestId(), replies.unavailable("too many records wait for their copies"));
+            responder.respond(from, request.requestId(), responder.unavailable("too many records wait for their copies"));
             return;
         }
         switch (kind) {
-            case FOUNDED -> metadataKeeper.founded(request, time);
-            case MEMBERS -> metadataKeeper.members(request, time);
+            case FOUNDED -> metadataUpdater.onGroupFounded(request, time);
+            case MEMBERS -> metadataUpdater.onMembershipCommitted(request, time);
             case USAGE -> takeUsage(from, request);
             case GATEWAYS ->
                 out.send(
                         from,
                         new ControlReply(
-                                request.requestId(), ResponseStatus.OK.code(), 0, polls.openGateways(time.mono())));
+                                request.requestId(), ResponseStatus.OK.code(), 0, leases.openGateways(time.mono())));
             case CHANGE -> changes.change(from, request, time);
             case RETIRE -> retirements.retire(from, request, time);
             case RETIRE_NAMED -> retirements.retireNamed(from, request, time);
@@ -130,16 +133,16 @@
         }
         groups.get(id)
                 .members()
-                .forEach(member -> out.send(member.node(), new ControlRequest(0, "handover", request.body())));
+                .forEach(member -> out.send(member.node(), ControlRequestKind.HANDOVER.request(NO_REPLY, request.body())));
         return new Response(ResponseStatus.ACCEPTED, 0, "{\"outcome\":\"asked\"}");
     }
 
     private void takeUsage(final int from, final ControlRequest request) {
         final int id = (int) PackedBuffer.reader(request.body()).num();
         if (view.metadata().node(from) != null) {
-            moves.mastered(id, from);
+            moves.onLeaderReported(id, from);
         }
-        final byte[] included = PackedBuffer.writer().num(usage.tell(request)).done();
+        final byte[] included = PackedBuffer.writer().num(usage.takeClosedWindows(request)).done();
         out.send(from, new ControlReply(request.requestId(), ResponseStatus.OK.code(), 0, included));
     }
 
@@ -147,7 +150,7 @@
         return Json.createObjectBuilder()
                 .add("controlMaster", self)
                 .add("epoch", group.term())
-                .add("nodes", polls.nodesJson(now))
+                .add("nodes", leases.nodesJson(now))
                 .build()
                 .toString();
     }
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlRequestKind.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlRequestKind.java
@@ -1,5 +1,7 @@
 package brookpath.coordination.node.control;
 
+import brookpath.coordination.message.PeerMessage.ControlRequest;
+
 /** What an operator or another process may ask of the control leader, by its name on the wire. */
 public enum ControlRequestKind {
     /** A configuration document. */
@@ -10,6 +12,8 @@
     RETIRE_NAMED("retireNamed", true),
     /** Switches a group's leadership over by hand. */
     HANDOVER("handover", true),
+    /** Tells a topic group's members to move a replica; sent by the control leader, never to it. */
+    MOVE("move", true),
     /** A topic group's leader says that its group is founded. */
     FOUNDED("founded", true),
     /** A topic group's leader tells the membership that its log has committed. */
@@ -32,16 +36,21 @@
     UNKNOWN("", false);
 
     private final String wireName;
-    private final boolean order;
+    private final boolean write;
 
-    ControlRequestKind(final String wireName, final boolean order) {
+    ControlRequestKind(final String wireName, final boolean write) {
         this.wireName = wireName;
-        this.order = order;
+        this.write = write;
     }
 
     /** Whether it changes something, so that a lost answer leaves its end unknown. */
-    public boolean order() {
-        return order;
+    public boolean isWrite() {
+        return write;
+    }
+
+    /** A request of this kind. */
+    public ControlRequest request(final long requestId, final byte[] body) {
+        return new ControlRequest(requestId, wireName, body);
     }
 
     /** The kind of this name, {@link #UNKNOWN} where there is none. */
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlResponder.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlResponder.java
@@ -39,7 +39,7 @@
             final int from,
             final long requestId,
             final Response response) {
-        final boolean staysTrue = kind.order() && response.isSuccess();
+        final boolean staysTrue = kind.isWrite() && response.isSuccess();
         respond(
                 from,
                 requestId,
@@ -65,7 +65,7 @@
 
     /** The request was sent on, and nobody knows its end: an order may have been taken. */
     public Response lost(final ControlRequestKind kind, final String why) {
-        if (!kind.order()) {
+        if (!kind.isWrite()) {
             return unavailable(why);
         }
         return new Response(
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlStatus.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlStatus.java
@@ -19,7 +19,7 @@
      * @param control the control group as {@code GroupStatus} shows it
      */
     public static String json(
-            final int self, final ControlView view, final GroupBootstrap founding, final JsonObject control) {
+            final int self, final ControlView view, final GroupBootstrap bootstrap, final JsonObject control) {
         final ClusterMetadata metadata = view.metadata();
         return Json.createObjectBuilder()
                 .add("node", self)
@@ -28,7 +28,7 @@
                 .add("rosterVersion", metadata.version())
                 .add("control", control)
                 .add("placement", placement(metadata))
-                .add("copies", founding.copies())
+                .add("copies", bootstrap.replicas())
                 .add("storages", storages(metadata))
                 .add("retiring", Json.createArrayBuilder(metadata.retiring()))
                 .build()
--- a/coordination/src/main/java/brookpath/coordination/node/control/ForwardedPolls.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ForwardedPolls.java
@@ -31,7 +31,7 @@
      */
     public void forwardOrRedirect(final int from, final ConfigurationPoll poll, final int leader) {
         if (poll.relay() && from == poll.node() && leader != NO_LEADER) {
-            // why: it cannot reach the leader but this node can; without this a half cut-off leader would pause all
+            // It cannot reach the leader but this node can; without this a half cut-off leader would pause all
             // who do not hear it
             inFlight.put(from, poll);
             out.send(leader, poll);
--- a/coordination/src/main/java/brookpath/coordination/node/control/ForwardedRequests.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ForwardedRequests.java
@@ -13,55 +13,55 @@
  * this process's monotonic clock: an answer that comes later is dropped, however it was held up.
  */
 public final class ForwardedRequests {
-    private static final int MAX_RELAYED = 1_024;
+    private static final int MAX_FORWARDED = 1_024;
 
-    private record Relayed(long requestId, int from, int leader, ControlRequestKind kind, long deadline) {}
+    private record Forwarded(long requestId, int from, int leader, ControlRequestKind kind, long deadline) {}
 
     private final TimingBounds timing;
-    private final ControlResponder replies;
+    private final ControlResponder responder;
     private final LongSupplier ids;
     private final Actions out;
-    private final TreeMap<Long, Relayed> relayed = new TreeMap<>();
+    private final TreeMap<Long, Forwarded> forwarded = new TreeMap<>();
 
     /** @param ids of relayed requests, never the same twice */
     public ForwardedRequests(
-            final TimingBounds timing, final ControlResponder replies, final LongSupplier ids, final Actions out) {
+            final TimingBounds timing, final ControlResponder responder, final LongSupplier ids, final Actions out) {
         this.timing = timing;
-        this.replies = replies;
+        this.responder = responder;
         this.ids = ids;
         this.out = out;
     }
 
     public boolean isEmpty() {
-        return relayed.isEmpty();
+        return forwarded.isEmpty();
     }
 
     /** Sends a request on to the control leader; false where none is heard (0) or too many are under way. */
-    public boolean carry(final int from, final ControlRequest op, final int leader, final long now) {
-        if (leader == 0 || relayed.size() >= MAX_RELAYED) {
+    public boolean forward(final int from, final ControlRequest op, final int leader, final long now) {
+        if (leader == 0 || forwarded.size() >= MAX_FORWARDED) {
             return false;
         }
         final ControlRequestKind kind = ControlRequestKind.of(op.kind());
-        final long deadline = now + (kind.order() ? timing.opDeadline() : timing.readDeadline());
+        final long deadline = now + (kind.isWrite() ? timing.opDeadline() : timing.readDeadline());
         final long id = ids.getAsLong();
-        relayed.put(id, new Relayed(op.requestId(), from, leader, kind, deadline));
+        forwarded.put(id, new Forwarded(op.requestId(), from, leader, kind, deadline));
         out.send(leader, new ControlRequest(id, op.kind(), op.body()));
         return true;
     }
 
     /** The control leader's answer, which may be late. */
     public void onReply(final int from, final ControlReply reply, final long now) {
-        final Relayed r = relayed.get(reply.requestId());
-        // why: only whom the request was carried to can answer it
+        final Forwarded r = forwarded.get(reply.requestId());
+        // Only whom the request was carried to can answer it
         if (r == null || r.leader != from) {
             return;
         }
-        relayed.remove(reply.requestId());
-        // why: a process that was frozen may take the answer before the timer that ends the request
+        forwarded.remove(reply.requestId());
+        // A process that was frozen may take the answer before the timer that ends the request
         if (now >= r.deadline) {
-            replies.respond(r.from, r.requestId, late(r));
+            responder.respond(r.from, r.requestId, late(r));
         } else {
-            replies.relay(
+            responder.relay(
                     r.deadline,
                     r.kind,
                     r.from,
@@ -71,31 +71,31 @@
 
     /** Ends what has had no answer in time. */
     public void tick(final long now) {
-        relayed.values().removeIf(r -> {
+        forwarded.values().removeIf(r -> {
             if (now >= r.deadline) {
-                replies.respond(r.from, r.requestId, late(r));
+                responder.respond(r.from, r.requestId, late(r));
             }
             return now >= r.deadline;
         });
     }
 
-    private Response late(final Relayed r) {
-        return replies.lost(r.kind, "no word from the control master in time");
+    private Response late(final Forwarded r) {
+        return responder.lost(r.kind, "no word from the control master in time");
     }
 
     /** The request never left this process. */
     public void unsent(final ControlRequest op) {
-        final Relayed r = relayed.remove(op.requestId());
+        final Forwarded r = forwarded.remove(op.requestId());
         if (r != null) {
-            replies.respond(r.from, r.requestId, replies.unavailable("no session to the control master"));
+            responder.respond(r.from, r.requestId, responder.unavailable("no session to the control master"));
         }
     }
 
     /** The session broke; what was sent on it may or may not have arrived. */
     public void sessionLost(final int node) {
-        relayed.values().removeIf(r -> {
+        forwarded.values().removeIf(r -> {
             if (r.leader == node) {
-                replies.respond(r.from, r.requestId, replies.lost(r.kind, "the session with the control master broke"));
+                responder.respond(r.from, r.requestId, responder.lost(r.kind, "the session with the control master broke"));
             }
             return r.leader == node;
         });
--- a/coordination/src/main/java/brookpath/coordination/node/control/GroupMoveDriver.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/GroupMoveDriver.java
@@ -7,7 +7,6 @@
 import brookpath.coordination.placement.MovePlan;
 import brookpath.coordination.placement.StorageFailureDetector;
 import brookpath.coordination.group.MoveOrder;
-import brookpath.coordination.message.PeerMessage.ControlRequest;
 import brookpath.state.record.PackedBuffer;
 import java.util.Set;
 import java.util.TreeMap;
@@ -17,8 +16,11 @@
  * first. Orders are told to the groups' members again and again; nothing here is replicated.
  */
 public final class GroupMoveDriver {
+    /** The request ID of a request that wants no reply. */
+    private static final long NO_REPLY = 0;
+
     private final ControlView view;
-    private final ConfigurationLeaseGranter polls;
+    private final ConfigurationLeaseGranter leases;
     private final int copies;
     private final TimingBounds timing;
     private final Actions out;
@@ -26,7 +28,7 @@
     /** What the last plan of moves was made for; it is made anew when either changes. */
     private long plannedVersion = -1;
 
-    private Set<Integer> plannedGone = Set.of();
+    private Set<Integer> plannedLost = Set.of();
     private long nextSwitchover = Long.MIN_VALUE / 2;
     /** Who told last that it leaders a group. */
     private final TreeMap<Integer, Integer> leaders = new TreeMap<>();
@@ -34,65 +36,65 @@
     /** @param copies of each group */
     public GroupMoveDriver(
             final ControlView view,
-            final ConfigurationLeaseGranter polls,
+            final ConfigurationLeaseGranter leases,
             final int copies,
             final TimingBounds timing,
             final Actions out) {
         this.view = view;
-        this.polls = polls;
+        this.leases = leases;
         this.copies = copies;
         this.timing = timing;
         this.out = out;
     }
 
     /** A node told that it leaders a group. */
-    public void mastered(final int group, final int node) {
+    public void onLeaderReported(final int group, final int node) {
         leaders.put(group, node);
     }
 
     /** What a leader knows and its successor must learn anew. */
     public void clear() {
         leaders.clear();
-        plannedGone = Set.of();
+        plannedLost = Set.of();
     }
 
     /** Orders the moves that are due, and at most one switchover. */
-    public void drive(final long now) {
+    public void orderDue(final long now) {
         final ClusterMetadata metadata = view.metadata();
-        final StorageFailureDetector silence =
-                new StorageFailureDetector(timing, metadata, polls.storagesHeardAt(), now);
-        final Set<Integer> gone = silence.gone(polls.dutySince(), plannedGone);
-        if (now < nextMove && metadata.version() == plannedVersion && gone.equals(plannedGone)) {
+        final StorageFailureDetector detector =
+                new StorageFailureDetector(timing, metadata, leases.storageNodesHeardAt(), now);
+        final Set<Integer> lost = detector.lost(leases.leadingSince(), plannedLost);
+        if (now < nextMove && metadata.version() == plannedVersion && lost.equals(plannedLost)) {
             return;
         }
         nextMove = now + timing.heartbeat();
         plannedVersion = metadata.version();
-        noteGone(gone);
-        final MovePlan.Heard heard = new MovePlan.Heard(silence.alive(), polls.steadyStorages(now), gone);
-        MovePlan.next(metadata, heard, copies).forEach(m -> order(metadata, m));
+        recordLost(lost);
+        final MovePlan.StorageLiveness liveness = new MovePlan.StorageLiveness(detector.alive(), leases.steadyStorageNodes(now), lost);
+        MovePlan.next(metadata, liveness, copies).forEach(m -> order(metadata, m));
         if (now >= nextSwitchover) {
             switchover(metadata, now);
         }
     }
 
     private void switchover(final ClusterMetadata metadata, final long now) {
-        final MovePlan.Switchover s = MovePlan.switchover(metadata, leaders, polls.steadyStorages(now));
+        final MovePlan.Switchover s = MovePlan.switchover(metadata, leaders, leases.steadyStorageNodes(now));
         if (s == null) {
             return;
         }
-        // why: one at a time, each with time to settle; a handing over that fails costs its group a moment
+        // One at a time, each with time to settle; a handing over that fails costs its group a moment
         nextSwitchover = now + timing.recoverMs() / 2;
         leaders.remove(s.group());
         out.note("group " + s.group() + ": asks node " + s.from() + " to hand over to node " + s.to()
                 + ", which ranks first");
         final byte[] body = PackedBuffer.writer().num(s.group()).num(s.to()).done();
-        out.send(s.from(), new ControlRequest(0, "handover", body));
+        out.send(s.from(), ControlRequestKind.HANDOVER.request(NO_REPLY, body));
     }
 
-    private void noteGone(final Set<Integer> gone) {
-        if (!gone.equals(plannedGone)) {
-            plannedGone = gone;
-            out.note("storage machines taken for gone: " + gone);
+    private void recordLost(final Set<Integer> lost) {
+        if (!lost.equals(plannedLost)) {
+            plannedLost = lost;
+            out.note("storage machines taken for gone: " + lost);
         }
     }
 
@@ -101,6 +103,6 @@
         final GroupInfo info = metadata.groups().get(m.group());
         final byte[] body =
                 new MoveOrder(m.group(), info.version(), m.from(), m.to().node(), m.to().zone(), m.repair()).save();
-        info.members().forEach(to -> out.send(to.node(), new ControlRequest(0, "move", body)));
+        info.members().forEach(to -> out.send(to.node(), ControlRequestKind.MOVE.request(NO_REPLY, body)));
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/control/PendingRequests.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/PendingRequests.java
@@ -27,17 +27,17 @@
 
     private final GroupMachine group;
     private final TimingBounds timing;
-    private final ControlResponder replies;
+    private final ControlResponder responder;
     private final Actions out;
     private final List<Pending> pending = new ArrayList<>();
     /** When the last extra round of heartbeats was asked for. */
     private long askedAt = Long.MIN_VALUE / 2;
 
     public PendingRequests(
-            final GroupMachine group, final TimingBounds timing, final ControlResponder replies, final Actions out) {
+            final GroupMachine group, final TimingBounds timing, final ControlResponder responder, final Actions out) {
         this.group = group;
         this.timing = timing;
-        this.replies = replies;
+        this.responder = responder;
         this.out = out;
     }
 
@@ -55,10 +55,10 @@
             final int from, final ControlRequest op, final ControlRequestKind kind, final Answer answer, final Time time) {
         final long now = time.mono();
         if (pending.size() >= MAX_PENDING) {
-            replies.respond(from, op.requestId(), replies.unavailable("too many requests are under way"));
+            responder.respond(from, op.requestId(), responder.unavailable("too many requests are under way"));
             return;
         }
-        final long deadline = (kind.order() ? timing.opDeadline() : timing.readDeadline()) * 9 / 10;
+        final long deadline = (kind.isWrite() ? timing.opDeadline() : timing.readDeadline()) * 9 / 10;
         pending.add(new Pending(from, op.requestId(), kind, group.term(), now, now + deadline, answer));
         step(time);
     }
@@ -76,7 +76,7 @@
      * requests.
      */
     private void askMajority(final long now) {
-        // why: only so many heartbeats are remembered, and an answer to a forgotten one counts for nothing
+        // Only so many heartbeats are remembered, and an answer to a forgotten one counts for nothing
         if (group.majoritySince(askedAt) || now - askedAt >= timing.heartbeat() / 4) {
             askedAt = now;
             out.heartbeatNow();
@@ -86,7 +86,7 @@
     private boolean answered(final Pending p, final Time time) {
         final long now = time.mono();
         if (p.term != group.term() || now >= p.deadline) {
-            replies.respond(p.from, p.requestId, replies.lost(p.kind, "not settled in time"));
+            responder.respond(p.from, p.requestId, responder.lost(p.kind, "not settled in time"));
             return true;
         }
         if (!group.mayAct(now) || !group.majoritySince(p.arrivedAt)) {
@@ -94,7 +94,7 @@
         }
         final Response response = p.answer.at(time);
         if (response != null) {
-            replies.respondBefore(p.deadline, p.kind, p.from, p.requestId, response);
+            responder.respondBefore(p.deadline, p.kind, p.from, p.requestId, response);
         }
         return response != null;
     }
@@ -102,7 +102,7 @@
     /** This process is the control leader no longer. */
     public void end() {
         pending.forEach(
-                p -> replies.respond(p.from, p.requestId, replies.lost(p.kind, "the control master stepped down")));
+                p -> responder.respond(p.from, p.requestId, responder.lost(p.kind, "the control master stepped down")));
         pending.clear();
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/control/StorageRetirementHandler.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/StorageRetirementHandler.java
@@ -117,7 +117,7 @@
 
     private MovePlan.Retirement plan(
             final ClusterMetadata metadata, final int node, final boolean on, final Time time) {
-        return MovePlan.retire(metadata, node, on, followers.aliveStorages(time.mono()));
+        return MovePlan.retire(metadata, node, on, followers.aliveStorageNodes(time.mono()));
     }
 
     private Response answer(final Target target, final boolean on, final Time time) {
@@ -125,9 +125,9 @@
             return new Response(ResponseStatus.ACCEPTED, 0, "{\"outcome\":\"" + (on ? "retiring" : "kept") + "\"}");
         }
         append(target, on, time);
-        // why: a refusal is final, so it must follow from what is committed, and not from machines not heard yet
+        // A refusal is final, so it must follow from what is committed, and not from machines not heard yet
         final boolean settled =
-                view.newestMetadata().version() == view.metadata().version() && followers.heardAll(time.mono());
+                view.newestMetadata().version() == view.metadata().version() && followers.hasHeardAll(time.mono());
         return appended(target, on) || !settled ? null : refusal(target, on, time);
     }
 
@@ -156,7 +156,7 @@
         final int number = node != null
                 ? node.node()
                 : target.retired(view.state(), group.committed()).node();
-        // why: where another machine has the number now, the one that retired is gone
+        // Where another machine has the number now, the one that retired is gone
         final boolean replaced = node == null && metadata.node(number) != null;
         final boolean holds =
                 metadata.groups().stream().anyMatch(g -> g.membership().holds(number));
--- a/coordination/src/main/java/brookpath/coordination/node/usage/UsageReporter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/usage/UsageReporter.java
@@ -18,6 +18,7 @@
 import jakarta.json.JsonArrayBuilder;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.LongSupplier;
@@ -27,18 +28,36 @@
  */
 public final class UsageReporter {
     /** Goes at one report: about an hour of a platform that is down, as long as the groups keep their windows. */
-    private static final int MAX_GOES = 1_200;
+    private static final int MAX_ATTEMPTS = 1_200;
 
-    private static final int POSTS_AT_ONCE = 8;
+    private static final int MAX_POSTS_IN_FLIGHT = 8;
     private static final int MAX_DOUBLINGS = 6;
 
-    private record Told(long closed, List<TopicState.Count> counts) {}
+    /**
+     * What a group's leader has reported and no total includes yet.
+     *
+     * @param closed the newest window that the group has closed
+     */
+    private record ClosedWindows(long closed, List<TopicState.Count> counts) {}
+
+    /** A tenant's part of the window that is totalled. */
+    private static final class TenantTotal {
+        private long publishes;
+        private long bytes;
+        private boolean late;
+
+        void add(final TopicState.Count count, final boolean isLate) {
+            publishes += count.publishes();
+            bytes += count.bytes();
+            late |= isLate;
+        }
+    }
 
     private static final class Post {
         final ControlState.Window window;
-        int goes;
+        int attempts;
         long nextAt;
-        boolean underWay;
+        boolean inFlight;
 
         Post(final ControlState.Window window) {
             this.window = window;
@@ -52,7 +71,7 @@
     private final TimingBounds timing;
     private final LongSupplier ids;
     private final Actions out;
-    private final TreeMap<Integer, Told> told = new TreeMap<>();
+    private final TreeMap<Integer, ClosedWindows> closedWindows = new TreeMap<>();
     private final TreeMap<Long, Post> posts = new TreeMap<>();
 
     /** @param ids of posts, never the same twice */
@@ -75,7 +94,7 @@
 
     /** What a leader knows and its successor must learn anew. */
     public void clear() {
-        told.clear();
+        closedWindows.clear();
         posts.clear();
     }
 
@@ -83,7 +102,7 @@
      * A group's leader tells its closed windows; returns through which of them it is counted for good, -1 where that is
      * not settled.
      */
-    public long tell(final ControlRequest op) {
+    public long takeClosedWindows(final ControlRequest op) {
         final PackedBuffer in = PackedBuffer.reader(op.body());
         final int id = (int) in.num();
         final long after = in.num();
@@ -94,66 +113,92 @@
             for (long n = in.num(); n > 0; n--) {
                 counts.add(new TopicState.Count(in.num(), in.str(), in.num(), in.num()));
             }
-            told.put(id, new Told(closed, counts));
+            closedWindows.put(id, new ClosedWindows(closed, counts));
         }
-        // why: what is only appended may still be lost, and the group would forget to tell it again
+        // What is only appended may still be lost, and the group would forget to tell it again
         return group.committed() >= group.endIndex() ? included : -1;
     }
 
     /** Totals the next window once all groups have closed it, or its time for stragglers is up. */
     public void total(final ClusterMetadata metadata, final Set<String> tenants, final Time time) {
-        if (told.isEmpty() || metadata.groups().isEmpty() || !clock.known()) {
+        if (closedWindows.isEmpty() || metadata.groups().isEmpty() || !clock.known()) {
             return;
         }
         final long last = view.state().lastWindow();
         final long window = last >= 0
                 ? last + 1
-                : told.values().stream().mapToLong(Told::closed).min().orElse(0);
-        boolean all = true;
-        for (final GroupInfo g : metadata.groups()) {
-            all &= told.containsKey(g.id()) && told.get(g.id()).closed >= window;
-        }
+                : closedWindows.values().stream()
+                        .mapToLong(ClosedWindows::closed)
+                        .min()
+                        .orElse(0);
+        final boolean all = isClosedByAll(metadata, window);
         if (!all && clock.wall(time.mono()) < (window + 1) * timing.windowMs() + timing.straggle()) {
             return;
         }
-        final TreeMap<String, long[]> sums = new TreeMap<>();
-        tenants.forEach(t -> sums.put(t, new long[3]));
-        final TreeMap<Integer, Long> upTo = new TreeMap<>();
-        told.forEach((id, t) -> {
+        final byte[] record = ControlState.usageBody(window, totals(window, tenants, last >= 0), includedUpTo(window));
+        group.append(LogRecord.CONTROL, record, time.mono(), time.wall());
+    }
+
+    private boolean isClosedByAll(final ClusterMetadata metadata, final long window) {
+        for (final GroupInfo g : metadata.groups()) {
+            final ClosedWindows closed = closedWindows.get(g.id());
+            if (closed == null || closed.closed < window) {
+                return false;
+            }
+        }
+        return true;
+    }
+
+    /**
+     * The counts of each tenant that no earlier total includes.
+     *
+     * @param hasEarlier whether there is an earlier total, so that counts of earlier windows are late
+     */
+    private List<ControlState.Used> totals(final long window, final Set<String> tenants, final boolean hasEarlier) {
+        final TreeMap<String, TenantTotal> totals = new TreeMap<>();
+        tenants.forEach(tenant -> totals.put(tenant, new TenantTotal()));
+        closedWindows.forEach((id, reported) -> {
             final long included = view.state().included(id);
-            final long through = Math.min(window, t.closed);
-            for (final TopicState.Count c : t.counts) {
+            final long through = Math.min(window, reported.closed);
+            for (final TopicState.Count c : reported.counts) {
                 if (c.window() > included && c.window() <= through) {
-                    final long[] sum = sums.computeIfAbsent(c.tenant(), k -> new long[3]);
-                    sum[0] += c.publishes();
-                    sum[1] += c.bytes();
-                    sum[2] |= c.window() < window && last >= 0 ? 1 : 0;
+                    totals.computeIfAbsent(c.tenant(), tenant -> new TenantTotal())
+                            .add(c, hasEarlier && c.window() < window);
                 }
             }
-            if (through > included) {
+        });
+        final List<ControlState.Used> used = new ArrayList<>();
+        totals.forEach((tenant, t) -> used.add(new ControlState.Used(tenant, t.publishes, t.bytes, t.late)));
+        return used;
+    }
+
+    /** Per group, through which of its windows it is counted once this window is; groups that add nothing are left out. */
+    private Map<Integer, Long> includedUpTo(final long window) {
+        final TreeMap<Integer, Long> upTo = new TreeMap<>();
+        closedWindows.forEach((id, reported) -> {
+            final long through = Math.min(window, reported.closed);
+            if (through > view.state().included(id)) {
                 upTo.put(id, through);
             }
         });
-        final List<ControlState.Used> used = new ArrayList<>();
-        sums.forEach((tenant, n) -> used.add(new ControlState.Used(tenant, n[0], n[1], n[2] == 1)));
-        group.append(LogRecord.CONTROL, ControlState.usageBody(window, used, upTo), time.mono(), time.wall());
+        return upTo;
     }
 
     /** Posts what the log has committed and the platform has not taken yet. */
     public void report(final Time time) {
         final long now = time.mono();
-        for (final ControlState.Window w : view.state().untold(group.committed())) {
+        for (final ControlState.Window w : view.state().undelivered(group.committed())) {
             if (posts.values().stream().noneMatch(p -> p.window.window() == w.window())) {
                 posts.put(ids.getAsLong(), new Post(w));
             }
         }
-        int underWay = (int) posts.values().stream().filter(p -> p.underWay).count();
-        for (final java.util.Map.Entry<Long, Post> e : posts.entrySet()) {
+        int inFlight = (int) posts.values().stream().filter(p -> p.inFlight).count();
+        for (final Map.Entry<Long, Post> e : posts.entrySet()) {
             final Post p = e.getValue();
-            if (underWay < POSTS_AT_ONCE && !p.underWay && now >= p.nextAt) {
-                underWay++;
-                p.underWay = true;
-                p.goes++;
+            if (inFlight < MAX_POSTS_IN_FLIGHT && !p.inFlight && now >= p.nextAt) {
+                inFlight++;
+                p.inFlight = true;
+                p.attempts++;
                 out.post(e.getKey(), String.valueOf(p.window.window()), json(p.window));
             }
         }
@@ -184,11 +229,11 @@
         if (p == null) {
             return;
         }
-        // why: the lease may have run out for a moment only, and the report must not wait for ever then
-        p.underWay = false;
-        p.nextAt = time.mono() + pause(j.outcome(), p.goes);
+        // The lease may have run out for a moment only, and the report must not wait for ever then
+        p.inFlight = false;
+        p.nextAt = time.mono() + pause(j.outcome(), p.attempts);
         final boolean ok = j.outcome() == PostOutcome.ACCEPTED;
-        if (group.mayAct(time.mono()) && (ok || p.goes >= MAX_GOES)) {
+        if (group.mayAct(time.mono()) && (ok || p.attempts >= MAX_ATTEMPTS)) {
             posts.remove(j.requestId());
             group.append(
                     LogRecord.CONTROL, ControlState.deliveredBody(p.window.window(), ok), time.mono(), time.wall());
@@ -196,17 +241,18 @@
     }
 
     /** How long to wait before a report goes again. */
-    private long pause(final PostOutcome outcome, final int goes) {
+    private long pause(final PostOutcome outcome, final int attempts) {
         return switch (outcome) {
             case ACCEPTED -> 0;
-            // why: whoever holds the duty by now reports the same numbers from the same log; going on would only cost
+            // Whoever holds the duty by now reports the same numbers from the same log; going on would only cost
             // calls, and a leader that is still the newest comes through later
             case FENCED -> timing.recoverMs();
             case NOT_SENT, THROTTLED, FAILED, UNKNOWN ->
-                Math.min(timing.recoverMs() / 4, timing.down() << Math.min(goes, MAX_DOUBLINGS));
+                Math.min(timing.recoverMs() / 4, timing.down() << Math.min(attempts, MAX_DOUBLINGS));
         };
     }
 
+    /** The committed totals and what became of their reports, for operators. */
     public String windowsJson() {
         final JsonArrayBuilder arr = Json.createArrayBuilder();
         for (final ControlState.Window w : view.state().windows()) {
@@ -218,7 +264,7 @@
                                 .add("publishes", u.publishes())
                                 .add("bytes", u.bytes())
                                 .add("late", u.late())));
-                final Boolean was = view.state().told(w.window());
+                final Boolean was = view.state().deliveryOutcome(w.window());
                 arr.add(Json.createObjectBuilder()
                         .add("windowStartMs", w.window() * timing.windowMs())
                         .add("platform", was == null ? "on its way" : was ? "told" : "given up")
--- a/coordination/src/main/java/brookpath/coordination/placement/MovePlan.java
+++ b/coordination/src/main/java/brookpath/coordination/placement/MovePlan.java
@@ -8,6 +8,7 @@
 import brookpath.coordination.group.Membership;
 import java.util.ArrayList;
 import java.util.Collection;
+import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -18,8 +19,16 @@
  * began; nothing of a move is kept but the memberships themselves.
  */
 public final class MovePlan {
-    /** Groups whose copies move at the same time, so that the others are not slowed. */
-    public static final int MOST = 4;
+    /** The most groups whose replicas move at the same time, so that the others are not slowed. */
+    public static final int MAX_CONCURRENT_MOVES = 4;
+
+    /** Weighs a replica in a zone that has none yet against the load of single nodes. */
+    private static final int ZONE_GAIN = 100;
+
+    /** Makes a replica whose zone has another one of the group leave before any that is alone in its zone. */
+    private static final int SHARED_ZONE_SCORE = 10_000;
+
+    private static final int NO_NODE = 0;
 
     /**
      * A copy of the group goes from one node to another.
@@ -42,9 +51,9 @@
      *
      * @param alive heard lately
      * @param steady those among them that have been heard for so long that it is worth moving something to them
-     * @param gone silent for so long that their copies are to be made elsewhere
+     * @param lost silent for so long that their copies are to be made elsewhere
      */
-    public record Heard(Set<Integer> alive, Set<Integer> steady, Set<Integer> gone) {}
+    public record StorageLiveness(Set<Integer> alive, Set<Integer> steady, Set<Integer> lost) {}
 
     /** The group's leadership goes to a member that ranks higher. */
     public record Switchover(int group, int from, int to) {}
@@ -54,6 +63,7 @@
 
     private MovePlan() {}
 
+    /** Plans to empty a storage node, or with {@code on} false to keep it after all. */
     public static Retirement retire(
             final ClusterMetadata metadata, final int node, final boolean on, final Set<Integer> alive) {
         final List<Finding> findings = new ArrayList<>();
@@ -67,7 +77,7 @@
         }
         final ClusterMetadata then = metadata.with(metadata.nodes(), metadata.groups(), retiring);
         for (final GroupInfo g : metadata.groups()) {
-            if (on && Membership.find(g.members(), node) != null && Placement.instead(then, g, node, alive) == null) {
+            if (on && Membership.find(g.members(), node) != null && Placement.replacementFor(then, g, node, alive) == null) {
                 findings.add(new Finding(
                         "/groups/" + g.id(),
                         "no live storage machine can take the place of node " + node
@@ -94,26 +104,26 @@
     /** The moves to be driven on now, one step each, where no machine is taken for gone. */
     public static List<Move> next(
             final ClusterMetadata metadata, final Set<Integer> alive, final Set<Integer> steady, final int copies) {
-        return next(metadata, new Heard(alive, steady, Set.of()), copies);
+        return next(metadata, new StorageLiveness(alive, steady, Set.of()), copies);
     }
 
     /** The moves to be driven on now, one step each. */
-    public static List<Move> next(final ClusterMetadata metadata, final Heard heard, final int copies) {
+    public static List<Move> next(final ClusterMetadata metadata, final StorageLiveness liveness, final int copies) {
         final List<Move> moves = new ArrayList<>();
-        // why: what has begun is ended first, else a change of plans would leave copies half moved everywhere
+        // What has begun is ended first, else a change of plans would leave copies half moved everywhere
         for (final GroupInfo g : metadata.groups()) {
             if (g.founded() && underWay(g, copies)) {
-                final Move m = goOn(metadata, g, heard, copies);
+                final Move m = continueMove(metadata, g, liveness, copies);
                 if (m != null) {
                     moves.add(m);
                 }
             }
         }
-        // why: a group that is a copy short comes before one whose copy only has to go elsewhere
-        begin(metadata, heard, copies, heard.gone, moves);
-        begin(metadata, heard, copies, metadata.retiring(), moves);
+        // A group that is a copy short comes before one whose copy only has to go elsewhere
+        begin(metadata, liveness, copies, liveness.lost, moves);
+        begin(metadata, liveness, copies, metadata.retiring(), moves);
         if (moves.isEmpty()) {
-            final Move m = spread(metadata, heard.steady, copies);
+            final Move m = spread(metadata, liveness.steady, copies);
             if (m != null) {
                 moves.add(m);
             }
@@ -123,7 +133,7 @@
 
     private static void begin(
             final ClusterMetadata metadata,
-            final Heard heard,
+            final StorageLiveness liveness,
             final int copies,
             final Collection<Integer> leavers,
             final List<Move> moves) {
@@ -131,10 +141,10 @@
             final int leaving = leaving(g, leavers);
             final boolean begun = underWay(g, copies) || moves.stream().anyMatch(m -> m.group() == g.id());
             final boolean wanted = leaving != 0 || g.members().size() < copies;
-            if (moves.size() < MOST && g.founded() && !begun && wanted) {
-                final NodeInfo to = Placement.instead(planned(metadata, moves), g, leaving, heard.alive);
+            if (moves.size() < MAX_CONCURRENT_MOVES && g.founded() && !begun && wanted) {
+                final NodeInfo to = Placement.replacementFor(planned(metadata, moves), g, leaving, liveness.alive);
                 if (to != null) {
-                    moves.add(leave(heard, g, leaving, to));
+                    moves.add(leave(liveness, g, leaving, to));
                 }
             }
         }
@@ -150,11 +160,11 @@
         return then;
     }
 
-    private static Move leave(final Heard heard, final GroupInfo g, final int leaving, final NodeInfo to) {
+    private static Move leave(final StorageLiveness liveness, final GroupInfo g, final int leaving, final NodeInfo to) {
         if (leaving == 0) {
             return new Move(g.id(), 0, to, "it is a copy short", true);
         }
-        final boolean repair = heard.gone.contains(leaving);
+        final boolean repair = liveness.lost.contains(leaving);
         return new Move(g.id(), leaving, to, "node " + leaving + (repair ? " is gone" : " retires"), repair);
     }
 
@@ -163,8 +173,8 @@
     }
 
     /** The voter that leaves: one that is gone before one that retires; 0 for none. */
-    private static int leaving(final ClusterMetadata metadata, final GroupInfo g, final Heard heard) {
-        final int gone = leaving(g, heard.gone);
+    private static int leaving(final ClusterMetadata metadata, final GroupInfo g, final StorageLiveness liveness) {
+        final int gone = leaving(g, liveness.lost);
         return gone != 0 ? gone : leaving(g, metadata.retiring());
     }
 
@@ -178,44 +188,62 @@
     }
 
     /**
-     * A group with a learner, or with one voter too many: who learns becomes a voter, then the one that leaves is let
-     * go. A learner that leaves itself goes first.
+     * The next step for a group with a learner, or with one voter too many: who learns becomes a voter, then the one
+     * that leaves is let go. A learner that leaves itself goes first. Null where the step has to wait.
      */
-    private static Move goOn(final ClusterMetadata metadata, final GroupInfo g, final Heard heard, final int copies) {
+    private static Move continueMove(
+            final ClusterMetadata metadata, final GroupInfo g, final StorageLiveness liveness, final int copies) {
         for (final Member learner : g.membership().learners()) {
-            final boolean gone = heard.gone.contains(learner.node());
-            if (gone || metadata.retiring().contains(learner.node())) {
+            final boolean lost = liveness.lost.contains(learner.node());
+            if (lost || metadata.retiring().contains(learner.node())) {
                 final NodeInfo stays = metadata.node(g.members().get(0).node());
-                return new Move(g.id(), learner.node(), stays, "it learns, and leaves before it is done", gone);
+                return new Move(g.id(), learner.node(), stays, "it learns, and leaves before it is done", lost);
             }
         }
-        final int retires = leaving(metadata, g, heard);
+        final int leaving = leaving(metadata, g, liveness);
         if (g.members().size() > copies) {
-            final int from = retires != 0 ? retires : mostLoaded(metadata, g.members());
-            final NodeInfo stays = metadata.node(g.members().stream()
-                    .map(Member::node)
-                    .filter(n -> n != from)
-                    .findFirst()
-                    .orElseThrow());
-            return new Move(g.id(), from, stays, "it has a copy more than it needs");
+            return removeExtraReplica(metadata, g, leaving);
+        }
+        final Move promotion = continueWithLearner(metadata, g, liveness, leaving, copies);
+        if (promotion != null) {
+            return promotion;
         }
+        final boolean wanted = leaving != NO_NODE || g.members().size() < copies;
+        final NodeInfo to = !wanted ? null : Placement.replacementFor(metadata, g, leaving, liveness.alive);
+        return to == null ? null : leave(liveness, g, leaving, to);
+    }
+
+    private static Move removeExtraReplica(final ClusterMetadata metadata, final GroupInfo g, final int leaving) {
+        final int from = leaving != NO_NODE ? leaving : mostLoaded(metadata, g.members());
+        final NodeInfo stays = metadata.node(g.members().stream()
+                .map(Member::node)
+                .filter(n -> n != from)
+                .findFirst()
+                .orElseThrow());
+        return new Move(g.id(), from, stays, "it has a copy more than it needs");
+    }
+
+    /** Goes on with the first learner that is alive; null where there is none. */
+    private static Move continueWithLearner(
+            final ClusterMetadata metadata,
+            final GroupInfo g,
+            final StorageLiveness liveness,
+            final int leaving,
+            final int copies) {
         for (final Member learner : g.membership().learners()) {
             final NodeInfo to = metadata.node(learner.node());
-            if (to != null && heard.alive.contains(to.node()) && g.members().size() < copies) {
-                return new Move(g.id(), 0, to, "it is a copy short, and node " + to.node() + " learns it", true);
+            if (to == null || !liveness.alive.contains(to.node())) {
+                continue;
             }
-            if (to != null && heard.alive.contains(to.node())) {
+            if (g.members().size() < copies) {
                 return new Move(
-                        g.id(),
-                        retires != 0 ? retires : mostLoaded(metadata, g.members()),
-                        to,
-                        "node " + to.node() + " learns it already",
-                        heard.gone.contains(retires));
+                        g.id(), NO_NODE, to, "it is a copy short, and node " + to.node() + " learns it", true);
             }
+            final int from = leaving != NO_NODE ? leaving : mostLoaded(metadata, g.members());
+            return new Move(
+                    g.id(), from, to, "node " + to.node() + " learns it already", liveness.lost.contains(leaving));
         }
-        final boolean wanted = retires != 0 || g.members().size() < copies;
-        final NodeInfo to = !wanted ? null : Placement.instead(metadata, g, retires, heard.alive);
-        return to == null ? null : leave(heard, g, retires, to);
+        return null;
     }
 
     private static int load(final ClusterMetadata metadata, final int node) {
@@ -230,7 +258,7 @@
         for (final Member m : members) {
             final boolean zoneTwice =
                     members.stream().filter(o -> o.zone().equals(m.zone())).count() > 1;
-            final int score = load(metadata, m.node()) + (zoneTwice ? 10_000 : 0);
+            final int score = load(metadata, m.node()) + (zoneTwice ? SHARED_ZONE_SCORE : 0);
             if (score > bestScore) {
                 bestScore = score;
                 best = m.node();
@@ -245,35 +273,22 @@
      */
     private static Move spread(final ClusterMetadata metadata, final Set<Integer> steady, final int copies) {
         Move best = null;
+        // A difference of one would only swap sides, so such moves would go to and fro
         int bestGain = 1;
         for (final GroupInfo g : metadata.groups()) {
-            if (!g.founded()
-                    || g.members().size() != copies
-                    || !steady.containsAll(
-                            g.members().stream().map(Member::node).toList())) {
-                // why: with a member away no copy is moved for mere looks
+            if (!isMovable(g, steady, copies)) {
                 continue;
             }
             for (final NodeInfo to : metadata.nodes()) {
-                if (!steady.contains(to.node())
-                        || metadata.retiring().contains(to.node())
-                        || g.membership().holds(to.node())) {
+                if (!mayTake(metadata, g, to, steady)) {
                     continue;
                 }
                 for (final Member from : g.members()) {
-                    final int zones = zones(g, from.node(), to.zone()) - zones(g, 0, "");
-                    // why: a difference of one would only swap sides, so such moves would go to and fro
-                    final int gain = load(metadata, from.node()) - load(metadata, to.node()) + 100 * zones;
+                    final int zones = zonesGained(g, from, to);
+                    final int gain = load(metadata, from.node()) - load(metadata, to.node()) + ZONE_GAIN * zones;
                     if (zones >= 0 && gain > bestGain) {
                         bestGain = gain;
-                        best = new Move(
-                                g.id(),
-                                from.node(),
-                                to,
-                                zones > 0
-                                        ? "its copies lie in fewer zones than they could"
-                                        : "node " + from.node() + " holds " + load(metadata, from.node())
-                                                + " groups, node " + to.node() + " " + load(metadata, to.node()));
+                        best = new Move(g.id(), from.node(), to, spreadReason(metadata, from, to, zones));
                     }
                 }
             }
@@ -281,8 +296,34 @@
         return best;
     }
 
+    /** With a member away no replica is moved for the sake of an even spread. */
+    private static boolean isMovable(final GroupInfo g, final Set<Integer> steady, final int copies) {
+        return g.founded()
+                && g.members().size() == copies
+                && steady.containsAll(g.members().stream().map(Member::node).toList());
+    }
+
+    private static boolean mayTake(
+            final ClusterMetadata metadata, final GroupInfo g, final NodeInfo to, final Set<Integer> steady) {
+        return steady.contains(to.node())
+                && !metadata.retiring().contains(to.node())
+                && !g.membership().holds(to.node());
+    }
+
+    private static int zonesGained(final GroupInfo g, final Member from, final NodeInfo to) {
+        return zones(g, from.node(), to.zone()) - zones(g, NO_NODE, "");
+    }
+
+    private static String spreadReason(
+            final ClusterMetadata metadata, final Member from, final NodeInfo to, final int zonesGained) {
+        return zonesGained > 0
+                ? "its copies lie in fewer zones than they could"
+                : "node " + from.node() + " holds " + load(metadata, from.node()) + " groups, node " + to.node() + " "
+                        + load(metadata, to.node());
+    }
+
     private static int zones(final GroupInfo g, final int without, final String with) {
-        final java.util.Set<String> zones = new java.util.HashSet<>();
+        final Set<String> zones = new HashSet<>();
         g.members().stream().filter(m -> m.node() != without).forEach(m -> zones.add(m.zone()));
         if (!with.isEmpty()) {
             zones.add(with);
@@ -298,15 +339,7 @@
             final ClusterMetadata metadata, final Map<Integer, Integer> leaders, final Set<Integer> steady) {
         for (final GroupInfo g : metadata.groups()) {
             final Integer leader = leaders.get(g.id());
-            Member first = null;
-            for (final Member m : g.members()) {
-                if (!metadata.retiring().contains(m.node())
-                        && (first == null
-                                || m.weight() > first.weight()
-                                || (m.weight() == first.weight() && m.node() > first.node()))) {
-                    first = m;
-                }
-            }
+            final Member first = highestRanked(metadata, g);
             if (g.founded()
                     && leader != null
                     && first != null
@@ -319,4 +352,18 @@
         }
         return null;
     }
+
+    /** The member of the greatest weight that does not retire, of equal ones that of the highest number; null for none. */
+    private static Member highestRanked(final ClusterMetadata metadata, final GroupInfo g) {
+        Member first = null;
+        for (final Member m : g.members()) {
+            if (!metadata.retiring().contains(m.node())
+                    && (first == null
+                            || m.weight() > first.weight()
+                            || (m.weight() == first.weight() && m.node() > first.node()))) {
+                first = m;
+            }
+        }
+        return first;
+    }
 }
--- a/coordination/src/main/java/brookpath/coordination/placement/Placement.java
+++ b/coordination/src/main/java/brookpath/coordination/placement/Placement.java
@@ -17,13 +17,14 @@
 
     private Placement() {}
 
-    public static List<GroupInfo> found(final List<NodeInfo> storages, final int groups, final int copies) {
+    /** The first placement of this many groups, each with the given number of replicas. */
+    public static List<GroupInfo> initial(final List<NodeInfo> storages, final int groups, final int copies) {
         final List<NodeInfo> sorted = new ArrayList<>(storages);
         sorted.sort(Comparator.comparingInt(NodeInfo::node));
         final List<GroupInfo> placed = new ArrayList<>();
         for (int g = 0; g < groups; g++) {
             final List<NodeInfo> chosen = new ArrayList<>();
-            // why: first one of each zone, then whoever is left, beginning elsewhere for each group
+            // First one of each zone, then whoever is left, beginning elsewhere for each group
             for (int round = 0; round < 2; round++) {
                 for (int i = 0; i < sorted.size() && chosen.size() < copies; i++) {
                     final NodeInfo n = sorted.get((g + i) % sorted.size());
@@ -45,7 +46,7 @@
     }
 
     /** The storage node that best takes the place of another in a group, or null where none can. */
-    public static NodeInfo instead(
+    public static NodeInfo replacementFor(
             final ClusterMetadata metadata, final GroupInfo g, final int leaving, final Set<Integer> alive) {
         NodeInfo best = null;
         int bestScore = Integer.MAX_VALUE;
@@ -61,7 +62,7 @@
             final int load = (int) metadata.groups().stream()
                     .filter(o -> o.membership().holds(n.node()))
                     .count();
-            // why: one that learns already is taken to the end, else two would be made to learn
+            // One that learns already is taken to the end, else two would be made to learn
             final int score = load
                     + (sameZone ? 10_000 : 0)
                     - (Membership.find(g.membership().learners(), n.node()) != null ? 100_000 : 0);
--- a/coordination/src/main/java/brookpath/coordination/placement/StorageFailureDetector.java
+++ b/coordination/src/main/java/brookpath/coordination/placement/StorageFailureDetector.java
@@ -8,7 +8,7 @@
 import java.util.TreeSet;
 
 /**
- * Judges which storage machines are gone, from when the control leader heard each of them last. It judges nothing while
+ * Judges which storage nodes are lost, from when the control leader heard each of them last. It judges nothing while
  * most of them are silent, for then it is more likely cut off itself.
  */
 public final class StorageFailureDetector {
@@ -41,30 +41,30 @@
     }
 
     /**
-     * The machines that hold copies and are to be taken for gone.
+     * The machines that hold copies and are to be taken for lost.
      *
-     * @param dutySince since when this control leader has been on duty; whoever polled its predecessor needs time to
+     * @param leadingSince since when this control leader has led; whoever polled its predecessor needs time to
      *     find it
-     * @param before those taken for gone so far: they stay so until they are heard
+     * @param lostBefore those taken for lost so far: they stay so until they are heard
      */
-    public Set<Integer> gone(final long dutySince, final Set<Integer> before) {
+    public Set<Integer> lost(final long leadingSince, final Set<Integer> lostBefore) {
         final Set<Integer> alive = alive();
         final Set<Integer> judged = holders();
         judged.addAll(alive);
         if (2 * alive.size() <= judged.size()) {
             return Set.of();
         }
-        final long listeningSince = dutySince + timing.configurationDeadline();
+        final long listeningSince = leadingSince + timing.configurationDeadline();
         final boolean early = anyEmpty(alive);
-        final Set<Integer> gone = new TreeSet<>();
+        final Set<Integer> lost = new TreeSet<>();
         for (final int node : holders()) {
             final long last = Math.max(heardAt.getOrDefault(node, listeningSince), listeningSince);
-            final long bound = early || before.contains(node) ? timing.replacedAfter() : timing.goneAfter();
+            final long bound = early || lostBefore.contains(node) ? timing.replacedAfter() : timing.goneAfter();
             if (now - last > bound) {
-                gone.add(node);
+                lost.add(node);
             }
         }
-        return gone;
+        return lost;
     }
 
     private Set<Integer> holders() {
--- a/testing/src/test/java/brookpath/platform/settings/NodeFileTest.java
+++ b/testing/src/test/java/brookpath/platform/settings/NodeFileTest.java
@@ -54,7 +54,7 @@
                 one.founders().stream().map(Member::node).toList(),
                 one.seeds().keySet().stream().toList());
         assertEquals(one.seeds().get(one.info().node()), one.info().address());
-        assertEquals(one.founding().copies(), 5);
+        assertEquals(one.founding().replicas(), 5);
         assertEquals(one.timing().leaseMs(), 4_500);
         assertEquals(plan("10.1.0.3", Role.GATEWAY, true, data).info().address(), "10.1.0.3:8022");
     }
--- a/testing/src/test/java/brookpath/testing/MovePlanTest.java
+++ b/testing/src/test/java/brookpath/testing/MovePlanTest.java
@@ -40,7 +40,7 @@
             }
             // why: founded on fewer machines than there are now, and one of them may be on its way out
             final int first = 3 + random.nextInt(n - 3);
-            final List<GroupInfo> groups = Placement.found(nodes.subList(0, first), 1 + random.nextInt(24), 3).stream()
+            final List<GroupInfo> groups = Placement.initial(nodes.subList(0, first), 1 + random.nextInt(24), 3).stream()
                     .map(g -> new GroupInfo(g.id(), true, g.membership()))
                     .toList();
             final List<Integer> retiring =
@@ -53,7 +53,7 @@
             for (List<Move> moves = MovePlan.next(r, all, all, 3);
                     !moves.isEmpty();
                     moves = MovePlan.next(r, all, all, 3)) {
-                assertTrue(moves.size() <= MovePlan.MOST, moves.toString());
+                assertTrue(moves.size() <= MovePlan.MAX_CONCURRENT_MOVES, moves.toString());
                 for (final Move m : moves) {
                     r = MovePlan.after(r, m);
                     for (final GroupInfo g : r.groups()) {
@@ -95,7 +95,7 @@
         final ClusterMetadata r = new ClusterMetadata(
                 1,
                 nodes,
-                Placement.found(nodes, 3, 3).stream()
+                Placement.initial(nodes, 3, 3).stream()
                         .map(g -> new GroupInfo(g.id(), true, g.membership()))
                         .toList(),
                 List.of());
--- a/testing/src/test/java/brookpath/testing/StorageFailureDetectorTest.java
+++ b/testing/src/test/java/brookpath/testing/StorageFailureDetectorTest.java
@@ -25,11 +25,11 @@
             new NodeInfo(12, "b", "x"),
             new NodeInfo(13, "c", "x"),
             new NodeInfo(14, "d", "x"));
-    private static final List<GroupInfo> GROUPS = Placement.found(NODES, 4, 3);
+    private static final List<GroupInfo> GROUPS = Placement.initial(NODES, 4, 3);
 
-    private static Set<Integer> gone(final Map<Integer, Long> heardAt, final long dutySince) {
+    private static Set<Integer> gone(final Map<Integer, Long> heardAt, final long leadingSince) {
         final ClusterMetadata metadata = new ClusterMetadata(1, NODES, GROUPS, List.of());
-        return new StorageFailureDetector(TIMING, metadata, heardAt, NOW).gone(dutySince, Set.of());
+        return new StorageFailureDetector(TIMING, metadata, heardAt, NOW).lost(leadingSince, Set.of());
     }
 
     @Test
--- a/testing/src/test/java/brookpath/testing/sim/UsageRepeatTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/UsageRepeatTest.java
@@ -50,7 +50,7 @@
         world.run(answerAt - 1);
         final SimulatedProcess leader = controlLeader();
         final GroupMachine group = ((ControllerNode) leader.node).group();
-        final long window = state(group).untold(group.committed()).get(0).window();
+        final long window = state(group).undelivered(group.committed()).get(0).window();
         final SimulatedProcess successor = world.controllers.stream()
                 .map(id -> world.processes.get(id))
                 .filter(p -> p != leader)
@@ -66,6 +66,6 @@
         }
         assertEquals(group.role(), GroupMachine.LEADER);
         world.run(world.now() + 2_000);
-        assertEquals(state(group).told(window), Boolean.TRUE, "the report waits for ever");
+        assertEquals(state(group).deliveryOutcome(window), Boolean.TRUE, "the report waits for ever");
     }
 }
