--- a/coordination/src/main/java/brookpath/coordination/node/GatewayNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/GatewayNode.java
@@ -1,7 +1,6 @@
 package brookpath.coordination.node;
 
 import brookpath.coordination.TimingBounds;
-import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.configuration.ConfigurationClient;
 import brookpath.coordination.message.PeerMessage;
 import brookpath.coordination.message.PeerMessage.ConfigurationPoll;
@@ -18,6 +17,7 @@
 import brookpath.coordination.message.PeerMessage.PublishReply;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.message.ResponseStatus;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.node.gateway.GatewayAddresses;
 import brookpath.coordination.node.gateway.LeaseQueue;
 import brookpath.coordination.node.gateway.ListenerCountRequests;
--- a/coordination/src/main/java/brookpath/coordination/node/GatewayStatus.java
+++ b/coordination/src/main/java/brookpath/coordination/node/GatewayStatus.java
@@ -1,8 +1,8 @@
 package brookpath.coordination.node;
 
-import brookpath.coordination.metadata.ClusterMetadata;
 import brookpath.coordination.configuration.ConfigurationClient;
 import brookpath.coordination.heartbeat.HeartbeatTable;
+import brookpath.coordination.metadata.ClusterMetadata;
 import brookpath.coordination.route.Route;
 import brookpath.coordination.route.RouteFinder;
 import jakarta.json.Json;
--- a/testing/src/main/java/brookpath/testing/sim/ControlFleet.java
+++ b/testing/src/main/java/brookpath/testing/sim/ControlFleet.java
@@ -1,7 +1,7 @@
 package brookpath.testing.sim;
 
-import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.group.Member;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.node.ControllerNode;
 import brookpath.coordination.node.GatewayNode;
 import brookpath.coordination.node.Node;
--- a/testing/src/main/java/brookpath/testing/sim/SimulatedProcess.java
+++ b/testing/src/main/java/brookpath/testing/sim/SimulatedProcess.java
@@ -2,11 +2,11 @@
 
 import brookpath.coordination.action.Action;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.heartbeat.HeartbeatMonitor;
 import brookpath.coordination.heartbeat.HeartbeatTable;
 import brookpath.coordination.heartbeat.StatusHandoff;
 import brookpath.coordination.message.PeerMessage;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.node.ControllerNode;
 import brookpath.coordination.node.Node;
 import brookpath.coordination.node.Node.Time;
--- a/testing/src/test/java/brookpath/testing/ControlStateTest.java
+++ b/testing/src/test/java/brookpath/testing/ControlStateTest.java
@@ -6,11 +6,11 @@
 import static org.testng.Assert.assertNull;
 
 import brookpath.coordination.controllog.ChangeOutcomes.Outcome;
-import brookpath.coordination.metadata.ClusterMetadata;
-import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.controllog.ControlState;
 import brookpath.coordination.group.Membership;
 import brookpath.coordination.message.Response;
+import brookpath.coordination.metadata.ClusterMetadata;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.state.record.LogRecord;
 import brookpath.state.record.PackedBuffer;
 import java.util.List;
--- a/testing/src/test/java/brookpath/testing/DataFolderCheckTest.java
+++ b/testing/src/test/java/brookpath/testing/DataFolderCheckTest.java
@@ -86,7 +86,13 @@
         try (FolderDisk disk = new FolderDisk(folder)) {
             final WriteAheadLog writeAheadLog = WriteAheadLog.recover(disk).writeAheadLog();
             final ControllerNode node = new ControllerNode(
-                    1, List.of(new Member(1, 50, "")), new GroupBootstrap(2, 1, 1, 0), TimingBounds.DEFAULT, 1, 1, 1 << 20);
+                    1,
+                    List.of(new Member(1, 50, "")),
+                    new GroupBootstrap(2, 1, 1, 0),
+                    TimingBounds.DEFAULT,
+                    1,
+                    1,
+                    1 << 20);
             long written = obey(writeAheadLog, node.start(true, new Time(0, 0)));
             for (long now = 100; now < 3_000; now += 100) {
                 written = Math.max(
--- a/testing/src/test/java/brookpath/testing/MovePlanTest.java
+++ b/testing/src/test/java/brookpath/testing/MovePlanTest.java
@@ -4,13 +4,13 @@
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
+import brookpath.coordination.group.Member;
 import brookpath.coordination.metadata.ClusterMetadata;
 import brookpath.coordination.metadata.ClusterMetadata.GroupInfo;
 import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.placement.MovePlan;
 import brookpath.coordination.placement.MovePlan.Move;
 import brookpath.coordination.placement.Placement;
-import brookpath.coordination.group.Member;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -40,9 +40,10 @@
             }
             // why: founded on fewer machines than there are now, and one of them may be on its way out
             final int first = 3 + random.nextInt(n - 3);
-            final List<GroupInfo> groups = Placement.initial(nodes.subList(0, first), 1 + random.nextInt(24), 3).stream()
-                    .map(g -> new GroupInfo(g.id(), true, g.membership()))
-                    .toList();
+            final List<GroupInfo> groups =
+                    Placement.initial(nodes.subList(0, first), 1 + random.nextInt(24), 3).stream()
+                            .map(g -> new GroupInfo(g.id(), true, g.membership()))
+                            .toList();
             final List<Integer> retiring =
                     n > 4 && random.nextBoolean() ? List.of(11 + random.nextInt(first)) : List.of();
             ClusterMetadata r = new ClusterMetadata(1, nodes, groups, retiring);
--- a/testing/src/test/java/brookpath/testing/sim/CallIdsTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/CallIdsTest.java
@@ -7,12 +7,12 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Action;
-import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.heartbeat.HeartbeatTable;
 import brookpath.coordination.message.PeerMessage.ConfigurationPoll;
 import brookpath.coordination.message.PeerMessage.ConfigurationReply;
 import brookpath.coordination.message.PeerMessage.ControlReply;
 import brookpath.coordination.message.PeerMessage.ControlRequest;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.node.GatewayNode;
 import brookpath.coordination.node.Node.Time;
 import brookpath.coordination.node.NodeRequest;
--- a/testing/src/test/java/brookpath/testing/sim/ScenariosTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ScenariosTest.java
@@ -7,7 +7,6 @@
 import static org.testng.Assert.assertTrue;
 
 import brookpath.coordination.configuration.Configuration;
-import brookpath.coordination.placement.Placement;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Member;
 import brookpath.coordination.group.Membership;
@@ -17,6 +16,7 @@
 import brookpath.coordination.node.GatewayNode;
 import brookpath.coordination.node.NodeRequest;
 import brookpath.coordination.node.StorageNode;
+import brookpath.coordination.placement.Placement;
 import brookpath.coordination.topic.TopicState;
 import brookpath.state.record.LogRecord;
 import brookpath.state.record.PackedBuffer;
