--- a/coordination/src/main/java/brookpath/coordination/configuration/ConfigurationClient.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/ConfigurationClient.java
@@ -1,17 +1,17 @@
 package brookpath.coordination.configuration;
 
-import brookpath.coordination.metadata.ClusterMetadata;
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.message.PeerMessage.ConfigurationPoll;
 import brookpath.coordination.message.PeerMessage.ConfigurationReply;
+import brookpath.coordination.metadata.ClusterMetadata;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.node.Node.Time;
 import brookpath.state.record.Delta;
 import java.util.ArrayList;
 import java.util.List;
 
-/** A data-plane process's side of the configuration: asks with the version that it has, and holds the lease on it. */
+/** A data-plane process's side of the configuration: polls with the version that it has, and holds the lease on it. */
 public final class ConfigurationClient {
     /** Told in place of a version, so that the answer brings the whole. */
     private static final int NOTHING_KNOWN = -1;
@@ -21,7 +21,7 @@
     private final NodeInfo info;
     private final int self;
     private final int role;
-    /** Whom it may ask: those that the settings name, and those that the cluster metadata has told of since. */
+    /** Whom it may ask: those that the settings name, and those that the cluster metadata has named since. */
     private List<Integer> controllers;
 
     private final TimingBounds timing;
@@ -46,15 +46,15 @@
     private int turn;
     private boolean drain;
     private boolean relay;
-    /** Polls are carried only because the leader's address is not known yet. */
+    /** Polls are forwarded only because the leader's address is not known yet. */
     private boolean leaderUnknown;
 
     private long relayUntil;
     private long clockAhead = Long.MIN_VALUE;
 
     /**
-     * @param info this process as others are told of it; peers reach a storage machine or a controller at its address,
-     *     callers a gateway
+     * @param info this process as others see it; peers reach a storage machine or a controller at its address, callers
+     *     a gateway
      * @param firstId where the polls' IDs begin, another place in each life of the process: a reply that a third node
      *     carries may outlive the one that asked, and must grant no lease to its successor
      */
@@ -121,7 +121,7 @@
         return clockAhead != Long.MIN_VALUE;
     }
 
-    /** The fleet's clock as the control leader told it. */
+    /** The fleet's clock as the control leader sent it. */
     public long wall(final Time time) {
         return clockKnown() ? time.mono() + clockAhead : 0;
     }
@@ -168,7 +168,7 @@
         }
     }
 
-    /** The answer that was carried brought the leader's address, so that the next poll can go there. */
+    /** The reply that was forwarded brought the leader's address, so that the next poll can go there. */
     private void askDirectly(final int leader) {
         if (leaderUnknown && controllers.contains(leader)) {
             relay = false;
--- a/coordination/src/main/java/brookpath/coordination/configuration/ConfigurationReader.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/ConfigurationReader.java
@@ -109,16 +109,11 @@
         if (obj.containsKey("annotation") && !(obj.get("annotation") instanceof JsonString)) {
             find("/annotation", "must be a string");
         }
-        final long topicsPerSession =
-                num(obj, "", "topicsPerSession", 1, MAX_TOPICS_PER_SESSION, (long) Configuration.NONE.topicsPerSession());
+        final long topicsPerSession = num(
+                obj, "", "topicsPerSession", 1, MAX_TOPICS_PER_SESSION, (long) Configuration.NONE.topicsPerSession());
         return new Configuration(
-                numbered,
-                basedOn,
-                changeId,
-                Map.copyOf(spaces),
-                Map.copyOf(tenants),
-                Map.copyOf(keys),
-                (int) topicsPerSession);
+                numbered, basedOn, changeId, Map.copyOf(spaces), Map.copyOf(tenants), Map.copyOf(keys), (int)
+                        topicsPerSession);
     }
 
     /** @param present the configuration that the document is to follow */
--- a/coordination/src/main/java/brookpath/coordination/configuration/VersionUpdates.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/VersionUpdates.java
@@ -6,8 +6,8 @@
 import java.util.TreeMap;
 
 /**
- * Brings the newest version of one document to followers: to one that has a version which was told lately, as the
- * difference from that; to any other, whole. Holds the versions that this leader has told, bounded in number and bytes;
+ * Brings the newest version of one document to followers: to one that has a version which was sent lately, as the
+ * difference from that; to any other, whole. Holds the versions that this leader has sent, bounded in number and bytes;
  * nothing of it is replicated. Not thread-safe.
  */
 public final class VersionUpdates {
@@ -26,7 +26,7 @@
 
     private long bytes;
 
-    /** The newest version, which is told from now on; one that is known already changes nothing. */
+    /** The newest version, which is sent from now on; one that is known already changes nothing. */
     public void newest(final long version, final byte[] document) {
         if (version == NO_DOCUMENT || documents.containsKey(version)) {
             return;
@@ -57,7 +57,7 @@
         return base == null ? Delta.whole(newest) : Delta.between(base, newest);
     }
 
-    /** Forgets what was told, as one that is no longer the leader. */
+    /** Forgets what was sent, as one that is no longer the leader. */
     public void clear() {
         documents.clear();
         updates.clear();
--- a/coordination/src/main/java/brookpath/coordination/controllog/ControlState.java
+++ b/coordination/src/main/java/brookpath/coordination/controllog/ControlState.java
@@ -1,8 +1,8 @@
 package brookpath.coordination.controllog;
 
 import brookpath.coordination.configuration.StoredConfiguration;
-import brookpath.coordination.metadata.ClusterMetadata;
 import brookpath.coordination.group.LogState;
+import brookpath.coordination.metadata.ClusterMetadata;
 import brookpath.state.record.Delta;
 import brookpath.state.record.LogRecord;
 import brookpath.state.record.PackedBuffer;
@@ -27,10 +27,10 @@
     /** A configuration as its difference from the one in the record of a configuration before it. */
     public static final int CONFIGURATION_DELTA = 6;
 
-    /** Totals that the platform has not been told yet are kept for as many windows. */
+    /** Totals that the platform has not accepted yet are kept for as many windows. */
     private static final int KEPT_WINDOWS = 360;
 
-    /** Totals that the platform has been told are kept for as many windows, for those who ask what was reported. */
+    /** Totals that the platform has accepted are kept for as many windows, for those who ask what was reported. */
     private static final int KEPT_DELIVERED_WINDOWS = 64;
 
     /** So many committed records, and so many bytes of them, stay in memory for followers that lag. */
@@ -153,7 +153,7 @@
         return included.getOrDefault(group, -1L);
     }
 
-    /** Windows of which the platform has not been told yet. */
+    /** Windows that the platform has not accepted yet. */
     public List<Window> undelivered(final long position) {
         return windows.values().stream()
                 .filter(w -> w.index <= position && !deliveries.containsKey(w.window))
--- a/coordination/src/main/java/brookpath/coordination/metadata/ClusterMetadata.java
+++ b/coordination/src/main/java/brookpath/coordination/metadata/ClusterMetadata.java
@@ -31,12 +31,11 @@
     public static final ClusterMetadata NONE = new ClusterMetadata(0, List.of(), List.of(), List.of());
 
     /**
-     * A process as others are told of it. Node numbers follow from addresses, which are used again; the machine's
-     * identity tells a machine from the one before it.
+     * A process as others see it. Node numbers follow from addresses, which are used again; the machine's identity
+     * tells a machine from the one before it.
      *
      * @param name what operators call the machine; may be empty
-     * @param machine the machine's identity, drawn at its first start; {@link #UNKNOWN_MACHINE} where nobody has told
-     *     it
+     * @param machine the machine's identity, drawn at its first start; {@link #UNKNOWN_MACHINE} where it is not known
      */
     public record NodeInfo(int node, String zone, String address, String name, long machine) {
         public static final long UNKNOWN_MACHINE = 0;
--- a/coordination/src/main/java/brookpath/coordination/node/ControllerNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/ControllerNode.java
@@ -2,8 +2,6 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Action;
-import brookpath.coordination.metadata.ClusterMetadata;
-import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.configuration.ConfigurationClient;
 import brookpath.coordination.controllog.ControlState;
 import brookpath.coordination.group.GroupMachine;
@@ -17,13 +15,15 @@
 import brookpath.coordination.message.PeerMessage.HeartbeatEntry;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.message.ResponseStatus;
+import brookpath.coordination.metadata.ClusterMetadata;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.node.control.ControlLeader;
+import brookpath.coordination.node.control.ControlResponder;
 import brookpath.coordination.node.control.ControlStatus;
 import brookpath.coordination.node.control.ControlView;
 import brookpath.coordination.node.control.ForwardedPolls;
-import brookpath.coordination.node.control.GroupBootstrap;
 import brookpath.coordination.node.control.ForwardedRequests;
-import brookpath.coordination.node.control.ControlResponder;
+import brookpath.coordination.node.control.GroupBootstrap;
 import brookpath.state.record.PackedBuffer;
 import java.util.HashSet;
 import java.util.List;
@@ -78,7 +78,7 @@
     }
 
     /**
-     * @param info this controller as others are told of it
+     * @param info this controller as others see it
      * @param founders the control group's members at its founding; empty where the settings do not tell
      * @param seeds controllers that may be asked, members or not
      */
@@ -148,7 +148,7 @@
     }
 
     /**
-     * Whom requests are carried to, 0 for nobody. A member of the control group knows by the heartbeats that it has
+     * Whom requests are forwarded to, 0 for nobody. A member of the control group knows by the heartbeats that it has
      * lost its leader, and says so at once, where a lease from a poll would have it wait for one that it cannot reach.
      */
     private int leaderForRequests(final long now) {
--- a/coordination/src/main/java/brookpath/coordination/node/control/ClusterMetadataUpdater.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ClusterMetadataUpdater.java
@@ -1,15 +1,15 @@
 package brookpath.coordination.node.control;
 
 import brookpath.coordination.TimingBounds;
-import brookpath.coordination.metadata.ClusterMetadata;
-import brookpath.coordination.metadata.ClusterMetadata.GroupInfo;
-import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.controllog.ControlState;
-import brookpath.coordination.placement.Placement;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Membership;
 import brookpath.coordination.message.PeerMessage.ControlRequest;
+import brookpath.coordination.metadata.ClusterMetadata;
+import brookpath.coordination.metadata.ClusterMetadata.GroupInfo;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.node.Node.Time;
+import brookpath.coordination.placement.Placement;
 import brookpath.state.record.LogRecord;
 import brookpath.state.record.PackedBuffer;
 import java.util.ArrayList;
@@ -27,7 +27,7 @@
     private final GroupBootstrap bootstrap;
     private final TimingBounds timing;
 
-    /** @param info this controller as others are told of it */
+    /** @param info this controller as others see it */
     public ClusterMetadataUpdater(
             final NodeInfo info,
             final GroupMachine group,
@@ -67,8 +67,8 @@
                 && metadata.control().version() < group.membership().version();
         List<GroupInfo> groups = metadata.groups();
         if (groups.isEmpty() && mayFound(nodes.size(), time.mono())) {
-            groups =
-                    Placement.initial(nodes, bootstrap.groups() > 0 ? bootstrap.groups() : nodes.size(), bootstrap.replicas());
+            groups = Placement.initial(
+                    nodes, bootstrap.groups() > 0 ? bootstrap.groups() : nodes.size(), bootstrap.replicas());
             changed = true;
         }
         if (changed) {
@@ -118,8 +118,8 @@
     }
 
     /** A group's leader tells that its group has been founded. */
-    public void onGroupFounded(final ControlRequest op, final Time time) {
-        final int id = (int) PackedBuffer.reader(op.body()).num();
+    public void onGroupFounded(final ControlRequest request, final Time time) {
+        final int id = (int) PackedBuffer.reader(request.body()).num();
         final ClusterMetadata metadata = view.newestMetadata();
         for (final GroupInfo g : metadata.groups()) {
             if (g.id() == id && !g.founded()) {
@@ -129,8 +129,8 @@
     }
 
     /** A group's leader tells the membership that its log has committed. */
-    public void onMembershipCommitted(final ControlRequest op, final Time time) {
-        final PackedBuffer in = PackedBuffer.reader(op.body());
+    public void onMembershipCommitted(final ControlRequest request, final Time time) {
+        final PackedBuffer in = PackedBuffer.reader(request.body());
         final int id = (int) in.num();
         final Membership membership = Membership.load(in);
         final ClusterMetadata metadata = view.newestMetadata();
--- a/coordination/src/main/java/brookpath/coordination/node/control/ConfigurationChangeHandler.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ConfigurationChangeHandler.java
@@ -1,10 +1,10 @@
 package brookpath.coordination.node.control;
 
-import brookpath.coordination.controllog.ChangeOutcomes.Outcome;
 import brookpath.coordination.configuration.ConfigurationReader;
-import brookpath.coordination.controllog.ControlState;
 import brookpath.coordination.configuration.Finding;
 import brookpath.coordination.configuration.StoredConfiguration;
+import brookpath.coordination.controllog.ChangeOutcomes.Outcome;
+import brookpath.coordination.controllog.ControlState;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.message.PeerMessage.ControlRequest;
 import brookpath.coordination.message.Response;
@@ -28,7 +28,7 @@
     private final GroupMachine group;
     private final ControlView view;
     private final ConfigurationReader.Limits limits;
-    private final ConfigurationFollowers followers;
+    private final ChangeConfirmation confirmation;
     private final PendingRequests pending;
     private final ControlResponder responder;
 
@@ -36,13 +36,13 @@
             final GroupMachine group,
             final ControlView view,
             final ConfigurationReader.Limits limits,
-            final ConfigurationFollowers followers,
+            final ChangeConfirmation confirmation,
             final PendingRequests pending,
             final ControlResponder responder) {
         this.group = group;
         this.view = view;
         this.limits = limits;
-        this.followers = followers;
+        this.confirmation = confirmation;
         this.pending = pending;
         this.responder = responder;
     }
@@ -52,9 +52,7 @@
         if (request.body().length > ConfigurationReader.MAX_BYTES) {
             final Finding finding = new Finding("/", "larger than " + ConfigurationReader.MAX_BYTES + " bytes");
             responder.respond(
-                    from,
-                    request.requestId(),
-                    ControlResponder.refused(ResponseStatus.TOO_LARGE, List.of(finding)));
+                    from, request.requestId(), ControlResponder.refused(ResponseStatus.TOO_LARGE, List.of(finding)));
             return;
         }
         if (pending.count(ControlRequestKind.CHANGE) >= MAX_CHANGES) {
@@ -150,10 +148,10 @@
             return refused(
                     ResponseStatus.CONFLICT, changeId, "\"why\":\"the change ID was used for another document\"");
         }
-        if (!followers.isAppliedEverywhere(outcome.version(), now)) {
+        if (!confirmation.isAppliedEverywhere(outcome.version(), now)) {
             return null;
         }
-        followers.onConfirmed(outcome.version());
+        confirmation.onConfirmed(outcome.version());
         return confirmed(changeId, outcome);
     }
 
@@ -171,7 +169,7 @@
         if (outcome == null || outcome.index() > group.committed()) {
             return new Response(ResponseStatus.NOT_FOUND, 0, "{\"outcome\":\"unknown\"}");
         }
-        return followers.isAppliedEverywhere(outcome.version(), now)
+        return confirmation.isAppliedEverywhere(outcome.version(), now)
                 ? confirmed(changeId, outcome)
                 : new Response(ResponseStatus.ACCEPTED, retryAfterMs, outcomeJson("spreading", changeId, outcome));
     }
--- a/coordination/src/main/java/brookpath/coordination/node/control/ConfigurationLeaseGranter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ConfigurationLeaseGranter.java
@@ -2,14 +2,14 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.metadata.ClusterMetadata;
-import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
-import brookpath.coordination.metadata.FleetClock;
 import brookpath.coordination.configuration.StoredConfiguration;
 import brookpath.coordination.configuration.VersionUpdates;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.message.PeerMessage.ConfigurationPoll;
 import brookpath.coordination.message.PeerMessage.ConfigurationReply;
+import brookpath.coordination.metadata.ClusterMetadata;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
+import brookpath.coordination.metadata.FleetClock;
 import brookpath.state.record.PackedBuffer;
 import jakarta.json.Json;
 import jakarta.json.JsonArrayBuilder;
@@ -22,21 +22,22 @@
 
 /**
  * The processes that poll this control leader: what each has, until when its lease runs, and when it was heard. Polls
- * are held until there is news; the answer to one grants a lease on the configuration that it brings or confirms.
+ * stay pending until there is an update; the answer to one grants a lease on the configuration that it brings or
+ * confirms.
  */
-public final class ConfigurationLeaseGranter implements ConfigurationFollowers {
+public final class ConfigurationLeaseGranter {
     private static final long NOT_LEADING = -1;
     private static final long NOT_PENDING = -1;
 
     private static final class Poller {
         ConfigurationPoll last;
-        /** Whom its replies go to: itself, or the controller that carries its polls. */
+        /** Whom its replies go to: itself, or the controller that forwards its polls. */
         int via;
 
         long pendingSince = NOT_PENDING;
         long leaseEnds = Long.MIN_VALUE;
         long heardAt;
-        /** It has been told the fleet's clock. */
+        /** Whether the fleet's clock was sent to it. */
         boolean clockSent;
         /** Since when it has been heard without a break. */
         long since = -1;
@@ -61,8 +62,6 @@
     private final VersionUpdates configurationUpdates = new VersionUpdates();
 
     private final VersionUpdates metadataUpdates = new VersionUpdates();
-    /** When each version that waits for its confirmation was first seen committed. */
-    private final TreeMap<Long, Long> committedAt = new TreeMap<>();
     /** Since when this process acts as the control leader. */
     private long leadingSince = NOT_LEADING;
 
@@ -111,19 +110,18 @@
         pollers.clear();
         configurationUpdates.clear();
         metadataUpdates.clear();
-        committedAt.clear();
     }
 
     // ---- polls
 
-    /** Takes a poll and answers it, now or when there is news. */
-    public void onPoll(final int from, final ConfigurationPoll m, final long now) {
-        if (!pollers.containsKey(m.node())) {
+    /** Takes a poll and answers it, now or once there is an update. */
+    public void onPoll(final int from, final ConfigurationPoll poll, final long now) {
+        if (!pollers.containsKey(poll.node())) {
             newProcessSeenAt = now;
         }
-        final Poller p = pollers.computeIfAbsent(m.node(), k -> new Poller());
+        final Poller p = pollers.computeIfAbsent(poll.node(), k -> new Poller());
         p.via = from;
-        p.last = m;
+        p.last = poll;
         if (p.since < 0 || now - p.heardAt > timing.configurationLease()) {
             p.since = now;
         }
@@ -132,7 +130,7 @@
         answer(p, now);
     }
 
-    /** Answers held polls that have waited long enough or have news, and forgets processes that are gone. */
+    /** Answers pending polls that have waited long enough or have an update, and forgets processes that are gone. */
     public void answerPending(final long now) {
         pollers.forEach((node, p) -> {
             if (p.pendingSince >= 0) {
@@ -141,8 +139,8 @@
         });
         // A process that is gone and whose lease has run out serves nothing, so nobody needs to wait for it
         pollers.values()
-                .removeIf(
-                        p -> p.pendingSince < 0 && now > p.leaseEnds && now - p.heardAt > 2 * timing.configurationLease());
+                .removeIf(p ->
+                        p.pendingSince < 0 && now > p.leaseEnds && now - p.heardAt > 2 * timing.configurationLease());
     }
 
     /** The processes that polled. */
@@ -150,16 +148,16 @@
         return pollers.keySet();
     }
 
-    /** Answers when there is news, or when the poll has been held long enough. */
+    /** Answers when there is an update, or when the poll has been pending long enough. */
     private void answer(final Poller p, final long now) {
         final StoredConfiguration configuration = view.configuration();
         final ClusterMetadata metadata = view.metadata();
-        final boolean news = p.last.configurationVersion() < configuration.version()
+        final boolean hasUpdate = p.last.configurationVersion() < configuration.version()
                 || p.last.metadataVersion() < metadata.version();
         noteVersions(configuration, metadata);
         // A lease that a predecessor granted may be about to run out, so the first poll is never held
         // Until it knows the clock, a storage machine accepts nothing
-        if (!news
+        if (!hasUpdate
                 && (p.clockSent || !clock.known())
                 && p.leaseEnds != Long.MIN_VALUE
                 && now - p.pendingSince < timing.configurationHold()) {
@@ -192,19 +190,8 @@
         }
     }
 
-    // ---- confirmations
-
-    @Override
-    public boolean isAppliedEverywhere(final long version, final long now) {
-        committedAt.putIfAbsent(version, now);
-        // A predecessor may have granted leases that this leader has not seen
-        if (leadingSince < 0 || now - leadingSince <= timing.confirmWait()) {
-            return false;
-        }
-        if (timing.leaseMs() > timing.changeMs() && now - committedAt.get(version) >= timing.confirmWait()) {
-            // Who has not taken it by now cannot be reached, and its lease ends no later than leaseMs from here
-            return true;
-        }
+    /** Whether every process that may act on a configuration has this version, or its lease has run out. */
+    boolean allHave(final long version, final long now) {
         for (final Poller p : pollers.values()) {
             if (!p.is(ConfigurationPoll.CONTROLLER)
                     && p.last.configurationVersion() < version
@@ -215,19 +202,14 @@
         return true;
     }
 
-    @Override
-    public void onConfirmed(final long version) {
-        committedAt.headMap(version).clear();
-    }
-
-    @Override
+    /** Whether this leadership has lasted for so long that every live process has been heard. */
     public boolean hasHeardAll(final long now) {
         return leadingSince >= 0 && now - leadingSince > timing.configurationLease();
     }
 
     // ---- who is there
 
-    @Override
+    /** The storage nodes heard within the lease. */
     public Set<Integer> aliveStorageNodes(final long now) {
         final Set<Integer> alive = new HashSet<>();
         pollers.forEach((node, p) -> {
@@ -293,7 +275,7 @@
                 .map(p -> p.last)
                 .toList();
         final PackedBuffer buffer = PackedBuffer.writer().num(gateways.size());
-        gateways.forEach(m -> buffer.num(m.node()).str(m.zone()).str(m.address()));
+        gateways.forEach(poll -> buffer.num(poll.node()).str(poll.zone()).str(poll.address()));
         return buffer.done();
     }
 
@@ -302,7 +284,7 @@
         pollers.forEach((node, p) -> zones.put(node, p.last.zone()));
     }
 
-    /** What operators are told of the processes that polled. */
+    /** What operators see of the processes that polled. */
     public JsonArrayBuilder nodesJson(final long now) {
         final JsonArrayBuilder nodes = Json.createArrayBuilder();
         pollers.forEach((node, p) -> nodes.add(nodeJson(node, p, now)));
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlGroupMembership.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlGroupMembership.java
@@ -1,7 +1,6 @@
 package brookpath.coordination.node.control;
 
 import brookpath.coordination.TimingBounds;
-import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Member;
 import brookpath.coordination.group.Membership;
@@ -9,6 +8,7 @@
 import brookpath.coordination.group.MembershipPlan.Candidate;
 import brookpath.coordination.group.MembershipPlan.Limits;
 import brookpath.coordination.heartbeat.HeartbeatTable;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlLeader.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlLeader.java
@@ -2,14 +2,14 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.configuration.ConfigurationReader;
-import brookpath.coordination.metadata.FleetClock;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Quorums;
 import brookpath.coordination.heartbeat.HeartbeatTable;
 import brookpath.coordination.message.PeerMessage.ConfigurationPoll;
 import brookpath.coordination.message.PeerMessage.ControlRequest;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
+import brookpath.coordination.metadata.FleetClock;
 import brookpath.coordination.node.Node.Time;
 import brookpath.coordination.node.NodeRequest;
 import brookpath.coordination.node.usage.UsageReporter;
@@ -31,6 +31,7 @@
     private final FleetClock clock = new FleetClock();
     private final ControlGroupMembership members;
     private final ConfigurationLeaseGranter leases;
+    private final ChangeConfirmation confirmation;
     private final ClusterMetadataUpdater metadataUpdater;
     private final GroupMoveDriver moves;
     private final PendingRequests pending;
@@ -38,7 +39,7 @@
     private final ControlRequestHandler requests;
 
     /**
-     * @param info this controller as others are told of it
+     * @param info this controller as others see it
      * @param ids of usage reports, never the same twice
      */
     public ControlLeader(
@@ -58,6 +59,7 @@
         metadataUpdater = new ClusterMetadataUpdater(info, group, view, leases, bootstrap, timing);
         moves = new GroupMoveDriver(view, leases, bootstrap.replicas(), timing, out);
         pending = new PendingRequests(group, timing, responder, out);
+        confirmation = new ChangeConfirmation(leases, timing);
         usage = new UsageReporter(self, group, view, clock, timing, ids, out);
         final ConfigurationReader.Limits limits = new ConfigurationReader.Limits(
                 bootstrap.replicas(), Quorums.floor(bootstrap.replicas(), bootstrap.toleratedLosses()));
@@ -65,7 +67,7 @@
                 self,
                 group,
                 view,
-                new ConfigurationChangeHandler(group, view, limits, leases, pending, responder),
+                new ConfigurationChangeHandler(group, view, limits, confirmation, pending, responder),
                 new StorageRetirementHandler(group, view, leases, pending),
                 metadataUpdater,
                 moves,
@@ -113,6 +115,7 @@
     private void stepDown() {
         if (leases.isLeading()) {
             leases.clear();
+            confirmation.clear();
             clock.clear();
             usage.clear();
             moves.clear();
@@ -137,7 +140,7 @@
         usage.report(time);
     }
 
-    /** Takes a poll, and answers it now or once there is news; only for a leader that may act. */
+    /** Takes a poll, and answers it now or once there is an update; only for a leader that may act. */
     public void onPoll(final int from, final ConfigurationPoll poll, final Time time) {
         clock.hear(poll.node(), poll.wall(), time.mono());
         leases.onPoll(from, poll, time.mono());
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlRequestHandler.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlRequestHandler.java
@@ -4,13 +4,13 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.metadata.ClusterMetadata.GroupInfo;
 import brookpath.coordination.configuration.StoredConfiguration;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.message.PeerMessage.ControlReply;
 import brookpath.coordination.message.PeerMessage.ControlRequest;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.message.ResponseStatus;
+import brookpath.coordination.metadata.ClusterMetadata.GroupInfo;
 import brookpath.coordination.node.Node.Time;
 import brookpath.coordination.node.usage.UsageReporter;
 import brookpath.state.record.PackedBuffer;
@@ -24,8 +24,11 @@
  */
 final class ControlRequestHandler {
     /** Kinds that append a cluster metadata record. */
-    private static final Set<ControlRequestKind> APPENDING =
-            Set.of(ControlRequestKind.FOUNDED, ControlRequestKind.MEMBERS, ControlRequestKind.RETIRE, ControlRequestKind.RETIRE_NAMED);
+    private static final Set<ControlRequestKind> APPENDING = Set.of(
+            ControlRequestKind.FOUNDED,
+            ControlRequestKind.MEMBERS,
+            ControlRequestKind.RETIRE,
+            ControlRequestKind.RETIRE_NAMED);
 
     /** The request ID of a request that wants no reply. */
     private static final long NO_REPLY = 0;
@@ -82,7 +85,8 @@
         if (view.backlogged() && APPENDING.contains(kind)) {
             // Refused before anything is appended, so it is certain; a change may be the repeat of one that is
             // under way
-            responder.respond(from, request.requestId(), responder.unavailable("too many records wait for their copies"));
+            responder.respond(
+                    from, request.requestId(), responder.unavailable("too many records wait for their copies"));
             return;
         }
         switch (kind) {
@@ -133,7 +137,8 @@
         }
         groups.get(id)
                 .members()
-                .forEach(member -> out.send(member.node(), ControlRequestKind.HANDOVER.request(NO_REPLY, request.body())));
+                .forEach(member ->
+                        out.send(member.node(), ControlRequestKind.HANDOVER.request(NO_REPLY, request.body())));
         return new Response(ResponseStatus.ACCEPTED, 0, "{\"outcome\":\"asked\"}");
     }
 
@@ -142,7 +147,8 @@
         if (view.metadata().node(from) != null) {
             moves.onLeaderReported(id, from);
         }
-        final byte[] included = PackedBuffer.writer().num(usage.takeClosedWindows(request)).done();
+        final byte[] included =
+                PackedBuffer.writer().num(usage.takeClosedWindows(request)).done();
         out.send(from, new ControlReply(request.requestId(), ResponseStatus.OK.code(), 0, included));
     }
 
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlStatus.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlStatus.java
@@ -1,9 +1,9 @@
 package brookpath.coordination.node.control;
 
+import brookpath.coordination.group.Member;
 import brookpath.coordination.metadata.ClusterMetadata;
 import brookpath.coordination.metadata.ClusterMetadata.GroupInfo;
 import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
-import brookpath.coordination.group.Member;
 import jakarta.json.Json;
 import jakarta.json.JsonArrayBuilder;
 import jakarta.json.JsonObject;
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlView.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlView.java
@@ -1,9 +1,9 @@
 package brookpath.coordination.node.control;
 
-import brookpath.coordination.metadata.ClusterMetadata;
-import brookpath.coordination.controllog.ControlState;
 import brookpath.coordination.configuration.StoredConfiguration;
+import brookpath.coordination.controllog.ControlState;
 import brookpath.coordination.group.GroupMachine;
+import brookpath.coordination.metadata.ClusterMetadata;
 
 /** What follows from the control log, as a member of the control group sees it. */
 public final class ControlView {
--- a/coordination/src/main/java/brookpath/coordination/node/control/ForwardedRequests.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ForwardedRequests.java
@@ -9,7 +9,7 @@
 import java.util.function.LongSupplier;
 
 /**
- * Requests that this process carries to the control leader, for its own callers or for other processes. Each ends by
+ * Requests that this process forwards to the control leader, for its own callers or for other processes. Each ends by
  * this process's monotonic clock: an answer that comes later is dropped, however it was held up.
  */
 public final class ForwardedRequests {
@@ -37,22 +37,22 @@
     }
 
     /** Sends a request on to the control leader; false where none is heard (0) or too many are under way. */
-    public boolean forward(final int from, final ControlRequest op, final int leader, final long now) {
+    public boolean forward(final int from, final ControlRequest request, final int leader, final long now) {
         if (leader == 0 || forwarded.size() >= MAX_FORWARDED) {
             return false;
         }
-        final ControlRequestKind kind = ControlRequestKind.of(op.kind());
+        final ControlRequestKind kind = ControlRequestKind.of(request.kind());
         final long deadline = now + (kind.isWrite() ? timing.opDeadline() : timing.readDeadline());
         final long id = ids.getAsLong();
-        forwarded.put(id, new Forwarded(op.requestId(), from, leader, kind, deadline));
-        out.send(leader, new ControlRequest(id, op.kind(), op.body()));
+        forwarded.put(id, new Forwarded(request.requestId(), from, leader, kind, deadline));
+        out.send(leader, new ControlRequest(id, request.kind(), request.body()));
         return true;
     }
 
     /** The control leader's answer, which may be late. */
     public void onReply(final int from, final ControlReply reply, final long now) {
         final Forwarded r = forwarded.get(reply.requestId());
-        // Only whom the request was carried to can answer it
+        // Only whom the request was forwarded to can answer it
         if (r == null || r.leader != from) {
             return;
         }
@@ -84,8 +84,8 @@
     }
 
     /** The request never left this process. */
-    public void unsent(final ControlRequest op) {
-        final Forwarded r = forwarded.remove(op.requestId());
+    public void unsent(final ControlRequest request) {
+        final Forwarded r = forwarded.remove(request.requestId());
         if (r != null) {
             responder.respond(r.from, r.requestId, responder.unavailable("no session to the control master"));
         }
@@ -95,7 +95,8 @@
     public void sessionLost(final int node) {
         forwarded.values().removeIf(r -> {
             if (r.leader == node) {
-                responder.respond(r.from, r.requestId, responder.lost(r.kind, "the session with the control master broke"));
+                responder.respond(
+                        r.from, r.requestId, responder.lost(r.kind, "the session with the control master broke"));
             }
             return r.leader == node;
         });
--- a/coordination/src/main/java/brookpath/coordination/node/control/GroupMoveDriver.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/GroupMoveDriver.java
@@ -2,18 +2,18 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
+import brookpath.coordination.group.MoveOrder;
 import brookpath.coordination.metadata.ClusterMetadata;
 import brookpath.coordination.metadata.ClusterMetadata.GroupInfo;
 import brookpath.coordination.placement.MovePlan;
 import brookpath.coordination.placement.StorageFailureDetector;
-import brookpath.coordination.group.MoveOrder;
 import brookpath.state.record.PackedBuffer;
 import java.util.Set;
 import java.util.TreeMap;
 
 /**
  * Drives on the moves of topic groups that {@link MovePlan} names, and hands masterships back to the members that rank
- * first. Orders are told to the groups' members again and again; nothing here is replicated.
+ * first. Orders are sent to the groups' members again and again; nothing here is replicated.
  */
 public final class GroupMoveDriver {
     /** The request ID of a request that wants no reply. */
@@ -30,7 +30,7 @@
 
     private Set<Integer> plannedLost = Set.of();
     private long nextSwitchover = Long.MIN_VALUE / 2;
-    /** Who told last that it leaders a group. */
+    /** The node that reported last that it leads the group, by group. */
     private final TreeMap<Integer, Integer> leaders = new TreeMap<>();
 
     /** @param copies of each group */
@@ -47,7 +47,7 @@
         this.out = out;
     }
 
-    /** A node told that it leaders a group. */
+    /** A node has reported that it leads a group. */
     public void onLeaderReported(final int group, final int node) {
         leaders.put(group, node);
     }
@@ -70,7 +70,8 @@
         nextMove = now + timing.heartbeat();
         plannedVersion = metadata.version();
         recordLost(lost);
-        final MovePlan.StorageLiveness liveness = new MovePlan.StorageLiveness(detector.alive(), leases.steadyStorageNodes(now), lost);
+        final MovePlan.StorageLiveness liveness =
+                new MovePlan.StorageLiveness(detector.alive(), leases.steadyStorageNodes(now), lost);
         MovePlan.next(metadata, liveness, copies).forEach(m -> order(metadata, m));
         if (now >= nextSwitchover) {
             switchover(metadata, now);
--- a/coordination/src/main/java/brookpath/coordination/node/control/PendingRequests.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/PendingRequests.java
@@ -23,7 +23,13 @@
     }
 
     private record Pending(
-            int from, long requestId, ControlRequestKind kind, long term, long arrivedAt, long deadline, Answer answer) {}
+            int from,
+            long requestId,
+            ControlRequestKind kind,
+            long term,
+            long arrivedAt,
+            long deadline,
+            Answer answer) {}
 
     private final GroupMachine group;
     private final TimingBounds timing;
@@ -52,14 +58,18 @@
 
     /** Answers the request once a majority has been heard after now, and the answer is known. */
     public void add(
-            final int from, final ControlRequest op, final ControlRequestKind kind, final Answer answer, final Time time) {
+            final int from,
+            final ControlRequest request,
+            final ControlRequestKind kind,
+            final Answer answer,
+            final Time time) {
         final long now = time.mono();
         if (pending.size() >= MAX_PENDING) {
-            responder.respond(from, op.requestId(), responder.unavailable("too many requests are under way"));
+            responder.respond(from, request.requestId(), responder.unavailable("too many requests are under way"));
             return;
         }
         final long deadline = (kind.isWrite() ? timing.opDeadline() : timing.readDeadline()) * 9 / 10;
-        pending.add(new Pending(from, op.requestId(), kind, group.term(), now, now + deadline, answer));
+        pending.add(new Pending(from, request.requestId(), kind, group.term(), now, now + deadline, answer));
         step(time);
     }
 
--- a/coordination/src/main/java/brookpath/coordination/node/control/StorageRetirementHandler.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/StorageRetirementHandler.java
@@ -2,16 +2,16 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import brookpath.coordination.metadata.ClusterMetadata;
-import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.controllog.ControlState;
-import brookpath.coordination.placement.MovePlan;
 import brookpath.coordination.controllog.Retirements.Retirement;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.message.PeerMessage.ControlRequest;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.message.ResponseStatus;
+import brookpath.coordination.metadata.ClusterMetadata;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.node.Node.Time;
+import brookpath.coordination.placement.MovePlan;
 import brookpath.state.record.LogRecord;
 import brookpath.state.record.PackedBuffer;
 
@@ -56,38 +56,41 @@
 
     private final GroupMachine group;
     private final ControlView view;
-    private final ConfigurationFollowers followers;
+    private final ConfigurationLeaseGranter leases;
     private final PendingRequests pending;
 
     StorageRetirementHandler(
-            final GroupMachine group, final ControlView view, final ConfigurationFollowers followers, final PendingRequests pending) {
+            final GroupMachine group,
+            final ControlView view,
+            final ConfigurationLeaseGranter leases,
+            final PendingRequests pending) {
         this.group = group;
         this.view = view;
-        this.followers = followers;
+        this.leases = leases;
         this.pending = pending;
     }
 
     /** Empties a machine given by its number, or keeps it after all. */
-    public void retire(final int from, final ControlRequest op, final Time time) {
-        final PackedBuffer in = PackedBuffer.reader(op.body());
+    public void retire(final int from, final ControlRequest request, final Time time) {
+        final PackedBuffer in = PackedBuffer.reader(request.body());
         final Target target = new ByNumber((int) in.num());
-        take(from, op, ControlRequestKind.RETIRE, target, in.num() == 1, time);
+        take(from, request, ControlRequestKind.RETIRE, target, in.num() == 1, time);
     }
 
     /** Empties a machine given by its name. */
-    public void retireNamed(final int from, final ControlRequest op, final Time time) {
-        take(from, op, ControlRequestKind.RETIRE_NAMED, new ByName(new String(op.body(), UTF_8)), true, time);
+    public void retireNamed(final int from, final ControlRequest request, final Time time) {
+        take(from, request, ControlRequestKind.RETIRE_NAMED, new ByName(new String(request.body(), UTF_8)), true, time);
     }
 
     private void take(
             final int from,
-            final ControlRequest op,
+            final ControlRequest request,
             final ControlRequestKind kind,
             final Target target,
             final boolean on,
             final Time time) {
         append(target, on, time);
-        pending.add(from, op, kind, at -> answer(target, on, at), time);
+        pending.add(from, request, kind, at -> answer(target, on, at), time);
     }
 
     /** Whether the order is a fact in this cluster metadata, which stands at this position of the log. */
@@ -117,7 +120,7 @@
 
     private MovePlan.Retirement plan(
             final ClusterMetadata metadata, final int node, final boolean on, final Time time) {
-        return MovePlan.retire(metadata, node, on, followers.aliveStorageNodes(time.mono()));
+        return MovePlan.retire(metadata, node, on, leases.aliveStorageNodes(time.mono()));
     }
 
     private Response answer(final Target target, final boolean on, final Time time) {
@@ -127,7 +130,7 @@
         append(target, on, time);
         // A refusal is final, so it must follow from what is committed, and not from machines not heard yet
         final boolean settled =
-                view.newestMetadata().version() == view.metadata().version() && followers.hasHeardAll(time.mono());
+                view.newestMetadata().version() == view.metadata().version() && leases.hasHeardAll(time.mono());
         return appended(target, on) || !settled ? null : refusal(target, on, time);
     }
 
--- a/coordination/src/main/java/brookpath/coordination/node/usage/PostOutcome.java
+++ b/coordination/src/main/java/brookpath/coordination/node/usage/PostOutcome.java
@@ -11,7 +11,7 @@
     NOT_SENT,
     /** The platform did not take it, for there are too many calls just now. */
     THROTTLED,
-    /** The platform has seen a higher fence: another process holds the duty, or did. */
+    /** The platform has seen a higher fencing token: another process leads, or did. */
     FENCED,
     /** The platform answered that it failed, or refused for another reason. Whether it was counted is not known. */
     FAILED,
--- a/coordination/src/main/java/brookpath/coordination/node/usage/UsageReporter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/usage/UsageReporter.java
@@ -2,12 +2,12 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.metadata.ClusterMetadata;
-import brookpath.coordination.metadata.ClusterMetadata.GroupInfo;
 import brookpath.coordination.controllog.ControlState;
-import brookpath.coordination.metadata.FleetClock;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.message.PeerMessage.ControlRequest;
+import brookpath.coordination.metadata.ClusterMetadata;
+import brookpath.coordination.metadata.ClusterMetadata.GroupInfo;
+import brookpath.coordination.metadata.FleetClock;
 import brookpath.coordination.node.Node.Time;
 import brookpath.coordination.node.NodeRequest;
 import brookpath.coordination.node.control.ControlView;
@@ -24,7 +24,7 @@
 import java.util.function.LongSupplier;
 
 /**
- * The control leader's duty of usage: the totals of a window go into the control log before they go to the platform.
+ * Reports usage for the control leader: the totals of a window go into the control log before they go to the platform.
  */
 public final class UsageReporter {
     /** Goes at one report: about an hour of a platform that is down, as long as the groups keep their windows. */
@@ -102,8 +102,8 @@
      * A group's leader tells its closed windows; returns through which of them it is counted for good, -1 where that is
      * not settled.
      */
-    public long takeClosedWindows(final ControlRequest op) {
-        final PackedBuffer in = PackedBuffer.reader(op.body());
+    public long takeClosedWindows(final ControlRequest request) {
+        final PackedBuffer in = PackedBuffer.reader(request.body());
         final int id = (int) in.num();
         final long after = in.num();
         final long closed = in.num();
@@ -172,7 +172,9 @@
         return used;
     }
 
-    /** Per group, through which of its windows it is counted once this window is; groups that add nothing are left out. */
+    /**
+     * Per group, through which of its windows it is counted once this window is; groups that add nothing are left out.
+     */
     private Map<Integer, Long> includedUpTo(final long window) {
         final TreeMap<Integer, Long> upTo = new TreeMap<>();
         closedWindows.forEach((id, reported) -> {
@@ -204,7 +206,7 @@
         }
     }
 
-    /** One report for a window: who reports, in which term of the duty, and every tenant's counts. */
+    /** One report for a window: who reports, in which term, and every tenant's counts. */
     private String json(final ControlState.Window w) {
         final JsonArrayBuilder tenants = Json.createArrayBuilder();
         w.used()
@@ -244,7 +246,7 @@
     private long pause(final PostOutcome outcome, final int attempts) {
         return switch (outcome) {
             case ACCEPTED -> 0;
-            // Whoever holds the duty by now reports the same numbers from the same log; going on would only cost
+            // Whoever leads by now reports the same numbers from the same log; going on would only cost
             // calls, and a leader that is still the newest comes through later
             case FENCED -> timing.recoverMs();
             case NOT_SENT, THROTTLED, FAILED, UNKNOWN ->
--- a/coordination/src/main/java/brookpath/coordination/placement/MovePlan.java
+++ b/coordination/src/main/java/brookpath/coordination/placement/MovePlan.java
@@ -1,11 +1,11 @@
 package brookpath.coordination.placement;
 
 import brookpath.coordination.configuration.Finding;
+import brookpath.coordination.group.Member;
+import brookpath.coordination.group.Membership;
 import brookpath.coordination.metadata.ClusterMetadata;
 import brookpath.coordination.metadata.ClusterMetadata.GroupInfo;
 import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
-import brookpath.coordination.group.Member;
-import brookpath.coordination.group.Membership;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashSet;
@@ -77,7 +77,9 @@
         }
         final ClusterMetadata then = metadata.with(metadata.nodes(), metadata.groups(), retiring);
         for (final GroupInfo g : metadata.groups()) {
-            if (on && Membership.find(g.members(), node) != null && Placement.replacementFor(then, g, node, alive) == null) {
+            if (on
+                    && Membership.find(g.members(), node) != null
+                    && Placement.replacementFor(then, g, node, alive) == null) {
                 findings.add(new Finding(
                         "/groups/" + g.id(),
                         "no live storage machine can take the place of node " + node
@@ -236,8 +238,7 @@
                 continue;
             }
             if (g.members().size() < copies) {
-                return new Move(
-                        g.id(), NO_NODE, to, "it is a copy short, and node " + to.node() + " learns it", true);
+                return new Move(g.id(), NO_NODE, to, "it is a copy short, and node " + to.node() + " learns it", true);
             }
             final int from = leaving != NO_NODE ? leaving : mostLoaded(metadata, g.members());
             return new Move(
@@ -353,7 +354,9 @@
         return null;
     }
 
-    /** The member of the greatest weight that does not retire, of equal ones that of the highest number; null for none. */
+    /**
+     * The member of the greatest weight that does not retire, of equal ones that of the highest number; null for none.
+     */
     private static Member highestRanked(final ClusterMetadata metadata, final GroupInfo g) {
         Member first = null;
         for (final Member m : g.members()) {
--- a/coordination/src/main/java/brookpath/coordination/placement/Placement.java
+++ b/coordination/src/main/java/brookpath/coordination/placement/Placement.java
@@ -1,11 +1,11 @@
 package brookpath.coordination.placement;
 
 import brookpath.coordination.configuration.Configuration;
+import brookpath.coordination.group.Member;
+import brookpath.coordination.group.Membership;
 import brookpath.coordination.metadata.ClusterMetadata;
 import brookpath.coordination.metadata.ClusterMetadata.GroupInfo;
 import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
-import brookpath.coordination.group.Member;
-import brookpath.coordination.group.Membership;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
--- a/coordination/src/main/java/brookpath/coordination/placement/StorageFailureDetector.java
+++ b/coordination/src/main/java/brookpath/coordination/placement/StorageFailureDetector.java
@@ -1,7 +1,7 @@
 package brookpath.coordination.placement;
 
-import brookpath.coordination.metadata.ClusterMetadata;
 import brookpath.coordination.TimingBounds;
+import brookpath.coordination.metadata.ClusterMetadata;
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
@@ -43,8 +43,7 @@
     /**
      * The machines that hold copies and are to be taken for lost.
      *
-     * @param leadingSince since when this control leader has led; whoever polled its predecessor needs time to
-     *     find it
+     * @param leadingSince since when this control leader has led; whoever polled its predecessor needs time to find it
      * @param lostBefore those taken for lost so far: they stay so until they are heard
      */
     public Set<Integer> lost(final long leadingSince, final Set<Integer> lostBefore) {
