--- a/programs/src/main/java/brookpath/programs/boot/ProcessAssembly.java
+++ b/programs/src/main/java/brookpath/programs/boot/ProcessAssembly.java
@@ -12,6 +12,7 @@
 import brookpath.transport.identity.ProcessIdentity;
 import brookpath.transport.identity.RandomNumbers;
 import brookpath.transport.loop.Host;
+import brookpath.transport.loop.SystemClock;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -39,7 +40,7 @@
      * @throws ProcessStartException where the data folder forbids what the plan says
      */
     public static ProcessAssembly of(final ProcessPlan plan, final Host.Poster poster) {
-        final Time now = Host.time();
+        final Time now = SystemClock.now();
         final DataFolder dataFolder = DataFolder.open(plan);
         final NodeInfo self = plan.self().on(dataFolder.machineIdentity());
         final Node node = createNode(plan, self);
