--- a/coordination/src/main/java/brookpath/coordination/configuration/ConfigurationClient.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/ConfigurationClient.java
@@ -2,23 +2,26 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
 import brookpath.coordination.message.PeerMessage.ConfigurationPoll;
 import brookpath.coordination.message.PeerMessage.ConfigurationReply;
+import brookpath.coordination.metadata.ClusterMetadata;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.node.Node.Time;
 import brookpath.state.record.Delta;
 import java.util.ArrayList;
 import java.util.List;
 
-/** A data-plane process's side of the configuration: asks with the version that it has, and holds the lease on it. */
+/** A data-plane process's side of the configuration: polls with the version that it has, and holds the lease on it. */
 public final class ConfigurationClient {
     /** Told in place of a version, so that the answer brings the whole. */
     private static final int NOTHING_KNOWN = -1;
 
+    private static final int NO_LEADER = 0;
+
     private final NodeInfo info;
     private final int self;
     private final int role;
-    /** Whom it may ask: those that the settings name, and those that the cluster metadata has told of since. */
+    /** Whom it may ask: those that the settings name, and those that the cluster metadata has named since. */
     private List<Integer> controllers;
 
     private final TimingBounds timing;
@@ -43,15 +46,15 @@
     private int turn;
     private boolean drain;
     private boolean relay;
-    /** Polls are carried only because the leader's address is not known yet. */
+    /** Polls are forwarded only because the leader's address is not known yet. */
     private boolean leaderUnknown;
 
     private long relayUntil;
     private long clockAhead = Long.MIN_VALUE;
 
     /**
-     * @param info this process as others are told of it; peers reach a storage machine or a controller at its address,
-     *     callers a gateway
+     * @param info this process as others see it; peers reach a storage machine or a controller at its address, callers
+     *     a gateway
      * @param firstId where the polls' IDs begin, another place in each life of the process: a reply that a third node
      *     carries may outlive the one that asked, and must grant no lease to its successor
      */
@@ -73,14 +76,17 @@
         target = controllers.isEmpty() ? 0 : controllers.get(turn);
     }
 
+    /** The newest configuration that this process has. */
     public Configuration configuration() {
         return configuration;
     }
 
+    /** The newest cluster metadata that this process has. */
     public ClusterMetadata metadata() {
         return metadata;
     }
 
+    /** The controller that is polled, 0 for none. */
     public int controlLeader() {
         return target;
     }
@@ -90,10 +96,12 @@
         return leased(now) && !relay ? target : 0;
     }
 
+    /** Tells the control leader with the next poll whether this process drains. */
     public void drain(final boolean on) {
         drain = on;
     }
 
+    /** Whether this process drains. */
     public boolean draining() {
         return drain;
     }
@@ -103,6 +111,7 @@
         return known && now < leaseUntil;
     }
 
+    /** The end of the lease by this process's monotonic clock, in milliseconds. */
     public long leaseUntil() {
         return known ? leaseUntil : Long.MIN_VALUE;
     }
@@ -112,11 +121,12 @@
         return clockAhead != Long.MIN_VALUE;
     }
 
-    /** The fleet's clock as the control leader told it. */
+    /** The fleet's clock as the control leader sent it. */
     public long wall(final Time time) {
         return clockKnown() ? time.mono() + clockAhead : 0;
     }
 
+    /** Sends the next poll where it is due, and gives up one that is not answered in time. */
     public void tick(final Time time) {
         final long now = time.mono();
         if (polling && now - sentAt > timing.configurationDeadline()) {
@@ -132,7 +142,7 @@
      * The one that was asked cannot be reached. Another may reach it, so it is asked to carry the poll, for a while.
      */
     private void unreached(final long now) {
-        // why: before a first answer nothing says that the one is unreachable rather than not up yet
+        // Before a first answer nothing says that the one is unreachable rather than not up yet
         relay = known;
         relayUntil = now + 2 * timing.changeMs() * 4 / 5;
         nextSeed();
@@ -158,7 +168,7 @@
         }
     }
 
-    /** The answer that was carried brought the leader's address, so that the next poll can go there. */
+    /** The reply that was forwarded brought the leader's address, so that the next poll can go there. */
     private void askDirectly(final int leader) {
         if (leaderUnknown && controllers.contains(leader)) {
             relay = false;
@@ -174,7 +184,7 @@
                 known.add(b.node());
             }
         });
-        // why: machines of the first days may be gone for good
+        // Machines of the first days may be gone for good
         if (!metadata.controllers().isEmpty()) {
             known.removeIf(n -> n != target && metadata.controllers().stream().noneMatch(b -> b.node() == n));
         }
@@ -216,39 +226,25 @@
     }
 
     /** True when the configuration or the cluster metadata is a newer one. */
-    public boolean onReply(final ConfigurationReply m, final Time time) {
-        final long now = time.mono();
-        if (!polling || m.pollId() != pollId) {
+    public boolean onReply(final ConfigurationReply reply, final Time time) {
+        if (!polling || reply.pollId() != pollId) {
             return false;
         }
         polling = false;
-        if (!m.leader()) {
-            if (!relay && m.leaderHint() != 0 && m.leaderHint() != target && controllers.contains(m.leaderHint())) {
-                target = m.leaderHint();
-                nextAt = now;
-            } else if (!relay && m.leaderHint() != 0 && m.leaderHint() != target) {
-                // why: a leader that no settings named is known by number only; whoever names it carries the poll, and
-                // the cluster metadata tells the rest
-                relay = true;
-                leaderUnknown = true;
-                relayUntil = now + timing.configurationHold();
-                nextAt = now;
-            } else {
-                nextSeed();
-                nextAt = now + timing.tick();
-            }
+        if (!reply.leader()) {
+            followLeaderHint(reply.leaderHint(), time.mono());
             return false;
         }
-        if (m.configurationVersion() < configuration.version()) {
-            // why: a process that has shown a version never goes back, whoever says so
-            out.grave("spec went back from " + configuration.version() + " to " + m.configurationVersion());
+        if (reply.configurationVersion() < configuration.version()) {
+            // A process that has shown a version never goes back, whoever says so
+            out.grave("spec went back from " + configuration.version() + " to " + reply.configurationVersion());
             return false;
         }
-        final boolean news;
+        final boolean changed;
         try {
-            news = take(m) || !known;
+            changed = take(reply) || !known;
         } catch (final Delta.MismatchException ex) {
-            // why: no lease without the configuration that it is for; the whole fits whatever there is
+            // No lease without the configuration that it is for; the whole fits whatever there is
             out.note("asks for the whole configuration: " + ex.getMessage());
             wantsWhole = true;
             poll(time);
@@ -256,14 +252,37 @@
         }
         wantsWhole = false;
         known = true;
-        askDirectly(m.leaderHint());
-        // why: the lease runs from when the poll was sent, which is before it was granted
+        askDirectly(reply.leaderHint());
+        renewLease(reply, time.mono());
+        poll(time);
+        return changed;
+    }
+
+    /** The one that was asked does not lead: asks whom it names, else the next controller. */
+    private void followLeaderHint(final int hint, final long now) {
+        final boolean usable = !relay && hint != NO_LEADER && hint != target;
+        if (usable && controllers.contains(hint)) {
+            target = hint;
+            nextAt = now;
+        } else if (usable) {
+            // A leader that no settings named is known by number only; whoever names it forwards the poll, and the
+            // cluster metadata tells the rest
+            relay = true;
+            leaderUnknown = true;
+            relayUntil = now + timing.configurationHold();
+            nextAt = now;
+        } else {
+            nextSeed();
+            nextAt = now + timing.tick();
+        }
+    }
+
+    private void renewLease(final ConfigurationReply reply, final long now) {
+        // The lease runs from when the poll was sent, which is before it was granted
         leaseUntil = Math.max(leaseUntil, sentAt + timing.configurationLease());
-        if (m.wall() != 0) {
-            clockAhead = m.wall() - now;
+        if (reply.wall() != 0) {
+            clockAhead = reply.wall() - now;
         }
-        poll(time);
-        return news;
     }
 
     /** Takes what is newer in the reply; nothing of it where one part does not fit. True where there was something. */
--- a/coordination/src/main/java/brookpath/coordination/node/GatewayNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/GatewayNode.java
@@ -3,7 +3,6 @@
 import static brookpath.coordination.message.ResponseStatus.OK;
 
 import brookpath.coordination.TimingBounds;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
 import brookpath.coordination.configuration.ConfigurationClient;
 import brookpath.coordination.message.PeerMessage;
 import brookpath.coordination.message.PeerMessage.ConfigurationPoll;
@@ -20,6 +19,7 @@
 import brookpath.coordination.message.PeerMessage.PublishReply;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.message.ResponseStatus;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.node.gateway.GatewayAddresses;
 import brookpath.coordination.node.gateway.GatewayDrain;
 import brookpath.coordination.node.gateway.LeaseQueue;
--- a/coordination/src/main/java/brookpath/coordination/node/StorageNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/StorageNode.java
@@ -3,7 +3,6 @@
 import static brookpath.coordination.message.ResponseStatus.OK;
 
 import brookpath.coordination.TimingBounds;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
 import brookpath.coordination.configuration.ConfigurationClient;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.MembershipDriver;
@@ -24,6 +23,7 @@
 import brookpath.coordination.message.PeerMessage.VoteReply;
 import brookpath.coordination.message.PeerMessage.VoteRequest;
 import brookpath.coordination.message.Response;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.node.storage.FetchHandler;
 import brookpath.coordination.node.storage.GracefulShutdown;
 import brookpath.coordination.node.storage.GroupStateReporter;
--- a/coordination/src/main/java/brookpath/coordination/node/storage/PendingPublishes.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/PendingPublishes.java
@@ -34,7 +34,7 @@
     }
 
     /**
-     * Replies to the gateway once enough replicas have the record.
+     * ControlResponder to the gateway once enough replicas have the record.
      *
      * @param index where the publish lies in the group's log
      */
--- a/programs/src/main/java/brookpath/programs/boot/ProcessModule.java
+++ b/programs/src/main/java/brookpath/programs/boot/ProcessModule.java
@@ -1,7 +1,7 @@
 package brookpath.programs.boot;
 
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
 import brookpath.coordination.group.Member;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.node.NodeRequest;
 import brookpath.programs.Program;
 import brookpath.programs.Role;
