--- a/coordination/src/main/java/brookpath/coordination/TimingBounds.java
+++ b/coordination/src/main/java/brookpath/coordination/TimingBounds.java
@@ -48,7 +48,7 @@
     }
 
     /** A publish that is not confirmed within this is unsettled. */
-    public long settleDeadline() {
+    public long commitDeadline() {
         return deliverMs / 2;
     }
 
@@ -58,22 +58,22 @@
     }
 
     /** The pause before a leader that took nothing is asked again. */
-    public long forwardPause() {
+    public long forwardRetryDelay() {
         return heartbeat() / 6;
     }
 
     /** A storage machine answers a gateway's held fetch after this, with or without records. */
-    public long fetchHold() {
+    public long longPollTimeout() {
         return 2 * heartbeat();
     }
 
     /** A gateway says so often who listens, though it is as before. */
-    public long listenRefresh() {
+    public long listenerReportInterval() {
         return recoverMs / 8;
     }
 
     /** Listeners of a gateway that says no more lapse after this. */
-    public long listenLapse() {
+    public long listenerExpiry() {
         return recoverMs / 3;
     }
 
--- a/coordination/src/main/java/brookpath/coordination/action/Action.java
+++ b/coordination/src/main/java/brookpath/coordination/action/Action.java
@@ -27,25 +27,36 @@
     }
 
     /** A line for a session whose topics are listened to as a whole. */
-    record Deliver(long sessionId, byte[] line) implements ToSession {}
+    record DeliverLine(long sessionId, byte[] line) implements ToSession {}
 
     /**
      * A record for a session that joins and leaves topics one by one; its cursor is {@code Cursor.one} of its index.
      */
-    record Hand(long sessionId, LogRecord logRecord) implements ToSession {}
+    record DeliverRecord(long sessionId, LogRecord logRecord) implements ToSession {}
 
     /** A topic that a session had joined is no longer listened to, and why. */
-    record Ended(long sessionId, String topic, Response why) implements ToSession {}
+    record TopicEnded(long sessionId, String topic, Response reason) implements ToSession {}
 
     /** The session is to go on elsewhere; the address may be empty. */
-    record Move(long sessionId, String address) implements ToSession {}
+    record MoveSession(long sessionId, String address) implements ToSession {}
 
     /** Ends a caller's session. */
-    record CloseSession(long sessionId, String why) implements ToSession {}
+    record CloseSession(long sessionId, String reason) implements ToSession {}
 
     /** A post to the platform under an idempotency key; what became of it comes back as a request. */
     record Post(long requestId, String key, String json) implements Action {}
 
-    /** A note for the log ring; a grave one has the ring written out. */
-    record Note(boolean grave, String text) implements Action {}
+    /** A line for the log ring; an error has the ring written out. */
+    record Note(Severity severity, String text) implements Action {
+        /** Whether the ring is to be written out. */
+        public boolean isError() {
+            return severity == Severity.ERROR;
+        }
+    }
+
+    /** How serious a note is. */
+    enum Severity {
+        INFO,
+        ERROR
+    }
 }
--- a/coordination/src/main/java/brookpath/coordination/action/Actions.java
+++ b/coordination/src/main/java/brookpath/coordination/action/Actions.java
@@ -6,78 +6,101 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Collects the actions of one event. */
+/**
+ * Collects, in their order, the actions that follow from one event, and numbers what is written to the log. One
+ * instance belongs to one process and is used by its state thread alone.
+ */
 public final class Actions {
-    private List<Action> list = new ArrayList<>();
+    private List<Action> collected = new ArrayList<>();
     private long writes;
     private long bytesSinceRoll;
 
+    /** Sends a message to another process. */
     public void send(final int node, final PeerMessage message) {
-        list.add(new Action.Send(node, message));
+        collected.add(new Action.Send(node, message));
     }
 
+    /**
+     * Appends an entry to the log.
+     *
+     * @return the entry's number; once the executor reports it as synced, the entry survives a loss of power
+     */
     public long write(final byte[] entry) {
         bytesSinceRoll += entry.length;
-        list.add(new Action.Write(++writes, entry));
+        collected.add(new Action.Write(++writes, entry));
         return writes;
     }
 
+    /** Begins a new log segment with a snapshot that stands for everything written so far. */
     public void roll(final byte[] snapshot) {
         bytesSinceRoll = 0;
-        list.add(new Action.Roll(++writes, snapshot));
+        collected.add(new Action.Roll(++writes, snapshot));
     }
 
+    /** How many bytes of entries were written since the last segment began. */
     public long bytesSinceRoll() {
         return bytesSinceRoll;
     }
 
+    /** The number of the last write. */
     public long writes() {
         return writes;
     }
 
+    /** Sends a heartbeat to each peer without waiting for its period. */
     public void heartbeatNow() {
-        list.add(new Action.HeartbeatNow());
+        collected.add(new Action.HeartbeatNow());
     }
 
+    /** Responds to the request of a caller or an operator. */
     public void respond(final long requestId, final Response response) {
-        list.add(new Action.Respond(requestId, response));
+        collected.add(new Action.Respond(requestId, response));
     }
 
-    public void deliver(final long sessionId, final byte[] line) {
-        list.add(new Action.Deliver(sessionId, line));
+    /** Delivers a line to a session with one cursor over all its topics. */
+    public void deliverLine(final long sessionId, final byte[] line) {
+        collected.add(new Action.DeliverLine(sessionId, line));
     }
 
-    public void hand(final long sessionId, final LogRecord logRecord) {
-        list.add(new Action.Hand(sessionId, logRecord));
+    /** Delivers a record to a session that joins and leaves topics one by one. */
+    public void deliverRecord(final long sessionId, final LogRecord logRecord) {
+        collected.add(new Action.DeliverRecord(sessionId, logRecord));
     }
 
-    public void ended(final long sessionId, final String topic, final Response why) {
-        list.add(new Action.Ended(sessionId, topic, why));
+    /** Tells a session that it no longer listens to a topic, and why. */
+    public void topicEnded(final long sessionId, final String topic, final Response reason) {
+        collected.add(new Action.TopicEnded(sessionId, topic, reason));
     }
 
-    public void move(final long sessionId, final String address) {
-        list.add(new Action.Move(sessionId, address));
+    /** Asks a session to go on at another gateway; the address is empty where none is known. */
+    public void moveSession(final long sessionId, final String address) {
+        collected.add(new Action.MoveSession(sessionId, address));
     }
 
-    public void close(final long sessionId, final String why) {
-        list.add(new Action.CloseSession(sessionId, why));
+    /** Closes a session. */
+    public void closeSession(final long sessionId, final String reason) {
+        collected.add(new Action.CloseSession(sessionId, reason));
     }
 
+    /** Posts a document to the users' platform under an idempotency key. */
     public void post(final long requestId, final String key, final String json) {
-        list.add(new Action.Post(requestId, key, json));
+        collected.add(new Action.Post(requestId, key, json));
     }
 
+    /** Adds a line to the log ring. */
     public void note(final String text) {
-        list.add(new Action.Note(false, text));
+        collected.add(new Action.Note(Action.Severity.INFO, text));
     }
 
-    public void grave(final String text) {
-        list.add(new Action.Note(true, text));
+    /** Adds a line to the log ring, and has the ring written out. */
+    public void error(final String text) {
+        collected.add(new Action.Note(Action.Severity.ERROR, text));
     }
 
+    /** Gives the actions collected since the last call to the executor. */
     public List<Action> drain() {
-        final List<Action> drained = list;
-        list = new ArrayList<>();
+        final List<Action> drained = collected;
+        collected = new ArrayList<>();
         return drained;
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/configuration/ConfigurationClient.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/ConfigurationClient.java
@@ -241,7 +241,7 @@
         }
         if (m.configurationVersion() < configuration.version()) {
             // why: a process that has shown a version never goes back, whoever says so
-            out.grave("spec went back from " + configuration.version() + " to " + m.configurationVersion());
+            out.error("spec went back from " + configuration.version() + " to " + m.configurationVersion());
             return false;
         }
         final boolean news;
--- a/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
@@ -1163,7 +1163,7 @@
                         || (m.tryIndex() <= log.baseIndex() && endIndex() == log.baseIndex())) {
                     wantFull = true;
                 } else if (m.tryIndex() < log.committedIndex()) {
-                    out.grave("group " + id + ": master " + from + " lacks accepted records after " + m.tryIndex());
+                    out.error("group " + id + ": master " + from + " lacks accepted records after " + m.tryIndex());
                     return;
                 } else {
                     dropTransfers();
--- a/coordination/src/main/java/brookpath/coordination/node/ControllerNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/ControllerNode.java
@@ -318,7 +318,7 @@
     @Override
     protected void onRequest(final NodeRequest request, final Time time) {
         final long now = time.mono();
-        if (request instanceof NodeRequest.Adopt j) {
+        if (request instanceof NodeRequest.UpdateSettings j) {
             rollBytes = j.rollBytes();
         } else if (request instanceof NodeRequest.Posted j) {
             usage.posted(j, time);
@@ -326,7 +326,7 @@
             out.respond(j.requestId(), new Response(200, 0, statusJson(time)));
         } else if (request instanceof NodeRequest.ReadinessProbe j) {
             out.respond(j.requestId(), ReadinessProbe.response(group.mayAct(now) || controlLeader(now) != 0, false));
-        } else if (request instanceof NodeRequest.Retreat j) {
+        } else if (request instanceof NodeRequest.GracefulShutdown j) {
             retreat = j.requestId();
         } else if (request instanceof NodeRequest.Operate j) {
             final ControlRequest op = new ControlRequest(j.requestId(), j.kind(), j.body());
--- a/coordination/src/main/java/brookpath/coordination/node/GatewayNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/GatewayNode.java
@@ -259,7 +259,7 @@
                 drain.stop();
             }
             out.respond(request.requestId(), new Response(OK, 0, "{\"draining\":" + request.on() + "}"));
-        } else if (nodeRequest instanceof NodeRequest.Retreat request) {
+        } else if (nodeRequest instanceof NodeRequest.GracefulShutdown request) {
             drain.shutDown(request.requestId(), now);
         } else if (nodeRequest instanceof NodeRequest.Status request) {
             out.respond(request.requestId(), new Response(OK, 0, statusJson(time)));
@@ -285,7 +285,7 @@
             out.respond(request.requestId(), Refusals.refused(UNAUTHORIZED, 0, "key", "unknown key"));
         } else if (client.draining()) {
             refuseDraining(request.requestId());
-            out.move(request.requestId(), otherGateways.next());
+            out.moveSession(request.requestId(), otherGateways.next());
         } else {
             sessionRequests.open(request);
         }
@@ -325,8 +325,8 @@
         refuse(requestId, "draining", "this node drains; another takes new sessions");
     }
 
-    private void refuse(final long requestId, final String code, final String why) {
-        out.respond(requestId, Refusals.retryLater(timing, code, why));
+    private void refuse(final long requestId, final String code, final String reason) {
+        out.respond(requestId, Refusals.retryLater(timing, code, reason));
     }
 
     // ---- for the listener thread and the status page
--- a/coordination/src/main/java/brookpath/coordination/node/GroupStatus.java
+++ b/coordination/src/main/java/brookpath/coordination/node/GroupStatus.java
@@ -8,7 +8,7 @@
 import jakarta.json.JsonArrayBuilder;
 import jakarta.json.JsonObject;
 
-/** Who leaders a group, and why, as one member sees it. */
+/** Who leads a group, and why, as one member sees it. */
 final class GroupStatus {
     private static final String[] ROLES = {"slave", "candidate", "master"};
     private static final String[] SYNCS = {"peer", "catch-up", "lost"};
--- a/coordination/src/main/java/brookpath/coordination/node/NodeRequest.java
+++ b/coordination/src/main/java/brookpath/coordination/node/NodeRequest.java
@@ -47,13 +47,13 @@
     record Drain(long requestId, boolean on) implements NodeRequest {}
 
     /** The process is to end: whatever others can take over is handed over, and then there is a response. */
-    record Retreat(long requestId) implements NodeRequest {}
+    record GracefulShutdown(long requestId) implements NodeRequest {}
 
     /** What became of a post to the platform. */
     record Posted(long requestId, PostOutcome outcome) implements NodeRequest {}
 
     /** Settings that were changed under the running process. Nobody waits for a response. */
-    record Adopt(long rollBytes) implements NodeRequest {}
+    record UpdateSettings(long rollBytes) implements NodeRequest {}
 
     /** An operator's request for the control leader: change, configuration, outcome, nodes. */
     record Operate(long requestId, String kind, byte[] body) implements NodeRequest {}
--- a/coordination/src/main/java/brookpath/coordination/node/ReadinessProbe.java
+++ b/coordination/src/main/java/brookpath/coordination/node/ReadinessProbe.java
@@ -8,7 +8,7 @@
 
     static Response response(final boolean leased, final boolean draining) {
         final boolean ready = leased && !draining;
-        final String why = draining ? "draining" : leased ? "serving" : "no spec lease";
-        return new Response(ready ? 200 : 503, 0, "{\"ready\":" + ready + ",\"why\":\"" + why + "\"}");
+        final String reason = draining ? "draining" : leased ? "serving" : "no spec lease";
+        return new Response(ready ? 200 : 503, 0, "{\"ready\":" + ready + ",\"why\":\"" + reason + "\"}");
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/StorageNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/StorageNode.java
@@ -275,9 +275,9 @@
 
     @Override
     protected void onRequest(final NodeRequest nodeRequest, final Time time) {
-        if (nodeRequest instanceof NodeRequest.Adopt request) {
+        if (nodeRequest instanceof NodeRequest.UpdateSettings request) {
             rollBytes = request.rollBytes();
-        } else if (nodeRequest instanceof NodeRequest.Retreat request) {
+        } else if (nodeRequest instanceof NodeRequest.GracefulShutdown request) {
             shutdown.begin(request.requestId());
         } else if (nodeRequest instanceof NodeRequest.Status request) {
             out.respond(request.requestId(), new Response(OK, 0, statusJson(time)));
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/Feed.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/Feed.java
@@ -20,7 +20,7 @@
 
     final int group;
     private final TreeMap<String, Listeners> byTopic = new TreeMap<>();
-    /** What the group's leader was told of the listeners. */
+    /** What was reported of the listeners to the group's leader. */
     final ReportedListeners reported = new ReportedListeners();
     /** Names the set of topics; another one whenever that changes. */
     long topicsVersion;
@@ -32,10 +32,10 @@
     int source;
 
     long fetchSentAt;
-    /** The node that was told the topics last; 0 where none knows them. */
-    int sourceToldTopics;
+    /** The node that the topics were sent to last; 0 where none knows them. */
+    int topicsKnownBy;
 
-    long toldTopicsVersion;
+    long sentTopicsVersion;
     private long changes;
 
     Feed(final int group) {
@@ -80,7 +80,7 @@
         byTopic.get(topic).live.add(session);
     }
 
-    /** A copy, for a session may end while its records are handed out. */
+    /** A copy, for a session may end while its records are delivered. */
     List<Long> liveSessions(final String topic) {
         final Listeners listeners = byTopic.get(topic);
         return listeners == null ? List.of() : new ArrayList<>(listeners.live);
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/FeedFetcher.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/FeedFetcher.java
@@ -48,8 +48,8 @@
         }
         final boolean underWay = feed.fetchId != 0;
         // the source answers within the hold, so one that has not is avoided before its heartbeats are missed
-        final boolean overdue = underWay && now - feed.fetchSentAt > timing.fetchHold() + timing.heartbeat();
-        if (underWay && !overdue && feed.toldTopicsVersion == feed.topicsVersion) {
+        final boolean overdue = underWay && now - feed.fetchSentAt > timing.longPollTimeout() + timing.heartbeat();
+        if (underWay && !overdue && feed.sentTopicsVersion == feed.topicsVersion) {
             return;
         }
         if (overdue) {
@@ -70,10 +70,10 @@
         feed.source = source;
         feed.fetchSentAt = unansweredSince;
         final List<TopicPosition> topics = new ArrayList<>();
-        if (feed.sourceToldTopics != source || feed.toldTopicsVersion != feed.topicsVersion) {
+        if (feed.topicsKnownBy != source || feed.sentTopicsVersion != feed.topicsVersion) {
             feed.topics().forEach(topic -> topics.add(new TopicPosition(topic, 0)));
-            feed.sourceToldTopics = source;
-            feed.toldTopicsVersion = feed.topicsVersion;
+            feed.topicsKnownBy = source;
+            feed.sentTopicsVersion = feed.topicsVersion;
         }
         out.send(source, new Fetch(feed.fetchId, feed.group, false, true, feed.position, feed.topicsVersion, topics));
     }
@@ -81,7 +81,7 @@
     /** The reply to a feed's fetch. */
     void received(final Feed feed, final int from, final FetchReply reply, final long now) {
         if (reply.status() == FetchReply.UNTOLD) {
-            feed.sourceToldTopics = 0;
+            feed.topicsKnownBy = 0;
             feed.fetchId = 0;
             fetch(feed, now);
             return;
@@ -133,7 +133,7 @@
         registry.feeds().stream()
                 .filter(feed -> feed.fetchId == message.requestId())
                 .forEach(feed -> {
-                    feed.sourceToldTopics = 0;
+                    feed.topicsKnownBy = 0;
                     fetchElsewhere(feed, to, now);
                 });
     }
@@ -144,8 +144,8 @@
             if (feed.source == node && feed.fetchId != 0) {
                 fetchElsewhere(feed, node, now);
             }
-            if (feed.sourceToldTopics == node) {
-                feed.sourceToldTopics = 0;
+            if (feed.topicsKnownBy == node) {
+                feed.topicsKnownBy = 0;
             }
             feed.reported.forget(node);
         }
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/ForwardedPublish.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/ForwardedPublish.java
@@ -80,8 +80,8 @@
         maybeAppended = true;
     }
 
-    void failed(final String why) {
-        lastFailure = why;
+    void failed(final String reason) {
+        lastFailure = reason;
     }
 
     Publish message(final long id) {
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/GroupSubscription.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/GroupSubscription.java
@@ -70,7 +70,7 @@
         positions.replaceAll((topic, position) -> position == UNKNOWN_POSITION ? end : position);
     }
 
-    /** Whether a record was not handed out yet; notes that it is now. */
+    /** Whether a record was not delivered yet; notes that it is now. */
     boolean advance(final String topic, final long position) {
         final Long reached = positions.get(topic);
         if (reached == null || position <= reached) {
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/ListenerCountRequests.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/ListenerCountRequests.java
@@ -80,7 +80,7 @@
         }
     }
 
-    private void refuse(final long requestId, final String code, final String why) {
-        out.respond(requestId, Refusals.retryLater(timing, code, why));
+    private void refuse(final long requestId, final String code, final String reason) {
+        out.respond(requestId, Refusals.retryLater(timing, code, reason));
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/ListenerReporter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/ListenerReporter.java
@@ -45,7 +45,7 @@
     private void report(final Feed feed, final int leader, final long now) {
         final ReportedListeners reported = feed.reported;
         final boolean current = reported.isCurrent(leader, feed.changes());
-        if (current && reported.sentWithin(timing.listenRefresh(), now)) {
+        if (current && reported.sentWithin(timing.listenerReportInterval(), now)) {
             return;
         }
         final long base = reported.baseFor(leader);
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/PublishForwarder.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/PublishForwarder.java
@@ -19,7 +19,7 @@
 
 /**
  * Forwards publishes to their groups' leaders, in the order in which the callers sent them. What a leader did not take,
- * or what became unknown when a leader or a session was lost, is retried with whoever leaders the group then, for the
+ * or what became unknown when a leader or a session was lost, is retried with whoever leads the group then, for the
  * sequence makes a repeat harmless. Only a publish whose deadline has passed is given back, as refused where it
  * certainly was not appended, else as unsettled.
  */
@@ -35,7 +35,7 @@
     private final LongFunction<RouteFinder> routes;
     private final LongSupplier ids;
     private final Actions out;
-    private final LeaderAvailability leaders;
+    private final LeaderAvailability leaderAvailability;
     private final TreeMap<Integer, PublishQueue> queues = new TreeMap<>();
     private final Map<Long, Integer> groupOf = new HashMap<>();
 
@@ -52,7 +52,7 @@
         this.routes = routes;
         this.ids = ids;
         this.out = out;
-        leaders = new LeaderAvailability(timing, routes);
+        leaderAvailability = new LeaderAvailability(timing, routes);
     }
 
     /** How many publishes are under way. */
@@ -80,7 +80,7 @@
             refuse(request, "busy", "too many publishes are under way here");
             return;
         }
-        if (leaders.isGivenUp(route.group(), now)) {
+        if (leaderAvailability.isGivenUp(route.group(), now)) {
             refuse(request, "master", "group " + route.group() + " has no master just now");
             return;
         }
@@ -101,7 +101,7 @@
 
     /** Looks which groups have a leader: one that has been without for longer than an election is not waited for. */
     public void checkLeaders(final int groups, final long now) {
-        leaders.check(groups, now);
+        leaderAvailability.check(groups, now);
     }
 
     /** Gives back what is overdue and retries the rest where its pause is over. */
@@ -119,7 +119,7 @@
         while (entries.hasNext()) {
             final Map.Entry<Long, ForwardedPublish> entry = entries.next();
             final ForwardedPublish publish = entry.getValue();
-            if (!publish.expired(now) && !leaders.isGivenUp(group, now)) {
+            if (!publish.expired(now) && !leaderAvailability.isGivenUp(group, now)) {
                 continue;
             }
             entries.remove();
@@ -231,9 +231,9 @@
 
     /** The session with a node broke: what was under way on it may or may not have arrived. */
     public void sessionLost(final int node, final long now) {
-        final String why = "the session with node " + node + " broke";
+        final String reason = "the session with node " + node + " broke";
         for (final PublishQueue queue : queues.values()) {
-            if (queue.takeBackAll(node, why)) {
+            if (queue.takeBackAll(node, reason)) {
                 queue.pause(timing, now);
             }
         }
@@ -249,16 +249,16 @@
         groupOf.remove(id);
     }
 
-    private void refuse(final NodeRequest.Publish request, final String code, final String why) {
-        note(request, why);
-        out.respond(request.requestId(), Refusals.retryLater(timing, code, why));
+    private void refuse(final NodeRequest.Publish request, final String code, final String reason) {
+        note(request, reason);
+        out.respond(request.requestId(), Refusals.retryLater(timing, code, reason));
     }
 
-    private void unsettled(final NodeRequest.Publish request, final String why) {
-        note(request, why);
+    private void unsettled(final NodeRequest.Publish request, final String reason) {
+        note(request, reason);
         out.respond(
                 request.requestId(),
-                Refusals.response(GATEWAY_TIMEOUT, timing.retryAfterMs(), "unsettled", "unsettled", why));
+                Refusals.response(GATEWAY_TIMEOUT, timing.retryAfterMs(), "unsettled", "unsettled", reason));
     }
 
     /** The notes are what is left to explain a publish from afterwards; committed ones explain themselves. */
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/PublishQueue.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/PublishQueue.java
@@ -48,7 +48,7 @@
     }
 
     void pause(final TimingBounds timing, final long now) {
-        pausedUntil = now + (timing.forwardPause() << Math.min(consecutivePauses, MAX_BACKOFF_DOUBLINGS));
+        pausedUntil = now + (timing.forwardRetryDelay() << Math.min(consecutivePauses, MAX_BACKOFF_DOUBLINGS));
         consecutivePauses++;
     }
 
@@ -99,12 +99,12 @@
     }
 
     /** Takes back all that is with a node whose session broke; true where there was something. */
-    boolean takeBackAll(final int node, final String why) {
+    boolean takeBackAll(final int node, final String reason) {
         boolean any = false;
         for (final ForwardedPublish publish : publishes.values()) {
             if (publish.isWith(node)) {
                 publish.endAttemptUncertain();
-                publish.failed(why);
+                publish.failed(reason);
                 any = true;
             }
         }
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/ReportedListeners.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/ReportedListeners.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** The listener counts of a group as its leader was told them last. */
+/** The listener counts of a group as they were reported to its leader last. */
 final class ReportedListeners {
-    /** Names the counts that were told. */
+    /** Names the counts that were reported. */
     private long version;
 
     private int leader;
@@ -36,7 +36,7 @@
         sentAt = now;
     }
 
-    /** Notes the counts that are about to be told to a leader. */
+    /** Notes the counts that are about to be reported to a leader. */
     void replace(final int node, final Map<String, Integer> newCounts, final long changesNow, final long newVersion) {
         version = newVersion;
         leader = node;
@@ -44,7 +44,7 @@
         changes = changesNow;
     }
 
-    /** What a leader may not have received is told again, whole. */
+    /** What a leader may not have received is reported again, complete. */
     void forget() {
         leader = 0;
     }
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/SessionDrain.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/SessionDrain.java
@@ -40,9 +40,9 @@
     private void move(final Session session, final Supplier<String> nextAddress) {
         registry.remove(session);
         if (session.sharedCursor) {
-            out.close(session.id, CLOSE_REASON);
+            out.closeSession(session.id, CLOSE_REASON);
         } else {
-            out.move(session.id, nextAddress.get());
+            out.moveSession(session.id, nextAddress.get());
         }
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/SessionTerminator.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/SessionTerminator.java
@@ -41,7 +41,7 @@
         }
         registry.remove(session);
         if (session.started) {
-            out.close(session.id, closeReason);
+            out.closeSession(session.id, closeReason);
         } else {
             out.respond(session.id, response);
         }
@@ -53,7 +53,7 @@
         if (subscription.pendingJoin != 0) {
             out.respond(subscription.pendingJoin, response);
         } else {
-            out.ended(session.id, subscription.topic(), response);
+            out.topicEnded(session.id, subscription.topic(), response);
         }
     }
 
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/SessionWriter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/SessionWriter.java
@@ -48,7 +48,7 @@
             return;
         }
         if (!session.sharedCursor) {
-            out.hand(session.id, logRecord);
+            out.deliverRecord(session.id, logRecord);
             return;
         }
         final JsonObject message = Json.createObjectBuilder()
@@ -74,6 +74,6 @@
 
     private void writeLine(final Session session, final JsonObject json, final long now) {
         session.lastLineAt = now;
-        out.deliver(session.id, (json + "\n").getBytes(UTF_8));
+        out.deliverLine(session.id, (json + "\n").getBytes(UTF_8));
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/storage/FetchHandler.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/FetchHandler.java
@@ -10,7 +10,7 @@
 
 /**
  * Serves the gateways' reads of committed records. A long poll that finds no record is answered once there is one, or
- * after {@link TimingBounds#fetchHold()}; every other fetch is answered at once.
+ * after {@link TimingBounds#longPollTimeout()}; every other fetch is answered at once.
  */
 public final class FetchHandler {
     private static final long AT_ONCE = Long.MIN_VALUE;
--- a/coordination/src/main/java/brookpath/coordination/node/storage/ListenerCounts.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/ListenerCounts.java
@@ -75,7 +75,7 @@
         int listeners = 0;
         for (final ReportedCounts reported : byGateway.values()) {
             // why: soft state lapses with the reports of the gateway that it came from
-            if (now - reported.reportedAt <= timing.listenLapse()) {
+            if (now - reported.reportedAt <= timing.listenerExpiry()) {
                 listeners += reported.byTopic.getOrDefault(topic, 0);
             }
         }
--- a/coordination/src/main/java/brookpath/coordination/node/storage/PendingFetches.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/PendingFetches.java
@@ -25,7 +25,7 @@
         final TreeMap<Integer, PendingFetch> byGateway =
                 byGroupAndGateway.computeIfAbsent(fetch.group(), id -> new TreeMap<>());
         final PendingFetch replaced = byGateway.get(gateway);
-        final long deadline = replaced == null ? now + timing.fetchHold() : replaced.deadline;
+        final long deadline = replaced == null ? now + timing.longPollTimeout() : replaced.deadline;
         byGateway.put(gateway, new PendingFetch(gateway, fetch, deadline));
     }
 
--- a/coordination/src/main/java/brookpath/coordination/node/storage/PendingPublishes.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/PendingPublishes.java
@@ -45,7 +45,7 @@
             final long index,
             final int requiredReplicas,
             final long now) {
-        final long deadline = now + timing.settleDeadline();
+        final long deadline = now + timing.commitDeadline();
         byGroup.computeIfAbsent(group, id -> new ArrayList<>())
                 .add(new PendingPublish(gateway, requestId, index, requiredReplicas, deadline));
     }
--- a/coordination/src/main/java/brookpath/coordination/route/Refusals.java
+++ b/coordination/src/main/java/brookpath/coordination/route/Refusals.java
@@ -11,13 +11,13 @@
     private Refusals() {}
 
     /** A request that was certainly not carried out. */
-    public static Response refused(final int status, final int retryAfterMs, final String code, final String why) {
-        return response(status, retryAfterMs, "refused", code, why);
+    public static Response refused(final int status, final int retryAfterMs, final String code, final String reason) {
+        return response(status, retryAfterMs, "refused", code, reason);
     }
 
     /** A request that was certainly not carried out and may be repeated after the time that the response names. */
-    public static Response retryLater(final TimingBounds timing, final String code, final String why) {
-        return refused(SERVICE_UNAVAILABLE, timing.retryAfterMs(), code, why);
+    public static Response retryLater(final TimingBounds timing, final String code, final String reason) {
+        return refused(SERVICE_UNAVAILABLE, timing.retryAfterMs(), code, reason);
     }
 
     /** Whether the same request may be carried out later. */
@@ -30,14 +30,14 @@
      *
      * @param outcome "refused" where the request was certainly not carried out
      * @param code the kind of the failure in one word
-     * @param why the reason in a sentence
+     * @param reason the reason in a sentence
      */
     public static Response response(
-            final int status, final int retryAfterMs, final String outcome, final String code, final String why) {
+            final int status, final int retryAfterMs, final String outcome, final String code, final String reason) {
         final String json = Json.createObjectBuilder()
                 .add("outcome", outcome)
                 .add("code", code)
-                .add("why", why)
+                .add("why", reason)
                 .build()
                 .toString();
         return new Response(status, retryAfterMs, json, code);
--- a/coordination/src/main/java/brookpath/coordination/route/RouteFinder.java
+++ b/coordination/src/main/java/brookpath/coordination/route/RouteFinder.java
@@ -107,7 +107,7 @@
         public static final Leader NONE = new Leader(0, -1);
     }
 
-    /** Who leaders the group, as the roles in the heartbeats tell it. */
+    /** Who leads the group, as the roles in the heartbeats tell it. */
     public Leader leader(final int group, final long now) {
         Leader leader = Leader.NONE;
         for (final Member m : groupOf(group).members()) {
--- a/programs/src/main/java/brookpath/programs/boot/ProcessModule.java
+++ b/programs/src/main/java/brookpath/programs/boot/ProcessModule.java
@@ -45,7 +45,7 @@
     SettingsWatch settingsWatch(final Host host, final PlatformPoster poster) {
         return new SettingsWatch(args, program, settings, changed -> {
             poster.url(changed.platformUrl());
-            host.tell(new NodeRequest.Adopt(changed.segmentBytes()));
+            host.tell(new NodeRequest.UpdateSettings(changed.segmentBytes()));
         });
     }
 
--- a/testing/src/main/java/brookpath/testing/model/ModelWorld.java
+++ b/testing/src/main/java/brookpath/testing/model/ModelWorld.java
@@ -276,7 +276,7 @@
                 send(m, send);
             } else if (action instanceof Action.Write write) {
                 m.entries.add(write.entry());
-            } else if (action instanceof Action.Note note && note.grave()) {
+            } else if (action instanceof Action.Note note && note.isError()) {
                 throw new Violation(note.text());
             }
             heartbeatNow |= action instanceof Action.HeartbeatNow;
--- a/testing/src/main/java/brookpath/testing/sim/GroupFuzz.java
+++ b/testing/src/main/java/brookpath/testing/sim/GroupFuzz.java
@@ -188,7 +188,7 @@
                     last = w.number();
                 } else if (a instanceof Action.HeartbeatNow) {
                     heartbeatNow = true;
-                } else if (a instanceof Action.Note n && n.grave()) {
+                } else if (a instanceof Action.Note n && n.isError()) {
                     violation(n.text());
                 }
             }
--- a/testing/src/main/java/brookpath/testing/sim/MachineFaults.java
+++ b/testing/src/main/java/brookpath/testing/sim/MachineFaults.java
@@ -193,7 +193,7 @@
         world.note(next.id, "is to replace node " + gone.id + ", announced", false);
         world.at(world.now() + CATCH_UP_MS, () -> {
             out(gone, RETREAT_MS);
-            world.callers.asked(gone, NodeRequest.Retreat::new, response -> world.count("control: retreats"));
+            world.callers.asked(gone, NodeRequest.GracefulShutdown::new, response -> world.count("control: retreats"));
             world.at(world.now() + RETREAT_MS, () -> {
                 remove(gone);
                 fleet.freshSeeds();
--- a/testing/src/main/java/brookpath/testing/sim/SimulatedProcess.java
+++ b/testing/src/main/java/brookpath/testing/sim/SimulatedProcess.java
@@ -334,16 +334,16 @@
                 heartbeatNow = true;
             } else if (action instanceof Action.Respond a) {
                 world.callers.respond(this, a.requestId(), a.response().at(mono()));
-            } else if (action instanceof Action.Deliver a) {
+            } else if (action instanceof Action.DeliverLine a) {
                 world.callers.deliver(this, a.sessionId(), a.line());
             } else if (action instanceof Action.Post a) {
                 world.platform.post(this, a);
             } else if (action instanceof Action.CloseSession a) {
-                world.callers.closed(this, a.sessionId(), a.why());
+                world.callers.closed(this, a.sessionId(), a.reason());
             } else if (action instanceof Action.ToSession a) {
                 world.callers.told.add(a);
             } else if (action instanceof Action.Note a) {
-                world.note(id, a.text(), a.grave());
+                world.note(id, a.text(), a.isError());
             }
             if (world.armed != null && CrashPoint.ofAction(action) == world.armed && world.crashes(this)) {
                 return;
--- a/testing/src/test/java/brookpath/testing/sim/CallIdsTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/CallIdsTest.java
@@ -77,8 +77,8 @@
 
     private static String sentOn(final GatewayNode gateway, final SimulatedProcess process) {
         return gateway.request(new NodeRequest.Open(7, "key-members"), process.time()).stream()
-                .filter(a -> a instanceof Action.Move)
-                .map(a -> ((Action.Move) a).address())
+                .filter(a -> a instanceof Action.MoveSession)
+                .map(a -> ((Action.MoveSession) a).address())
                 .findFirst()
                 .orElseThrow();
     }
--- a/testing/src/test/java/brookpath/testing/sim/ControlMembershipTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ControlMembershipTest.java
@@ -212,7 +212,7 @@
             final SimulatedProcess leaving = world.processes.get(1 + i);
             world.addController(4 + i, leaving.zone, List.of(1, 2, 3));
             world.run(world.now() + CATCH_UP_MS);
-            world.callers.asked(leaving, NodeRequest.Retreat::new, r -> assertEquals(r.status(), 200));
+            world.callers.asked(leaving, NodeRequest.GracefulShutdown::new, r -> assertEquals(r.status(), 200));
             world.run(world.now() + 1_000);
             world.kill(leaving, false);
             leaving.goneForGood = true;
--- a/testing/src/test/java/brookpath/testing/sim/JoinedSessionsTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/JoinedSessionsTest.java
@@ -62,10 +62,10 @@
         return ask(gateway, i -> new NodeRequest.Publish(i, "key-members", TOPIC, "ana", seq, "says " + seq));
     }
 
-    private List<Action.Hand> handed(final long session) {
-        final List<Action.Hand> list = new ArrayList<>();
+    private List<Action.DeliverRecord> handed(final long session) {
+        final List<Action.DeliverRecord> list = new ArrayList<>();
         world.callers.told.forEach(a -> {
-            if (a instanceof Action.Hand h && h.sessionId() == session) {
+            if (a instanceof Action.DeliverRecord h && h.sessionId() == session) {
                 list.add(h);
             }
         });
@@ -138,10 +138,10 @@
         world.run(world.now() + 3_000);
         assertTrue(
                 world.callers.told.stream()
-                        .anyMatch(a -> a instanceof Action.Ended e
+                        .anyMatch(a -> a instanceof Action.TopicEnded e
                                 && e.sessionId() == session
                                 && e.topic().equals(TOPIC)
-                                && e.why().status() == 401),
+                                && e.reason().status() == 401),
                 world.callers.told.toString());
         assertEquals(publish(32, 2).status(), 200);
         world.run(world.now() + 300);
@@ -221,7 +221,7 @@
         begin(25);
         final SimulatedProcess leaving = leader();
         final long asked = world.now();
-        assertEquals(ask(leaving.id, NodeRequest.Retreat::new).status(), 200);
+        assertEquals(ask(leaving.id, NodeRequest.GracefulShutdown::new).status(), 200);
         assertTrue(world.now() - asked < world.timing.down(), "it took " + (world.now() - asked) + " ms");
         // why: it leaves once another is elected, which then opens its term
         world.run(world.now() + 50);
@@ -236,9 +236,9 @@
         begin(26);
         final long session = open(31, "key-members");
         join(31, session, TOPIC, null);
-        assertEquals(ask(31, NodeRequest.Retreat::new).status(), 200);
-        final Action.Move move = (Action.Move) world.callers.told.stream()
-                .filter(a -> a instanceof Action.Move)
+        assertEquals(ask(31, NodeRequest.GracefulShutdown::new).status(), 200);
+        final Action.MoveSession move = (Action.MoveSession) world.callers.told.stream()
+                .filter(a -> a instanceof Action.MoveSession)
                 .findFirst()
                 .orElseThrow();
         assertEquals(move.sessionId(), session);
--- a/transport/src/main/java/brookpath/transport/http/StreamedSession.java
+++ b/transport/src/main/java/brookpath/transport/http/StreamedSession.java
@@ -29,7 +29,7 @@
 
     @Override
     public boolean offer(final Action.ToSession what) {
-        return queue.offer(((Action.Deliver) what).line());
+        return queue.offer(((Action.DeliverLine) what).line());
     }
 
     @Override
--- a/transport/src/main/java/brookpath/transport/loop/Host.java
+++ b/transport/src/main/java/brookpath/transport/loop/Host.java
@@ -336,7 +336,7 @@
             } else if (action instanceof Action.CloseSession a) {
                 final Sink sink = sinks.remove(a.sessionId());
                 if (sink != null) {
-                    sink.close(a.why());
+                    sink.close(a.reason());
                 }
             } else if (action instanceof Action.ToSession a) {
                 final Sink sink = sinks.get(a.sessionId());
@@ -345,7 +345,7 @@
                     unsubscribe(a.sessionId());
                 }
             } else if (action instanceof Action.Note a) {
-                if (a.grave()) {
+                if (a.isError()) {
                     Logger.error(a.text());
                 } else {
                     Logger.info(a.text());
