--- a/programs/src/main/java/brookpath/programs/boot/ProcessLauncher.java
+++ b/programs/src/main/java/brookpath/programs/boot/ProcessLauncher.java
@@ -11,6 +11,7 @@
 import brookpath.transport.http.GatewayResource;
 import brookpath.transport.http.OperatorResource;
 import brookpath.transport.loop.Host;
+import brookpath.transport.loop.SystemClock;
 import com.google.inject.Guice;
 import com.google.inject.Injector;
 import java.io.UncheckedIOException;
@@ -24,7 +25,7 @@
     private static final int EXIT_CODE_CANNOT_START = 1;
     private static final int EXIT_CODE_BAD_SETTINGS = 2;
     private static final int SETTINGS_CHECKS_PER_CHANGE_BOUND = 6;
-    private static final long STARTED_AT_MS = Host.time().mono();
+    private static final long STARTED_AT_MS = SystemClock.now().mono();
 
     private ProcessLauncher() {}
 
