--- a/coordination/src/main/java/brookpath/coordination/configuration/ConfigurationClient.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/ConfigurationClient.java
@@ -237,7 +237,7 @@
         }
         if (reply.configurationVersion() < configuration.version()) {
             // A process that has shown a version never goes back, whoever says so
-            out.grave("spec went back from " + configuration.version() + " to " + reply.configurationVersion());
+            out.error("spec went back from " + configuration.version() + " to " + reply.configurationVersion());
             return false;
         }
         final boolean changed;
--- a/coordination/src/main/java/brookpath/coordination/node/ControllerNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/ControllerNode.java
@@ -284,7 +284,7 @@
     @Override
     protected void onRequest(final NodeRequest request, final Time time) {
         final long now = time.mono();
-        if (request instanceof NodeRequest.Adopt adopt) {
+        if (request instanceof NodeRequest.UpdateSettings adopt) {
             rollBytes = adopt.rollBytes();
         } else if (request instanceof NodeRequest.Posted posted) {
             leader.onPosted(posted, time);
@@ -293,7 +293,7 @@
         } else if (request instanceof NodeRequest.ReadinessProbe probe) {
             final boolean ready = group.mayAct(now) || controlLeader(now) != 0;
             out.respond(probe.requestId(), ReadinessProbe.response(ready, false));
-        } else if (request instanceof NodeRequest.Retreat shutdown) {
+        } else if (request instanceof NodeRequest.GracefulShutdown shutdown) {
             retreat = shutdown.requestId();
         } else if (request instanceof NodeRequest.Operate operate) {
             onOperate(operate, time);
