--- a/testing/src/test/java/brookpath/testing/StoredDataTest.java
+++ b/testing/src/test/java/brookpath/testing/StoredDataTest.java
@@ -16,7 +16,7 @@
 import brookpath.coordination.node.Node;
 import brookpath.coordination.node.Node.Time;
 import brookpath.coordination.node.StorageNode;
-import brookpath.coordination.node.control.Founding;
+import brookpath.coordination.node.control.GroupBootstrap;
 import brookpath.state.disk.FolderDisk;
 import brookpath.state.disk.MachineIdentity;
 import brookpath.state.record.PackedBuffer;
@@ -114,7 +114,7 @@
         final ControllerNode node = new ControllerNode(
                 CONTROLLER,
                 List.of(),
-                new Founding(GROUPS, 3, 4, TOLERATED_LOSSES),
+                new GroupBootstrap(GROUPS, 3, 4, TOLERATED_LOSSES),
                 TimingBounds.DEFAULT,
                 1,
                 1,
--- a/testing/src/test/java/brookpath/testing/TraceDigest.java
+++ b/testing/src/test/java/brookpath/testing/TraceDigest.java
@@ -87,20 +87,20 @@
     }
 
     private void observeSession(final long nowMs, final int node, final Action.ToSession action) {
-        if (action instanceof Action.Deliver a) {
+        if (action instanceof Action.DeliverLine a) {
             begin(DELIVER_LINE, nowMs, node);
             add(a.sessionId());
             add(a.line());
-        } else if (action instanceof Action.Hand a) {
+        } else if (action instanceof Action.DeliverRecord a) {
             begin(DELIVER_STORED, nowMs, node);
             add(a.sessionId());
             add(a.logRecord().bytes());
-        } else if (action instanceof Action.Ended a) {
+        } else if (action instanceof Action.TopicEnded a) {
             begin(TOPIC_ENDED, nowMs, node);
             add(a.sessionId());
             add(a.topic());
             add(a.why());
-        } else if (action instanceof Action.Move a) {
+        } else if (action instanceof Action.MoveSession a) {
             begin(MOVE, nowMs, node);
             add(a.sessionId());
             add(a.address());
