--- a/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
@@ -1,9 +1,5 @@
 package brookpath.coordination.group;
 
-import static brookpath.coordination.message.PeerMessage.PullReply.FULL;
-import static brookpath.coordination.message.PeerMessage.PullReply.MISMATCH;
-import static brookpath.coordination.message.PeerMessage.PullReply.RECORDS;
-
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
 import brookpath.coordination.heartbeat.HeartbeatPromises;
@@ -58,14 +54,7 @@
 
     private long nextTrim = Long.MIN_VALUE;
 
-    private int pullSource;
-    private long pullSentAt;
-    private boolean pulling;
-    private boolean wantFull;
-    private final SnapshotReceiver snapshotReceiver = new SnapshotReceiver();
-
-    private boolean inSync;
-    private long behindSince = Long.MAX_VALUE;
+    private final LogFetcher fetcher;
 
     public GroupMachine(
             final int id,
@@ -92,6 +81,8 @@
         progress = new ReplicaProgress(self, membership, log);
         appender =
                 new LogAppender(id, timing, roleState, membership, voteStore, log, lease, progress, this::whole, out);
+        fetcher = new LogFetcher(
+                id, self, timing, roleState, membership, voteStore, log, recovery, peers, appender, sweep, out);
         election = new LeaderElection(
                 id,
                 self,
@@ -189,7 +180,7 @@
 
     /** What was asked of the node may never have arrived. */
     public void sessionLost(final int node) {
-        pulling &= pullSource != node;
+        fetcher.sessionLost(node);
     }
 
     public LogState live() {
@@ -252,24 +243,7 @@
 
     /** Has a follower the committed position of a leader that it hears? */
     public boolean inSync(final long now) {
-        // why: a follower that hears its leader but is not heard gets no more of the log, and would not know
-        return roleState.isLeader()
-                ? mayAct(now)
-                : inSync
-                        && !lost()
-                        && roleState.leader() != 0
-                        && peers.up(roleState.leader())
-                        && now - behindSince <= timing.down();
-    }
-
-    /** Since when the leader has told of more committed than is here. */
-    private void lookBehind(final long now) {
-        final HeartbeatEntry e = roleState.leader() == 0 ? null : peers.entry(roleState.leader(), now);
-        if (e == null || e.committed() <= log.committedIndex()) {
-            behindSince = Long.MAX_VALUE;
-        } else if (behindSince == Long.MAX_VALUE) {
-            behindSince = now;
-        }
+        return roleState.isLeader() ? mayAct(now) : fetcher.isInSync(now);
     }
 
     public HeartbeatEntry entry(final long now) {
@@ -303,16 +277,10 @@
                 log.replay(logRecord);
                 voteStore.replayRecordOf(logRecord.term());
             }
-            case TRUNCATE -> {
-                dropTransfers();
-                log.replayTruncate(in.num());
-            }
+            case TRUNCATE -> log.replayTruncate(in.num());
             case VOTE -> voteStore.replay(in.num(), (int) in.num());
             case INITIALISED -> recovery.replay(in.num() == 1);
-            case SNAPSHOT -> {
-                dropTransfers();
-                log.replaySnapshot(in.bytes(), now);
-            }
+            case SNAPSHOT -> log.replaySnapshot(in.bytes(), now);
         }
         log.recovered();
     }
@@ -459,15 +427,15 @@
             if (heard != self && heard != 0) {
                 election.onLeaderHeard();
             }
-            pulling = false;
+            fetcher.cancel();
         }
         if (roleState.isFollower() && roleState.leader() == 0) {
-            inSync = false;
+            fetcher.outOfSync();
             election.standIfDue(now);
         }
-        lookBehind(now);
+        fetcher.watchLeader(now);
         sweepLog();
-        pull(now);
+        fetcher.pull(now);
         trim(now);
     }
 
@@ -479,10 +447,10 @@
         roleState.becomeFollower();
         if (membership.holdsSelf()) {
             roleState.hear(liveLeader(now));
-            pull(now);
+            fetcher.pull(now);
         } else {
             roleState.hear(PeerView.NOBODY);
-            inSync = false;
+            fetcher.outOfSync();
         }
     }
 
@@ -498,14 +466,14 @@
                 out.send(next.node(), next.message());
             }
         }
-        final String recovered = recovery.synced(number, wantFull);
+        final String recovered = recovery.synced(number, fetcher.isSnapshotWanted());
         if (recovered != null) {
             roleState.explain(recovered);
         }
         if (roleState.isLeader()) {
             advance(now);
         } else if (!log.hasUnsynced()) {
-            pull(now);
+            fetcher.pull(now);
         }
     }
 
@@ -591,11 +559,11 @@
     /** Begins a leadership that was won. */
     private void lead(final long now) {
         election.win(now);
-        snapshotReceiver.reset();
+        fetcher.dropReceived();
         progress.clear();
         lease.reset();
         appender.dropPending();
-        pulling = false;
+        fetcher.cancel();
         out.note("group " + id + ": " + why());
         out.heartbeatNow();
         // why: records of earlier terms count as committed only once a record of this one is
@@ -606,8 +574,8 @@
         roleState.stepDown("stepped down: " + reason);
         appender.dropPending();
         progress.clearVoters();
-        pulling = false;
-        inSync = false;
+        fetcher.cancel();
+        fetcher.outOfSync();
         out.note("group " + id + ": " + why());
         out.heartbeatNow();
     }
@@ -625,58 +593,6 @@
 
     // ---- replication
 
-    private void pull(final long now) {
-        if (roleState.isLeader() || members().isEmpty() || log.hasUnsynced()) {
-            return;
-        }
-        final int source = source(now);
-        if (source == 0 || (pulling && source == pullSource && now - pullSentAt < timing.pullDeadline())) {
-            return;
-        }
-        sendPull(source, now);
-    }
-
-    private void sendPull(final int source, final long now) {
-        pulling = true;
-        pullSource = source;
-        pullSentAt = now;
-        final long next = wantFull ? -1 : endIndex() + 1;
-        out.send(
-                source,
-                new Pull(
-                        id,
-                        groupVersion(),
-                        term(),
-                        next,
-                        log.endTerm(),
-                        log.syncedIndex(),
-                        log.syncedTerm(),
-                        recovery.needsTarget() ? Pull.UNKNOWN : log.committedIndex(),
-                        lost(),
-                        log.digestAt(log.syncedIndex()),
-                        snapshotReceiver.sum(),
-                        snapshotReceiver.offset()));
-    }
-
-    /** The leader while it can be reached; else a follower that still hears it. */
-    private int source(final long now) {
-        if (roleState.leader() != 0 && peers.up(roleState.leader())) {
-            return roleState.leader();
-        }
-        for (final Member m : members()) {
-            final HeartbeatEntry e = peers.entry(m.node(), now);
-            if (e != null
-                    && peers.up(m.node())
-                    && e.leaderHeard() != 0
-                    && e.leaderHeard() != self
-                    && e.sync() == SYNC_PEER
-                    && e.term() >= term()) {
-                return m.node();
-            }
-        }
-        return 0;
-    }
-
     private void onPull(final int from, final Pull pull, final long now) {
         final boolean learner = !membership.isVoter(from);
         if (pull.term() > term() && !learner) {
@@ -700,123 +616,13 @@
         appender.answer(from, pull, now);
     }
 
-    /**
-     * Whether the reply is older than a membership that its sender must know: one that is committed, or that was made
-     * in this term. A record of an earlier leader that was never committed says nothing of this one.
-     */
-    private boolean olderGroup(final PullReply m) {
-        return m.groupVersion() < groupVersion() && (membershipSettled() || log.termAt(membership.index()) == m.term());
-    }
-
-    private void onPullReply(final int from, final PullReply m, final long now) {
-        // why: the fence: whoever acts for an older term or an older group is not obeyed, however late it wakes
-        final boolean older = !membership.selfIsVoter() ? m.term() < log.endTerm() : m.term() < term();
-        if (older || (m.term() == term() && olderGroup(m)) || roleState.isLeader() || from != pullSource) {
-            return;
-        }
-        if (m.term() > term()) {
-            if (roleState.isCandidate()) {
-                roleState.becomeFollower();
-            }
-            voteStore.enter(m.term());
-        }
-        pulling = false;
-        // why: a late reply speaks of a log that may have grown since; cutting by it would take back acknowledged
-        // records
-        final boolean ofThisLog =
-                wantFull ? m.askedIndex() < 0 : m.askedIndex() == endIndex() && m.askedTerm() == log.endTerm();
-        if (m.kind() != RECORDS && !ofThisLog) {
-            pull(now);
-            return;
-        }
-        long matched = -1;
-        switch (m.kind()) {
-            case FULL -> {
-                // why: a follower's log may lack what this member's counted for; whoever is mended takes the leader's
-                if (m.snapshot().length == 0
-                        || (m.standing() == PullReply.FOLLOWER && recovery.isDamaged())
-                        || (m.standing() == PullReply.FOLLOWER
-                                && !lost()
-                                && !wantFull
-                                && endIndex() > 0
-                                && log.committedIndex() > 0)) {
-                    return;
-                }
-                final byte[] snapshot = snapshotReceiver.take(m);
-                if (snapshot == null) {
-                    break;
-                }
-                dropTransfers();
-                sweep.restart();
-                log.install(snapshot, now);
-                wantFull = false;
-                matched = endIndex();
-                roleState.explain("full sync from " + from + " up to " + endIndex());
-                out.note("group " + id + ": " + why());
-            }
-            case MISMATCH -> {
-                if (m.standing() == PullReply.FOLLOWER) {
-                    return;
-                }
-                if ((m.tryIndex() < log.committedIndex() && m.tryIndex() < log.baseIndex())
-                        || (m.tryIndex() <= log.baseIndex() && endIndex() == log.baseIndex())) {
-                    wantFull = true;
-                } else if (m.tryIndex() < log.committedIndex()) {
-                    out.grave("group " + id + ": master " + from + " lacks accepted records after " + m.tryIndex());
-                    return;
-                } else {
-                    dropTransfers();
-                    log.truncate(m.tryIndex());
-                    roleState.explain("diverged tail cut to " + m.tryIndex());
-                    out.note("group " + id + ": " + why());
-                }
-            }
-            default -> {
-                snapshotReceiver.reset();
-                matched = take(m, now);
-            }
-        }
-        if (m.kind() != MISMATCH && matched >= 0) {
-            log.commit(Math.min(m.committed(), matched));
-            if (!inSync && matched >= m.committed()) {
-                out.heartbeatNow();
-            }
-            inSync = matched >= m.committed();
-            if (m.standing() == PullReply.ACTING_LEADER && recovery.needsTarget()) {
-                recovery.target(m.committed());
-            }
-            appender.answerPending(now);
-        }
-        if (!log.hasUnsynced()) {
+    private void onPullReply(final int from, final PullReply reply, final long now) {
+        if (fetcher.onReply(from, reply, now) && !log.hasUnsynced()) {
             synced(0, now);
-            pull(now);
+            fetcher.pull(now);
         }
     }
 
-    /** Appends what follows; returns up to where this log is the source's, or -1 where the reply fits another log. */
-    private long take(final PullReply m, final long now) {
-        // why: a late reply may belong to a log that was cut since; what came after the cut must not be called
-        // committed
-        // by it
-        if (m.askedIndex() < log.baseIndex()
-                || m.askedIndex() > endIndex()
-                || log.termAt(m.askedIndex()) != m.askedTerm()) {
-            return -1;
-        }
-        long matched = m.askedIndex();
-        for (final LogRecord logRecord : m.records()) {
-            if (logRecord.index() != matched + 1
-                    || (logRecord.index() <= endIndex() && log.termAt(logRecord.index()) != logRecord.term())) {
-                break;
-            }
-            if (logRecord.index() > endIndex()) {
-                log.append(LogRecord.wrap(logRecord.bytes(), now));
-            }
-            matched = logRecord.index();
-        }
-        return matched;
-    }
-
     /** Whether so much waits for this member's own disk that nothing more is to be appended. */
     public boolean diskBacklogged() {
         return log.syncBacklogged();
@@ -831,12 +637,6 @@
         }
     }
 
-    /** No snapshot under way, in or out, is of the log as it is from here on. */
-    private void dropTransfers() {
-        appender.dropSnapshot();
-        snapshotReceiver.reset();
-    }
-
     private void advance(final long now) {
         if (!lease.held(now)) {
             return;
@@ -878,9 +678,7 @@
         }
         if (!lost()) {
             recovery.damage();
-            snapshotReceiver.reset();
-            wantFull = true;
-            inSync = false;
+            fetcher.replaceLog();
             if (roleState.isLeader()) {
                 stepDown("record " + index + " is damaged");
             }
--- a/testing/src/main/java/brookpath/testing/model/StateHash.java
+++ b/testing/src/main/java/brookpath/testing/model/StateHash.java
@@ -5,6 +5,7 @@
 import java.lang.reflect.Field;
 import java.lang.reflect.Modifier;
 import java.util.ArrayList;
+import java.util.IdentityHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -35,12 +36,19 @@
         }
     };
 
-    private long digest = 17;
+    private static final long SEED = 17;
 
-    private StateHash() {}
+    /** The digests of the objects of our own code that were met: many are reached on several ways. */
+    private final Map<Object, Long> known;
+
+    private long digest = SEED;
+
+    private StateHash(final Map<Object, Long> known) {
+        this.known = known;
+    }
 
     static long of(final ModelWorld world) {
-        final StateHash hash = new StateHash();
+        final StateHash hash = new StateHash(new IdentityHashMap<>());
         hash.add(world);
         return hash.digest;
     }
@@ -87,14 +95,25 @@
             list.forEach(this::add);
             mix(4);
         } else {
-            addFields(value);
+            addObject(value);
+        }
+    }
+
+    private void addObject(final Object value) {
+        Long own = known.get(value);
+        if (own == null) {
+            final StateHash hash = new StateHash(known);
+            hash.addFields(value);
+            own = hash.digest;
+            known.put(value, own);
         }
+        mix(own);
     }
 
     private void addUnordered(final Set<?> set) {
         long sum = set.size();
         for (final Object element : set) {
-            final StateHash own = new StateHash();
+            final StateHash own = new StateHash(known);
             own.add(element);
             sum += own.digest;
         }
