--- a/testing/src/test/java/brookpath/testing/sim/ConfigurationUpdatesTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ConfigurationUpdatesTest.java
@@ -20,6 +20,7 @@
 import brookpath.coordination.node.Node.Time;
 import brookpath.state.record.Delta;
 import brookpath.state.record.LogRecord;
+import brookpath.testing.DeltaBase;
 import java.util.List;
 import java.util.Map;
 import org.testng.annotations.DataProvider;
@@ -160,11 +161,11 @@
         }
         assertEquals(updates.since(40), VersionUpdates.NO_NEWS);
         assertEquals(updates.since(41), VersionUpdates.NO_NEWS);
-        assertFalse(Delta.isWhole(updates.since(39)));
+        assertFalse(DeltaBase.isEmpty(updates.since(39)));
         assertEquals(Delta.apply(text(39), updates.since(39)), text(40));
         assertEquals(Delta.apply(text(25), updates.since(25)), text(40));
-        assertTrue(Delta.isWhole(updates.since(24)), "a version that is told no more");
-        assertTrue(Delta.isWhole(updates.since(-1)), "a follower that knows nothing");
+        assertTrue(DeltaBase.isEmpty(updates.since(24)), "a version that is told no more");
+        assertTrue(DeltaBase.isEmpty(updates.since(-1)), "a follower that knows nothing");
         updates.clear();
         assertEquals(updates.since(1), VersionUpdates.NO_NEWS);
     }
@@ -175,7 +176,7 @@
         updates.newest(0, text(0));
         assertEquals(updates.since(-1), VersionUpdates.NO_NEWS);
         updates.newest(1, text(1));
-        assertTrue(Delta.isWhole(updates.since(0)), "whoever has no document got a difference from one");
+        assertTrue(DeltaBase.isEmpty(updates.since(0)), "whoever has no document got a difference from one");
     }
 
     @Test
@@ -193,7 +194,7 @@
         final VersionUpdates updates = new VersionUpdates();
         updates.newest(1, new byte[2_700_000]);
         updates.newest(2, new byte[2_800_000]);
-        assertTrue(Delta.isWhole(updates.since(1)));
+        assertTrue(DeltaBase.isEmpty(updates.since(1)));
         updates.newest(3, new byte[5_000_000]);
         assertEquals(Delta.apply(new byte[0], updates.since(2)), new byte[5_000_000]);
     }
--- a/tools/src/main/java/brookpath/tools/datafolder/DataFolderCheck.java
+++ b/tools/src/main/java/brookpath/tools/datafolder/DataFolderCheck.java
@@ -1,7 +1,5 @@
 package brookpath.tools.datafolder;
 
-import static brookpath.coordination.node.StorageNode.DROP;
-
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
 import brookpath.coordination.configuration.ControlState;
@@ -9,6 +7,7 @@
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.heartbeat.HeartbeatPromises;
 import brookpath.coordination.node.ControllerNode;
+import brookpath.coordination.node.storage.TopicGroups;
 import brookpath.coordination.topic.TopicState;
 import brookpath.state.disk.Disk;
 import brookpath.state.disk.DiskFile;
@@ -46,11 +45,11 @@
         final List<String> findings = new ArrayList<>();
         for (final String arg : args) {
             if (arg.startsWith("-")) {
-                err.println("creel-check: " + arg + ": there are no flags");
+                err.println("data-folder-check: " + arg + ": there are no flags");
             }
         }
         if (args.length == 0 || Stream.of(args).anyMatch(a -> a.startsWith("-"))) {
-            err.println("usage: creel-check DATA-FOLDER...");
+            err.println("usage: data-folder-check DATA-FOLDER...");
             return 2;
         }
         final Map<String, TreeMap<Integer, GroupMachine>> folders = new LinkedHashMap<>();
@@ -69,7 +68,7 @@
                         out);
             }
         }
-        findings.forEach(f -> err.println("creel-check: " + f));
+        findings.forEach(f -> err.println("data-folder-check: " + f));
         return findings.isEmpty() ? 0 : 1;
     }
 
@@ -157,7 +156,7 @@
             try {
                 final PackedBuffer in = PackedBuffer.reader(entry);
                 final int id = (int) in.num();
-                if (PackedBuffer.reader(entry).skip(8).num() == DROP) {
+                if (TopicGroups.isDropped(entry)) {
                     groups.remove(id);
                     continue;
                 }
