--- a/coordination/src/main/java/brookpath/coordination/group/GroupMembership.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupMembership.java
@@ -109,4 +109,9 @@
     int majority() {
         return Quorums.majority(current.voters().size());
     }
+
+    /** How many replicas a committed record has at least. */
+    int floor(final int toleratedLosses) {
+        return Quorums.floor(current.voters().size(), toleratedLosses);
+    }
 }
--- /dev/null
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupStateMachine.java
@@ -0,0 +1,403 @@
+package brookpath.coordination.group;
+
+import brookpath.coordination.TimingBounds;
+import brookpath.coordination.action.Actions;
+import brookpath.coordination.heartbeat.HeartbeatPromises;
+import brookpath.coordination.heartbeat.HeartbeatTable;
+import brookpath.coordination.message.PeerMessage;
+import brookpath.coordination.message.PeerMessage.HeartbeatEntry;
+import brookpath.coordination.message.PeerMessage.Pull;
+import brookpath.coordination.message.PeerMessage.PullReply;
+import brookpath.coordination.message.PeerMessage.VoteReply;
+import brookpath.coordination.message.PeerMessage.VoteRequest;
+import brookpath.state.record.LogRecord;
+import java.util.SplittableRandom;
+import java.util.function.Supplier;
+
+/**
+ * Takes the events of one group's member, timers, synced writes and messages, and carries out the transitions of its
+ * role; each rule is in the class that bears its name. It has no clock and no I/O: what is to be done is added to the
+ * actions. Not thread-safe: the group's state thread owns it.
+ */
+final class GroupStateMachine {
+    final RoleState roleState;
+    final GroupMembership membership;
+    final VoteStore voteStore;
+    final RaftLog log;
+    final PeerView peers;
+    final LeaderLease lease;
+    final ReplicaRecovery recovery;
+    final ReplicaProgress progress;
+    final LogFetcher fetcher;
+    final LeaderElection election;
+    final LeadershipTransfer transfer;
+    final MembershipChange membershipChange;
+
+    private final int group;
+    private final int self;
+    private final TimingBounds timing;
+    private final int toleratedLosses;
+    private final Actions out;
+    private final LogSweep sweep;
+    private final LogAppender appender;
+    private final DeferredMessages deferredMessages = new DeferredMessages();
+    private long nextTrim = Long.MIN_VALUE;
+
+    GroupStateMachine(
+            final int group,
+            final int self,
+            final TimingBounds timing,
+            final int toleratedLosses,
+            final long seed,
+            final Supplier<LogState> states,
+            final HeartbeatPromises promises,
+            final Actions out) {
+        this.group = group;
+        this.self = self;
+        this.timing = timing;
+        this.toleratedLosses = toleratedLosses;
+        this.out = out;
+        roleState = new RoleState(self);
+        membership = new GroupMembership(self);
+        voteStore = new VoteStore(group, out);
+        peers = new PeerView(group, self);
+        log = new RaftLog(group, states, this::refreshMembership, out);
+        lease = new LeaderLease(group, self, timing, roleState, membership, voteStore, log, peers);
+        recovery = new ReplicaRecovery(group, log, out);
+        sweep = new LogSweep(log);
+        progress = new ReplicaProgress(self, membership, log);
+        appender = new LogAppender(
+                group, timing, roleState, membership, voteStore, log, lease, progress, this::isIntact, out);
+        fetcher = new LogFetcher(
+                group, self, timing, roleState, membership, voteStore, log, recovery, peers, appender, sweep, out);
+        election = new LeaderElection(
+                group,
+                self,
+                timing,
+                roleState,
+                membership,
+                voteStore,
+                log,
+                recovery,
+                peers,
+                lease,
+                promises,
+                deferredMessages,
+                new SplittableRandom(seed * 31 + group * 7919L + self));
+        transfer = new LeadershipTransfer(
+                group, self, timing, roleState, membership, voteStore, log, peers, lease, progress, election, out);
+        membershipChange = new MembershipChange(self, toleratedLosses, membership, log, lease, progress);
+    }
+
+    // ---- set-up
+
+    /** Takes the membership that the placement tells of. */
+    void configure(final Membership placed, final boolean founded, final long now) {
+        membership.place(placed);
+        refreshMembership();
+        election.configure(founded, now);
+        // why: an empty folder of a founded group has lost its log; it must not vote as if it had never had one
+        recovery.initialise(founded);
+    }
+
+    /** Whether a leader may act, or a follower has all that a leader has committed which it hears. */
+    boolean isInSync(final long now) {
+        return roleState.isLeader() ? lease.mayAct(now) : fetcher.isInSync(now);
+    }
+
+    // ---- events
+
+    /** Takes the newest membership that the log or the placement tells of. */
+    private void refreshMembership() {
+        membership.refresh(log);
+        // why: the record that removes a member must not end at that member, which could then neither stand nor help
+        // another with an older log
+        appender.dropPendingOfOthers();
+    }
+
+    /** One step of a membership change, as a record. False, and nothing is done, where it would not be safe now. */
+    boolean change(final Membership next, final long now, final long wall) {
+        if (!membershipChange.isAllowed(next, now)) {
+            return false;
+        }
+        append(LogRecord.MEMBERS, next.save(), now, wall);
+        roleState.explain("group version " + next.version() + " with voters "
+                + next.voters().stream().map(Member::node).toList() + " and learners "
+                + next.learners().stream().map(Member::node).toList());
+        out.note("group " + group + ": " + roleState.reason());
+        return true;
+    }
+
+    void tick(final long now, final HeartbeatTable newTable) {
+        peers.update(newTable);
+        if (!membership.selfIsVoter()) {
+            followOnly(now);
+            return;
+        }
+        for (final Member m : membership.voters()) {
+            final HeartbeatEntry e = peers.entry(m.node(), now);
+            if (e != null) {
+                voteStore.observe(e.term());
+            }
+        }
+        if (roleState.isLeader()) {
+            if (voteStore.highestTermSeen() > voteStore.term()) {
+                stepDown("epoch " + voteStore.highestTermSeen() + " seen");
+            } else if (now - roleState.leaderSince() > timing.down() && !lease.majorityAnswers(now)) {
+                stepDown("no majority answers");
+            } else {
+                advance(now);
+                transfer.transferIfDiskStalls(now);
+            }
+        }
+        election.expire(now);
+        final int heard = roleState.isLeader() ? (lease.held(now) ? self : 0) : liveLeader(now);
+        if (heard != roleState.leader()) {
+            roleState.hear(heard);
+            if (heard == 0 || heard == self) {
+                // why: the others wait to stand until nobody tells of a live leader, so they are told at once
+                out.heartbeatNow();
+            }
+            if (heard != self && heard != 0) {
+                election.onLeaderHeard();
+            }
+            fetcher.cancel();
+        }
+        if (roleState.isFollower() && roleState.leader() == 0) {
+            fetcher.outOfSync();
+            election.standIfDue(now);
+        }
+        fetcher.watchLeader(now);
+        sweepLog();
+        fetcher.pull(now);
+        trim(now);
+    }
+
+    /** A learner copies the log; who is no member does nothing and hears no leader through this group. */
+    private void followOnly(final long now) {
+        if (roleState.isLeader()) {
+            stepDown("is no voter any more");
+        }
+        roleState.becomeFollower();
+        if (membership.holdsSelf()) {
+            roleState.hear(liveLeader(now));
+            fetcher.pull(now);
+        } else {
+            roleState.hear(PeerView.NOBODY);
+            fetcher.outOfSync();
+        }
+    }
+
+    /** All writes up to this number are synced. */
+    void synced(final long number, final long now) {
+        log.synced(number);
+        for (DeferredMessages.Deferred next = deferredMessages.poll(number);
+                next != null;
+                next = deferredMessages.poll(number)) {
+            if (next.node() == self) {
+                onVoteReply(self, (VoteReply) next.message(), now);
+            } else {
+                out.send(next.node(), next.message());
+            }
+        }
+        final String recovered = recovery.synced(number, fetcher.isSnapshotWanted());
+        if (recovered != null) {
+            roleState.explain(recovered);
+        }
+        if (roleState.isLeader()) {
+            advance(now);
+        } else if (!log.hasUnsynced()) {
+            fetcher.pull(now);
+        }
+    }
+
+    void on(final int from, final PeerMessage message, final long now) {
+        if (!concerns(from, message)) {
+            return;
+        }
+        if (message instanceof PeerMessage.TimeoutNow m) {
+            if (roleState.isFollower()
+                    && from == roleState.leader()
+                    && m.term() == voteStore.term()
+                    && !recovery.isLost()
+                    && !log.hasUnsynced()) {
+                election.stand(now, true);
+            }
+        } else if (message instanceof VoteRequest m) {
+            onVoteRequest(from, m, now);
+        } else if (message instanceof VoteReply m) {
+            onVoteReply(from, m, now);
+        } else if (message instanceof Pull m) {
+            onPull(from, m, now);
+        } else if (message instanceof PullReply m) {
+            onPullReply(from, m, now);
+        }
+    }
+
+    /**
+     * Whose message counts. The membership here may be older or newer than the sender's: whoever asks for a vote is
+     * judged by its term and log alone, and counts the answer by its own membership; a leader is obeyed by its term.
+     */
+    private boolean concerns(final int from, final PeerMessage message) {
+        if (message instanceof PullReply) {
+            return true;
+        }
+        if (message instanceof VoteRequest) {
+            return membership.holdsSelf();
+        }
+        return membership.selfIsVoter()
+                && (membership.isVoter(from) || (message instanceof Pull && membership.isLearner(from)));
+    }
+
+    /** Appends a record as the leader; the caller has asked {@link LeaderLease#mayAct}. */
+    long append(final int kind, final byte[] body, final long now, final long wall) {
+        final LogRecord logRecord =
+                LogRecord.of(log.endIndex() + 1, voteStore.term(), Math.max(log.lastStamp(), wall), kind, body, now);
+        log.append(logRecord);
+        appender.answerPending(now);
+        return logRecord.index();
+    }
+
+    // ---- election
+
+    private void onVoteRequest(final int from, final VoteRequest m, final long now) {
+        if (!roleState.isLeader()) {
+            voteStore.observe(m.term());
+        }
+        final String refusal = election.refusal(from, m, now);
+        if (refusal != null) {
+            out.send(from, new VoteReply(group, m.term(), false, voteStore.highestTermSeen(), refusal));
+            return;
+        }
+        if (roleState.isLeader()) {
+            stepDown("node " + from + " takes over");
+        }
+        election.grant(from, m.term(), now);
+    }
+
+    private void onVoteReply(final int from, final VoteReply m, final long now) {
+        if (roleState.isLeader()) {
+            return;
+        }
+        voteStore.observe(m.termSeen());
+        if (election.wins(from, m)) {
+            lead(now);
+        }
+    }
+
+    /** Begins a leadership that was won. */
+    private void lead(final long now) {
+        election.win(now);
+        fetcher.dropReceived();
+        progress.clear();
+        lease.reset();
+        appender.dropPending();
+        fetcher.cancel();
+        out.note("group " + group + ": " + roleState.reason());
+        out.heartbeatNow();
+        // why: records of earlier terms count as committed only once a record of this one is
+        append(LogRecord.OPEN, new byte[0], now, 0);
+    }
+
+    private void stepDown(final String reason) {
+        roleState.stepDown("stepped down: " + reason);
+        appender.dropPending();
+        progress.clearVoters();
+        fetcher.cancel();
+        fetcher.outOfSync();
+        out.note("group " + group + ": " + roleState.reason());
+        out.heartbeatNow();
+    }
+
+    /** The leader as the heartbeats tell it, 0 for none. */
+    private int liveLeader(final long now) {
+        // why: a learner may have raised its term before it was removed, when nobody who counted heard of it
+        return peers.leader(membership.selfIsVoter() ? voteStore.term() : log.endTerm(), now);
+    }
+
+    // ---- replication
+
+    private void onPull(final int from, final Pull pull, final long now) {
+        final boolean learner = !membership.isVoter(from);
+        if (pull.term() > voteStore.term() && !learner) {
+            voteStore.observe(pull.term());
+            if (roleState.isLeader()) {
+                stepDown("sibling " + from + " is in epoch " + pull.term());
+            }
+            return;
+        }
+        if (roleState.isLeader()) {
+            if (appender.differs(pull)) {
+                appender.replaceLog(from, pull, now);
+                return;
+            }
+            if (appender.acknowledge(from, pull)) {
+                advance(now);
+            }
+        } else if (!isInSync(now)) {
+            return;
+        }
+        appender.answer(from, pull, now);
+    }
+
+    private void onPullReply(final int from, final PullReply reply, final long now) {
+        if (fetcher.onReply(from, reply, now) && !log.hasUnsynced()) {
+            synced(0, now);
+            fetcher.pull(now);
+        }
+    }
+
+    private void advance(final long now) {
+        if (!lease.held(now)) {
+            return;
+        }
+        final long index =
+                progress.committable(membership.floor(toleratedLosses), roleState.openIndex(), voteStore.term());
+        if (index > log.committedIndex()) {
+            if (log.committedIndex() < roleState.openIndex()) {
+                // why: whoever only watches learns at once that it may be read from, and not with its own next
+                // heartbeat
+                out.heartbeatNow();
+            }
+            log.commit(index);
+            appender.answerPending(now);
+        }
+    }
+
+    private void trim(final long now) {
+        if (now < nextTrim) {
+            return;
+        }
+        nextTrim = now + timing.heartbeat();
+        appender.trim(now);
+    }
+
+    // ---- repair
+
+    /**
+     * Whether the record is as it was made. Where not, this copy is out and is mended from another, and nothing of it
+     * is served.
+     */
+    boolean isIntact(final long index) {
+        if (log.logRecord(index).whole()) {
+            return true;
+        }
+        if (!recovery.isLost()) {
+            recovery.damage();
+            fetcher.replaceLog();
+            if (roleState.isLeader()) {
+                stepDown("record " + index + " is damaged");
+            }
+            out.note("group " + group + ": record " + index + " is damaged; the copy is mended");
+        }
+        return false;
+    }
+
+    /** Finds damage that no read has met. */
+    private void sweepLog() {
+        final long damagedIndex = sweep.nextDamaged();
+        if (damagedIndex != LogSweep.NONE) {
+            isIntact(damagedIndex);
+        }
+    }
+}
--- /dev/null
+++ b/coordination/src/main/java/brookpath/coordination/group/LeadershipTransfer.java
@@ -0,0 +1,99 @@
+package brookpath.coordination.group;
+
+import brookpath.coordination.TimingBounds;
+import brookpath.coordination.action.Actions;
+import brookpath.coordination.message.PeerMessage.TimeoutNow;
+
+/**
+ * Transfers the leadership to a follower that has the whole log: on an operator's order, where the leader is about to
+ * leave, and where its disk takes nothing. Not thread-safe: the group's state thread owns it.
+ */
+final class LeadershipTransfer {
+    private final int group;
+    private final int self;
+    private final TimingBounds timing;
+    private final RoleState roleState;
+    private final GroupMembership membership;
+    private final VoteStore voteStore;
+    private final RaftLog log;
+    private final PeerView peers;
+    private final LeaderLease lease;
+    private final ReplicaProgress progress;
+    private final LeaderElection election;
+    private final Actions out;
+
+    LeadershipTransfer(
+            final int group,
+            final int self,
+            final TimingBounds timing,
+            final RoleState roleState,
+            final GroupMembership membership,
+            final VoteStore voteStore,
+            final RaftLog log,
+            final PeerView peers,
+            final LeaderLease lease,
+            final ReplicaProgress progress,
+            final LeaderElection election,
+            final Actions out) {
+        this.group = group;
+        this.self = self;
+        this.timing = timing;
+        this.roleState = roleState;
+        this.membership = membership;
+        this.voteStore = voteStore;
+        this.log = log;
+        this.peers = peers;
+        this.lease = lease;
+        this.progress = progress;
+        this.election = election;
+        this.out = out;
+    }
+
+    /**
+     * Asks a voter that has the whole log to stand; this leader does not act until that has been tried.
+     *
+     * @return false, and nothing is done, where this member may not act as the leader or the voter lacks records
+     */
+    boolean to(final int node, final long now) {
+        if (!lease.mayAct(now)
+                || node == self
+                || !membership.isVoter(node)
+                || progress.ofVoter(node) < log.endIndex()) {
+            return false;
+        }
+        lease.transfer(now);
+        roleState.explain("hands over to " + node);
+        out.send(node, new TimeoutNow(group, voteStore.term()));
+        return true;
+    }
+
+    /** Transfers to the first voter that can take over, unless a transfer is under way. */
+    private void toAny(final long now) {
+        if (lease.transferring(now)) {
+            return;
+        }
+        for (final Member voter : membership.voters()) {
+            if (to(voter.node(), now)) {
+                return;
+            }
+        }
+    }
+
+    /** This member is about to leave: it stands no more, and transfers what it leads. True once it leads nothing. */
+    boolean withdraw(final long now) {
+        election.withdraw();
+        if (roleState.isLeader()) {
+            toAny(now);
+        }
+        return !roleState.isLeader();
+    }
+
+    /** A leader whose disk takes nothing transfers to a follower that has everything, if there is one. */
+    void transferIfDiskStalls(final long now) {
+        // why: without a majority among the others none of them can win, and this one had better go on
+        final boolean othersCanElect = peers.active(membership.voters(), now) >= membership.majority();
+        if (election.diskLag(now) > timing.diskPatience() && othersCanElect) {
+            toAny(now);
+        }
+    }
+}
--- a/coordination/src/main/java/brookpath/coordination/group/PeerView.java
+++ b/coordination/src/main/java/brookpath/coordination/group/PeerView.java
@@ -2,6 +2,7 @@
 
 import brookpath.coordination.heartbeat.HeartbeatTable;
 import brookpath.coordination.message.PeerMessage.HeartbeatEntry;
+import java.util.List;
 
 /**
  * What the heartbeats tell of one group's other members. Entries that are older than two heartbeats count for nothing.
@@ -46,6 +47,15 @@
         return entry != null && entry.sync() != SyncState.LOST.code() && up(node);
     }
 
+    /** How many of the voters other than this member are active. */
+    int active(final List<Member> voters, final long now) {
+        int active = 0;
+        for (final Member voter : voters) {
+            active += active(voter.node(), now) ? 1 : 0;
+        }
+        return active;
+    }
+
     /**
      * The node that says to lead the group in the highest term that is not below the given one, else {@link #NOBODY}.
      */
