--- /dev/null
+++ b/testing/src/test/java/brookpath/coordination/group/CountingState.java
@@ -0,0 +1,53 @@
+package brookpath.coordination.group;
+
+import brookpath.state.record.LogRecord;
+import brookpath.state.record.PackedBuffer;
+
+/** A log state that counts the records that it was given, and keeps as many in memory as it is told to. */
+final class CountingState implements LogState {
+    private final int keptRecords;
+    private long applied;
+    private long committed;
+
+    CountingState(final int keptRecords) {
+        this.keptRecords = keptRecords;
+    }
+
+    long applied() {
+        return applied;
+    }
+
+    long committedIndex() {
+        return committed;
+    }
+
+    @Override
+    public void apply(final LogRecord logRecord) {
+        applied++;
+    }
+
+    @Override
+    public void trimmed(final LogRecord logRecord) {
+        // the count stays
+    }
+
+    @Override
+    public byte[] save() {
+        return PackedBuffer.writer().num(applied).done();
+    }
+
+    @Override
+    public void load(final byte[] saved) {
+        applied = PackedBuffer.reader(saved).num();
+    }
+
+    @Override
+    public void committed(final long index) {
+        committed = index;
+    }
+
+    @Override
+    public boolean keeps(final LogRecord logRecord, final long now, final int newerRecords, final long newerBytes) {
+        return newerRecords < keptRecords;
+    }
+}
