--- a/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
@@ -13,8 +13,11 @@
 import java.util.function.Supplier;
 
 /**
- * One member of one replication group: the source's election and pulled replication, with the terms, the copies floor,
- * the lease and the lost-disk rule that it lacks. Takes (event, now) and adds actions; it has no clock and no I/O.
+ * One member of one replication group, as other modules call it: elections by terms and votes, a log that followers
+ * pull from the leader, a commit rule with a floor of replicas, a lease for the leader, and the recovery of a member
+ * that has lost its disk. Takes (event, now) and adds actions; it has no clock and no I/O. Times are of the steady
+ * clock, in milliseconds, unless they are called wall. Not thread-safe: the owner of the group calls it from one
+ * thread.
  */
 public final class GroupMachine {
     public static final int FOLLOWER = HeartbeatEntry.FOLLOWER;
@@ -30,6 +33,10 @@
     private final int toleratedLosses;
     private final GroupStateMachine machine;
 
+    /**
+     * @param toleratedLosses how many replicas may be lost at once without the loss of a committed record
+     * @param seed of the random back-off between elections
+     */
     public GroupMachine(
             final int id,
             final int self,
@@ -47,30 +54,37 @@
 
     // ---- what others may read
 
+    /** The group's id. */
     public int id() {
         return id;
     }
 
+    /** The role by its code on the wire ({@link GroupRole}). */
     public int role() {
         return machine.roleState.role().code();
     }
 
+    /** The term that this member is in. */
     public long term() {
         return machine.voteStore.term();
     }
 
+    /** Up to where the log is known to be committed. */
     public long committed() {
         return machine.log.committedIndex();
     }
 
+    /** The index of the last record. */
     public long endIndex() {
         return machine.log.endIndex();
     }
 
+    /** The index of the last record that was trimmed, 0 for none. */
     public long baseIndex() {
         return machine.log.baseIndex();
     }
 
+    /** Up to where this member's own disk has synced the log. */
     public long syncedIndex() {
         return machine.log.syncedIndex();
     }
@@ -80,14 +94,17 @@
         return machine.roleState.openIndex();
     }
 
+    /** The version of the membership that counts now. */
     public int groupVersion() {
         return machine.membership.version();
     }
 
+    /** The members that vote. */
     public List<Member> members() {
         return machine.membership.voters();
     }
 
+    /** The membership that counts now. */
     public Membership membership() {
         return machine.membership.current();
     }
@@ -102,12 +119,12 @@
         return machine.membershipChange.isSettled();
     }
 
-    /** How far a learner's copy is known to be synced. */
+    /** How far a learner's replica is known to be synced. */
     public long learnt(final int node) {
         return machine.progress.ofLearner(node);
     }
 
-    /** How far a voter's copy is known to be synced, as the leader counts it; -1 where nothing is known. */
+    /** How far a voter's replica is known to be synced, as the leader counts it; -1 where nothing is known. */
     public long copySynced(final int node) {
         return machine.progress.ofVoter(node);
     }
@@ -124,19 +141,22 @@
                 : machine.roleState.isFollower() && machine.roleState.leader() != 0 && !lost();
     }
 
+    /** The state after the last record, committed or not. */
     public LogState live() {
         return machine.log.live();
     }
 
+    /** The state at the base of the log. */
     public LogState base() {
         return machine.log.base();
     }
 
-    /** Whether this copy is none and is to be rebuilt from another. */
+    /** Whether this replica does not count and is to be rebuilt from another. */
     public boolean lost() {
         return machine.recovery.isLost();
     }
 
+    /** Why the last transition happened, for the status page. */
     public String why() {
         return machine.roleState.reason();
     }
@@ -146,15 +166,17 @@
         return machine.roleState.leader();
     }
 
+    /** The record at an index after the base. */
     public LogRecord logRecord(final long index) {
         return machine.log.logRecord(index);
     }
 
+    /** How many replicas a committed record has at least. */
     public int floor() {
         return floor(members().size());
     }
 
-    /** The copies that an committed record has at least, in a group of so many voters. */
+    /** How many replicas a committed record has at least, in a group of so many voters. */
     public int floor(final int voters) {
         return Quorums.floor(voters, toleratedLosses);
     }
@@ -169,6 +191,7 @@
         return machine.progress.replicas(index);
     }
 
+    /** How many voters are active, this one included. */
     public int active(final long now) {
         return 1 + machine.peers.active(members(), now);
     }
@@ -183,6 +206,7 @@
         return machine.isInSync(now);
     }
 
+    /** What this member tells of the group in its heartbeats. */
     public HeartbeatEntry entry(final long now) {
         final SyncState sync = machine.recovery.isDiskLost()
                 ? SyncState.LOST
@@ -223,6 +247,11 @@
 
     // ---- set-up and recovery
 
+    /**
+     * Takes an entry from the disk, at the start; the group's id was read from it.
+     *
+     * @throws IllegalStateException where its kind is not known or a record does not follow
+     */
     public void replay(final PackedBuffer in, final long now) {
         final long code = in.num();
         final GroupEntryKind kind = GroupEntryKind.ofCode(code);
@@ -267,10 +296,16 @@
         machine.election.startedAt(mono);
     }
 
+    /** The same with voters alone. */
     public void configure(final List<Member> newMembers, final int version, final boolean isFounded, final long now) {
         configure(new Membership(version, newMembers, List.of()), isFounded, now);
     }
 
+    /**
+     * Takes the membership that the placement tells of.
+     *
+     * @param isFounded whether the group was founded before, so that an empty disk is a lost one
+     */
     public void configure(final Membership placed, final boolean isFounded, final long now) {
         machine.configure(placed, isFounded, now);
     }
--- a/coordination/src/main/java/brookpath/coordination/group/GroupMembership.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupMembership.java
@@ -1,5 +1,9 @@
 package brookpath.coordination.group;
 
+import brookpath.coordination.message.PeerMessage;
+import brookpath.coordination.message.PeerMessage.Pull;
+import brookpath.coordination.message.PeerMessage.PullReply;
+import brookpath.coordination.message.PeerMessage.VoteRequest;
 import brookpath.state.record.LogRecord;
 import brookpath.state.record.PackedBuffer;
 import java.util.List;
@@ -88,6 +92,20 @@
         return Membership.find(current.learners(), node) != null;
     }
 
+    /**
+     * Whether a message counts here. This membership may be older or newer than the sender's: whoever asks for a vote
+     * is judged by its term and log alone, and counts the answer by its own membership; a leader is obeyed by its term.
+     */
+    boolean concerns(final int from, final PeerMessage message) {
+        if (message instanceof PullReply) {
+            return true;
+        }
+        if (message instanceof VoteRequest) {
+            return holdsSelf();
+        }
+        return selfIsVoter() && (isVoter(from) || (message instanceof Pull && isLearner(from)));
+    }
+
     /** A voter's rank in elections, {@link #NO_VOTER} for any other node. */
     int weight(final int node) {
         for (final Member member : current.voters()) {
--- a/coordination/src/main/java/brookpath/coordination/group/GroupStateMachine.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupStateMachine.java
@@ -128,42 +128,20 @@
         return true;
     }
 
-    void tick(final long now, final HeartbeatTable newTable) {
-        peers.update(newTable);
+    /** A timer: takes the newest heartbeat table, and does what is due. */
+    void tick(final long now, final HeartbeatTable table) {
+        peers.update(table);
         if (!membership.selfIsVoter()) {
             followOnly(now);
             return;
         }
-        for (final Member m : membership.voters()) {
-            final HeartbeatEntry e = peers.entry(m.node(), now);
-            if (e != null) {
-                voteStore.observe(e.term());
-            }
-        }
+        observeTerms(now);
         if (roleState.isLeader()) {
-            if (voteStore.highestTermSeen() > voteStore.term()) {
-                stepDown("epoch " + voteStore.highestTermSeen() + " seen");
-            } else if (now - roleState.leaderSince() > timing.down() && !lease.majorityAnswers(now)) {
-                stepDown("no majority answers");
-            } else {
-                advance(now);
-                transfer.transferIfDiskStalls(now);
-            }
+            leadOn(now);
         }
         election.expire(now);
-        final int heard = roleState.isLeader() ? (lease.held(now) ? self : 0) : liveLeader(now);
-        if (heard != roleState.leader()) {
-            roleState.hear(heard);
-            if (heard == 0 || heard == self) {
-                // why: the others wait to stand until nobody tells of a live leader, so they are told at once
-                out.heartbeatNow();
-            }
-            if (heard != self && heard != 0) {
-                election.onLeaderHeard();
-            }
-            fetcher.cancel();
-        }
-        if (roleState.isFollower() && roleState.leader() == 0) {
+        hearLeader(now);
+        if (roleState.isFollower() && roleState.leader() == PeerView.NOBODY) {
             fetcher.outOfSync();
             election.standIfDue(now);
         }
@@ -173,6 +151,47 @@
         trim(now);
     }
 
+    private void observeTerms(final long now) {
+        for (final Member voter : membership.voters()) {
+            final HeartbeatEntry entry = peers.entry(voter.node(), now);
+            if (entry != null) {
+                voteStore.observe(entry.term());
+            }
+        }
+    }
+
+    /** Steps down where another may lead by now, else commits what may be committed. */
+    private void leadOn(final long now) {
+        if (voteStore.highestTermSeen() > voteStore.term()) {
+            stepDown("epoch " + voteStore.highestTermSeen() + " seen");
+        } else if (now - roleState.leaderSince() > timing.down() && !lease.majorityAnswers(now)) {
+            stepDown("no majority answers");
+        } else {
+            advance(now);
+            transfer.transferIfDiskStalls(now);
+        }
+    }
+
+    /** Takes the leader that the heartbeats tell of; a leader without its lease hears none. */
+    private void hearLeader(final long now) {
+        final int heard = roleState.isLeader() ? ownLeadership(now) : liveLeader(now);
+        if (heard == roleState.leader()) {
+            return;
+        }
+        roleState.hear(heard);
+        if (roleState.hearsOtherLeader()) {
+            election.onLeaderHeard();
+        } else {
+            // why: the others wait to stand until nobody tells of a live leader, so they are told at once
+            out.heartbeatNow();
+        }
+        fetcher.cancel();
+    }
+
+    private int ownLeadership(final long now) {
+        return lease.held(now) ? self : PeerView.NOBODY;
+    }
+
     /** A learner copies the log; who is no member does nothing and hears no leader through this group. */
     private void followOnly(final long now) {
         if (roleState.isLeader()) {
@@ -211,42 +230,30 @@
         }
     }
 
+    /** A message of another member. */
     void on(final int from, final PeerMessage message, final long now) {
-        if (!concerns(from, message)) {
+        if (!membership.concerns(from, message)) {
             return;
         }
-        if (message instanceof PeerMessage.TimeoutNow m) {
-            if (roleState.isFollower()
-                    && from == roleState.leader()
-                    && m.term() == voteStore.term()
-                    && !recovery.isLost()
-                    && !log.hasUnsynced()) {
-                election.stand(now, true);
-            }
-        } else if (message instanceof VoteRequest m) {
-            onVoteRequest(from, m, now);
-        } else if (message instanceof VoteReply m) {
-            onVoteReply(from, m, now);
-        } else if (message instanceof Pull m) {
-            onPull(from, m, now);
-        } else if (message instanceof PullReply m) {
-            onPullReply(from, m, now);
+        if (message instanceof PeerMessage.TimeoutNow order) {
+            onTimeoutNow(from, order, now);
+        } else if (message instanceof VoteRequest request) {
+            onVoteRequest(from, request, now);
+        } else if (message instanceof VoteReply reply) {
+            onVoteReply(from, reply, now);
+        } else if (message instanceof Pull pull) {
+            onPull(from, pull, now);
+        } else if (message instanceof PullReply reply) {
+            onPullReply(from, reply, now);
         }
     }
 
-    /**
-     * Whose message counts. The membership here may be older or newer than the sender's: whoever asks for a vote is
-     * judged by its term and log alone, and counts the answer by its own membership; a leader is obeyed by its term.
-     */
-    private boolean concerns(final int from, final PeerMessage message) {
-        if (message instanceof PullReply) {
-            return true;
-        }
-        if (message instanceof VoteRequest) {
-            return membership.holdsSelf();
+    /** The leader transfers its leadership to this member. */
+    private void onTimeoutNow(final int from, final PeerMessage.TimeoutNow order, final long now) {
+        final boolean ofOwnLeader = from == roleState.leader() && order.term() == voteStore.term();
+        if (roleState.isFollower() && ofOwnLeader && !recovery.isLost() && !log.hasUnsynced()) {
+            election.stand(now, true);
         }
-        return membership.selfIsVoter()
-                && (membership.isVoter(from) || (message instanceof Pull && membership.isLearner(from)));
     }
 
     /** Appends a record as the leader; the caller has asked {@link LeaderLease#mayAct}. */
