--- a/testing/src/test/java/brookpath/testing/StoredDataTest.java
+++ b/testing/src/test/java/brookpath/testing/StoredDataTest.java
@@ -5,9 +5,9 @@
 import static org.testng.Assert.assertTrue;
 
 import brookpath.coordination.TimingBounds;
-import brookpath.coordination.configuration.ClusterMetadata;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
-import brookpath.coordination.configuration.ControlState;
+import brookpath.coordination.metadata.ClusterMetadata;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
+import brookpath.coordination.controllog.ControlState;
 import brookpath.coordination.configuration.StoredConfiguration;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Member;
--- a/testing/src/test/java/brookpath/testing/TraceDigest.java
+++ b/testing/src/test/java/brookpath/testing/TraceDigest.java
@@ -99,7 +99,7 @@
             begin(TOPIC_ENDED, nowMs, node);
             add(a.sessionId());
             add(a.topic());
-            add(a.why());
+            add(a.reason());
         } else if (action instanceof Action.MoveSession a) {
             begin(MOVE, nowMs, node);
             add(a.sessionId());
