--- a/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
@@ -350,95 +350,9 @@
         return machine.transfer.withdraw(now);
     }
 
-<<<<<<< HEAD
-    private void onPullReply(final int from, final PullReply m, final long now) {
-        // why: the fence: whoever acts for an older term or an older group is not obeyed, however late it wakes
-        final boolean older = !membership.selfIsVoter() ? m.term() < log.endTerm() : m.term() < term();
-        if (older || (m.term() == term() && olderGroup(m)) || roleState.isLeader() || from != pullSource) {
-            return;
-        }
-        if (m.term() > term()) {
-            if (roleState.isCandidate()) {
-                roleState.becomeFollower();
-            }
-            voteStore.enter(m.term());
-        }
-        pulling = false;
-        // why: a late reply speaks of a log that may have grown since; cutting by it would take back acknowledged
-        // records
-        final boolean ofThisLog =
-                wantFull ? m.askedIndex() < 0 : m.askedIndex() == endIndex() && m.askedTerm() == log.endTerm();
-        if (m.kind() != RECORDS && !ofThisLog) {
-            pull(now);
-            return;
-        }
-        long matched = -1;
-        switch (m.kind()) {
-            case FULL -> {
-                // why: a follower's log may lack what this member's counted for; whoever is mended takes the leader's
-                if (m.snapshot().length == 0
-                        || (m.standing() == PullReply.FOLLOWER && recovery.isDamaged())
-                        || (m.standing() == PullReply.FOLLOWER
-                                && !lost()
-                                && !wantFull
-                                && endIndex() > 0
-                                && log.committedIndex() > 0)) {
-                    return;
-                }
-                final byte[] snapshot = snapshotReceiver.take(m);
-                if (snapshot == null) {
-                    break;
-                }
-                dropTransfers();
-                sweep.restart();
-                log.install(snapshot, now);
-                wantFull = false;
-                matched = endIndex();
-                roleState.explain("full sync from " + from + " up to " + endIndex());
-                out.note("group " + id + ": " + why());
-            }
-            case MISMATCH -> {
-                if (m.standing() == PullReply.FOLLOWER) {
-                    return;
-                }
-                if ((m.tryIndex() < log.committedIndex() && m.tryIndex() < log.baseIndex())
-                        || (m.tryIndex() <= log.baseIndex() && endIndex() == log.baseIndex())) {
-                    wantFull = true;
-                } else if (m.tryIndex() < log.committedIndex()) {
-                    out.error("group " + id + ": master " + from + " lacks accepted records after " + m.tryIndex());
-                    return;
-                } else {
-                    dropTransfers();
-                    log.truncate(m.tryIndex());
-                    roleState.explain("diverged tail cut to " + m.tryIndex());
-                    out.note("group " + id + ": " + why());
-                }
-            }
-            default -> {
-                snapshotReceiver.reset();
-                matched = take(m, now);
-            }
-        }
-        if (m.kind() != MISMATCH && matched >= 0) {
-            log.commit(Math.min(m.committed(), matched));
-            if (!inSync && matched >= m.committed()) {
-                out.heartbeatNow();
-            }
-            inSync = matched >= m.committed();
-            if (m.standing() == PullReply.ACTING_LEADER && recovery.needsTarget()) {
-                recovery.target(m.committed());
-            }
-            appender.answerPending(now);
-        }
-        if (!log.hasUnsynced()) {
-            synced(0, now);
-            pull(now);
-        }
-=======
     /** Manual switchover: asks a follower that has everything to stand, and does not act until that has been tried. */
     public boolean handOver(final int to, final long now) {
         return machine.transfer.to(to, now);
->>>>>>> ready/group
     }
 
     /**
