--- a/coordination/src/main/java/brookpath/coordination/node/control/ChangeOrders.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ChangeOrders.java
@@ -8,6 +8,7 @@
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.message.PeerMessage.ControlRequest;
 import brookpath.coordination.message.Response;
+import brookpath.coordination.message.ResponseStatus;
 import brookpath.coordination.node.Node.Time;
 import brookpath.state.record.LogRecord;
 import java.util.List;
@@ -25,6 +26,7 @@
     private static final int MAX_CHANGES = 64;
 
     private final GroupMachine group;
+    private final ControlView view;
     private final ConfigurationReader.Limits limits;
     private final Followers followers;
     private final PendingAnswers pending;
@@ -32,26 +34,24 @@
 
     public ChangeOrders(
             final GroupMachine group,
+            final ControlView view,
             final ConfigurationReader.Limits limits,
             final Followers followers,
             final PendingAnswers pending,
             final Replies replies) {
         this.group = group;
+        this.view = view;
         this.limits = limits;
         this.followers = followers;
         this.pending = pending;
         this.replies = replies;
     }
 
-    private ControlState state() {
-        return (ControlState) group.live();
-    }
-
     /** Takes or refuses a document, or answers again for one that was taken before. */
     public void change(final int from, final ControlRequest op, final Time time) {
         if (op.body().length > ConfigurationReader.MAX_BYTES) {
             final Finding finding = new Finding("/", "larger than " + ConfigurationReader.MAX_BYTES + " bytes");
-            replies.respond(from, op.requestId(), Replies.refused(413, List.of(finding)));
+            replies.respond(from, op.requestId(), Replies.refused(ResponseStatus.TOO_LARGE, List.of(finding)));
             return;
         }
         if (pending.count(RequestKind.CHANGE) >= MAX_CHANGES) {
@@ -60,20 +60,24 @@
         }
         // why: compared with the newest appended, not the newest committed, so that of two racing changes one loses for
         // certain
-        final StoredConfiguration newest = state().configurationAt(Long.MAX_VALUE);
+        final StoredConfiguration newest = view.newestConfiguration();
         final ConfigurationReader.Reading reading =
                 ConfigurationReader.read(op.body(), newest.version() + 1, limits, newest.configuration());
         if (!reading.json()
                 || reading.configuration() == null
                 || reading.configuration().changeId().isEmpty()) {
-            replies.respond(from, op.requestId(), Replies.refused(reading.json() ? 422 : 400, reading.findings()));
+            replies.respond(
+                    from,
+                    op.requestId(),
+                    Replies.refused(
+                            reading.json() ? ResponseStatus.INVALID : ResponseStatus.BAD_REQUEST, reading.findings()));
             return;
         }
         final String changeId = reading.configuration().changeId();
         final long checksum = checksum(op.body());
         final Response refusal = refusal(reading, newest);
-        final boolean appends = state().outcomes().of(changeId) == null && refusal == null;
-        if (appends && state().appendedAfter(group.committed()) >= MAX_UNCOMMITTED) {
+        final boolean appends = view.state().outcomes().of(changeId) == null && refusal == null;
+        if (appends && view.uncommitted() >= MAX_UNCOMMITTED) {
             replies.respond(from, op.requestId(), replies.unavailable("too many changes wait for their copies"));
             return;
         }
@@ -83,7 +87,7 @@
             group.append(LogRecord.CONTROL, body, time.mono(), time.wall());
         }
         final PendingAnswers.Answer answer = at -> {
-            final Outcome outcome = state().outcomes().of(changeId);
+            final Outcome outcome = view.state().outcomes().of(changeId);
             return outcome != null
                     ? taken(changeId, checksum, outcome, at.mono())
                     : refusedBy(newest.version(), refusal);
@@ -100,23 +104,26 @@
     /** Why the document cannot follow the newest version, null where it can. */
     private static Response refusal(final ConfigurationReader.Reading reading, final StoredConfiguration newest) {
         if (!reading.findings().isEmpty()) {
-            return refused(422, reading.configuration().changeId(), "\"findings\":" + Finding.json(reading.findings()));
+            return refused(
+                    ResponseStatus.INVALID,
+                    reading.configuration().changeId(),
+                    "\"findings\":" + Finding.json(reading.findings()));
         }
         return reading.configuration().basedOn() == newest.version()
                 ? null
                 : refused(
-                        409,
+                        ResponseStatus.CONFLICT,
                         reading.configuration().changeId(),
                         "\"why\":\"basedOn is not the present version\",\"version\":" + newest.version());
     }
 
-    private static Response refused(final int status, final String changeId, final String why) {
+    private static Response refused(final ResponseStatus status, final String changeId, final String why) {
         return new Response(status, 0, "{\"outcome\":\"refused\",\"changeId\":\"" + changeId + "\"," + why + "}");
     }
 
     /** A lost race is final only once the version that won is committed. */
     private Response refusedBy(final long winner, final Response refusal) {
-        return state().configurationAt(group.committed()).version() >= winner ? refusal : null;
+        return view.configuration().version() >= winner ? refusal : null;
     }
 
     private Response taken(final String changeId, final long checksum, final Outcome outcome, final long now) {
@@ -124,7 +131,8 @@
             return null;
         }
         if (outcome.checksum() != checksum) {
-            return refused(409, changeId, "\"why\":\"the change ID was used for another document\"");
+            return refused(
+                    ResponseStatus.CONFLICT, changeId, "\"why\":\"the change ID was used for another document\"");
         }
         if (!followers.everywhere(outcome.version(), now)) {
             return null;
@@ -134,7 +142,7 @@
     }
 
     private static Response confirmed(final String changeId, final Outcome outcome) {
-        return new Response(200, 0, told("confirmed", changeId, outcome));
+        return new Response(ResponseStatus.OK, 0, told("confirmed", changeId, outcome));
     }
 
     private static String told(final String what, final String changeId, final Outcome outcome) {
@@ -143,12 +151,12 @@
 
     /** What became of a change: confirmed, spreading, or unknown. */
     public Response outcome(final String changeId, final int retryAfterMs, final long now) {
-        final Outcome outcome = state().outcomes().of(changeId);
+        final Outcome outcome = view.state().outcomes().of(changeId);
         if (outcome == null || outcome.index() > group.committed()) {
-            return new Response(404, 0, "{\"outcome\":\"unknown\"}");
+            return new Response(ResponseStatus.NOT_FOUND, 0, "{\"outcome\":\"unknown\"}");
         }
         return followers.everywhere(outcome.version(), now)
                 ? confirmed(changeId, outcome)
-                : new Response(202, retryAfterMs, told("spreading", changeId, outcome));
+                : new Response(ResponseStatus.ACCEPTED, retryAfterMs, told("spreading", changeId, outcome));
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/storage/GracefulShutdown.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/GracefulShutdown.java
@@ -1,5 +1,7 @@
 package brookpath.coordination.node.storage;
 
+import static brookpath.coordination.message.ResponseStatus.OK;
+
 import brookpath.coordination.action.Actions;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.message.Response;
@@ -7,7 +9,6 @@
 
 /** Hands the leaderships of this node over to other replicas before the process ends. */
 public final class GracefulShutdown {
-    private static final int OK = 200;
     private static final long NOT_REQUESTED = 0;
 
     private final Actions out;
