--- a/testing/src/test/java/brookpath/testing/GoldenPlatformTest.java
+++ b/testing/src/test/java/brookpath/testing/GoldenPlatformTest.java
@@ -123,16 +123,16 @@
         switch (request.topic()) {
             case "space/delivered" -> {
                 out.respond(request.requestId(), new Response(200, 0, "c0"));
-                out.hand(request.sessionId(), publish(41, "space/delivered", "text"));
-                out.hand(request.sessionId(), publish(123_456_789, "space/delivered", BODY));
+                out.deliverRecord(request.sessionId(), publish(41, "space/delivered", "text"));
+                out.deliverRecord(request.sessionId(), publish(123_456_789, "space/delivered", BODY));
             }
             case "space/ended" -> {
                 out.respond(request.requestId(), new Response(200, 0, "c0"));
-                out.ended(request.sessionId(), "space/ended", new Response(410, 0, "{}", "gone"));
-                out.ended(request.sessionId(), "space/ended", new Response(403, 0, "{}", "rights"));
+                out.topicEnded(request.sessionId(), "space/ended", new Response(410, 0, "{}", "gone"));
+                out.topicEnded(request.sessionId(), "space/ended", new Response(403, 0, "{}", "rights"));
             }
-            case "space/moved" -> out.move(request.sessionId(), "10.0.0.7:7000");
-            case "space/closed" -> out.move(request.sessionId(), "");
+            case "space/moved" -> out.moveSession(request.sessionId(), "10.0.0.7:7000");
+            case "space/closed" -> out.moveSession(request.sessionId(), "");
             default -> out.respond(request.requestId(), response(request.topic()));
         }
     }
