--- a/coordination/src/main/java/brookpath/coordination/node/gateway/SessionRequests.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/SessionRequests.java
@@ -1,6 +1,5 @@
 package brookpath.coordination.node.gateway;
 
-import static brookpath.coordination.message.ResponseStatus.BAD_REQUEST;
 import static brookpath.coordination.message.ResponseStatus.OK;
 
 import brookpath.coordination.TimingBounds;
