--- a/testing/src/test/java/brookpath/testing/ControlDayTest.java
+++ b/testing/src/test/java/brookpath/testing/ControlDayTest.java
@@ -35,7 +35,7 @@
     private static final EnumSet<ControlFault> CALM = EnumSet.noneOf(ControlFault.class);
 
     /** Every kind that has no method of its own below. */
-    @DataProvider
+    @DataProvider(parallel = true)
     public Object[][] kinds() {
         final EnumSet<ControlFault> kinds = EnumSet.allOf(ControlFault.class);
         kinds.removeAll(REPLACED_CONTROLLERS);
@@ -46,12 +46,12 @@
         return rows(kinds);
     }
 
-    @DataProvider
+    @DataProvider(parallel = true)
     public Object[][] replacedControllers() {
         return rows(REPLACED_CONTROLLERS);
     }
 
-    @DataProvider
+    @DataProvider(parallel = true)
     public Object[][] seeds() {
         return new Object[][] {{1L}, {2L}, {3L}, {4L}, {5L}};
     }
--- a/testing/src/test/java/brookpath/testing/DayTest.java
+++ b/testing/src/test/java/brookpath/testing/DayTest.java
@@ -8,13 +8,13 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
+import brookpath.testing.sim.FleetSize;
+import brookpath.testing.sim.Mutation;
 import brookpath.testing.sim.SimulatedDay;
 import brookpath.testing.sim.SimulatedDay.Ending;
 import brookpath.testing.sim.SimulatedDay.Fault;
 import brookpath.testing.sim.SimulatedDay.Outcome;
 import brookpath.testing.sim.SimulatedDay.Plan;
-import brookpath.testing.sim.Mutation;
-import brookpath.testing.sim.FleetSize;
 import java.util.EnumSet;
 import java.util.List;
 import java.util.TreeMap;
@@ -23,7 +23,7 @@
 
 /** Simulated days: nothing that must never happen happens, and something did happen. */
 public final class DayTest {
-    @DataProvider
+    @DataProvider(parallel = true)
     public Object[][] faults() {
         final Fault[] all = Fault.values();
         final Object[][] rows = new Object[all.length + 1][];
@@ -52,34 +52,41 @@
         }
     }
 
-    @Test
-    public void onACalmDayMessagesArriveInTheUsualTime() {
-        for (final FleetSize shape : List.of(FleetSize.SMALL, FleetSize.JADRAN, FleetSize.SAJHA)) {
-            final Outcome day = SimulatedDay.live(
-                    Plan.of(3, EnumSet.noneOf(Fault.class)).sized(shape).lasting(20_000));
-            assertTrue(day.good(), day.toString());
-            assertTrue(
-                    day.latencies().size() > 1_000 && day.latencies().stream().allMatch(ms -> ms <= 100),
-                    "late on a calm day: " + day);
-            assertTrue(day.sendToAccept().stream().allMatch(ms -> ms <= 50), "slow to accept on a calm day: " + day);
-        }
+    @DataProvider(parallel = true)
+    public Object[][] fleetSizes() {
+        return new Object[][] {{FleetSize.SMALL}, {FleetSize.JADRAN}, {FleetSize.SAJHA}};
     }
 
-    @Test
-    public void allIsReadBackThoughTheLastFailuresVictimNeverReturns() {
-        for (long seed = 1; seed <= 4; seed++) {
-            final Outcome day =
-                    SimulatedDay.live(Plan.of(seed, EnumSet.allOf(Fault.class)).ending(Ending.ONE_GONE));
-            assertTrue(day.good(), day.toString());
-            assertEquals((int) day.counts().get("gone for good"), 1, day.toString());
-        }
+    @Test(dataProvider = "fleetSizes")
+    public void onACalmDayMessagesArriveInTheUsualTime(final FleetSize size) {
+        final Outcome day = SimulatedDay.live(
+                Plan.of(3, EnumSet.noneOf(Fault.class)).sized(size).lasting(20_000));
+        assertTrue(day.good(), day.toString());
+        assertTrue(
+                day.latencies().size() > 1_000 && day.latencies().stream().allMatch(ms -> ms <= 100),
+                "late on a calm day: " + day);
+        assertTrue(day.sendToAccept().stream().allMatch(ms -> ms <= 50), "slow to accept on a calm day: " + day);
+    }
+
+    @DataProvider(parallel = true)
+    public Object[][] fourSeeds() {
+        return new Object[][] {{1L}, {2L}, {3L}, {4L}};
+    }
+
+    @Test(dataProvider = "fourSeeds")
+    public void allIsReadBackThoughTheLastFailuresVictimNeverReturns(final long seed) {
+        final Outcome day =
+                SimulatedDay.live(Plan.of(seed, EnumSet.allOf(Fault.class)).ending(Ending.ONE_GONE));
+        assertTrue(day.good(), day.toString());
+        assertEquals((int) day.counts().get("gone for good"), 1, day.toString());
     }
 
     @Test
-    public void theOwnerThatActedLastDiesRightAfterEachKindOfAct() {
+    public void theOwnerThatActedLastDiesRightAfterEachKindOfAct() throws InterruptedException {
         final TreeMap<String, Integer> died = new TreeMap<>();
-        for (long seed = 1; seed <= 12; seed++) {
-            final Outcome day = SimulatedDay.live(Plan.of(seed, EnumSet.of(Fault.LAST_ACT, Fault.RETIRE)));
+        final List<Outcome> days = SeedsInParallel.play(
+                1, 12, seed -> SimulatedDay.live(Plan.of(seed, EnumSet.of(Fault.LAST_ACT, Fault.RETIRE))));
+        for (final Outcome day : days) {
             assertTrue(day.good(), day.toString());
             day.counts().forEach((what, n) -> died.merge(what, n, Integer::sum));
         }
@@ -89,14 +96,17 @@
         }
     }
 
-    @Test
-    public void aDayOfTheUsersOwnSizes() {
-        for (final FleetSize shape : List.of(FleetSize.JADRAN, FleetSize.SAJHA)) {
-            final Outcome day =
-                    SimulatedDay.live(Plan.of(5, EnumSet.allOf(Fault.class)).sized(shape).lasting(40_000));
-            assertTrue(day.good(), day.toString());
-            assertTrue(day.committed() > 1_500 && day.counts().get("faults") >= 8, day.toString());
-        }
+    @DataProvider(parallel = true)
+    public Object[][] usersFleetSizes() {
+        return new Object[][] {{FleetSize.JADRAN}, {FleetSize.SAJHA}};
+    }
+
+    @Test(dataProvider = "usersFleetSizes")
+    public void aDayOfTheUsersOwnSizes(final FleetSize size) {
+        final Outcome day = SimulatedDay.live(
+                Plan.of(5, EnumSet.allOf(Fault.class)).sized(size).lasting(40_000));
+        assertTrue(day.good(), day.toString());
+        assertTrue(day.committed() > 1_500 && day.counts().get("faults") >= 8, day.toString());
     }
 
     @Test
--- a/testing/src/test/java/brookpath/testing/FleetSmokeTest.java
+++ b/testing/src/test/java/brookpath/testing/FleetSmokeTest.java
@@ -5,10 +5,10 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import brookpath.tools.explain.Explain;
-import brookpath.tools.plan.Plan;
 import brookpath.testing.fleet.Fleet;
 import brookpath.testing.fleet.Fleet.Unit;
+import brookpath.tools.explain.Explain;
+import brookpath.tools.plan.Plan;
 import java.io.ByteArrayOutputStream;
 import java.io.OutputStream;
 import java.io.PrintStream;
@@ -27,7 +27,11 @@
 import org.testng.annotations.Test;
 
 /** Real processes, real HTTP: safety and status codes only; how long anything takes is not looked at. */
+@Test(groups = FleetSmokeTest.REAL_PROCESSES)
 public final class FleetSmokeTest {
+    /** The group of tests that run alone, see testng.xml. */
+    static final String REAL_PROCESSES = "real-processes";
+
     private static final int PATIENCE_MS = 120_000;
     private static final String KEY = "Bearer key-jadran-1";
     private static final String DOC =
@@ -39,7 +43,7 @@
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
     private Fleet fleet;
 
-    @BeforeClass
+    @BeforeClass(groups = REAL_PROCESSES)
     public void start() throws Exception {
         final Path folder = Files.createTempDirectory("brookpath-smoke");
         fleet = new Fleet(folder, 0, 2, null, "");
@@ -48,7 +52,7 @@
         assertEquals(change(DOC).statusCode(), 200);
     }
 
-    @AfterClass(alwaysRun = true)
+    @AfterClass(groups = REAL_PROCESSES, alwaysRun = true)
     public void stop() throws Exception {
         fleet.close();
     }
@@ -60,7 +64,8 @@
     private HttpResponse<String> publish(final int gateway, final String topic, final String auth, final String body)
             throws Exception {
         return http.send(
-                HttpRequest.newBuilder(URI.create(fleet.gateways().get(gateway).url("/v1/topics/" + topic + "/messages")))
+                HttpRequest.newBuilder(
+                                URI.create(fleet.gateways().get(gateway).url("/v1/topics/" + topic + "/messages")))
                         .header("Authorization", auth)
                         .POST(HttpRequest.BodyPublishers.ofString(body))
                         .build(),
--- a/testing/src/test/java/brookpath/testing/GroupFuzzTest.java
+++ b/testing/src/test/java/brookpath/testing/GroupFuzzTest.java
@@ -8,13 +8,12 @@
 /** One group on a network worse than any: election and replication against an oracle that sees the inside. */
 public final class GroupFuzzTest {
     @Test
-    public void electionAndReplicationHoldOnABadNetwork() {
+    public void electionAndReplicationHoldOnABadNetwork() throws InterruptedException {
         long committed = 0;
         int leaders = 0;
         int changes = 0;
         for (final GroupFuzz.Style style : GroupFuzz.STYLES) {
-            for (long seed = 1; seed <= 12; seed++) {
-                final GroupFuzz.Outcome o = GroupFuzz.live(seed, style);
+            for (final GroupFuzz.Outcome o : SeedsInParallel.play(1, 12, seed -> GroupFuzz.live(seed, style))) {
                 assertTrue(o.violations().isEmpty(), o + " " + style);
                 committed += o.committed();
                 leaders += o.leaders();
--- a/testing/src/test/java/brookpath/testing/model/ModelFindingsTest.java
+++ b/testing/src/test/java/brookpath/testing/model/ModelFindingsTest.java
@@ -7,7 +7,7 @@
 
 /** Schedules that broke an invariant once, each shortened; docs/measurements/model.md tells the causes. */
 public final class ModelFindingsTest {
-    @DataProvider
+    @DataProvider(parallel = true)
     public Object[][] findings() {
         return new Object[][] {
             {
--- /dev/null
+++ b/testing/src/test/java/brookpath/testing/sim/GroupRepairScene.java
@@ -0,0 +1,223 @@
+package brookpath.testing.sim;
+
+import static org.testng.Assert.assertEquals;
+import static org.testng.Assert.assertNotNull;
+import static org.testng.Assert.assertTrue;
+
+import brookpath.coordination.group.GroupMachine;
+import brookpath.coordination.group.Member;
+import brookpath.coordination.message.Response;
+import brookpath.coordination.node.ControllerNode;
+import brookpath.coordination.node.NodeRequest;
+import brookpath.coordination.node.StorageNode;
+import brookpath.state.record.PackedBuffer;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.TreeMap;
+
+/** A cluster with publishers and subscribers whose storage machines are lost, replaced and retired. */
+final class GroupRepairScene {
+    static final int GROUPS = 4;
+    private static final int COPIES = 3;
+    private static final int GATEWAY = 32;
+
+    final SimulatedCluster world;
+    /** First answers by topic, to be got again by a repeat. */
+    private final TreeMap<String, String> answers = new TreeMap<>();
+
+    /** Publishers, subscribers and a cluster that has served them for three seconds. */
+    GroupRepairScene(final long seed) {
+        this(SimulatedCluster.serving(seed));
+    }
+
+    GroupRepairScene(final SimulatedCluster serving) {
+        world = serving;
+        for (int i = 0; i < 9; i++) {
+            final String topic = "permits/t" + i;
+            world.callers.publisher("ana", topic, "key-members", 200, 40);
+            world.callers.subscriber("sub-" + i, "key-members", List.of(topic));
+        }
+        run(3_000);
+    }
+
+    GroupMachine copy(final int node, final int group) {
+        final SimulatedProcess p = world.processes.get(node);
+        return p.alive && !p.frozen() && p.node instanceof StorageNode s ? s.group(group) : null;
+    }
+
+    /** Lets this much simulated time pass. */
+    void run(final long ms) {
+        world.run(world.now() + ms);
+    }
+
+    private GroupMachine acting(final int group) {
+        for (final int id : world.storages) {
+            final GroupMachine g = copy(id, group);
+            if (g != null && g.mayAct(world.processes.get(id).mono())) {
+                return g;
+            }
+        }
+        return null;
+    }
+
+    SimulatedProcess controlLeader() {
+        for (final int id : world.controllers) {
+            final SimulatedProcess p = world.processes.get(id);
+            if (p.alive && ((ControllerNode) p.node).group().mayAct(p.mono())) {
+                return p;
+            }
+        }
+        return null;
+    }
+
+    /** Three voters, all up, each with a synced copy of what is committed, none of them the node named. */
+    private boolean whole(final int group, final int without) {
+        final GroupMachine leader = acting(group);
+        if (leader == null || !leader.membershipSettled() || leader.members().size() != COPIES) {
+            return false;
+        }
+        for (final Member m : leader.members()) {
+            final GroupMachine copy = copy(m.node(), group);
+            final boolean counts = copy != null && !copy.lost() && copy.syncedIndex() >= leader.membershipIndex();
+            if (m.node() == without || !counts) {
+                return false;
+            }
+        }
+        return true;
+    }
+
+    boolean allWhole(final int without) {
+        for (int g = 0; g < GROUPS; g++) {
+            if (!whole(g, without)) {
+                return false;
+            }
+        }
+        return true;
+    }
+
+    /** How long until all groups are whole again, in milliseconds. */
+    long untilWhole(final int without, final long limit) {
+        final long from = world.now();
+        while (!allWhole(without) && world.now() < from + limit) {
+            run(5);
+        }
+        return allWhole(without) ? world.now() - from : Long.MAX_VALUE;
+    }
+
+    private Response publish(final String topic, final String sender, final long seq) {
+        final Response[] got = new Response[1];
+        world.callers.asked(
+                world.processes.get(GATEWAY),
+                id -> new NodeRequest.Publish(id, "key-members", topic, sender, seq, "x"),
+                r -> got[0] = r);
+        for (int i = 0; i < 400 && got[0] == null; i++) {
+            run(10);
+        }
+        assertNotNull(got[0], "no response within 4 s");
+        return got[0];
+    }
+
+    void publishAll(final String sender) {
+        for (int i = 0; i < 9; i++) {
+            // why: a topic that nobody listens to, for what is published here is not told to the judge of deliveries
+            final String topic = "permits/read-back" + i;
+            final Response r = publish(topic, sender, 1);
+            assertEquals(r.status(), 200, world.now() + " " + topic + ": " + r);
+            answers.put(sender + " " + topic, r.json());
+        }
+    }
+
+    /** What was committed has its place still, and new publishes are committed. */
+    void readBack(final String what) {
+        answers.forEach((key, json) -> {
+            final String[] parts = key.split(" ");
+            final Response again = publish(parts[1], parts[0], 1);
+            assertTrue(
+                    again.json().equals(json), what + ": " + key + " got " + again + ", not " + json + "\n" + notes());
+        });
+        publishAll("later" + world.now());
+        world.callers.quiet = true;
+        run(25_000);
+        world.history.settle(world.now());
+        assertTrue(world.history.violations().isEmpty(), what + ": " + String.join("\n", world.history.violations()));
+    }
+
+    void lose(final int node) {
+        final SimulatedProcess p = world.processes.get(node);
+        world.kill(p, true);
+        p.disk.wipe();
+    }
+
+    void loseDiskAndReturn(final int node, final long downMs) {
+        lose(node);
+        world.at(world.now() + downMs, () -> world.restart(world.processes.get(node)));
+    }
+
+    String notes() {
+        return String.join("\n", world.notes());
+    }
+
+    int held(final int node) {
+        int n = 0;
+        for (int g = 0; g < GROUPS; g++) {
+            n += acting(g).membership().holds(node) ? 1 : 0;
+        }
+        return n;
+    }
+
+    List<Integer> versions() {
+        final List<Integer> versions = new ArrayList<>();
+        for (int g = 0; g < GROUPS; g++) {
+            versions.add(acting(g).groupVersion());
+        }
+        return versions;
+    }
+
+    void retire(final int node) {
+        final Response[] got = new Response[1];
+        for (int i = 0; i < 20 && (got[0] == null || got[0].status() == 503); i++) {
+            world.callers.asked(
+                    controlLeader(),
+                    id -> new NodeRequest.Operate(
+                            id, "retire", PackedBuffer.writer().num(node).num(1).done()),
+                    r -> got[0] = r);
+            run(10);
+        }
+        assertEquals(got[0].status(), 202, got[0].toString());
+    }
+
+    private boolean completed(final int node) {
+        final SimulatedProcess leader = controlLeader();
+        final ControllerNode control = leader == null ? null : (ControllerNode) leader.node;
+        return control != null
+                && !control.statusJson(leader.time()).contains("\"placement\":[]")
+                && placedGroups(control, leader, node) == 0;
+    }
+
+    private int placedGroups(final ControllerNode control, final SimulatedProcess leader, final int node) {
+        return control.statusJson(leader.time()).split("\\{\"node\":" + node + ",\"zone\":\"[a-d]\",\"weight\"").length
+                - 1;
+    }
+
+    void untilCompleted(final int leaving, final String what) {
+        final long limit = world.now() + 30_000;
+        while (!completed(leaving) && world.now() < limit) {
+            run(1);
+        }
+        assertTrue(completed(leaving), what + " does not end:\n" + notes());
+        for (int g = 0; g < GROUPS; g++) {
+            final GroupMachine leader = acting(g);
+            assertTrue(
+                    leader == null || !leader.membership().holds(leaving),
+                    what + ": group " + g + " still counts on it");
+        }
+    }
+
+    long judgedAt() {
+        return world.notes().stream()
+                .filter(n -> n.contains("taken for gone: [1"))
+                .mapToLong(n -> Long.parseLong(n.substring(0, n.indexOf(' '))))
+                .findFirst()
+                .orElse(Long.MAX_VALUE / 4);
+    }
+}
