--- /dev/null
+++ b/tools/src/main/java/brookpath/tools/datafolder/ReplicaComparison.java
@@ -0,0 +1,60 @@
+package brookpath.tools.datafolder;
+
+import brookpath.coordination.group.GroupMachine;
+
+/**
+ * Compares two replicas of a group. The same term at the same index must mean the same log up to there; a tail of
+ * another term is what a start would truncate.
+ */
+final class ReplicaComparison {
+    private final GroupMachine first;
+    private final GroupMachine second;
+    private final long firstCommonIndex;
+    private final long lastCommonIndex;
+
+    ReplicaComparison(final GroupMachine first, final GroupMachine second) {
+        this.first = first;
+        this.second = second;
+        firstCommonIndex = Math.max(first.baseIndex(), second.baseIndex()) + 1;
+        lastCommonIndex = Math.min(first.endIndex(), second.endIndex());
+    }
+
+    /** The first index at which the terms part; one behind the last common index where they do not. */
+    private long indexOfDivergence() {
+        long index = firstCommonIndex;
+        while (index <= lastCommonIndex && termsAgree(index)) {
+            index++;
+        }
+        return index;
+    }
+
+    private boolean termsAgree(final long index) {
+        return first.logRecord(index).term() == second.logRecord(index).term();
+    }
+
+    /** The first index at which the logs differ though their terms agree, 0 for none. */
+    long indexOfContradiction() {
+        for (long index = firstCommonIndex; index <= lastCommonIndex && termsAgree(index); index++) {
+            if (first.chainAt(index) != second.chainAt(index)) {
+                return index;
+            }
+        }
+        return 0;
+    }
+
+    /** What to print on the two folders. */
+    String describe(final String firstFolder, final String secondFolder) {
+        final String folders = firstFolder + " and " + secondFolder;
+        final long contradiction = indexOfContradiction();
+        final long divergence = indexOfDivergence();
+        if (contradiction == 0 && divergence <= lastCommonIndex) {
+            return folders + " part at record " + divergence + ", epochs "
+                    + first.logRecord(divergence).term() + " and "
+                    + second.logRecord(divergence).term()
+                    + "; the older tail was not committed and is truncated at its start";
+        }
+        final long end = contradiction == 0 ? divergence : contradiction;
+        return folders + " agree on " + (end - firstCommonIndex) + " records, ends " + first.endIndex() + " and "
+                + second.endIndex();
+    }
+}
--- /dev/null
+++ b/tools/src/main/java/brookpath/tools/datafolder/StoredGroups.java
@@ -0,0 +1,67 @@
+package brookpath.tools.datafolder;
+
+import brookpath.coordination.TimingBounds;
+import brookpath.coordination.action.Actions;
+import brookpath.coordination.configuration.ControlState;
+import brookpath.coordination.group.GroupMachine;
+import brookpath.coordination.heartbeat.HeartbeatPromises;
+import brookpath.coordination.node.ControllerNode;
+import brookpath.coordination.node.storage.TopicGroups;
+import brookpath.coordination.topic.TopicState;
+import brookpath.state.record.PackedBuffer;
+import java.util.List;
+import java.util.TreeMap;
+
+/** Rebuilds the replication groups that a data folder holds. */
+final class StoredGroups {
+    private static final int ANY_NODE = 0;
+    private static final int ANY_TOLERATED_LOSSES = 1;
+    private static final long ANY_SEED = 0;
+    private static final long TIME_OF_REPLAY = 0;
+
+    private StoredGroups() {}
+
+    /**
+     * Replays the entries of a log, oldest first.
+     *
+     * @param findings each entry that cannot be replayed is added here
+     * @return the groups by their numbers
+     */
+    static TreeMap<Integer, GroupMachine> replay(final List<byte[]> entries, final List<String> findings) {
+        final TreeMap<Integer, GroupMachine> groups = new TreeMap<>();
+        for (int i = 0; i < entries.size(); i++) {
+            try {
+                replayEntry(entries.get(i), groups);
+            } catch (final RuntimeException ex) {
+                findings.add("entry " + (i + 1) + ": cannot be replayed: " + ex.getMessage());
+            }
+        }
+        return groups;
+    }
+
+    private static void replayEntry(final byte[] entry, final TreeMap<Integer, GroupMachine> groups) {
+        final PackedBuffer in = PackedBuffer.reader(entry);
+        final int id = (int) in.num();
+        if (TopicGroups.isDropped(entry)) {
+            groups.remove(id);
+        } else {
+            groups.computeIfAbsent(id, StoredGroups::emptyGroup).replay(in, TIME_OF_REPLAY);
+        }
+    }
+
+    private static GroupMachine emptyGroup(final int id) {
+        return new GroupMachine(
+                id,
+                ANY_NODE,
+                TimingBounds.DEFAULT,
+                ANY_TOLERATED_LOSSES,
+                ANY_SEED,
+                id == ControllerNode.CONTROL ? ControlState::new : StoredGroups::emptyTopics,
+                new HeartbeatPromises(0),
+                new Actions());
+    }
+
+    private static TopicState emptyTopics() {
+        return new TopicState(tenant -> Long.MAX_VALUE, TimingBounds.DEFAULT.windowMs());
+    }
+}
--- a/tools/src/main/java/brookpath/tools/datafolder/package-info.java
+++ b/tools/src/main/java/brookpath/tools/datafolder/package-info.java
@@ -1,2 +1,2 @@
-/** The tool {@code bin/data-folder-check}: whether data folders are whole and their copies agree. */
+/** The tool {@code bin/data-folder-check}: whether data folders are undamaged and their replicas agree. */
 package brookpath.tools.datafolder;
--- a/tools/src/main/java/brookpath/tools/explain/Explain.java
+++ b/tools/src/main/java/brookpath/tools/explain/Explain.java
@@ -25,12 +25,18 @@
     private static final int UNKNOWN_GROUP = -1;
     private static final int HTTP_OK = 200;
 
+    /** The values of a process's role on its status page. */
+    private static final String ROLE_GATEWAY = "front";
+
+    private static final String ROLE_STORAGE = "storage";
+    private static final String ROLE_CONTROLLER = "bailiff";
+
     /** How the lines of the control group begin in the noted events. */
     private static final String CONTROL_GROUP_LINE = "group 1000000:";
 
     private final PrintStream out;
     private final PrintStream err;
-    private final StatusClient ask = new StatusClient();
+    private final StatusClient client = new StatusClient();
 
     private Explain(final PrintStream out, final PrintStream err) {
         this.out = out;
@@ -60,7 +66,10 @@
                 .addOption("h", "help", false, "this text");
     }
 
-    /** 0 where all was told, 1 where something could not be reached or read, 2 for wrong arguments. */
+    /**
+     * Returns the exit code: {@link CommandLineTool#OK}, {@link CommandLineTool#INCOMPLETE} where something could not
+     * be reached or read (the rest is explained), {@link CommandLineTool#WRONG_ARGUMENTS}.
+     */
     public static int run(final String[] args, final PrintStream out, final PrintStream err)
             throws InterruptedException {
         final Explain explain = new Explain(out, err);
@@ -92,24 +101,24 @@
         if (line.hasOption(RING)) {
             printNotedEvents(Path.of(line.getOptionValue(RING)), line, group);
         }
-        CommandLineTool.print(TOOL, ask.missing(), err);
-        return ask.missing().isEmpty() ? CommandLineTool.OK : CommandLineTool.INCOMPLETE;
+        CommandLineTool.print(TOOL, client.missing(), err);
+        return client.missing().isEmpty() ? CommandLineTool.OK : CommandLineTool.INCOMPLETE;
     }
 
-    /** Asks one process for its part; returns the topic's group where it tells. */
+    /** Asks one process for its part; returns the topic's group where its page shows it. */
     private int explainProcess(final String address, final CommandLine line, final int group)
             throws InterruptedException {
-        final JsonObject status = ask.get(address, "/v1/status", "");
+        final JsonObject status = client.get(address, "/v1/status", "");
         if (status == null) {
             return group;
         }
         final String role = status.getString("role", "?");
-        if (role.equals("front") && line.hasOption(TOPIC)) {
+        if (role.equals(ROLE_GATEWAY) && line.hasOption(TOPIC)) {
             return explainGateway(address, line);
         }
-        if (role.equals("storage") && line.hasOption(TOPIC)) {
+        if (role.equals(ROLE_STORAGE) && line.hasOption(TOPIC)) {
             explainStorage(address, status, group);
-        } else if (role.equals("bailiff")) {
+        } else if (role.equals(ROLE_CONTROLLER)) {
             explainController(address, status, line, group);
         }
         return group;
@@ -117,12 +126,12 @@
 
     private int explainGateway(final String address, final CommandLine line) throws InterruptedException {
         final String path = "/v1/explain?topic=" + line.getOptionValue(TOPIC);
-        final JsonObject page = ask.get(address, path, line.getOptionValue(KEY, ""));
+        final JsonObject page = client.get(address, path, line.getOptionValue(KEY, ""));
         if (page == null) {
             return UNKNOWN_GROUP;
         }
-        out.println("front " + page.getInt("node") + " (" + address + "), spec " + page.getJsonNumber("specVersion")
-                + ", lease left " + page.getJsonNumber("specLeaseLeftMs") + " ms");
+        out.println("gateway " + page.getInt("node") + " (" + address + "), configuration "
+                + page.getJsonNumber("specVersion") + ", lease left " + page.getJsonNumber("specLeaseLeftMs") + " ms");
         final int status = page.getInt("status");
         final String fate =
                 status == HTTP_OK ? "is forwarded to node " + page.getInt("master") : "is refused with " + status;
@@ -138,7 +147,7 @@
     private void explainStorage(final String address, final JsonObject status, final int group) {
         for (final JsonValue value : status.getJsonArray("groups")) {
             if (value.asJsonObject().getInt("group") == group) {
-                out.println("storage " + status.getInt("node") + " (" + address + "), spec "
+                out.println("storage " + status.getInt("node") + " (" + address + "), configuration "
                         + status.getJsonNumber("specVersion"));
                 printMember(value.asJsonObject());
             }
@@ -148,12 +157,12 @@
     private void explainController(
             final String address, final JsonObject status, final CommandLine line, final int group)
             throws InterruptedException {
-        out.println(
-                "bailiff " + status.getInt("node") + " (" + address + "), spec " + status.getJsonNumber("specVersion"));
+        out.println("controller " + status.getInt("node") + " (" + address + "), configuration "
+                + status.getJsonNumber("specVersion"));
         printMember(status.getJsonObject("control"));
         if (line.hasOption(CHANGE)) {
             final String change = line.getOptionValue(CHANGE);
-            final JsonObject outcome = ask.get(address, "/v1/changes/" + change, "");
+            final JsonObject outcome = client.get(address, "/v1/changes/" + change, "");
             if (outcome != null) {
                 out.println("  change " + change + ": " + outcome);
             }
@@ -170,10 +179,10 @@
         out.println("  group " + group.getInt("group") + ": " + group.getString("role")
                 + (group.getBoolean("mayAct") ? " that may act" : "")
                 + ", epoch " + group.getJsonNumber("epoch")
-                + ", hears master " + group.getInt("master")
-                + ", accepted " + group.getJsonNumber("accepted") + " of " + group.getJsonNumber("endLsn")
+                + ", hears leader " + group.getInt("master")
+                + ", committed " + group.getJsonNumber("accepted") + " of " + group.getJsonNumber("endLsn")
                 + "; " + group.getString("why")
-                + (obstacle.isEmpty() ? "" : "; does not stand: " + obstacle));
+                + (obstacle.isEmpty() ? "" : "; cannot be elected: " + obstacle));
         printRows(group.getJsonArray("table"));
     }
 
@@ -190,7 +199,7 @@
                 }
             }
         } catch (final IOException ex) {
-            ask.missing().add(new Finding(file.toString(), "cannot be read: " + ex));
+            client.missing().add(new Finding(file.toString(), "cannot be read: " + ex));
         }
     }
 
--- /dev/null
+++ b/tools/src/main/java/brookpath/tools/plan/PlanReport.java
@@ -0,0 +1,37 @@
+package brookpath.tools.plan;
+
+import brookpath.coordination.configuration.Finding;
+import java.io.PrintStream;
+import java.util.ArrayList;
+import java.util.List;
+
+/** What a plan comes to: its steps, printed as they are found, and the reasons why it would be refused. */
+final class PlanReport {
+    private final PrintStream out;
+    private final List<Finding> objections = new ArrayList<>();
+
+    PlanReport(final PrintStream out) {
+        this.out = out;
+    }
+
+    void print(final String line) {
+        out.println(line);
+    }
+
+    void object(final String place, final String reason) {
+        objections.add(new Finding(place, reason));
+    }
+
+    void objectAll(final List<Finding> findings) {
+        objections.addAll(findings);
+    }
+
+    /** Whether it would be refused. */
+    boolean isRefused() {
+        return !objections.isEmpty();
+    }
+
+    void printObjections() {
+        objections.forEach(objection -> out.println("not so: " + objection));
+    }
+}
--- a/tools/src/main/java/brookpath/tools/plan/package-info.java
+++ b/tools/src/main/java/brookpath/tools/plan/package-info.java
@@ -1,2 +1,2 @@
-/** The tool {@code bin/plan}: what a retirement, a drain or a change would do, step by step. */
+/** The tool {@code bin/plan}: what a retirement, a drain or a change would do. */
 package brookpath.tools.plan;
