--- a/coordination/src/main/java/brookpath/coordination/node/gateway/SessionWriter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/SessionWriter.java
@@ -1,5 +1,6 @@
 package brookpath.coordination.node.gateway;
 
+import static brookpath.coordination.message.ResponseStatus.OK;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import brookpath.coordination.action.Actions;
@@ -11,7 +12,6 @@
 
 /** Writes to the callers: records, keep-alive lines, and the responses that begin sessions and topics. */
 final class SessionWriter {
-    private static final int OK = 200;
 
     private final int self;
     private final Actions out;
