--- a/programs/src/main/java/brookpath/programs/boot/ProcessLauncher.java
+++ b/programs/src/main/java/brookpath/programs/boot/ProcessLauncher.java
@@ -25,7 +25,7 @@
     private static final int EXIT_CODE_CANNOT_START = 1;
     private static final int EXIT_CODE_BAD_SETTINGS = 2;
     private static final int SETTINGS_CHECKS_PER_CHANGE_BOUND = 6;
-    private static final long STARTED_AT_MS = SystemClock.now().mono();
+    private static final long STARTED_AT_MS = SystemClock.monotonicMs();
 
     private ProcessLauncher() {}
 
