--- a/testing/src/test/java/brookpath/testing/BehaviourDigestTest.java
+++ b/testing/src/test/java/brookpath/testing/BehaviourDigestTest.java
@@ -181,7 +181,7 @@
         return row(name, seed, (s, observer) -> ControlDay.play(new ControlDay.Plan(s, CONTROL_MS, kinds), observer));
     }
 
-    @DataProvider
+    @DataProvider(parallel = true)
     public Object[][] rows() {
         return ROWS.stream().map(row -> new Object[] {row}).toArray(Object[][]::new);
     }
