--- a/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
@@ -682,7 +682,7 @@
         if (pull.term() > term() && !learner) {
             voteStore.observe(pull.term());
             if (roleState.isLeader()) {
-                stepDown("sibling " + from + " is in epoch " + pull.term());
+                stepDown("peer " + from + " is in term " + pull.term());
             }
             return;
         }
--- a/testing/src/main/java/brookpath/testing/fleet/FleetOperators.java
+++ b/testing/src/main/java/brookpath/testing/fleet/FleetOperators.java
@@ -109,7 +109,7 @@
                 }
                 Thread.sleep(RETRY_MS);
             } catch (final IOException ex) {
-                counter.accept("changes asked of a bailiff that is away");
+                counter.accept("changes asked of a controller that is away");
             } catch (final InterruptedException ex) {
                 Thread.currentThread().interrupt();
                 return;
--- a/testing/src/test/java/brookpath/testing/sim/ControlStateSizeTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ControlStateSizeTest.java
@@ -52,7 +52,7 @@
                     leader, id -> new NodeRequest.Operate(id, "change", doc.getBytes(UTF_8)), responses::add);
             world.run(world.now() + 20);
             assertEquals(committedVersion(leader), committed, "after " + (i + 1) + " changes that are not accepted");
-            assertTrue(committedMetadataVersion(leader) > 0, "no roster after " + (i + 1) + " changes");
+            assertTrue(committedMetadataVersion(leader) > 0, "no cluster metadata after " + (i + 1) + " changes");
         }
         assertTrue(
                 responses.stream().anyMatch(r -> r.status() == 503 && r.retryAfterMs() > 0),
--- a/tools/src/main/java/brookpath/tools/datafolder/DataFolderCheck.java
+++ b/tools/src/main/java/brookpath/tools/datafolder/DataFolderCheck.java
@@ -192,7 +192,7 @@
                 + ", group version " + g.membership().version());
         if (g.live() instanceof ControlState c) {
             final StoredConfiguration at = c.configurationAt(Long.MAX_VALUE);
-            out.println("  spec " + at.version() + " (" + at.configuration().changeId() + "), roster "
+            out.println("  spec " + at.version() + " (" + at.configuration().changeId() + "), cluster metadata "
                     + c.metadataAt(Long.MAX_VALUE).version() + ", newest usage window " + c.lastWindow());
         }
     }
--- a/tools/src/main/java/brookpath/tools/explain/Explain.java
+++ b/tools/src/main/java/brookpath/tools/explain/Explain.java
@@ -148,8 +148,8 @@
     private void explainController(
             final String address, final JsonObject status, final CommandLine line, final int group)
             throws InterruptedException {
-        out.println(
-                "bailiff " + status.getInt("node") + " (" + address + "), spec " + status.getJsonNumber("specVersion"));
+        out.println("controller " + status.getInt("node") + " (" + address + "), spec "
+                + status.getJsonNumber("specVersion"));
         printMember(status.getJsonObject("control"));
         if (line.hasOption(CHANGE)) {
             final String change = line.getOptionValue(CHANGE);
--- a/tools/src/main/java/brookpath/tools/plan/Plan.java
+++ b/tools/src/main/java/brookpath/tools/plan/Plan.java
@@ -57,7 +57,10 @@
     private static Options options() {
         return new Options()
                 .addOption(
-                        null, "at", true, "HTTP addresses of bailiffs, host:port,...; the first that responds is asked")
+                        null,
+                        "at",
+                        true,
+                        "HTTP addresses of controllers, host:port,...; the first that responds is asked")
                 .addOption(null, "retire", true, "the storage machine with this number would be emptied")
                 .addOption(null, "drain", true, "the front with this number would be drained")
                 .addOption(null, "change", true, "the document in this file would be handed over")
@@ -82,7 +85,7 @@
                 return whyNot.isEmpty() && ask.missing().isEmpty() ? CommandLineTool.OK : CommandLineTool.INCOMPLETE;
             }
             if (status != null) {
-                ask.missing().add(new Finding(at, "is no bailiff that hears a control master"));
+                ask.missing().add(new Finding(at, "is no controller that hears a control leader"));
             }
         }
         CommandLineTool.print(TOOL, ask.missing(), err);
