--- a/tools/src/main/java/brookpath/tools/datafolder/DataFolderCheck.java
+++ b/tools/src/main/java/brookpath/tools/datafolder/DataFolderCheck.java
@@ -1,7 +1,7 @@
 package brookpath.tools.datafolder;
 
-import brookpath.coordination.controllog.ControlState;
 import brookpath.coordination.configuration.StoredConfiguration;
+import brookpath.coordination.controllog.ControlState;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.state.record.LogRecord;
 import brookpath.state.wal.WriteAheadLog;
--- a/tools/src/main/java/brookpath/tools/plan/RetirementPlan.java
+++ b/tools/src/main/java/brookpath/tools/plan/RetirementPlan.java
@@ -1,10 +1,10 @@
 package brookpath.tools.plan;
 
+import brookpath.coordination.group.Membership;
 import brookpath.coordination.metadata.ClusterMetadata;
 import brookpath.coordination.metadata.ClusterMetadata.GroupInfo;
 import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.placement.MovePlan;
-import brookpath.coordination.group.Membership;
 import java.util.List;
 import java.util.Set;
 
--- a/tools/src/main/java/brookpath/tools/plan/StatusPages.java
+++ b/tools/src/main/java/brookpath/tools/plan/StatusPages.java
@@ -1,10 +1,10 @@
 package brookpath.tools.plan;
 
+import brookpath.coordination.group.Member;
+import brookpath.coordination.group.Membership;
 import brookpath.coordination.metadata.ClusterMetadata;
 import brookpath.coordination.metadata.ClusterMetadata.GroupInfo;
 import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
-import brookpath.coordination.group.Member;
-import brookpath.coordination.group.Membership;
 import jakarta.json.JsonNumber;
 import jakarta.json.JsonObject;
 import java.util.ArrayList;
