--- a/coordination/src/main/java/brookpath/coordination/node/GatewayNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/GatewayNode.java
@@ -1,5 +1,7 @@
 package brookpath.coordination.node;
 
+import static brookpath.coordination.message.ResponseStatus.OK;
+
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.configuration.ConfigurationClient;
 import brookpath.coordination.message.PeerMessage;
@@ -45,7 +47,6 @@
     /** A gateway only watches, so its heartbeats are rarer: changes of masterships are told to it at once besides. */
     private static final int HEARTBEAT_PERIODS = 4;
 
-    private static final int OK = 200;
 
     private final String zone;
     private final ConfigurationClient client;
--- a/coordination/src/main/java/brookpath/coordination/node/GatewayStatus.java
+++ b/coordination/src/main/java/brookpath/coordination/node/GatewayStatus.java
@@ -1,8 +1,10 @@
 package brookpath.coordination.node;
 
+import static brookpath.coordination.message.ResponseStatus.OK;
+
+import brookpath.coordination.metadata.ClusterMetadata;
 import brookpath.coordination.configuration.ConfigurationClient;
 import brookpath.coordination.heartbeat.HeartbeatTable;
-import brookpath.coordination.metadata.ClusterMetadata;
 import brookpath.coordination.route.Route;
 import brookpath.coordination.route.RouteFinder;
 import jakarta.json.Json;
@@ -11,7 +13,6 @@
 
 /** The pages on which a gateway tells operators how it stands and why requests go where they go. */
 final class GatewayStatus {
-    private static final int OK = 200;
 
     private final int self;
     private final String zone;
@@ -34,7 +35,7 @@
                 .add("specVersion", client.configuration().version())
                 .add("specLeaseLeftMs", leaseLeft(now))
                 .add("because", route.because())
-                .add("status", route.isRefused() ? route.refusal().status() : OK)
+                .add("status", route.isRefused() ? route.refusal().status() : OK.code())
                 .add("group", group)
                 .add("master", route.node());
         if (group >= 0) {
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/GatewayDrain.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/GatewayDrain.java
@@ -1,5 +1,7 @@
 package brookpath.coordination.node.gateway;
 
+import static brookpath.coordination.message.ResponseStatus.OK;
+
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
 import brookpath.coordination.configuration.ConfigurationClient;
@@ -17,7 +19,6 @@
     private static final int DRAIN_DIVISOR = 2;
 
     private static final int SHUTDOWN_DIVISOR = 12;
-    private static final int OK = 200;
     private static final long NOT_REQUESTED = 0;
 
     private final ConfigurationClient client;
@@ -96,7 +97,7 @@
         if (!otherGateways.asked(reply.requestId())) {
             return;
         }
-        if (reply.status() == OK) {
+        if (reply.status() == OK.code()) {
             otherGateways.received(reply.body());
         } else {
             otherGateways.unknown();
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/PublishForwarder.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/PublishForwarder.java
@@ -1,5 +1,7 @@
 package brookpath.coordination.node.gateway;
 
+import static brookpath.coordination.message.ResponseStatus.OK;
+
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
 import brookpath.coordination.message.PeerMessage.Publish;
@@ -28,7 +30,6 @@
     /** The most publishes that are under way at a time. */
     private static final int MAX_PUBLISHES = 4_096;
 
-    private static final int OK = 200;
 
     private final TimingBounds timing;
     private final LongFunction<RouteFinder> routes;
