--- a/coordination/src/main/java/brookpath/coordination/configuration/StoredConfiguration.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/StoredConfiguration.java
@@ -15,6 +15,7 @@
     private byte[] lean;
     private Configuration configuration;
 
+    /** The version whose document is held by the record at this index of the control log. */
     public StoredConfiguration(final long index, final long version, final byte[] document) {
         this(index, version, document, null, null);
     }
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlRequestKind.java
+++ b/coordination/src/main/java/brookpath/coordination/message/ControlRequestKind.java
@@ -1,4 +1,4 @@
-package brookpath.coordination.node.control;
+package brookpath.coordination.message;
 
 import brookpath.coordination.message.PeerMessage.ControlRequest;
 
--- a/coordination/src/main/java/brookpath/coordination/node/ControllerNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/ControllerNode.java
@@ -110,6 +110,7 @@
         return ++lastId;
     }
 
+    /** The control group as this controller takes part in it. */
     public GroupMachine group() {
         return group;
     }
@@ -302,7 +303,7 @@
 
     private void onOperate(final NodeRequest.Operate operate, final Time time) {
         final long now = time.mono();
-        final ControlRequest request = new ControlRequest(operate.requestId(), operate.kind(), operate.body());
+        final ControlRequest request = operate.kind().request(operate.requestId(), operate.body());
         if (group.mayAct(now)) {
             leader.onRequest(self, request, time);
         } else if (!forwarded.forward(self, request, leaderForRequests(now), now)) {
--- a/coordination/src/main/java/brookpath/coordination/node/NodeRequest.java
+++ b/coordination/src/main/java/brookpath/coordination/node/NodeRequest.java
@@ -1,5 +1,6 @@
 package brookpath.coordination.node;
 
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.node.usage.PostOutcome;
 import java.util.List;
 
@@ -55,6 +56,6 @@
     /** Settings that were changed under the running process. Nobody waits for a response. */
     record Adopt(long rollBytes) implements NodeRequest {}
 
-    /** An operator's request for the control leader: change, configuration, outcome, nodes. */
-    record Operate(long requestId, String kind, byte[] body) implements NodeRequest {}
+    /** An operator's request for the control leader. */
+    record Operate(long requestId, ControlRequestKind kind, byte[] body) implements NodeRequest {}
 }
--- a/coordination/src/main/java/brookpath/coordination/node/StorageNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/StorageNode.java
@@ -2,6 +2,7 @@
 
 import static brookpath.coordination.message.ResponseStatus.OK;
 
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.configuration.ConfigurationClient;
 import brookpath.coordination.group.GroupMachine;
@@ -203,9 +204,10 @@
     }
 
     private void onControlRequest(final ControlRequest request, final long now) {
-        if (request.kind().equals("move")) {
+        final ControlRequestKind kind = ControlRequestKind.of(request.kind());
+        if (kind == ControlRequestKind.MOVE) {
             moveReplica(MoveOrder.load(request.body()), now);
-        } else if (request.kind().equals("handover")) {
+        } else if (kind == ControlRequestKind.HANDOVER) {
             transferLeadership(PackedBuffer.reader(request.body()), now);
         }
     }
--- a/coordination/src/main/java/brookpath/coordination/node/control/ClusterMetadataUpdater.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ClusterMetadataUpdater.java
@@ -56,28 +56,17 @@
         final List<NodeInfo> nodes = new ArrayList<>(metadata.nodes());
         final List<NodeInfo> controllers = new ArrayList<>(metadata.controllers());
         final List<Integer> retiring = new ArrayList<>(metadata.retiring());
-        boolean changed = take(controllers, info, retiring);
-        for (final NodeInfo storage : leases.storageNodes()) {
-            changed |= take(nodes, storage, retiring);
-        }
-        for (final NodeInfo controller : leases.controllers()) {
-            changed |= take(controllers, controller, retiring);
-        }
-        changed |= group.membershipSettled()
+        final boolean nodesChanged = takePolled(nodes, controllers, retiring);
+        final boolean membershipChanged = group.membershipSettled()
                 && metadata.control().version() < group.membership().version();
-        List<GroupInfo> groups = metadata.groups();
-        if (groups.isEmpty() && mayFound(nodes.size(), time.mono())) {
-            groups = Placement.initial(
-                    nodes, bootstrap.groups() > 0 ? bootstrap.groups() : nodes.size(), bootstrap.replicas());
-            changed = true;
-        }
-        if (changed) {
-            controllers.removeIf(b -> isGone(b, time.mono()));
+        final boolean founds = metadata.groups().isEmpty() && mayFound(nodes.size(), time.mono());
+        if (nodesChanged || membershipChanged || founds) {
+            controllers.removeIf(controller -> isGone(controller, time.mono()));
             append(
                     new ClusterMetadata(
                             metadata.version() + 1,
                             List.copyOf(nodes),
-                            groups,
+                            founds ? firstGroups(nodes) : metadata.groups(),
                             List.copyOf(retiring),
                             List.copyOf(controllers),
                             group.membershipSettled() ? group.membership() : metadata.control()),
@@ -85,6 +74,24 @@
         }
     }
 
+    /** Adds this controller and all processes that polled; true where one is new or has changed. */
+    private boolean takePolled(
+            final List<NodeInfo> nodes, final List<NodeInfo> controllers, final List<Integer> retiring) {
+        boolean changed = take(controllers, info, retiring);
+        for (final NodeInfo storage : leases.storageNodes()) {
+            changed |= take(nodes, storage, retiring);
+        }
+        for (final NodeInfo controller : leases.controllers()) {
+            changed |= take(controllers, controller, retiring);
+        }
+        return changed;
+    }
+
+    private List<GroupInfo> firstGroups(final List<NodeInfo> nodes) {
+        final int groups = bootstrap.groups() > 0 ? bootstrap.groups() : nodes.size();
+        return Placement.initial(nodes, groups, bootstrap.replicas());
+    }
+
     private boolean mayFound(final int storages, final long now) {
         return storages >= bootstrap.storageNodes()
                 && (bootstrap.groups() > 0 || now - leases.newProcessSeenAt() >= timing.changeMs() / 2);
--- a/coordination/src/main/java/brookpath/coordination/node/control/ConfigurationChangeHandler.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ConfigurationChangeHandler.java
@@ -1,5 +1,6 @@
 package brookpath.coordination.node.control;
 
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.configuration.ConfigurationReader;
 import brookpath.coordination.configuration.Finding;
 import brookpath.coordination.configuration.StoredConfiguration;
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlRequestHandler.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlRequestHandler.java
@@ -2,6 +2,7 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
 import brookpath.coordination.configuration.StoredConfiguration;
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlResponder.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlResponder.java
@@ -2,6 +2,7 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
 import brookpath.coordination.configuration.Finding;
@@ -16,6 +17,7 @@
     private final TimingBounds timing;
     private final Actions out;
 
+    /** Responds for the process of this node number. */
     public ControlResponder(final int self, final TimingBounds timing, final Actions out) {
         this.self = self;
         this.timing = timing;
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlView.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlView.java
@@ -9,6 +9,7 @@
 public final class ControlView {
     private final GroupMachine group;
 
+    /** A view of the state that this member of the control group has replicated. */
     public ControlView(final GroupMachine group) {
         this.group = group;
     }
--- a/coordination/src/main/java/brookpath/coordination/node/control/ForwardedRequests.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ForwardedRequests.java
@@ -1,5 +1,6 @@
 package brookpath.coordination.node.control;
 
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
 import brookpath.coordination.message.PeerMessage.ControlReply;
@@ -32,6 +33,7 @@
         this.out = out;
     }
 
+    /** Whether no forwarded request waits for its reply. */
     public boolean isEmpty() {
         return forwarded.isEmpty();
     }
@@ -45,6 +47,7 @@
         final long deadline = now + (kind.isWrite() ? timing.opDeadline() : timing.readDeadline());
         final long id = ids.getAsLong();
         forwarded.put(id, new Forwarded(request.requestId(), from, leader, kind, deadline));
+        // The name as it came, so that kinds of a newer version pass through
         out.send(leader, new ControlRequest(id, request.kind(), request.body()));
         return true;
     }
--- a/coordination/src/main/java/brookpath/coordination/node/control/GroupMoveDriver.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/GroupMoveDriver.java
@@ -1,5 +1,6 @@
 package brookpath.coordination.node.control;
 
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
 import brookpath.coordination.group.MoveOrder;
--- a/coordination/src/main/java/brookpath/coordination/node/control/PendingRequests.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/PendingRequests.java
@@ -1,5 +1,6 @@
 package brookpath.coordination.node.control;
 
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
 import brookpath.coordination.group.GroupMachine;
@@ -47,6 +48,7 @@
         this.out = out;
     }
 
+    /** Whether no request waits for its answer. */
     public boolean isEmpty() {
         return pending.isEmpty();
     }
--- a/coordination/src/main/java/brookpath/coordination/node/control/StorageRetirementHandler.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/StorageRetirementHandler.java
@@ -2,6 +2,7 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.controllog.ControlState;
 import brookpath.coordination.controllog.Retirements.Retirement;
 import brookpath.coordination.group.GroupMachine;
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/GatewayDrain.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/GatewayDrain.java
@@ -2,6 +2,7 @@
 
 import static brookpath.coordination.message.ResponseStatus.OK;
 
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
 import brookpath.coordination.configuration.ConfigurationClient;
@@ -65,7 +66,7 @@
             // whoever is moved is told where to, and only the control plane knows all gateways
             final long request = ids.getAsLong();
             otherGateways.await(request, now + timing.down());
-            out.send(client.controlLeader(), new ControlRequest(request, "fronts", new byte[0]));
+            out.send(client.controlLeader(), ControlRequestKind.GATEWAYS.request(request, new byte[0]));
         }
         client.drain(true);
         subscriptions.scheduleMoves(spreadOverMs, now);
--- a/coordination/src/main/java/brookpath/coordination/node/storage/GroupStateReporter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/GroupStateReporter.java
@@ -1,10 +1,10 @@
 package brookpath.coordination.node.storage;
 
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
 import brookpath.coordination.configuration.ConfigurationClient;
 import brookpath.coordination.group.GroupMachine;
-import brookpath.coordination.message.PeerMessage.ControlRequest;
 import brookpath.coordination.metadata.ClusterMetadata.GroupInfo;
 import brookpath.state.record.PackedBuffer;
 import java.util.TreeMap;
@@ -42,7 +42,7 @@
                 && group.mayAct(now)
                 && foundedReportTimes.isDue(group.id(), timing.down(), now)) {
             foundedReportTimes.sent(group.id(), now);
-            send("founded", PackedBuffer.writer().num(group.id()));
+            send(ControlRequestKind.FOUNDED, PackedBuffer.writer().num(group.id()));
         }
     }
 
@@ -58,10 +58,10 @@
             return;
         }
         reportedMemberships.put(group.id(), new ReportedMembership(version, now));
-        send("members", group.membership().buffer(PackedBuffer.writer().num(group.id())));
+        send(ControlRequestKind.MEMBERS, group.membership().buffer(PackedBuffer.writer().num(group.id())));
     }
 
-    private void send(final String kind, final PackedBuffer body) {
-        out.send(client.controlLeader(), new ControlRequest(NO_REPLY, kind, body.done()));
+    private void send(final ControlRequestKind kind, final PackedBuffer body) {
+        out.send(client.controlLeader(), kind.request(NO_REPLY, body.done()));
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/storage/UsageWindowReporter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/UsageWindowReporter.java
@@ -2,12 +2,12 @@
 
 import static brookpath.coordination.message.ResponseStatus.OK;
 
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
 import brookpath.coordination.configuration.ConfigurationClient;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.message.PeerMessage.ControlReply;
-import brookpath.coordination.message.PeerMessage.ControlRequest;
 import brookpath.coordination.node.Node.Time;
 import brookpath.coordination.topic.TopicState;
 import brookpath.state.record.LogRecord;
@@ -60,7 +60,7 @@
         }
         reportTimes.sent(group.id(), now);
         final byte[] body = encode(group.id(), acknowledged, closed, state.counts(acknowledged, closed));
-        out.send(client.controlLeader(), new ControlRequest(requestId(group.id()), "usage", body));
+        out.send(client.controlLeader(), ControlRequestKind.USAGE.request(requestId(group.id()), body));
     }
 
     private static byte[] encode(
--- a/testing/src/main/java/brookpath/testing/sim/ControlCall.java
+++ b/testing/src/main/java/brookpath/testing/sim/ControlCall.java
@@ -1,5 +1,6 @@
 package brookpath.testing.sim;
 
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.node.NodeRequest;
 import brookpath.testing.oracle.control.CallHistory;
@@ -67,7 +68,7 @@
                 process,
                 id -> {
                     history.asked(id, new Call(process.id, process.life, kind, subject));
-                    return new NodeRequest.Operate(id, kind, body);
+                    return new NodeRequest.Operate(id, ControlRequestKind.of(kind), body);
                 },
                 response -> {
                     if (!unreachable.contains(process.id)) {
--- a/testing/src/main/java/brookpath/testing/sim/DayOperators.java
+++ b/testing/src/main/java/brookpath/testing/sim/DayOperators.java
@@ -2,6 +2,7 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.configuration.ConfigurationClient;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.node.GatewayNode;
@@ -82,7 +83,7 @@
     void change(final String doc, final String changeId, final Consumer<Response> then) {
         final SimulatedProcess p = callers.anyController();
         final long at = world.now();
-        callers.ask(p, id -> new NodeRequest.Operate(id, "change", doc.getBytes(UTF_8)), r -> {
+        callers.ask(p, id -> new NodeRequest.Operate(id, ControlRequestKind.CHANGE, doc.getBytes(UTF_8)), r -> {
             callers.service.asked("change", at, r.status() == 200 || (r.status() >= 400 && r.status() < 500));
             if (r.status() == 200) {
                 final long version = Callers.json(r.json()).getInt("version");
@@ -111,7 +112,7 @@
             return;
         }
         final SimulatedProcess p = callers.anyController();
-        callers.ask(p, id -> new NodeRequest.Operate(id, "spec", new byte[0]), r -> {
+        callers.ask(p, id -> new NodeRequest.Operate(id, ControlRequestKind.CONFIGURATION, new byte[0]), r -> {
             if (r.status() == 200 && !callers.quiet) {
                 final long version = Callers.json(r.json()).getInt("version");
                 final int racers = 1 + world.random.nextInt(2);
@@ -138,7 +139,7 @@
     void operate(final String kind, final byte[] body) {
         callers.ask(
                 callers.anyController(),
-                id -> new NodeRequest.Operate(id, kind, body),
+                id -> new NodeRequest.Operate(id, ControlRequestKind.of(kind), body),
                 r -> world.count(kind + " said " + r.status()));
     }
 
@@ -171,7 +172,7 @@
 
     void readConfiguration(final Consumer<Response> then) {
         final SimulatedProcess p = callers.anyController();
-        callers.ask(p, id -> new NodeRequest.Operate(id, "spec", new byte[0]), then);
+        callers.ask(p, id -> new NodeRequest.Operate(id, ControlRequestKind.CONFIGURATION, new byte[0]), then);
     }
 
     /** What every data-plane process shows, against what was confirmed. */
--- a/testing/src/test/java/brookpath/testing/sim/AddressReuseTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/AddressReuseTest.java
@@ -6,6 +6,7 @@
 import static org.testng.Assert.assertNotNull;
 import static org.testng.Assert.assertTrue;
 
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.controllog.ControlState;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.metadata.ClusterMetadata;
@@ -39,7 +40,7 @@
 
     private Response operate(final String kind, final byte[] body) {
         final Response[] got = new Response[1];
-        world.callers.asked(world.processes.get(1), id -> new NodeRequest.Operate(id, kind, body), r -> got[0] = r);
+        world.callers.asked(world.processes.get(1), id -> new NodeRequest.Operate(id, ControlRequestKind.of(kind), body), r -> got[0] = r);
         for (int i = 0; i < 400 && got[0] == null; i++) {
             world.run(world.now() + 10);
         }
--- a/testing/src/test/java/brookpath/testing/sim/ClusterScenario.java
+++ b/testing/src/test/java/brookpath/testing/sim/ClusterScenario.java
@@ -4,6 +4,7 @@
 import static org.testng.Assert.assertNotNull;
 import static org.testng.Assert.assertTrue;
 
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.configuration.Configuration;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.message.Response;
@@ -117,7 +118,7 @@
     }
 
     final void sendOperatorRequest(final String kind, final byte[] body, final Consumer<Response> then) {
-        cluster.callers.asked(controlLeader(), id -> new NodeRequest.Operate(id, kind, body), then);
+        cluster.callers.asked(controlLeader(), id -> new NodeRequest.Operate(id, ControlRequestKind.of(kind), body), then);
         cluster.run(cluster.now() + 500);
     }
 
--- a/testing/src/test/java/brookpath/testing/sim/ControlMembershipTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ControlMembershipTest.java
@@ -6,6 +6,7 @@
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Member;
 import brookpath.coordination.group.Membership;
@@ -96,7 +97,7 @@
     private void send(final String document, final boolean[] done, final int turn) {
         final SimulatedProcess asked = world.processes.get(world.controllers.get(turn % world.controllers.size()));
         final byte[] body = document.getBytes(java.nio.charset.StandardCharsets.UTF_8);
-        world.callers.asked(asked, id -> new NodeRequest.Operate(id, "change", body), r -> {
+        world.callers.asked(asked, id -> new NodeRequest.Operate(id, ControlRequestKind.CHANGE, body), r -> {
             assertFalse(r.status() == 409 || r.status() == 422, r.toString());
             done[0] |= r.status() == 200;
             if (!done[0]) {
@@ -107,7 +108,7 @@
 
     private Response read(final SimulatedProcess from) {
         final Response[] got = new Response[1];
-        world.callers.asked(from, id -> new NodeRequest.Operate(id, "spec", new byte[0]), r -> got[0] = r);
+        world.callers.asked(from, id -> new NodeRequest.Operate(id, ControlRequestKind.CONFIGURATION, new byte[0]), r -> got[0] = r);
         until("an answer", 4_000, () -> got[0] != null);
         return got[0];
     }
--- a/testing/src/test/java/brookpath/testing/sim/ControlScene.java
+++ b/testing/src/test/java/brookpath/testing/sim/ControlScene.java
@@ -3,6 +3,7 @@
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.testng.Assert.assertNotNull;
 
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.controllog.ControlState;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.message.Response;
@@ -100,7 +101,7 @@
     /** Asks one process, and goes on without waiting for the answer. */
     Asked ask(final SimulatedProcess p, final String kind, final byte[] body) {
         final Asked asked = new Asked(p.id, world.now());
-        world.callers.asked(p, id -> new NodeRequest.Operate(id, kind, body), r -> {
+        world.callers.asked(p, id -> new NodeRequest.Operate(id, ControlRequestKind.of(kind), body), r -> {
             asked.response = r;
             asked.answeredAt = world.now();
         });
--- a/testing/src/test/java/brookpath/testing/sim/ControlStateSizeTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ControlStateSizeTest.java
@@ -4,6 +4,7 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Action;
 import brookpath.coordination.controllog.ControlState;
@@ -49,7 +50,7 @@
         for (int i = 0; i < CHANGES_BEYOND_ANY_BOUND; i++) {
             final String doc = world.callers.operators.document(committed + i, "waits-" + i, true);
             world.callers.asked(
-                    leader, id -> new NodeRequest.Operate(id, "change", doc.getBytes(UTF_8)), responses::add);
+                    leader, id -> new NodeRequest.Operate(id, ControlRequestKind.CHANGE, doc.getBytes(UTF_8)), responses::add);
             world.run(world.now() + 20);
             assertEquals(committedVersion(leader), committed, "after " + (i + 1) + " changes that are not accepted");
             assertTrue(committedMetadataVersion(leader) > 0, "no roster after " + (i + 1) + " changes");
@@ -75,7 +76,7 @@
         for (int i = 0; i < MANY_CHANGES; i++) {
             mono += 25;
             final byte[] doc = document(i);
-            obey(node, node.request(new NodeRequest.Operate(i + 1, "change", doc), time(mono)), mono);
+            obey(node, node.request(new NodeRequest.Operate(i + 1, ControlRequestKind.CHANGE, doc), time(mono)), mono);
             obey(node, node.tick(time(mono + 20), HeartbeatTable.EMPTY), mono + 20);
             largest = Math.max(largest, logBytes(node.group()));
         }
--- a/testing/src/test/java/brookpath/testing/sim/GroupRepairTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/GroupRepairTest.java
@@ -5,6 +5,7 @@
 import static org.testng.Assert.assertNotNull;
 import static org.testng.Assert.assertTrue;
 
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Member;
@@ -249,7 +250,7 @@
             world.callers.asked(
                     controlLeader(),
                     id -> new NodeRequest.Operate(
-                            id, "retire", PackedBuffer.writer().num(node).num(1).done()),
+                            id, ControlRequestKind.RETIRE, PackedBuffer.writer().num(node).num(1).done()),
                     r -> got[0] = r);
             world.run(world.now() + 10);
         }
--- a/testing/src/test/java/brookpath/testing/sim/JoinedSessionsTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/JoinedSessionsTest.java
@@ -5,6 +5,7 @@
 import static org.testng.Assert.assertNotNull;
 import static org.testng.Assert.assertTrue;
 
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.action.Action;
 import brookpath.coordination.configuration.Configuration;
 import brookpath.coordination.group.GroupMachine;
@@ -253,10 +254,10 @@
         final String numbered = "{\"version\":17,\"annotation\":\"as it was: {\\\"x\\\":35.0}\"," + doc.substring(1);
         final Response r = ask(
                 1,
-                i -> new NodeRequest.Operate(i, "change", numbered.getBytes(java.nio.charset.StandardCharsets.UTF_8)));
+                i -> new NodeRequest.Operate(i, ControlRequestKind.CHANGE, numbered.getBytes(java.nio.charset.StandardCharsets.UTF_8)));
         assertEquals(r.status(), 200, r.toString());
         assertTrue(r.json().contains("\"version\":17"), r.toString());
-        final Response read = ask(2, i -> new NodeRequest.Operate(i, "spec", new byte[0]));
+        final Response read = ask(2, i -> new NodeRequest.Operate(i, ControlRequestKind.CONFIGURATION, new byte[0]));
         assertTrue(
                 read.json().contains("\"version\":17") && read.json().contains("as it was: {\\\"x\\\":35.0}"),
                 read.json());
@@ -273,7 +274,7 @@
                 ask(
                                 3,
                                 i -> new NodeRequest.Operate(
-                                        i, "change", again.getBytes(java.nio.charset.StandardCharsets.UTF_8)))
+                                        i, ControlRequestKind.CHANGE, again.getBytes(java.nio.charset.StandardCharsets.UTF_8)))
                         .status(),
                 422);
     }
@@ -298,7 +299,7 @@
         world.processes.put(4, attendant);
         attendant.start();
         world.run(world.now() + 2_000);
-        final Response read = ask(4, i -> new NodeRequest.Operate(i, "spec", new byte[0]));
+        final Response read = ask(4, i -> new NodeRequest.Operate(i, ControlRequestKind.CONFIGURATION, new byte[0]));
         assertEquals(read.status(), 200, read.toString());
         assertEquals(ask(4, NodeRequest.ReadinessProbe::new).status(), 200);
         assertEquals(((ControllerNode) attendant.node).addresses().keySet(), java.util.Set.of(1, 2, 3));
--- a/testing/src/test/java/brookpath/testing/sim/RejoinAfterManyChangesTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/RejoinAfterManyChangesTest.java
@@ -4,6 +4,7 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.controllog.ControlState;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.node.ControllerNode;
@@ -75,7 +76,7 @@
         final String plain = world.callers.operators.document(version, changeId, true);
         final String doc =
                 plain.substring(0, plain.length() - 1) + ",\"annotation\":\"" + "z".repeat(ANNOTATION_BYTES) + "\"}";
-        world.callers.asked(leader, id -> new NodeRequest.Operate(id, "change", doc.getBytes(UTF_8)), r -> {});
+        world.callers.asked(leader, id -> new NodeRequest.Operate(id, ControlRequestKind.CHANGE, doc.getBytes(UTF_8)), r -> {});
         version++;
     }
 
--- a/transport/src/main/java/brookpath/transport/http/OperatorResource.java
+++ b/transport/src/main/java/brookpath/transport/http/OperatorResource.java
@@ -3,6 +3,7 @@
 import static jakarta.ws.rs.core.MediaType.APPLICATION_JSON;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.configuration.ConfigurationReader;
 import brookpath.coordination.node.NodeRequest;
 import brookpath.state.record.PackedBuffer;
@@ -33,19 +34,19 @@
     @Path("/changes")
     public CompletionStage<Response> change(final InputStream in) throws IOException {
         // why: one byte more than allowed is enough for the leader to say that it is too large
-        return operate("change", in.readNBytes(ConfigurationReader.MAX_BYTES + 1));
+        return operate(ControlRequestKind.CHANGE, in.readNBytes(ConfigurationReader.MAX_BYTES + 1));
     }
 
     @GET
     @Path("/changes/{id}")
     public CompletionStage<Response> outcome(@PathParam("id") final String id) {
-        return operate("outcome", id.getBytes(UTF_8));
+        return operate(ControlRequestKind.OUTCOME, id.getBytes(UTF_8));
     }
 
     @GET
     @Path("/spec")
     public CompletionStage<Response> configuration() {
-        return operate("spec", new byte[0]);
+        return operate(ControlRequestKind.CONFIGURATION, new byte[0]);
     }
 
     /** Empties a storage machine ({@code on=false}: no longer). */
@@ -53,7 +54,7 @@
     @Path("/storages/{node}/retire")
     public CompletionStage<Response> retire(@PathParam("node") final int node, @QueryParam("on") final String on) {
         return operate(
-                "retire",
+                ControlRequestKind.RETIRE,
                 PackedBuffer.writer().num(node).num("false".equals(on) ? 0 : 1).done());
     }
 
@@ -61,22 +62,22 @@
     @POST
     @Path("/groups/{group}/master")
     public CompletionStage<Response> handover(@PathParam("group") final int group, @QueryParam("node") final int node) {
-        return operate("handover", PackedBuffer.writer().num(group).num(node).done());
+        return operate(ControlRequestKind.HANDOVER, PackedBuffer.writer().num(group).num(node).done());
     }
 
     @GET
     @Path("/usage")
     public CompletionStage<Response> usage() {
-        return operate("windows", new byte[0]);
+        return operate(ControlRequestKind.WINDOWS, new byte[0]);
     }
 
     @GET
     @Path("/nodes")
     public CompletionStage<Response> nodes() {
-        return operate("nodes", new byte[0]);
+        return operate(ControlRequestKind.NODES, new byte[0]);
     }
 
-    private CompletionStage<Response> operate(final String kind, final byte[] body) {
+    private CompletionStage<Response> operate(final ControlRequestKind kind, final byte[] body) {
         return dispatcher.ask(id -> new NodeRequest.Operate(id, kind, body));
     }
 }
