--- a/coordination/src/main/java/brookpath/coordination/node/StorageNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/StorageNode.java
@@ -2,12 +2,12 @@
 
 import static brookpath.coordination.message.ResponseStatus.OK;
 
-import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.configuration.ConfigurationClient;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.MembershipDriver;
 import brookpath.coordination.group.MoveOrder;
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.message.PeerMessage;
 import brookpath.coordination.message.PeerMessage.ConfigurationPoll;
 import brookpath.coordination.message.PeerMessage.ConfigurationReply;
--- a/coordination/src/main/java/brookpath/coordination/node/control/ConfigurationChangeHandler.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ConfigurationChangeHandler.java
@@ -1,12 +1,12 @@
 package brookpath.coordination.node.control;
 
-import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.configuration.ConfigurationReader;
 import brookpath.coordination.configuration.Finding;
 import brookpath.coordination.configuration.StoredConfiguration;
 import brookpath.coordination.controllog.ChangeOutcomes.Outcome;
 import brookpath.coordination.controllog.ControlState;
 import brookpath.coordination.group.GroupMachine;
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.message.PeerMessage.ControlRequest;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.message.ResponseStatus;
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlResponder.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlResponder.java
@@ -2,10 +2,10 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
 import brookpath.coordination.configuration.Finding;
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.message.PeerMessage.ControlReply;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.message.ResponseStatus;
--- a/coordination/src/main/java/brookpath/coordination/node/control/ForwardedRequests.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ForwardedRequests.java
@@ -1,8 +1,8 @@
 package brookpath.coordination.node.control;
 
-import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.message.PeerMessage.ControlReply;
 import brookpath.coordination.message.PeerMessage.ControlRequest;
 import brookpath.coordination.message.Response;
--- a/coordination/src/main/java/brookpath/coordination/node/control/PendingRequests.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/PendingRequests.java
@@ -1,9 +1,9 @@
 package brookpath.coordination.node.control;
 
-import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
 import brookpath.coordination.group.GroupMachine;
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.message.PeerMessage.ControlRequest;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.node.Node.Time;
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/GatewayDrain.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/GatewayDrain.java
@@ -2,10 +2,10 @@
 
 import static brookpath.coordination.message.ResponseStatus.OK;
 
-import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
 import brookpath.coordination.configuration.ConfigurationClient;
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.message.PeerMessage.ControlReply;
 import brookpath.coordination.message.PeerMessage.ControlRequest;
 import brookpath.coordination.message.Response;
--- a/coordination/src/main/java/brookpath/coordination/node/storage/GroupStateReporter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/GroupStateReporter.java
@@ -1,10 +1,10 @@
 package brookpath.coordination.node.storage;
 
-import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
 import brookpath.coordination.configuration.ConfigurationClient;
 import brookpath.coordination.group.GroupMachine;
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.metadata.ClusterMetadata.GroupInfo;
 import brookpath.state.record.PackedBuffer;
 import java.util.TreeMap;
@@ -58,7 +58,9 @@
             return;
         }
         reportedMemberships.put(group.id(), new ReportedMembership(version, now));
-        send(ControlRequestKind.MEMBERS, group.membership().buffer(PackedBuffer.writer().num(group.id())));
+        send(
+                ControlRequestKind.MEMBERS,
+                group.membership().buffer(PackedBuffer.writer().num(group.id())));
     }
 
     private void send(final ControlRequestKind kind, final PackedBuffer body) {
--- a/coordination/src/main/java/brookpath/coordination/node/storage/UsageWindowReporter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/UsageWindowReporter.java
@@ -2,11 +2,11 @@
 
 import static brookpath.coordination.message.ResponseStatus.OK;
 
-import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
 import brookpath.coordination.configuration.ConfigurationClient;
 import brookpath.coordination.group.GroupMachine;
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.message.PeerMessage.ControlReply;
 import brookpath.coordination.node.Node.Time;
 import brookpath.coordination.topic.TopicState;
--- a/testing/src/main/java/brookpath/testing/sim/DayOperators.java
+++ b/testing/src/main/java/brookpath/testing/sim/DayOperators.java
@@ -2,8 +2,8 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.configuration.ConfigurationClient;
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.node.GatewayNode;
 import brookpath.coordination.node.NodeRequest;
--- a/testing/src/main/java/brookpath/testing/sim/SimulatedProcess.java
+++ b/testing/src/main/java/brookpath/testing/sim/SimulatedProcess.java
@@ -154,7 +154,7 @@
         if (disk != null) {
             world.at(world.now() + 10_000, () -> {
                 if (alive && life == ofLife) {
-                    if (!frozen() && !diskBusy && !writeAheadLog.whole()) {
+                    if (!frozen() && !diskBusy && !writeAheadLog.isIntact()) {
                         world.count("damage found by the sweep of the disk");
                         run(p -> p.node.damaged(p.time()));
                     }
@@ -285,6 +285,7 @@
 
     private void flushHeartbeats() {
         heartbeatOut.drain().forEach(a -> {
+            world.observer.observe(world.now(), id, a);
             if (a instanceof Action.Send s) {
                 world.net.send(this, s.node(), s.message());
             }
@@ -312,6 +313,7 @@
             if (!alive) {
                 return;
             }
+            world.observer.observe(world.now(), id, action);
             if (action instanceof Action.Send a) {
                 if (!world.net.send(this, a.node(), a.message())) {
                     final long ofLife = life;
--- a/testing/src/test/java/brookpath/testing/sim/ControlMembershipTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ControlMembershipTest.java
@@ -6,10 +6,10 @@
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
-import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Member;
 import brookpath.coordination.group.Membership;
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.node.ControllerNode;
 import brookpath.coordination.node.NodeRequest;
@@ -108,7 +108,10 @@
 
     private Response read(final SimulatedProcess from) {
         final Response[] got = new Response[1];
-        world.callers.asked(from, id -> new NodeRequest.Operate(id, ControlRequestKind.CONFIGURATION, new byte[0]), r -> got[0] = r);
+        world.callers.asked(
+                from,
+                id -> new NodeRequest.Operate(id, ControlRequestKind.CONFIGURATION, new byte[0]),
+                r -> got[0] = r);
         until("an answer", 4_000, () -> got[0] != null);
         return got[0];
     }
--- a/testing/src/test/java/brookpath/testing/sim/ControlScene.java
+++ b/testing/src/test/java/brookpath/testing/sim/ControlScene.java
@@ -3,9 +3,9 @@
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.testng.Assert.assertNotNull;
 
-import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.controllog.ControlState;
 import brookpath.coordination.group.GroupMachine;
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.metadata.ClusterMetadata;
 import brookpath.coordination.node.ControllerNode;
--- a/testing/src/test/java/brookpath/testing/sim/ControlStateSizeTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ControlStateSizeTest.java
@@ -4,13 +4,13 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Action;
 import brookpath.coordination.controllog.ControlState;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Member;
 import brookpath.coordination.heartbeat.HeartbeatTable;
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.node.ControllerNode;
 import brookpath.coordination.node.Node.Time;
@@ -50,7 +50,9 @@
         for (int i = 0; i < CHANGES_BEYOND_ANY_BOUND; i++) {
             final String doc = world.callers.operators.document(committed + i, "waits-" + i, true);
             world.callers.asked(
-                    leader, id -> new NodeRequest.Operate(id, ControlRequestKind.CHANGE, doc.getBytes(UTF_8)), responses::add);
+                    leader,
+                    id -> new NodeRequest.Operate(id, ControlRequestKind.CHANGE, doc.getBytes(UTF_8)),
+                    responses::add);
             world.run(world.now() + 20);
             assertEquals(committedVersion(leader), committed, "after " + (i + 1) + " changes that are not accepted");
             assertTrue(committedMetadataVersion(leader) > 0, "no roster after " + (i + 1) + " changes");
--- a/testing/src/test/java/brookpath/testing/sim/GroupRepairTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/GroupRepairTest.java
@@ -5,10 +5,10 @@
 import static org.testng.Assert.assertNotNull;
 import static org.testng.Assert.assertTrue;
 
-import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Member;
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.node.ControllerNode;
 import brookpath.coordination.node.NodeRequest;
@@ -250,7 +250,9 @@
             world.callers.asked(
                     controlLeader(),
                     id -> new NodeRequest.Operate(
-                            id, ControlRequestKind.RETIRE, PackedBuffer.writer().num(node).num(1).done()),
+                            id,
+                            ControlRequestKind.RETIRE,
+                            PackedBuffer.writer().num(node).num(1).done()),
                     r -> got[0] = r);
             world.run(world.now() + 10);
         }
--- a/testing/src/test/java/brookpath/testing/sim/JoinedSessionsTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/JoinedSessionsTest.java
@@ -5,10 +5,10 @@
 import static org.testng.Assert.assertNotNull;
 import static org.testng.Assert.assertTrue;
 
-import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.action.Action;
 import brookpath.coordination.configuration.Configuration;
 import brookpath.coordination.group.GroupMachine;
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.node.ControllerNode;
@@ -254,7 +254,8 @@
         final String numbered = "{\"version\":17,\"annotation\":\"as it was: {\\\"x\\\":35.0}\"," + doc.substring(1);
         final Response r = ask(
                 1,
-                i -> new NodeRequest.Operate(i, ControlRequestKind.CHANGE, numbered.getBytes(java.nio.charset.StandardCharsets.UTF_8)));
+                i -> new NodeRequest.Operate(
+                        i, ControlRequestKind.CHANGE, numbered.getBytes(java.nio.charset.StandardCharsets.UTF_8)));
         assertEquals(r.status(), 200, r.toString());
         assertTrue(r.json().contains("\"version\":17"), r.toString());
         final Response read = ask(2, i -> new NodeRequest.Operate(i, ControlRequestKind.CONFIGURATION, new byte[0]));
@@ -274,7 +275,9 @@
                 ask(
                                 3,
                                 i -> new NodeRequest.Operate(
-                                        i, ControlRequestKind.CHANGE, again.getBytes(java.nio.charset.StandardCharsets.UTF_8)))
+                                        i,
+                                        ControlRequestKind.CHANGE,
+                                        again.getBytes(java.nio.charset.StandardCharsets.UTF_8)))
                         .status(),
                 422);
     }
--- a/transport/src/main/java/brookpath/transport/http/OperatorResource.java
+++ b/transport/src/main/java/brookpath/transport/http/OperatorResource.java
@@ -3,8 +3,8 @@
 import static jakarta.ws.rs.core.MediaType.APPLICATION_JSON;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.configuration.ConfigurationReader;
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.node.NodeRequest;
 import brookpath.state.record.PackedBuffer;
 import jakarta.inject.Inject;
@@ -62,7 +62,9 @@
     @POST
     @Path("/groups/{group}/master")
     public CompletionStage<Response> handover(@PathParam("group") final int group, @QueryParam("node") final int node) {
-        return operate(ControlRequestKind.HANDOVER, PackedBuffer.writer().num(group).num(node).done());
+        return operate(
+                ControlRequestKind.HANDOVER,
+                PackedBuffer.writer().num(group).num(node).done());
     }
 
     @GET
