--- a/coordination/src/main/java/brookpath/coordination/metadata/ClusterMetadata.java
+++ b/coordination/src/main/java/brookpath/coordination/metadata/ClusterMetadata.java
@@ -80,10 +80,12 @@
 
     /** A topic group: whether it has been founded, and its members. */
     public record GroupInfo(int id, boolean founded, Membership membership) {
+        /** The voters, as the cluster metadata places them. */
         public List<Member> members() {
             return membership.voters();
         }
 
+        /** The group version of the membership. */
         public int version() {
             return membership.version();
         }
--- a/coordination/src/main/java/brookpath/coordination/node/control/ConfigurationChangeHandler.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ConfigurationChangeHandler.java
@@ -6,6 +6,7 @@
 import brookpath.coordination.controllog.ChangeOutcomes.Outcome;
 import brookpath.coordination.controllog.ControlState;
 import brookpath.coordination.group.GroupMachine;
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.message.PeerMessage.ControlRequest;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.message.ResponseStatus;
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlRequestHandler.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlRequestHandler.java
@@ -6,6 +6,7 @@
 import brookpath.coordination.action.Actions;
 import brookpath.coordination.configuration.StoredConfiguration;
 import brookpath.coordination.group.GroupMachine;
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.message.PeerMessage.ControlReply;
 import brookpath.coordination.message.PeerMessage.ControlRequest;
 import brookpath.coordination.message.Response;
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlResponder.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlResponder.java
@@ -5,6 +5,7 @@
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
 import brookpath.coordination.configuration.Finding;
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.message.PeerMessage.ControlReply;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.message.ResponseStatus;
@@ -16,6 +17,7 @@
     private final TimingBounds timing;
     private final Actions out;
 
+    /** Responds for the process of this node number. */
     public ControlResponder(final int self, final TimingBounds timing, final Actions out) {
         this.self = self;
         this.timing = timing;
--- a/coordination/src/main/java/brookpath/coordination/node/control/GroupMoveDriver.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/GroupMoveDriver.java
@@ -3,6 +3,7 @@
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
 import brookpath.coordination.group.MoveOrder;
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.metadata.ClusterMetadata;
 import brookpath.coordination.metadata.ClusterMetadata.GroupInfo;
 import brookpath.coordination.placement.MovePlan;
--- a/coordination/src/main/java/brookpath/coordination/node/control/PendingRequests.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/PendingRequests.java
@@ -3,6 +3,7 @@
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
 import brookpath.coordination.group.GroupMachine;
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.message.PeerMessage.ControlRequest;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.node.Node.Time;
@@ -47,6 +48,7 @@
         this.out = out;
     }
 
+    /** Whether no request waits for its answer. */
     public boolean isEmpty() {
         return pending.isEmpty();
     }
--- a/coordination/src/main/java/brookpath/coordination/node/control/StorageRetirementHandler.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/StorageRetirementHandler.java
@@ -5,6 +5,7 @@
 import brookpath.coordination.controllog.ControlState;
 import brookpath.coordination.controllog.Retirements.Retirement;
 import brookpath.coordination.group.GroupMachine;
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.message.PeerMessage.ControlRequest;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.message.ResponseStatus;
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/SessionRequests.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/SessionRequests.java
@@ -5,7 +5,6 @@
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
 import brookpath.coordination.message.Response;
-import brookpath.coordination.message.ResponseStatus;
 import brookpath.coordination.node.Cursor;
 import brookpath.coordination.node.NodeRequest;
 import brookpath.coordination.route.Refusals;
@@ -170,6 +169,6 @@
     }
 
     private void refuseInvalid(final long requestId, final String code, final String reason) {
-        out.respond(requestId, Refusals.refused(ResponseStatus.BAD_REQUEST, 0, code, reason));
+        out.respond(requestId, Refusals.refused(BAD_REQUEST, 0, code, reason));
     }
 }
--- a/testing/src/test/java/brookpath/testing/GoldenPlatformTest.java
+++ b/testing/src/test/java/brookpath/testing/GoldenPlatformTest.java
@@ -19,8 +19,9 @@
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.EventLoopGroup;
+import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.embedded.EmbeddedChannel;
-import io.netty.channel.nio.NioEventLoopGroup;
+import io.netty.channel.nio.NioIoHandler;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.InputStream;
@@ -74,7 +75,7 @@
 
     @BeforeClass
     public void start() throws Exception {
-        loops = new NioEventLoopGroup(1);
+        loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         host = new ScriptedNode(this::act).start();
         linePort = freePort();
         new LineServer().listen(LOCAL + linePort, host, loops, PING_MS);
