--- a/testing/src/test/java/brookpath/testing/GoldenPlatformTest.java
+++ b/testing/src/test/java/brookpath/testing/GoldenPlatformTest.java
@@ -151,14 +151,14 @@
     private Response operate(final NodeRequest.Operate request) {
         final String body = new String(request.body(), UTF_8);
         return switch (request.kind()) {
-            case "change" -> change(body);
-            case "spec" ->
+            case CHANGE -> change(body);
+            case CONFIGURATION ->
                 new Response(200, 0, "{\"version\":7,\"document\":{\"annotation\":\"{\\\"Revision\\\": 7 }\"}}");
-            case "retireNamed" ->
+            case RETIRE_NAMED ->
                 body.equals("machine-1")
                         ? new Response(200, 0, "{}")
                         : new Response(404, 0, "{\"outcome\":\"refused\",\"findings\":[]}");
-            case "retired" -> new Response(200, 0, "{\"retired\":" + body.equals("machine-1") + "}");
+            case RETIRED -> new Response(200, 0, "{\"retired\":" + body.equals("machine-1") + "}");
             default -> new Response(400, 0, "{\"kind\":\"" + request.kind() + "\"}");
         };
     }
--- a/testing/src/test/java/brookpath/testing/sim/GroupRepairScene.java
+++ b/testing/src/test/java/brookpath/testing/sim/GroupRepairScene.java
@@ -6,6 +6,7 @@
 
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Member;
+import brookpath.coordination.message.ControlRequestKind;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.node.ControllerNode;
 import brookpath.coordination.node.NodeRequest;
@@ -179,7 +180,7 @@
             world.callers.asked(
                     controlLeader(),
                     id -> new NodeRequest.Operate(
-                            id, "retire", PackedBuffer.writer().num(node).num(1).done()),
+                            id, ControlRequestKind.RETIRE, PackedBuffer.writer().num(node).num(1).done()),
                     r -> got[0] = r);
             run(10);
         }
