--- a/coordination/src/main/java/brookpath/coordination/group/GroupStateMachine.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupStateMachine.java
@@ -41,7 +41,6 @@
     private final LogSweep sweep;
     private final LogAppender appender;
     private final DeferredMessages deferredMessages = new DeferredMessages();
-    private long nextTrim = Long.MIN_VALUE;
 
     GroupStateMachine(
             final int group,
@@ -148,7 +147,7 @@
         fetcher.watchLeader(now);
         sweepLog();
         fetcher.pull(now);
-        trim(now);
+        appender.trimIfDue(now);
     }
 
     private void observeTerms(final long now) {
@@ -371,14 +370,6 @@
         }
     }
 
-    private void trim(final long now) {
-        if (now < nextTrim) {
-            return;
-        }
-        nextTrim = now + timing.heartbeat();
-        appender.trim(now);
-    }
-
     // ---- repair
 
     /**
--- a/coordination/src/main/java/brookpath/coordination/group/LogAppender.java
+++ b/coordination/src/main/java/brookpath/coordination/group/LogAppender.java
@@ -22,6 +22,7 @@
     private static final byte[] NO_SNAPSHOT = {};
 
     private final int group;
+    private final TimingBounds timing;
     private final RoleState roleState;
     private final GroupMembership membership;
     private final VoteStore voteStore;
@@ -32,6 +33,7 @@
     private final Actions out;
     private final SnapshotSender snapshotSender;
     private final TreeMap<Integer, Pull> pending = new TreeMap<>();
+    private long nextTrim = Long.MIN_VALUE;
 
     /** @param intact whether the record at an index is as it was made; where not, nothing of this log is served */
     LogAppender(
@@ -46,6 +48,7 @@
             final LongPredicate intact,
             final Actions out) {
         this.group = group;
+        this.timing = timing;
         this.roleState = roleState;
         this.membership = membership;
         this.voteStore = voteStore;
@@ -256,8 +259,12 @@
         snapshotSender.drop();
     }
 
-    /** Trims the log as far as whoever takes the snapshot can go on from there. */
-    void trim(final long now) {
+    /** Trims the log once a heartbeat's period, as far as whoever takes the snapshot can go on from there. */
+    void trimIfDue(final long now) {
+        if (now < nextTrim) {
+            return;
+        }
+        nextTrim = now + timing.heartbeat();
         snapshotSender.expire(now);
         log.trim(snapshotSender.trimLimit(), now);
     }
--- a/coordination/src/main/java/brookpath/coordination/group/LogState.java
+++ b/coordination/src/main/java/brookpath/coordination/group/LogState.java
@@ -19,7 +19,7 @@
     }
 
     /**
-     * Whether a copy still keeps an committed record in memory for followers that lag.
+     * Whether a replica still keeps a committed record in memory for followers that lag.
      *
      * @param now by the steady clock, as {@link LogRecord#learnedAt}
      * @param newerRecords how many records follow it
--- a/coordination/src/main/java/brookpath/coordination/group/Quorums.java
+++ b/coordination/src/main/java/brookpath/coordination/group/Quorums.java
@@ -1,6 +1,6 @@
 package brookpath.coordination.group;
 
-/** How many copies a record needs. */
+/** How many replicas a record needs, and how many voters decide. */
 public final class Quorums {
     private Quorums() {}
 
@@ -9,9 +9,9 @@
     }
 
     /**
-     * With this many copies synced, each majority that may elect a leader holds the record: a majority of these members
-     * or of a membership that is one voter away, which may be in a log without being committed. For an even number,
-     * members - majority + 1 would meet each majority of these members, but not of one voter fewer or more.
+     * With this many replicas synced, each majority that may elect a leader holds the record: a majority of these
+     * members or of a membership that is one voter away, which may be in a log without being committed. For an even
+     * number, members - majority + 1 would meet each majority of these members, but not of one voter fewer or more.
      */
     public static int floor(final int members, final int toleratedLosses) {
         return Math.min(members, Math.max(toleratedLosses + 1, majority(members)));
--- a/coordination/src/main/java/brookpath/coordination/group/SnapshotSender.java
+++ b/coordination/src/main/java/brookpath/coordination/group/SnapshotSender.java
@@ -22,7 +22,7 @@
     private long endIndex;
     private long askedAt;
 
-    /** @param keepMs how long an snapshot is kept after it was last asked for */
+    /** @param keepMs how long a snapshot is kept after it was last asked for */
     SnapshotSender(final long keepMs) {
         this.keepMs = keepMs;
     }
--- a/coordination/src/main/java/brookpath/coordination/heartbeat/HeartbeatMonitor.java
+++ b/coordination/src/main/java/brookpath/coordination/heartbeat/HeartbeatMonitor.java
@@ -13,7 +13,11 @@
 
 /** Sends and receives heartbeats. The replication listener thread owns it. */
 public final class HeartbeatMonitor {
-    private static final int OUTSTANDING = 8;
+    /** So many heartbeats to a peer are remembered until they are answered. */
+    private static final int MAX_OUTSTANDING = 8;
+
+    /** A peer that has missed so many replies in a row is down. */
+    private static final int MISSED_WHEN_DOWN = 2;
 
     private record Sent(long at, Map<Integer, HeartbeatEntry> own) {}
 
@@ -21,7 +25,7 @@
         final LinkedHashMap<Long, Sent> sent = new LinkedHashMap<>();
         long lastId = -1;
         boolean lastAnswered = true;
-        int missed = 2;
+        int missed = MISSED_WHEN_DOWN;
         long answeredSentAt = Long.MIN_VALUE / 2;
         Map<Integer, HeartbeatEntry> answeredOwn = Map.of();
         long heardAt = Long.MIN_VALUE / 2;
@@ -30,7 +34,7 @@
     }
 
     /** A visitor that has not asked for so many heartbeats is gone. */
-    private static final int VISIT = 16;
+    private static final int VISIT_HEARTBEATS = 16;
 
     private static final int MAX_VISITORS = 4_096;
 
@@ -48,8 +52,8 @@
     private long nextRound = Long.MIN_VALUE / 2;
 
     /**
-     * @param period between two heartbeats: the timing bounds's for members of groups; who only watches them is told of
-     *     changes besides and may ask less often
+     * @param period between two heartbeats: that of the timing bounds for members of groups; who only watches them is
+     *     told of changes besides and may ask less often
      */
     public HeartbeatMonitor(final TimingBounds timing, final long period, final HeartbeatPromises promises) {
         this.timing = timing;
@@ -61,7 +65,7 @@
     public void peers(final Set<Integer> nodes) {
         peers.keySet().retainAll(nodes);
         nodes.forEach(n -> peers.computeIfAbsent(n, k -> new Peer()));
-        swap();
+        publishTable();
     }
 
     public void own(final List<HeartbeatEntry> entries) {
@@ -91,7 +95,9 @@
     }
 
     private boolean round(final long now, final boolean periodic, final Actions out) {
-        final long up = peers.values().stream().filter(peer -> peer.missed < 2).count();
+        final long up = peers.values().stream()
+                .filter(peer -> peer.missed < MISSED_WHEN_DOWN)
+                .count();
         if (periodic) {
             nextRound = now + period;
         }
@@ -103,7 +109,7 @@
                 peer.lastId = id;
             }
             peer.sent.put(id, new Sent(now, ownById));
-            if (peer.sent.size() > OUTSTANDING) {
+            if (peer.sent.size() > MAX_OUTSTANDING) {
                 peer.sent.remove(peer.sent.keySet().iterator().next());
             }
             out.send(node, new Heartbeat(false, id, now, peer.known, false, own));
@@ -112,8 +118,11 @@
             visitors.values().removeIf(until -> now >= until);
             visitors.keySet().forEach(node -> out.send(node, new Heartbeat(false, id, now, 0, false, own)));
         }
-        swap();
-        return peers.values().stream().filter(peer -> peer.missed < 2).count() != up;
+        publishTable();
+        return peers.values().stream()
+                        .filter(peer -> peer.missed < MISSED_WHEN_DOWN)
+                        .count()
+                != up;
     }
 
     /**
@@ -122,32 +131,36 @@
      */
     public boolean onHeartbeat(final int from, final Heartbeat heartbeat, final long now, final Actions out) {
         final Peer peer = peers.get(from);
-        boolean news = false;
-        if (!heartbeat.reply()) {
-            if (peer != null) {
-                news = learn(peer, heartbeat, now);
-                swap();
-            } else if (visitors.size() < MAX_VISITORS) {
-                visitors.put(from, now + VISIT * timing.heartbeat());
-            }
-            // why: the promise comes before the answer, for a vote given after the answer must know of it however late
-            // the table is seen
-            final List<HeartbeatEntry> answer = promises.answer(from, heartbeat, own, now);
-            // why: who is what is all that an answer must tell, for positions come with this member's own heartbeats;
-            // where
-            // that is as it was, a few bytes say so
-            final boolean same = heartbeat.known() == HeartbeatEntry.digest(answer);
-            out.send(from, new Heartbeat(true, heartbeat.id(), heartbeat.stamp(), 0, same, same ? List.of() : answer));
-            return news;
+        return heartbeat.reply() ? onReply(peer, heartbeat, now) : onRequest(from, peer, heartbeat, now, out);
+    }
+
+    private boolean onRequest(
+            final int from, final Peer peer, final Heartbeat heartbeat, final long now, final Actions out) {
+        boolean changed = false;
+        if (peer != null) {
+            changed = learn(peer, heartbeat, now);
+            publishTable();
+        } else if (visitors.size() < MAX_VISITORS) {
+            visitors.put(from, now + VISIT_HEARTBEATS * timing.heartbeat());
         }
+        // why: the promise comes before the answer, for a vote given after the answer must know of it however late
+        // the table is seen
+        final List<HeartbeatEntry> answer = promises.answer(from, heartbeat, own, now);
+        // why: who is what is all that an answer must tell, for positions come with this member's own heartbeats; where
+        // that is as it was, a few bytes say so
+        final boolean same = heartbeat.known() == HeartbeatEntry.digest(answer);
+        out.send(from, new Heartbeat(true, heartbeat.id(), heartbeat.stamp(), 0, same, same ? List.of() : answer));
+        return changed;
+    }
+
+    private boolean onReply(final Peer peer, final Heartbeat heartbeat, final long now) {
         final Sent sent = peer == null ? null : peer.sent.get(heartbeat.id());
         // why: a reply that took longer than the detection time says nothing about now
         if (sent == null || now - sent.at > Math.max(timing.down(), 2 * period)) {
             return false;
         }
-        news = learn(peer, heartbeat, now)
-                || peer.missed >= 2
-                || own.stream().anyMatch(e -> e.role() == HeartbeatEntry.LEADER);
+        final boolean changed = learn(peer, heartbeat, now);
+        final boolean wasDown = peer.missed >= MISSED_WHEN_DOWN;
         if (sent.at >= peer.answeredSentAt) {
             peer.answeredSentAt = sent.at;
             peer.answeredOwn = sent.own;
@@ -156,10 +169,15 @@
         if (heartbeat.id() >= peer.lastId) {
             peer.lastAnswered = true;
         }
-        swap();
-        return news;
+        publishTable();
+        return changed || wasDown || leadsAny();
+    }
+
+    private boolean leadsAny() {
+        return own.stream().anyMatch(entry -> entry.role() == HeartbeatEntry.LEADER);
     }
 
+    /** Takes the peer's entries; true where its roles, terms or sync states have changed. */
     private static boolean learn(final Peer peer, final Heartbeat heartbeat, final long now) {
         peer.heardAt = now;
         final long before = peer.known;
@@ -170,12 +188,17 @@
         return peer.known != before;
     }
 
-    private void swap() {
+    private void publishTable() {
         final TreeMap<Integer, HeartbeatTable.Row> rows = new TreeMap<>();
         peers.forEach((node, peer) -> rows.put(
                 node,
                 new HeartbeatTable.Row(
-                        node, peer.missed < 2, peer.answeredSentAt, peer.answeredOwn, peer.heardAt, peer.entries)));
+                        node,
+                        peer.missed < MISSED_WHEN_DOWN,
+                        peer.answeredSentAt,
+                        peer.answeredOwn,
+                        peer.heardAt,
+                        peer.entries)));
         table = new HeartbeatTable(rows, period <= timing.heartbeat() ? timing.down() : 5 * period / 2);
     }
 
--- a/coordination/src/main/java/brookpath/coordination/heartbeat/HeartbeatPromises.java
+++ b/coordination/src/main/java/brookpath/coordination/heartbeat/HeartbeatPromises.java
@@ -21,10 +21,11 @@
     }
 
     private final Map<Integer, Promise> groups = new HashMap<>();
-    private final long down;
+    /** How long an answer binds, in milliseconds. */
+    private final long promiseMs;
 
-    public HeartbeatPromises(final long down) {
-        this.down = down;
+    public HeartbeatPromises(final long promiseMs) {
+        this.promiseMs = promiseMs;
     }
 
     private Promise of(final int group) {
@@ -38,15 +39,15 @@
     synchronized List<HeartbeatEntry> answer(
             final int from, final Heartbeat heartbeat, final List<HeartbeatEntry> own, final long now) {
         for (final HeartbeatEntry e : heartbeat.entries()) {
-            final Promise p = of(e.group());
+            final Promise promise = of(e.group());
             // why: a leadership older than what was voted for since binds nobody, and the entry below says so
-            if (e.role() == HeartbeatEntry.LEADER && e.term() >= p.raised) {
-                p.leader = from;
-                p.heartbeat = heartbeat.id();
-                p.heardAt = now;
-            } else if (p.leader == from && heartbeat.id() > p.heartbeat) {
-                // why: it says itself that it leaders the group no more; an older heartbeat that came late says nothing
-                p.leader = 0;
+            if (e.role() == HeartbeatEntry.LEADER && e.term() >= promise.raised) {
+                promise.leader = from;
+                promise.heartbeat = heartbeat.id();
+                promise.heardAt = now;
+            } else if (promise.leader == from && heartbeat.id() > promise.heartbeat) {
+                // why: it says itself that it leads the group no more; an older heartbeat that came late says nothing
+                promise.leader = 0;
             }
         }
         final List<HeartbeatEntry> list = new ArrayList<>(own.size());
@@ -60,12 +61,12 @@
     /** The voter's part, right before it votes or stands: false where this member is still bound to another leader. */
     public synchronized boolean raise(
             final int group, final long term, final int candidate, final boolean manual, final long now) {
-        final Promise p = of(group);
+        final Promise promise = of(group);
         // why: in a manual switchover the old leader has said itself that it acts no more
-        if (!manual && p.leader != 0 && p.leader != candidate && now - p.heardAt <= down) {
+        if (!manual && promise.leader != 0 && promise.leader != candidate && now - promise.heardAt <= promiseMs) {
             return false;
         }
-        p.raised = Math.max(p.raised, term);
+        promise.raised = Math.max(promise.raised, term);
         return true;
     }
 }
