--- a/coordination/src/main/java/brookpath/coordination/node/GatewayNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/GatewayNode.java
@@ -1,5 +1,7 @@
 package brookpath.coordination.node;
 
+import static brookpath.coordination.message.ResponseStatus.OK;
+
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
 import brookpath.coordination.configuration.ConfigurationClient;
@@ -17,6 +19,7 @@
 import brookpath.coordination.message.PeerMessage.Publish;
 import brookpath.coordination.message.PeerMessage.PublishReply;
 import brookpath.coordination.message.Response;
+import brookpath.coordination.message.ResponseStatus;
 import brookpath.coordination.node.gateway.GatewayAddresses;
 import brookpath.coordination.node.gateway.GatewayDrain;
 import brookpath.coordination.node.gateway.LeaseQueue;
@@ -44,9 +47,6 @@
     /** A gateway only watches, so its heartbeats are rarer: changes of masterships are told to it at once besides. */
     private static final int HEARTBEAT_PERIODS = 4;
 
-    private static final int OK = 200;
-    private static final int UNAUTHORIZED = 401;
-
     private final String zone;
     private final ConfigurationClient client;
     private final PublishForwarder forwarder;
@@ -282,7 +282,7 @@
         if (!serves(now)) {
             refuse(request.requestId(), "spec", "this node has not heard from the control plane lately");
         } else if (!request.key().isEmpty() && client.configuration().tenantOf(request.key()) == null) {
-            out.respond(request.requestId(), Refusals.refused(UNAUTHORIZED, 0, "key", "unknown key"));
+            out.respond(request.requestId(), Refusals.refused(ResponseStatus.UNAUTHORIZED, 0, "key", "unknown key"));
         } else if (client.draining()) {
             refuseDraining(request.requestId());
             out.moveSession(request.requestId(), otherGateways.next());
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/ListenerCountRequests.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/ListenerCountRequests.java
@@ -1,5 +1,7 @@
 package brookpath.coordination.node.gateway;
 
+import static brookpath.coordination.message.ResponseStatus.OK;
+
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
 import brookpath.coordination.message.PeerMessage.ListenerCountReply;
@@ -14,7 +16,6 @@
 /** Callers' requests for the number of a topic's listeners that are under way to the groups' leaders. */
 public final class ListenerCountRequests {
     private static final int MAX_REQUESTS = 4_096;
-    private static final int OK = 200;
 
     private record PendingCount(long requestId, long deadline, boolean excludesCaller) {}
 
