--- a/coordination/src/main/java/brookpath/coordination/message/PeerMessage.java
+++ b/coordination/src/main/java/brookpath/coordination/message/PeerMessage.java
@@ -163,14 +163,8 @@
             implements PeerMessage {}
 
     /** The end of a publish as the leader knows it; the position is set where it was committed. */
-    record PublishReply(long requestId, int outcome, long position, int leaderHint, long term, String why)
-            implements PeerMessage {
-        public static final int ACCEPTED = 0;
-        public static final int NOT_LEADER = 1;
-        public static final int REFUSED_FOR_GOOD = 2;
-        public static final int UNSETTLED = 3;
-        public static final int BUSY = 4;
-    }
+    record PublishReply(long requestId, PublishOutcome outcome, long position, int leaderHint, long term, String why)
+            implements PeerMessage {}
 
     /**
      * A gateway reads committed records of some topics after a position each; tail asks for the present position alone.
@@ -187,13 +181,9 @@
     record TopicPosition(String topic, long from) {}
 
     /** Committed records up to the position that was looked through, and the topics of which older records are gone. */
-    record FetchReply(long requestId, int group, int status, long scannedTo, List<String> gone, List<LogRecord> records)
-            implements PeerMessage {
-        public static final int OK = 0;
-        public static final int NOT_HERE = 1;
-        /** The edition of the topics is not known here; they are to be told. */
-        public static final int UNTOLD = 2;
-    }
+    record FetchReply(
+            long requestId, int group, FetchStatus status, long scannedTo, List<String> gone, List<LogRecord> records)
+            implements PeerMessage {}
 
     /**
      * A data-plane process asks with the versions that it has. The relay mark: the control leader that was named cannot
@@ -260,8 +250,5 @@
     record ListenerCountRequest(long requestId, int group, String topic) implements PeerMessage {}
 
     /** How many sessions listen to a topic. */
-    record ListenerCountReply(long requestId, int status, int count) implements PeerMessage {
-        public static final int OK = 0;
-        public static final int NOT_HERE = 1;
-    }
+    record ListenerCountReply(long requestId, ListenerCountStatus status, int count) implements PeerMessage {}
 }
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/CatchUpFetcher.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/CatchUpFetcher.java
@@ -2,6 +2,7 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
+import brookpath.coordination.message.FetchStatus;
 import brookpath.coordination.message.PeerMessage.Fetch;
 import brookpath.coordination.message.PeerMessage.FetchReply;
 import brookpath.coordination.message.PeerMessage.TopicPosition;
@@ -109,7 +110,7 @@
             return;
         }
         final GroupSubscription subscription = fetch.subscription();
-        if (reply.status() != FetchReply.OK) {
+        if (reply.status() != FetchStatus.OK) {
             sources.avoid(from, now);
             retryAtNextTimer(subscription, now);
             return;
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/FeedFetcher.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/FeedFetcher.java
@@ -2,6 +2,7 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
+import brookpath.coordination.message.FetchStatus;
 import brookpath.coordination.message.PeerMessage.Fetch;
 import brookpath.coordination.message.PeerMessage.FetchReply;
 import brookpath.coordination.message.PeerMessage.TopicPosition;
@@ -80,13 +81,13 @@
 
     /** The reply to a feed's fetch. */
     void received(final Feed feed, final int from, final FetchReply reply, final long now) {
-        if (reply.status() == FetchReply.UNTOLD) {
+        if (reply.status() == FetchStatus.TOPICS_UNKNOWN) {
             feed.topicsKnownBy = 0;
             feed.fetchId = 0;
             fetch(feed, now);
             return;
         }
-        if (reply.status() != FetchReply.OK) {
+        if (reply.status() != FetchStatus.OK) {
             fetchElsewhere(feed, from, now);
             return;
         }
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/ListenerCountRequests.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/ListenerCountRequests.java
@@ -4,6 +4,7 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
+import brookpath.coordination.message.ListenerCountStatus;
 import brookpath.coordination.message.PeerMessage.ListenerCountReply;
 import brookpath.coordination.message.PeerMessage.ListenerCountRequest;
 import brookpath.coordination.message.Response;
@@ -53,7 +54,7 @@
         if (count == null) {
             return;
         }
-        if (reply.status() != ListenerCountReply.OK) {
+        if (reply.status() != ListenerCountStatus.OK) {
             refuse(count.requestId, "master", "the master has no lease just now");
             return;
         }
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/PublishForwarder.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/PublishForwarder.java
@@ -6,6 +6,7 @@
 import brookpath.coordination.action.Actions;
 import brookpath.coordination.message.PeerMessage.Publish;
 import brookpath.coordination.message.PeerMessage.PublishReply;
+import brookpath.coordination.message.PublishOutcome;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.message.ResponseStatus;
 import brookpath.coordination.node.NodeRequest;
@@ -161,8 +162,8 @@
             return;
         }
         switch (reply.outcome()) {
-            case PublishReply.ACCEPTED -> committed(queue, publish, reply);
-            case PublishReply.REFUSED_FOR_GOOD -> refusedForGood(queue, publish, from, reply);
+            case ACCEPTED -> committed(queue, publish, reply);
+            case REFUSED_FOR_GOOD -> refusedForGood(queue, publish, from, reply);
             default -> notTaken(queue, publish, from, reply, now);
         }
     }
@@ -200,10 +201,10 @@
             return;
         }
         publish.failed(reply.why());
-        if (reply.outcome() == PublishReply.UNSETTLED) {
+        if (reply.outcome() == PublishOutcome.UNSETTLED) {
             publish.markUncertain();
         }
-        final boolean notLeader = reply.outcome() == PublishReply.NOT_LEADER;
+        final boolean notLeader = reply.outcome() == PublishOutcome.NOT_LEADER;
         final boolean namesAnother = reply.leaderHint() != 0 && reply.leaderHint() != from;
         if (notLeader && namesAnother && !queue.isHinted(reply.leaderHint())) {
             queue.followHint(reply.leaderHint(), now + timing.down());
--- a/coordination/src/main/java/brookpath/coordination/node/storage/FetchHandler.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/FetchHandler.java
@@ -4,6 +4,7 @@
 import brookpath.coordination.action.Actions;
 import brookpath.coordination.configuration.ConfigurationClient;
 import brookpath.coordination.group.GroupMachine;
+import brookpath.coordination.message.FetchStatus;
 import brookpath.coordination.message.PeerMessage.Fetch;
 import brookpath.coordination.message.PeerMessage.FetchReply;
 import java.util.List;
@@ -34,11 +35,11 @@
     public void fetch(final int gateway, final Fetch fetch, final long now) {
         final GroupMachine group = groups.get(fetch.group());
         if (group == null || !group.inSync(now) || !client.leased(now)) {
-            replyWithoutRecords(gateway, fetch, FetchReply.NOT_HERE, 0);
+            replyWithoutRecords(gateway, fetch, FetchStatus.NOT_HERE, 0);
             return;
         }
         if (fetch.hold() && !interests.update(gateway, fetch)) {
-            replyWithoutRecords(gateway, fetch, FetchReply.UNTOLD, 0);
+            replyWithoutRecords(gateway, fetch, FetchStatus.TOPICS_UNKNOWN, 0);
             return;
         }
         final long deadline = fetch.hold() ? NEVER : AT_ONCE;
@@ -62,7 +63,7 @@
     private boolean serve(
             final int gateway, final Fetch fetch, final GroupMachine group, final long deadline, final long now) {
         if (fetch.tail()) {
-            replyWithoutRecords(gateway, fetch, FetchReply.OK, group.committed());
+            replyWithoutRecords(gateway, fetch, FetchStatus.OK, group.committed());
             return true;
         }
         final FetchScan scan = fetch.hold()
@@ -71,7 +72,7 @@
         scan.run();
         // why: at once, not when the hold is over: the gateway has other replicas to ask
         if (scan.isDamaged() || (scan.records().isEmpty() && !group.inSync(now))) {
-            replyWithoutRecords(gateway, fetch, FetchReply.NOT_HERE, 0);
+            replyWithoutRecords(gateway, fetch, FetchStatus.NOT_HERE, 0);
             return true;
         }
         final List<String> trimmed = scan.trimmedTopics();
@@ -81,11 +82,12 @@
         out.send(
                 gateway,
                 new FetchReply(
-                        fetch.requestId(), group.id(), FetchReply.OK, scan.scannedTo(), trimmed, scan.records()));
+                        fetch.requestId(), group.id(), FetchStatus.OK, scan.scannedTo(), trimmed, scan.records()));
         return true;
     }
 
-    private void replyWithoutRecords(final int gateway, final Fetch fetch, final int status, final long scannedTo) {
+    private void replyWithoutRecords(
+            final int gateway, final Fetch fetch, final FetchStatus status, final long scannedTo) {
         out.send(gateway, new FetchReply(fetch.requestId(), fetch.group(), status, scannedTo, List.of(), List.of()));
     }
 
--- a/coordination/src/main/java/brookpath/coordination/node/storage/ListenerCounts.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/ListenerCounts.java
@@ -3,6 +3,7 @@
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
 import brookpath.coordination.group.GroupMachine;
+import brookpath.coordination.message.ListenerCountStatus;
 import brookpath.coordination.message.PeerMessage.ListenerCountReply;
 import brookpath.coordination.message.PeerMessage.ListenerCountRequest;
 import brookpath.coordination.message.PeerMessage.ListenerReport;
@@ -60,11 +61,11 @@
     public void answer(
             final int gateway, final ListenerCountRequest request, final GroupMachine group, final long now) {
         if (group == null || !group.mayAct(now)) {
-            out.send(gateway, new ListenerCountReply(request.requestId(), ListenerCountReply.NOT_HERE, 0));
+            out.send(gateway, new ListenerCountReply(request.requestId(), ListenerCountStatus.NOT_HERE, 0));
             return;
         }
         final int listeners = count(request.group(), request.topic(), now);
-        out.send(gateway, new ListenerCountReply(request.requestId(), ListenerCountReply.OK, listeners));
+        out.send(gateway, new ListenerCountReply(request.requestId(), ListenerCountStatus.OK, listeners));
     }
 
     private int count(final int group, final String topic, final long now) {
--- a/coordination/src/main/java/brookpath/coordination/node/storage/PendingPublishes.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/PendingPublishes.java
@@ -1,7 +1,7 @@
 package brookpath.coordination.node.storage;
 
-import static brookpath.coordination.message.PeerMessage.PublishReply.ACCEPTED;
-import static brookpath.coordination.message.PeerMessage.PublishReply.UNSETTLED;
+import static brookpath.coordination.message.PublishOutcome.ACCEPTED;
+import static brookpath.coordination.message.PublishOutcome.UNSETTLED;
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
--- a/coordination/src/main/java/brookpath/coordination/node/storage/PublishAdmission.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/PublishAdmission.java
@@ -1,8 +1,8 @@
 package brookpath.coordination.node.storage;
 
-import static brookpath.coordination.message.PeerMessage.PublishReply.BUSY;
-import static brookpath.coordination.message.PeerMessage.PublishReply.NOT_LEADER;
-import static brookpath.coordination.message.PeerMessage.PublishReply.REFUSED_FOR_GOOD;
+import static brookpath.coordination.message.PublishOutcome.BUSY;
+import static brookpath.coordination.message.PublishOutcome.NOT_LEADER;
+import static brookpath.coordination.message.PublishOutcome.REFUSED_FOR_GOOD;
 
 import brookpath.coordination.action.Actions;
 import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
@@ -12,6 +12,7 @@
 import brookpath.coordination.group.Quorums;
 import brookpath.coordination.message.PeerMessage.Publish;
 import brookpath.coordination.message.PeerMessage.PublishReply;
+import brookpath.coordination.message.PublishOutcome;
 import brookpath.coordination.node.Node.Time;
 import brookpath.coordination.topic.TopicState;
 import brookpath.state.record.LogRecord;
@@ -134,7 +135,11 @@
     }
 
     private void refuse(
-            final int gateway, final Publish publish, final int outcome, final int leaderHint, final String reason) {
+            final int gateway,
+            final Publish publish,
+            final PublishOutcome outcome,
+            final int leaderHint,
+            final String reason) {
         out.send(gateway, new PublishReply(publish.requestId(), outcome, 0, leaderHint, 0, reason));
     }
 }
--- a/protocol/src/main/java/brookpath/protocol/frame/ListenerFrameCodec.java
+++ b/protocol/src/main/java/brookpath/protocol/frame/ListenerFrameCodec.java
@@ -2,6 +2,7 @@
 
 import static brookpath.protocol.frame.FrameWriter.utf8;
 
+import brookpath.coordination.message.ListenerCountStatus;
 import brookpath.coordination.message.PeerMessage;
 import brookpath.protocol.sbe.ListenerCountReplyFrameDecoder;
 import brookpath.protocol.sbe.ListenerCountReplyFrameEncoder;
@@ -63,7 +64,7 @@
         return new ListenerCountReplyFrameEncoder()
                 .wrapAndApplyHeader(writer.buffer(), 0, writer.header())
                 .requestId(reply.requestId())
-                .status((short) reply.status())
+                .status((short) reply.status().code())
                 .count(reply.count())
                 .encodedLength();
     }
@@ -71,6 +72,7 @@
     static PeerMessage.ListenerCountReply decodeCountReply(final FrameReader reader) {
         final ListenerCountReplyFrameDecoder frame =
                 new ListenerCountReplyFrameDecoder().wrapAndApplyHeader(reader.buffer(), 0, reader.header());
-        return new PeerMessage.ListenerCountReply(frame.requestId(), frame.status(), frame.count());
+        return new PeerMessage.ListenerCountReply(
+                frame.requestId(), ListenerCountStatus.ofCode(frame.status()), frame.count());
     }
 }
--- a/protocol/src/main/java/brookpath/protocol/frame/TopicFrameCodec.java
+++ b/protocol/src/main/java/brookpath/protocol/frame/TopicFrameCodec.java
@@ -4,7 +4,9 @@
 import static brookpath.protocol.frame.FrameWriter.flag;
 import static brookpath.protocol.frame.FrameWriter.utf8;
 
+import brookpath.coordination.message.FetchStatus;
 import brookpath.coordination.message.PeerMessage;
+import brookpath.coordination.message.PublishOutcome;
 import brookpath.protocol.sbe.FetchFrameDecoder;
 import brookpath.protocol.sbe.FetchFrameEncoder;
 import brookpath.protocol.sbe.FetchReplyFrameDecoder;
@@ -58,7 +60,7 @@
         return new PublishReplyFrameEncoder()
                 .wrapAndApplyHeader(writer.buffer(), 0, writer.header())
                 .requestId(reply.requestId())
-                .outcome((short) reply.outcome())
+                .outcome((short) reply.outcome().code())
                 .position(reply.position())
                 .leaderHint(reply.leaderHint())
                 .term(reply.term())
@@ -71,7 +73,7 @@
                 new PublishReplyFrameDecoder().wrapAndApplyHeader(reader.buffer(), 0, reader.header());
         return new PeerMessage.PublishReply(
                 frame.requestId(),
-                frame.outcome(),
+                PublishOutcome.ofCode(frame.outcome()),
                 frame.position(),
                 frame.leaderHint(),
                 frame.term(),
@@ -118,7 +120,7 @@
                 .wrapAndApplyHeader(writer.buffer(), 0, writer.header())
                 .requestId(reply.requestId())
                 .group(reply.group())
-                .status((short) reply.status())
+                .status((short) reply.status().code())
                 .scannedTo(reply.scannedTo());
         final FetchReplyFrameEncoder.GoneEncoder gone =
                 frame.goneCount(reply.gone().size());
@@ -146,6 +148,6 @@
             records.add(reader.readRecord(record.recordLength(), record::getRecord));
         }
         return new PeerMessage.FetchReply(
-                frame.requestId(), frame.group(), frame.status(), frame.scannedTo(), gone, records);
+                frame.requestId(), frame.group(), FetchStatus.ofCode(frame.status()), frame.scannedTo(), gone, records);
     }
 }
--- a/testing/src/main/java/brookpath/testing/sim/CrashPoint.java
+++ b/testing/src/main/java/brookpath/testing/sim/CrashPoint.java
@@ -6,6 +6,7 @@
 import brookpath.coordination.configuration.ControlState;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.message.PeerMessage;
+import brookpath.coordination.message.PublishOutcome;
 import brookpath.coordination.node.ControllerNode;
 import brookpath.coordination.node.Node;
 import brookpath.coordination.node.StorageNode;
@@ -54,7 +55,7 @@
     static CrashPoint ofAction(final Action action) {
         if (action instanceof Action.Send s
                 && s.message() instanceof PeerMessage.PublishReply r
-                && r.outcome() == PeerMessage.PublishReply.ACCEPTED) {
+                && r.outcome() == PublishOutcome.ACCEPTED) {
             return ANSWER;
         }
         final String told = action instanceof Action.Respond r
--- a/testing/src/test/java/brookpath/testing/FrameCodecTest.java
+++ b/testing/src/test/java/brookpath/testing/FrameCodecTest.java
@@ -3,7 +3,10 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
+import brookpath.coordination.message.FetchStatus;
+import brookpath.coordination.message.ListenerCountStatus;
 import brookpath.coordination.message.PeerMessage;
+import brookpath.coordination.message.PublishOutcome;
 import brookpath.protocol.frame.FrameCodec;
 import brookpath.state.record.LogRecord;
 import java.lang.reflect.RecordComponent;
@@ -32,6 +35,23 @@
         assertEquals(n, 200 * 17);
     }
 
+    @Test
+    public void outcomesKeepTheirWireCodesAndUnknownOnesAreTakenForARetry() {
+        assertEquals(
+                Arrays.stream(PublishOutcome.values()).map(PublishOutcome::code).toList(), List.of(0, 1, 2, 3, 4));
+        assertEquals(Arrays.stream(FetchStatus.values()).map(FetchStatus::code).toList(), List.of(0, 1, 2));
+        assertEquals(
+                Arrays.stream(ListenerCountStatus.values())
+                        .map(ListenerCountStatus::code)
+                        .toList(),
+                List.of(0, 1));
+        for (final int unknown : new int[] {-1, 5, 255}) {
+            assertEquals(PublishOutcome.ofCode(unknown), PublishOutcome.BUSY);
+            assertEquals(FetchStatus.ofCode(unknown), FetchStatus.NOT_HERE);
+            assertEquals(ListenerCountStatus.ofCode(unknown), ListenerCountStatus.NOT_HERE);
+        }
+    }
+
     @Test
     public void malformedFramesThrowAndDoNothingElse() throws Exception {
         int thrown = 0;
@@ -75,11 +95,11 @@
     private static Object value(final RecordComponent comp, final SplittableRandom random) throws Exception {
         final Class<?> type = comp.getType();
         if (type == int.class) {
-            return List.of("role", "sync", "kind", "standing", "outcome").contains(comp.getName())
-                            || (comp.getName().equals("status")
-                                    && comp.getDeclaringRecord() != PeerMessage.ControlReply.class)
+            return List.of("role", "sync", "kind", "standing").contains(comp.getName())
                     ? random.nextInt(4)
                     : random.nextInt();
+        } else if (type.isEnum()) {
+            return type.getEnumConstants()[random.nextInt(type.getEnumConstants().length)];
         } else if (type == long.class) {
             return random.nextLong();
         } else if (type == boolean.class) {
--- a/testing/src/test/java/brookpath/testing/FrameExamples.java
+++ b/testing/src/test/java/brookpath/testing/FrameExamples.java
@@ -3,12 +3,15 @@
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import brookpath.coordination.group.GroupMachine;
+import brookpath.coordination.message.FetchStatus;
+import brookpath.coordination.message.ListenerCountStatus;
 import brookpath.coordination.message.PeerMessage;
 import brookpath.coordination.message.PeerMessage.ConfigurationPoll;
 import brookpath.coordination.message.PeerMessage.FetchReply;
 import brookpath.coordination.message.PeerMessage.HeartbeatEntry;
 import brookpath.coordination.message.PeerMessage.PublishReply;
 import brookpath.coordination.message.PeerMessage.PullReply;
+import brookpath.coordination.message.PublishOutcome;
 import brookpath.state.record.LogRecord;
 import java.util.List;
 import java.util.Map;
@@ -167,14 +170,14 @@
                 new PeerMessage.Publish(
                         ID, GROUP, VERSION, POSITION, "tenant", "space/topic", "sender", "text \u20ac"));
         examples.put("publish, nothing set", new PeerMessage.Publish(0, 0, 0, 0, "", "", "", ""));
-        examples.put("publish taken", new PublishReply(ID, PublishReply.ACCEPTED, POSITION, 0, TERM_NUMBER, ""));
+        examples.put("publish taken", new PublishReply(ID, PublishOutcome.ACCEPTED, POSITION, 0, TERM_NUMBER, ""));
         examples.put(
-                "publish redirected", new PublishReply(ID, PublishReply.NOT_LEADER, 0, NODE, TERM_NUMBER, SENTENCE));
+                "publish redirected", new PublishReply(ID, PublishOutcome.NOT_LEADER, 0, NODE, TERM_NUMBER, SENTENCE));
         examples.put(
-                "publish rejected", new PublishReply(ID, PublishReply.REFUSED_FOR_GOOD, 0, 0, TERM_NUMBER, SENTENCE));
+                "publish rejected", new PublishReply(ID, PublishOutcome.REFUSED_FOR_GOOD, 0, 0, TERM_NUMBER, SENTENCE));
         examples.put(
-                "publish of unknown end", new PublishReply(ID, PublishReply.UNSETTLED, 0, 0, TERM_NUMBER, SENTENCE));
-        examples.put("publish to retry later", new PublishReply(ID, PublishReply.BUSY, 0, 0, 0, ""));
+                "publish of unknown end", new PublishReply(ID, PublishOutcome.UNSETTLED, 0, 0, TERM_NUMBER, SENTENCE));
+        examples.put("publish to retry later", new PublishReply(ID, PublishOutcome.BUSY, 0, 0, 0, ""));
     }
 
     private static void addFetches(final Map<String, PeerMessage> examples) {
@@ -195,9 +198,11 @@
         examples.put(
                 "fetched, two entries and a trimmed topic",
                 new FetchReply(
-                        ID, GROUP, FetchReply.OK, POSITION, List.of("space/old"), List.of(publish(), control())));
-        examples.put("fetched, not here", new FetchReply(ID, GROUP, FetchReply.NOT_HERE, 0, List.of(), List.of()));
-        examples.put("fetched, topics unknown", new FetchReply(ID, GROUP, FetchReply.UNTOLD, 0, List.of(), List.of()));
+                        ID, GROUP, FetchStatus.OK, POSITION, List.of("space/old"), List.of(publish(), control())));
+        examples.put("fetched, not here", new FetchReply(ID, GROUP, FetchStatus.NOT_HERE, 0, List.of(), List.of()));
+        examples.put(
+                "fetched, topics unknown",
+                new FetchReply(ID, GROUP, FetchStatus.TOPICS_UNKNOWN, 0, List.of(), List.of()));
     }
 
     private static void addControl(final Map<String, PeerMessage> examples) {
@@ -248,9 +253,8 @@
         examples.put("listeners, nothing set", new PeerMessage.ListenerReport(0, 0, 0, List.of()));
         examples.put("listener count asked for", new PeerMessage.ListenerCountRequest(ID, GROUP, "space/a"));
         examples.put("listener count asked for, nothing set", new PeerMessage.ListenerCountRequest(0, 0, ""));
-        examples.put("listener count", new PeerMessage.ListenerCountReply(ID, PeerMessage.ListenerCountReply.OK, 42));
+        examples.put("listener count", new PeerMessage.ListenerCountReply(ID, ListenerCountStatus.OK, 42));
         examples.put(
-                "listener count, not here",
-                new PeerMessage.ListenerCountReply(ID, PeerMessage.ListenerCountReply.NOT_HERE, 0));
+                "listener count, not here", new PeerMessage.ListenerCountReply(ID, ListenerCountStatus.NOT_HERE, 0));
     }
 }
--- a/testing/src/test/java/brookpath/testing/PublishForwarderTest.java
+++ b/testing/src/test/java/brookpath/testing/PublishForwarderTest.java
@@ -17,6 +17,7 @@
 import brookpath.coordination.message.PeerMessage.HeartbeatEntry;
 import brookpath.coordination.message.PeerMessage.Publish;
 import brookpath.coordination.message.PeerMessage.PublishReply;
+import brookpath.coordination.message.PublishOutcome;
 import brookpath.coordination.node.NodeRequest;
 import brookpath.coordination.node.gateway.PublishForwarder;
 import brookpath.coordination.route.Route;
@@ -109,7 +110,7 @@
         obey();
     }
 
-    private void reply(final int from, final long id, final int outcome) {
+    private void reply(final int from, final long id, final PublishOutcome outcome) {
         forwarder.reply(from, new PublishReply(id, outcome, 9, 0, 1, "why"), now);
         obey();
     }
@@ -152,7 +153,7 @@
         forwarder.sessionLost(ONE, now);
         tick(TIMING.heartbeat(), ONE, 1);
         assertEquals(sent.size(), 2);
-        reply(ONE, first.requestId(), PublishReply.REFUSED_FOR_GOOD);
+        reply(ONE, first.requestId(), PublishOutcome.REFUSED_FOR_GOOD);
         assertEquals(statuses(), List.of(504), "what may lie in a log was refused for certain");
     }
 
@@ -160,7 +161,7 @@
     public void refusedAtTheOnlyAttemptIsRefused() {
         leaders(ONE, 1);
         final Publish first = publish();
-        reply(ONE, first.requestId(), PublishReply.REFUSED_FOR_GOOD);
+        reply(ONE, first.requestId(), PublishOutcome.REFUSED_FOR_GOOD);
         assertEquals(statuses(), List.of(409));
     }
 
@@ -169,9 +170,9 @@
         leaders(ONE, 1);
         final Publish first = publish();
         tick(TIMING.tick(), TWO, 2);
-        reply(ONE, first.requestId(), PublishReply.ACCEPTED);
-        reply(TWO, first.requestId(), PublishReply.ACCEPTED);
-        reply(TWO, first.requestId(), PublishReply.UNSETTLED);
+        reply(ONE, first.requestId(), PublishOutcome.ACCEPTED);
+        reply(TWO, first.requestId(), PublishOutcome.ACCEPTED);
+        reply(TWO, first.requestId(), PublishOutcome.UNSETTLED);
         assertEquals(statuses(), List.of(200));
     }
 
@@ -180,12 +181,12 @@
         leaders(ONE, 1);
         final Publish first = publish();
         tick(TIMING.tick(), TWO, 2);
-        reply(ONE, first.requestId(), PublishReply.NOT_LEADER);
-        reply(ONE, first.requestId(), PublishReply.BUSY);
+        reply(ONE, first.requestId(), PublishOutcome.NOT_LEADER);
+        reply(ONE, first.requestId(), PublishOutcome.BUSY);
         tick(TIMING.heartbeat(), TWO, 2);
         assertEquals(sent.size(), 2, "sent again while it was under way");
         assertTrue(responses.isEmpty());
-        reply(TWO, first.requestId(), PublishReply.ACCEPTED);
+        reply(TWO, first.requestId(), PublishOutcome.ACCEPTED);
         assertEquals(statuses(), List.of(200));
     }
 
@@ -193,8 +194,8 @@
     public void aReplyToAnotherLifeSettlesNothing() {
         leaders(ONE, 1);
         final Publish first = publish();
-        reply(ONE, first.requestId() - 1, PublishReply.ACCEPTED);
-        reply(ONE, first.requestId() + 1, PublishReply.REFUSED_FOR_GOOD);
+        reply(ONE, first.requestId() - 1, PublishOutcome.ACCEPTED);
+        reply(ONE, first.requestId() + 1, PublishOutcome.REFUSED_FOR_GOOD);
         assertTrue(responses.isEmpty());
         assertEquals(first.requestId(), FIRST_ID + 1);
     }
