--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlRequestHandler.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlRequestHandler.java
@@ -4,13 +4,13 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
 import brookpath.coordination.configuration.StoredConfiguration;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.message.PeerMessage.ControlReply;
 import brookpath.coordination.message.PeerMessage.ControlRequest;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.message.ResponseStatus;
+import brookpath.coordination.metadata.ClusterMetadata.GroupInfo;
 import brookpath.coordination.node.Node.Time;
 import brookpath.coordination.node.usage.UsageReporter;
 import brookpath.state.record.PackedBuffer;
@@ -24,20 +24,26 @@
  */
 final class ControlRequestHandler {
     /** Kinds that append a cluster metadata record. */
-    private static final Set<RequestKind> APPENDING =
-            Set.of(RequestKind.FOUNDED, RequestKind.MEMBERS, RequestKind.RETIRE, RequestKind.RETIRE_NAMED);
+    private static final Set<ControlRequestKind> APPENDING = Set.of(
+            ControlRequestKind.FOUNDED,
+            ControlRequestKind.MEMBERS,
+            ControlRequestKind.RETIRE,
+            ControlRequestKind.RETIRE_NAMED);
+
+    /** The request ID of a request that wants no reply. */
+    private static final long NO_REPLY = 0;
 
     private final int self;
     private final GroupMachine group;
     private final ControlView view;
-    private final ChangeOrders changes;
-    private final RetireOrders retirements;
-    private final MetadataKeeper metadataKeeper;
-    private final GroupMoves moves;
-    private final PollRegistry polls;
+    private final ConfigurationChangeHandler changes;
+    private final StorageRetirementHandler retirements;
+    private final ClusterMetadataUpdater metadataUpdater;
+    private final GroupMoveDriver moves;
+    private final ConfigurationLeaseGranter leases;
     private final UsageReporter usage;
-    private final PendingAnswers pending;
-    private final Replies replies;
+    private final PendingRequests pending;
+    private final ControlResponder responder;
     private final TimingBounds timing;
     private final Actions out;
 
@@ -45,14 +51,14 @@
             final int self,
             final GroupMachine group,
             final ControlView view,
-            final ChangeOrders changes,
-            final RetireOrders retirements,
-            final MetadataKeeper metadataKeeper,
-            final GroupMoves moves,
-            final PollRegistry polls,
+            final ConfigurationChangeHandler changes,
+            final StorageRetirementHandler retirements,
+            final ClusterMetadataUpdater metadataUpdater,
+            final GroupMoveDriver moves,
+            final ConfigurationLeaseGranter leases,
             final UsageReporter usage,
-            final PendingAnswers pending,
-            final Replies replies,
+            final PendingRequests pending,
+            final ControlResponder responder,
             final TimingBounds timing,
             final Actions out) {
         this.self = self;
@@ -60,37 +66,38 @@
         this.view = view;
         this.changes = changes;
         this.retirements = retirements;
-        this.metadataKeeper = metadataKeeper;
+        this.metadataUpdater = metadataUpdater;
         this.moves = moves;
-        this.polls = polls;
+        this.leases = leases;
         this.usage = usage;
         this.pending = pending;
-        this.replies = replies;
+        this.responder = responder;
         this.timing = timing;
         this.out = out;
     }
 
     void handle(final int from, final ControlRequest request, final Time time) {
         if (!group.mayAct(time.mono())) {
-            replies.respond(from, request.requestId(), replies.unavailable("this node is not the control master"));
+            responder.respond(from, request.requestId(), responder.unavailable("this node is not the control master"));
             return;
         }
-        final RequestKind kind = RequestKind.of(request.kind());
+        final ControlRequestKind kind = ControlRequestKind.of(request.kind());
         if (view.backlogged() && APPENDING.contains(kind)) {
-            // why: refused before anything is appended, so it is certain; a change may be the repeat of one that is
+            // Refused before anything is appended, so it is certain; a change may be the repeat of one that is
             // under way
-            replies.respond(from, request.requestId(), replies.unavailable("too many records wait for their copies"));
+            responder.respond(
+                    from, request.requestId(), responder.unavailable("too many records wait for their copies"));
             return;
         }
         switch (kind) {
-            case FOUNDED -> metadataKeeper.founded(request, time);
-            case MEMBERS -> metadataKeeper.members(request, time);
+            case FOUNDED -> metadataUpdater.onGroupFounded(request, time);
+            case MEMBERS -> metadataUpdater.onMembershipCommitted(request, time);
             case USAGE -> takeUsage(from, request);
             case GATEWAYS ->
                 out.send(
                         from,
                         new ControlReply(
-                                request.requestId(), ResponseStatus.OK.code(), 0, polls.openGateways(time.mono())));
+                                request.requestId(), ResponseStatus.OK.code(), 0, leases.openGateways(time.mono())));
             case CHANGE -> changes.change(from, request, time);
             case RETIRE -> retirements.retire(from, request, time);
             case RETIRE_NAMED -> retirements.retireNamed(from, request, time);
@@ -99,7 +106,7 @@
     }
 
     /** Answers from the committed state, which a majority backs. */
-    private Response read(final RequestKind kind, final ControlRequest request, final long now) {
+    private Response read(final ControlRequestKind kind, final ControlRequest request, final long now) {
         return switch (kind) {
             case CONFIGURATION -> readConfiguration();
             case OUTCOME -> changes.outcome(new String(request.body(), UTF_8), timing.retryAfterMs(), now);
@@ -130,16 +137,18 @@
         }
         groups.get(id)
                 .members()
-                .forEach(member -> out.send(member.node(), new ControlRequest(0, "handover", request.body())));
+                .forEach(member ->
+                        out.send(member.node(), ControlRequestKind.HANDOVER.request(NO_REPLY, request.body())));
         return new Response(ResponseStatus.ACCEPTED, 0, "{\"outcome\":\"asked\"}");
     }
 
     private void takeUsage(final int from, final ControlRequest request) {
         final int id = (int) PackedBuffer.reader(request.body()).num();
         if (view.metadata().node(from) != null) {
-            moves.mastered(id, from);
+            moves.onLeaderReported(id, from);
         }
-        final byte[] included = PackedBuffer.writer().num(usage.tell(request)).done();
+        final byte[] included =
+                PackedBuffer.writer().num(usage.takeClosedWindows(request)).done();
         out.send(from, new ControlReply(request.requestId(), ResponseStatus.OK.code(), 0, included));
     }
 
@@ -147,7 +156,7 @@
         return Json.createObjectBuilder()
                 .add("controlMaster", self)
                 .add("epoch", group.term())
-                .add("nodes", polls.nodesJson(now))
+                .add("nodes", leases.nodesJson(now))
                 .build()
                 .toString();
     }
--- a/coordination/src/main/java/brookpath/coordination/node/control/PendingAnswers.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/PendingRequests.java
@@ -13,7 +13,7 @@
  * Requests that the control leader has taken and not answered yet. Each is answered only by a leader that had contact
  * with a majority which began after the request came in (a read index), so that no answer is older than its question.
  */
-public final class PendingAnswers {
+public final class PendingRequests {
     private static final int MAX_PENDING = 1_024;
 
     /** Looks at the replicated state. It is asked again with each event until it answers. */
@@ -23,21 +23,27 @@
     }
 
     private record Pending(
-            int from, long requestId, RequestKind kind, long term, long arrivedAt, long deadline, Answer answer) {}
+            int from,
+            long requestId,
+            ControlRequestKind kind,
+            long term,
+            long arrivedAt,
+            long deadline,
+            Answer answer) {}
 
     private final GroupMachine group;
     private final TimingBounds timing;
-    private final Replies replies;
+    private final ControlResponder responder;
     private final Actions out;
     private final List<Pending> pending = new ArrayList<>();
     /** When the last extra round of heartbeats was asked for. */
     private long askedAt = Long.MIN_VALUE / 2;
 
-    public PendingAnswers(
-            final GroupMachine group, final TimingBounds timing, final Replies replies, final Actions out) {
+    public PendingRequests(
+            final GroupMachine group, final TimingBounds timing, final ControlResponder responder, final Actions out) {
         this.group = group;
         this.timing = timing;
-        this.replies = replies;
+        this.responder = responder;
         this.out = out;
     }
 
@@ -46,20 +52,24 @@
     }
 
     /** How many requests of this kind wait. */
-    public long count(final RequestKind kind) {
+    public long count(final ControlRequestKind kind) {
         return pending.stream().filter(p -> p.kind == kind).count();
     }
 
     /** Answers the request once a majority has been heard after now, and the answer is known. */
     public void add(
-            final int from, final ControlRequest op, final RequestKind kind, final Answer answer, final Time time) {
+            final int from,
+            final ControlRequest request,
+            final ControlRequestKind kind,
+            final Answer answer,
+            final Time time) {
         final long now = time.mono();
         if (pending.size() >= MAX_PENDING) {
-            replies.respond(from, op.requestId(), replies.unavailable("too many requests are under way"));
+            responder.respond(from, request.requestId(), responder.unavailable("too many requests are under way"));
             return;
         }
-        final long deadline = (kind.order() ? timing.opDeadline() : timing.readDeadline()) * 9 / 10;
-        pending.add(new Pending(from, op.requestId(), kind, group.term(), now, now + deadline, answer));
+        final long deadline = (kind.isWrite() ? timing.opDeadline() : timing.readDeadline()) * 9 / 10;
+        pending.add(new Pending(from, request.requestId(), kind, group.term(), now, now + deadline, answer));
         step(time);
     }
 
@@ -76,7 +86,7 @@
      * requests.
      */
     private void askMajority(final long now) {
-        // why: only so many heartbeats are remembered, and an answer to a forgotten one counts for nothing
+        // Only so many heartbeats are remembered, and an answer to a forgotten one counts for nothing
         if (group.majoritySince(askedAt) || now - askedAt >= timing.heartbeat() / 4) {
             askedAt = now;
             out.heartbeatNow();
@@ -86,7 +96,7 @@
     private boolean answered(final Pending p, final Time time) {
         final long now = time.mono();
         if (p.term != group.term() || now >= p.deadline) {
-            replies.respond(p.from, p.requestId, replies.lost(p.kind, "not settled in time"));
+            responder.respond(p.from, p.requestId, responder.lost(p.kind, "not settled in time"));
             return true;
         }
         if (!group.mayAct(now) || !group.majoritySince(p.arrivedAt)) {
@@ -94,7 +104,7 @@
         }
         final Response response = p.answer.at(time);
         if (response != null) {
-            replies.respondBefore(p.deadline, p.kind, p.from, p.requestId, response);
+            responder.respondBefore(p.deadline, p.kind, p.from, p.requestId, response);
         }
         return response != null;
     }
@@ -102,7 +112,7 @@
     /** This process is the control leader no longer. */
     public void end() {
         pending.forEach(
-                p -> replies.respond(p.from, p.requestId, replies.lost(p.kind, "the control master stepped down")));
+                p -> responder.respond(p.from, p.requestId, responder.lost(p.kind, "the control master stepped down")));
         pending.clear();
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/control/RetireOrders.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/StorageRetirementHandler.java
@@ -2,16 +2,16 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
-import brookpath.coordination.configuration.ClusterMetadata;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
-import brookpath.coordination.configuration.ControlState;
-import brookpath.coordination.configuration.MovePlan;
-import brookpath.coordination.configuration.Retirements.Retirement;
+import brookpath.coordination.controllog.ControlState;
+import brookpath.coordination.controllog.Retirements.Retirement;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.message.PeerMessage.ControlRequest;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.message.ResponseStatus;
+import brookpath.coordination.metadata.ClusterMetadata;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.node.Node.Time;
+import brookpath.coordination.placement.MovePlan;
 import brookpath.state.record.LogRecord;
 import brookpath.state.record.PackedBuffer;
 
@@ -19,7 +19,7 @@
  * Orders to empty a storage machine, or to keep it after all. An order is acknowledged once the record that took it is
  * committed, and again however often it is repeated, also when the machine is long gone.
  */
-public final class RetireOrders {
+public final class StorageRetirementHandler {
     /** The machine that an order names, by its number or by its name. */
     private sealed interface Target {
         NodeInfo in(ClusterMetadata metadata);
@@ -56,38 +56,41 @@
 
     private final GroupMachine group;
     private final ControlView view;
-    private final Followers followers;
-    private final PendingAnswers pending;
-
-    RetireOrders(
-            final GroupMachine group, final ControlView view, final Followers followers, final PendingAnswers pending) {
+    private final ConfigurationLeaseGranter leases;
+    private final PendingRequests pending;
+
+    StorageRetirementHandler(
+            final GroupMachine group,
+            final ControlView view,
+            final ConfigurationLeaseGranter leases,
+            final PendingRequests pending) {
         this.group = group;
         this.view = view;
-        this.followers = followers;
+        this.leases = leases;
         this.pending = pending;
     }
 
     /** Empties a machine given by its number, or keeps it after all. */
-    public void retire(final int from, final ControlRequest op, final Time time) {
-        final PackedBuffer in = PackedBuffer.reader(op.body());
+    public void retire(final int from, final ControlRequest request, final Time time) {
+        final PackedBuffer in = PackedBuffer.reader(request.body());
         final Target target = new ByNumber((int) in.num());
-        take(from, op, RequestKind.RETIRE, target, in.num() == 1, time);
+        take(from, request, ControlRequestKind.RETIRE, target, in.num() == 1, time);
     }
 
     /** Empties a machine given by its name. */
-    public void retireNamed(final int from, final ControlRequest op, final Time time) {
-        take(from, op, RequestKind.RETIRE_NAMED, new ByName(new String(op.body(), UTF_8)), true, time);
+    public void retireNamed(final int from, final ControlRequest request, final Time time) {
+        take(from, request, ControlRequestKind.RETIRE_NAMED, new ByName(new String(request.body(), UTF_8)), true, time);
     }
 
     private void take(
             final int from,
-            final ControlRequest op,
-            final RequestKind kind,
+            final ControlRequest request,
+            final ControlRequestKind kind,
             final Target target,
             final boolean on,
             final Time time) {
         append(target, on, time);
-        pending.add(from, op, kind, at -> answer(target, on, at), time);
+        pending.add(from, request, kind, at -> answer(target, on, at), time);
     }
 
     /** Whether the order is a fact in this cluster metadata, which stands at this position of the log. */
@@ -117,7 +120,7 @@
 
     private MovePlan.Retirement plan(
             final ClusterMetadata metadata, final int node, final boolean on, final Time time) {
-        return MovePlan.retire(metadata, node, on, followers.aliveStorages(time.mono()));
+        return MovePlan.retire(metadata, node, on, leases.aliveStorageNodes(time.mono()));
     }
 
     private Response answer(final Target target, final boolean on, final Time time) {
@@ -125,9 +128,9 @@
             return new Response(ResponseStatus.ACCEPTED, 0, "{\"outcome\":\"" + (on ? "retiring" : "kept") + "\"}");
         }
         append(target, on, time);
-        // why: a refusal is final, so it must follow from what is committed, and not from machines not heard yet
+        // A refusal is final, so it must follow from what is committed, and not from machines not heard yet
         final boolean settled =
-                view.newestMetadata().version() == view.metadata().version() && followers.heardAll(time.mono());
+                view.newestMetadata().version() == view.metadata().version() && leases.hasHeardAll(time.mono());
         return appended(target, on) || !settled ? null : refusal(target, on, time);
     }
 
@@ -137,7 +140,7 @@
             return unknown();
         }
         final int number = target instanceof ByNumber t ? t.node : node.node();
-        return Replies.refused(
+        return ControlResponder.refused(
                 ResponseStatus.CONFLICT, plan(view.metadata(), number, on, time).findings());
     }
 
@@ -156,7 +159,7 @@
         final int number = node != null
                 ? node.node()
                 : target.retired(view.state(), group.committed()).node();
-        // why: where another machine has the number now, the one that retired is gone
+        // Where another machine has the number now, the one that retired is gone
         final boolean replaced = node == null && metadata.node(number) != null;
         final boolean holds =
                 metadata.groups().stream().anyMatch(g -> g.membership().holds(number));
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/PublishForwarder.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/PublishForwarder.java
@@ -23,7 +23,7 @@
 
 /**
  * Forwards publishes to their groups' leaders, in the order in which the callers sent them. What a leader did not take,
- * or what became unknown when a leader or a session was lost, is retried with whoever leads the group then, for the
+ * or what became unknown when a leader or a session was lost, is retried with whoever leaders the group then, for the
  * sequence makes a repeat harmless. Only a publish whose deadline has passed is given back, as refused where it
  * certainly was not appended, else as unsettled.
  */
@@ -35,7 +35,7 @@
     private final LongFunction<RouteFinder> routes;
     private final LongSupplier ids;
     private final Actions out;
-    private final LeaderAvailability leaderAvailability;
+    private final LeaderAvailability leaders;
     private final TreeMap<Integer, PublishQueue> queues = new TreeMap<>();
     private final Map<Long, Integer> groupOf = new HashMap<>();
 
@@ -52,7 +52,7 @@
         this.routes = routes;
         this.ids = ids;
         this.out = out;
-        leaderAvailability = new LeaderAvailability(timing, routes);
+        leaders = new LeaderAvailability(timing, routes);
     }
 
     /** How many publishes are under way. */
@@ -80,7 +80,7 @@
             refuse(request, "busy", "too many publishes are under way here");
             return;
         }
-        if (leaderAvailability.isGivenUp(route.group(), now)) {
+        if (leaders.isGivenUp(route.group(), now)) {
             refuse(request, "master", "group " + route.group() + " has no master just now");
             return;
         }
@@ -101,7 +101,7 @@
 
     /** Looks which groups have a leader: one that has been without for longer than an election is not waited for. */
     public void checkLeaders(final int groups, final long now) {
-        leaderAvailability.check(groups, now);
+        leaders.check(groups, now);
     }
 
     /** Gives back what is overdue and retries the rest where its pause is over. */
@@ -119,7 +119,7 @@
         while (entries.hasNext()) {
             final Map.Entry<Long, ForwardedPublish> entry = entries.next();
             final ForwardedPublish publish = entry.getValue();
-            if (!publish.expired(now) && !leaderAvailability.isGivenUp(group, now)) {
+            if (!publish.expired(now) && !leaders.isGivenUp(group, now)) {
                 continue;
             }
             entries.remove();
--- a/coordination/src/main/java/brookpath/coordination/node/storage/ListenerCounts.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/ListenerCounts.java
@@ -54,7 +54,7 @@
     }
 
     /**
-     * Replies to a gateway that asks how many sessions listen to a topic.
+     * ControlResponder to a gateway that asks how many sessions listen to a topic.
      *
      * @param group the replica here; null where this machine has none
      */
--- a/coordination/src/main/java/brookpath/coordination/node/storage/PublishAdmission.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/PublishAdmission.java
@@ -5,7 +5,6 @@
 import static brookpath.coordination.message.PublishOutcome.REFUSED_FOR_GOOD;
 
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
 import brookpath.coordination.configuration.Configuration;
 import brookpath.coordination.configuration.ConfigurationClient;
 import brookpath.coordination.group.GroupMachine;
@@ -13,6 +12,7 @@
 import brookpath.coordination.message.PeerMessage.Publish;
 import brookpath.coordination.message.PeerMessage.PublishReply;
 import brookpath.coordination.message.PublishOutcome;
+import brookpath.coordination.metadata.ClusterMetadata.GroupInfo;
 import brookpath.coordination.node.Node.Time;
 import brookpath.coordination.topic.TopicState;
 import brookpath.state.record.LogRecord;
--- a/coordination/src/main/java/brookpath/coordination/route/Refusals.java
+++ b/coordination/src/main/java/brookpath/coordination/route/Refusals.java
@@ -11,13 +11,13 @@
 
     /** A request that was certainly not carried out. */
     public static Response refused(
-            final ResponseStatus status, final int retryAfterMs, final String code, final String reason) {
-        return response(status, retryAfterMs, "refused", code, reason);
+            final ResponseStatus status, final int retryAfterMs, final String code, final String why) {
+        return response(status, retryAfterMs, "refused", code, why);
     }
 
     /** A request that was certainly not carried out and may be repeated after the time that the response names. */
-    public static Response retryLater(final TimingBounds timing, final String code, final String reason) {
-        return refused(ResponseStatus.UNAVAILABLE, timing.retryAfterMs(), code, reason);
+    public static Response retryLater(final TimingBounds timing, final String code, final String why) {
+        return refused(ResponseStatus.UNAVAILABLE, timing.retryAfterMs(), code, why);
     }
 
     /** Whether the same request may be carried out later. */
@@ -30,18 +30,18 @@
      *
      * @param outcome "refused" where the request was certainly not carried out
      * @param code the kind of the failure in one word
-     * @param reason the reason in a sentence
+     * @param why the reason in a sentence
      */
     public static Response response(
             final ResponseStatus status,
             final int retryAfterMs,
             final String outcome,
             final String code,
-            final String reason) {
+            final String why) {
         final String json = Json.createObjectBuilder()
                 .add("outcome", outcome)
                 .add("code", code)
-                .add("why", reason)
+                .add("why", why)
                 .build()
                 .toString();
         return new Response(status, retryAfterMs, json, code);
--- a/coordination/src/main/java/brookpath/coordination/route/RouteFinder.java
+++ b/coordination/src/main/java/brookpath/coordination/route/RouteFinder.java
@@ -4,15 +4,15 @@
 import static brookpath.coordination.route.Route.unavailable;
 
 import brookpath.coordination.TimingBounds;
-import brookpath.coordination.configuration.ClusterMetadata;
-import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
 import brookpath.coordination.configuration.Configuration;
-import brookpath.coordination.configuration.Placement;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Member;
 import brookpath.coordination.heartbeat.HeartbeatTable;
 import brookpath.coordination.message.PeerMessage.HeartbeatEntry;
 import brookpath.coordination.message.ResponseStatus;
+import brookpath.coordination.metadata.ClusterMetadata;
+import brookpath.coordination.metadata.ClusterMetadata.GroupInfo;
+import brookpath.coordination.placement.Placement;
 import java.util.function.IntPredicate;
 
 /** Decides where a request goes, from immutable tables alone. Whoever asks sends it there. */
--- a/programs/src/main/java/brookpath/programs/boot/ProcessPlan.java
+++ b/programs/src/main/java/brookpath/programs/boot/ProcessPlan.java
@@ -1,9 +1,9 @@
 package brookpath.programs.boot;
 
 import brookpath.coordination.TimingBounds;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
 import brookpath.coordination.group.Member;
-import brookpath.coordination.node.control.Founding;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
+import brookpath.coordination.node.control.GroupBootstrap;
 import brookpath.programs.Role;
 import java.util.List;
 import java.util.Map;
@@ -26,7 +26,7 @@
         List<Member> founders,
         Map<Integer, String> seeds,
         TimingBounds timing,
-        Founding founding,
+        GroupBootstrap founding,
         boolean foundsControlGroup,
         String dataFolder,
         long segmentBytes,
--- a/programs/src/main/java/brookpath/programs/settings/SettingsWatch.java
+++ b/programs/src/main/java/brookpath/programs/settings/SettingsWatch.java
@@ -1,7 +1,7 @@
 package brookpath.programs.settings;
 
 import brookpath.coordination.configuration.Finding;
-import brookpath.coordination.node.control.Founding;
+import brookpath.coordination.node.control.GroupBootstrap;
 import brookpath.programs.Program;
 import brookpath.transport.http.SettingsReport;
 import jakarta.json.Json;
@@ -119,8 +119,8 @@
     }
 
     private static List<Integer> foundingSection(final Settings settings) {
-        final Founding founding = settings.founding();
-        return List.of(founding.groups(), founding.copies(), founding.storages());
+        final GroupBootstrap founding = settings.founding();
+        return List.of(founding.groups(), founding.replicas(), founding.storageNodes());
     }
 
     private static void compare(
--- a/testing/src/test/java/brookpath/testing/FleetSmokeTest.java
+++ b/testing/src/test/java/brookpath/testing/FleetSmokeTest.java
@@ -27,7 +27,11 @@
 import org.testng.annotations.Test;
 
 /** Real processes, real HTTP: safety and status codes only; how long anything takes is not looked at. */
+@Test(groups = FleetSmokeTest.REAL_PROCESSES)
 public final class FleetSmokeTest {
+    /** The group of tests that run alone, see testng.xml. */
+    static final String REAL_PROCESSES = "real-processes";
+
     private static final int PATIENCE_MS = 120_000;
     private static final String KEY = "Bearer key-jadran-1";
     private static final String DOC =
@@ -39,7 +43,7 @@
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
     private Fleet fleet;
 
-    @BeforeClass
+    @BeforeClass(groups = REAL_PROCESSES)
     public void start() throws Exception {
         final Path folder = Files.createTempDirectory("brookpath-smoke");
         fleet = new Fleet(folder, 0, 2, null, "");
@@ -48,7 +52,7 @@
         assertEquals(change(DOC).statusCode(), 200);
     }
 
-    @AfterClass(alwaysRun = true)
+    @AfterClass(groups = REAL_PROCESSES, alwaysRun = true)
     public void stop() throws Exception {
         fleet.close();
     }
