--- a/coordination/src/main/java/brookpath/coordination/node/gateway/PublishForwarder.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/PublishForwarder.java
@@ -6,6 +6,7 @@
 import brookpath.coordination.action.Actions;
 import brookpath.coordination.message.PeerMessage.Publish;
 import brookpath.coordination.message.PeerMessage.PublishReply;
+import brookpath.coordination.message.PublishOutcome;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.message.ResponseStatus;
 import brookpath.coordination.node.NodeRequest;
@@ -161,8 +162,8 @@
             return;
         }
         switch (reply.outcome()) {
-            case PublishReply.ACCEPTED -> committed(queue, publish, reply);
-            case PublishReply.REFUSED_FOR_GOOD -> refusedForGood(queue, publish, from, reply);
+            case ACCEPTED -> committed(queue, publish, reply);
+            case REFUSED_FOR_GOOD -> refusedForGood(queue, publish, from, reply);
             default -> notTaken(queue, publish, from, reply, now);
         }
     }
@@ -200,10 +201,10 @@
             return;
         }
         publish.failed(reply.why());
-        if (reply.outcome() == PublishReply.UNSETTLED) {
+        if (reply.outcome() == PublishOutcome.UNSETTLED) {
             publish.markUncertain();
         }
-        final boolean notLeader = reply.outcome() == PublishReply.NOT_LEADER;
+        final boolean notLeader = reply.outcome() == PublishOutcome.NOT_LEADER;
         final boolean namesAnother = reply.leaderHint() != 0 && reply.leaderHint() != from;
         if (notLeader && namesAnother && !queue.isHinted(reply.leaderHint())) {
             queue.followHint(reply.leaderHint(), now + timing.down());
@@ -231,9 +232,9 @@
 
     /** The session with a node broke: what was under way on it may or may not have arrived. */
     public void sessionLost(final int node, final long now) {
-        final String why = "the session with node " + node + " broke";
+        final String reason = "the session with node " + node + " broke";
         for (final PublishQueue queue : queues.values()) {
-            if (queue.takeBackAll(node, why)) {
+            if (queue.takeBackAll(node, reason)) {
                 queue.pause(timing, now);
             }
         }
@@ -249,16 +250,16 @@
         groupOf.remove(id);
     }
 
-    private void refuse(final NodeRequest.Publish request, final String code, final String why) {
-        note(request, why);
-        out.respond(request.requestId(), Refusals.retryLater(timing, code, why));
+    private void refuse(final NodeRequest.Publish request, final String code, final String reason) {
+        note(request, reason);
+        out.respond(request.requestId(), Refusals.retryLater(timing, code, reason));
     }
 
-    private void unsettled(final NodeRequest.Publish request, final String why) {
-        note(request, why);
+    private void unsettled(final NodeRequest.Publish request, final String reason) {
+        note(request, reason);
         out.respond(
                 request.requestId(),
-                Refusals.response(ResponseStatus.UNSETTLED, timing.retryAfterMs(), "unsettled", "unsettled", why));
+                Refusals.response(ResponseStatus.UNSETTLED, timing.retryAfterMs(), "unsettled", "unsettled", reason));
     }
 
     /** The notes are what is left to explain a publish from afterwards; committed ones explain themselves. */
