--- a/testing/src/main/java/brookpath/testing/mutate/Mutants.java
+++ b/testing/src/main/java/brookpath/testing/mutate/Mutants.java
@@ -158,7 +158,7 @@
         if (seen != null) {
             return "| " + m.name + " | scene | " + seen + " |";
         }
-        seen = run(work, mutatedCp, "^  [0-9]+:.*", "brookpath.testing.sim.GroupFuzz", "1", "300");
+        seen = run(work, mutatedCp, "^  [0-9]+:.*", "brookpath.testing.fuzz.GroupFuzz", "1", "300");
         if (seen != null) {
             return "| " + m.name + " | group fuzz | " + seen + " |";
         }
--- /dev/null
+++ b/testing/src/main/java/brookpath/testing/sim/EventQueue.java
@@ -0,0 +1,54 @@
+package brookpath.testing.sim;
+
+import java.util.PriorityQueue;
+
+/**
+ * Virtual time: tasks run one after another in the order of their times, those of the same time in the order in which
+ * they were scheduled. Times are in milliseconds. Not safe for several threads.
+ */
+public final class EventQueue {
+    private record Event(long time, long sequence, Runnable task) {}
+
+    private final PriorityQueue<Event> events = new PriorityQueue<>((a, b) ->
+            a.time != b.time ? Long.compare(a.time, b.time) : Long.compare(a.sequence, b.sequence));
+    private long now;
+    private long scheduled;
+
+    public EventQueue(final long startTime) {
+        now = startTime;
+    }
+
+    public long now() {
+        return now;
+    }
+
+    /** How many tasks were scheduled so far. */
+    public long scheduled() {
+        return scheduled;
+    }
+
+    /** Schedules a task; one whose time has passed runs next after what is due now. */
+    public void schedule(final long time, final Runnable task) {
+        events.add(new Event(Math.max(now, time), scheduled++, task));
+    }
+
+    /** The time of the next task; {@code Long.MAX_VALUE} for none. */
+    public long nextTime() {
+        return events.isEmpty() ? Long.MAX_VALUE : events.peek().time;
+    }
+
+    /** Moves the time on to the next task and runs it. */
+    public void runNext() {
+        final Event next = events.remove();
+        now = next.time;
+        next.task.run();
+    }
+
+    /** Runs all tasks up to and at this time, which is the time afterwards. */
+    public void runUntil(final long until) {
+        while (nextTime() <= until) {
+            runNext();
+        }
+        now = until;
+    }
+}
--- a/testing/src/test/java/brookpath/testing/GroupFuzzTest.java
+++ b/testing/src/test/java/brookpath/testing/fuzz/GroupFuzzTest.java
@@ -1,8 +1,7 @@
-package brookpath.testing;
+package brookpath.testing.fuzz;
 
 import static org.testng.Assert.assertTrue;
 
-import brookpath.testing.sim.GroupFuzz;
 import org.testng.annotations.Test;
 
 /** One group on a network worse than any: election and replication against an oracle that sees the inside. */
@@ -12,16 +11,16 @@
         long committed = 0;
         int leaders = 0;
         int changes = 0;
-        for (final GroupFuzz.Style style : GroupFuzz.STYLES) {
+        for (final FuzzStyle style : FuzzStyle.ALL) {
             for (long seed = 1; seed <= 12; seed++) {
-                final GroupFuzz.Outcome o = GroupFuzz.live(seed, style);
+                final FuzzOutcome o = GroupFuzz.run(seed, style);
                 assertTrue(o.violations().isEmpty(), o + " " + style);
                 committed += o.committed();
                 leaders += o.leaders();
                 changes += o.changes();
             }
         }
-        assertTrue(committed > 10_000 && leaders > 300, committed + " records, " + leaders + " masters");
+        assertTrue(committed > 10_000 && leaders > 300, committed + " records, " + leaders + " leaders");
         assertTrue(changes > 500, changes + " membership changes");
     }
 }
