--- a/testing/src/main/java/brookpath/testing/fuzz/FuzzFaults.java
+++ b/testing/src/main/java/brookpath/testing/fuzz/FuzzFaults.java
@@ -33,8 +33,7 @@
             case 2 -> member.freeze(freezeMs());
             case 3 -> member.syncTakes(context.random.nextInt(MAX_SYNC_MS));
             case 4 -> context.network.isolate(member.id());
-            case 5 -> context.network.separate(
-                    member.id(), 1 + context.random.nextInt(context.members.size()));
+            case 5 -> context.network.separate(member.id(), 1 + context.random.nextInt(context.members.size()));
             default -> context.members.values().forEach(FuzzMember::resetSyncTime);
         }
     }
--- a/testing/src/main/java/brookpath/testing/fuzz/FuzzOracle.java
+++ b/testing/src/main/java/brookpath/testing/fuzz/FuzzOracle.java
@@ -81,7 +81,8 @@
             violation("term " + group.term() + " has two leaders, " + other + " and " + node);
         }
         committedByIndex.forEach((index, bytes) -> {
-            // why: an attempt that was won late, in an older term, may lack what a later leader committed; it cannot act
+            // why: an attempt that was won late, in an older term, may lack what a later leader committed; it cannot
+            // act
             if (committedInTerm.get(index) < group.term() && lacks(group, index, bytes)) {
                 violation("leader " + node + " of term " + group.term() + " lacks committed record " + index);
             }
--- a/testing/src/main/java/brookpath/testing/fuzz/FuzzOutcome.java
+++ b/testing/src/main/java/brookpath/testing/fuzz/FuzzOutcome.java
@@ -14,4 +14,10 @@
  * @param trace one line a transition of a member
  */
 public record FuzzOutcome(
-        long seed, List<String> violations, long committed, int leaders, int crashes, int changes, List<String> trace) {}
+        long seed,
+        List<String> violations,
+        long committed,
+        int leaders,
+        int crashes,
+        int changes,
+        List<String> trace) {}
--- a/testing/src/main/java/brookpath/testing/fuzz/GroupFuzz.java
+++ b/testing/src/main/java/brookpath/testing/fuzz/GroupFuzz.java
@@ -95,10 +95,11 @@
             failed++;
             if (showTrace) {
                 final int lines = outcome.trace().size();
-                outcome.trace().subList(Math.max(0, lines - TRACE_LINES_SHOWN), lines).forEach(System.out::println);
+                outcome.trace()
+                        .subList(Math.max(0, lines - TRACE_LINES_SHOWN), lines)
+                        .forEach(System.out::println);
             }
-            System.out.println(
-                    "  " + outcome.violations().get(0) + " (seed " + outcome.seed() + ", " + style + ")");
+            System.out.println("  " + outcome.violations().get(0) + " (seed " + outcome.seed() + ", " + style + ")");
         }
 
         @Override
--- a/testing/src/main/java/brookpath/testing/sim/Callers.java
+++ b/testing/src/main/java/brookpath/testing/sim/Callers.java
@@ -7,7 +7,6 @@
 import brookpath.coordination.configuration.Placement;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.node.NodeRequest;
-import brookpath.testing.oracle.History.Sent;
 import jakarta.json.Json;
 import jakarta.json.JsonObject;
 import java.io.ByteArrayInputStream;
@@ -17,6 +16,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Consumer;
+import java.util.function.LongFunction;
 
 /** Stand-in publishers and subscribers. They see only what HTTP would show them. */
 public final class Callers {
@@ -32,7 +32,7 @@
     private final Map<Long, Integer> requestAt = new HashMap<>();
     final Map<Long, Subscriber> sessions = new TreeMap<>();
     private final List<Subscriber> subscribers = new ArrayList<>();
-    private final DeliveryLatencyOracle punctual;
+    final DeliveryLatencyOracle deliveryLatency;
     final AvailabilityOracle service;
     /** Who changes the configuration while these callers are about. */
     final DayOperators operators;
@@ -45,7 +45,7 @@
 
     Callers(final SimulatedCluster world) {
         this.world = world;
-        punctual = new DeliveryLatencyOracle(world, this);
+        deliveryLatency = new DeliveryLatencyOracle(world, this);
         service = new AvailabilityOracle(world);
         operators = new DayOperators(world, this);
         world.at(1_000, this::roll);
@@ -186,10 +186,7 @@
         }
     }
 
-    long ask(
-            final SimulatedProcess p,
-            final java.util.function.LongFunction<NodeRequest> request,
-            final Consumer<Response> then) {
+    long ask(final SimulatedProcess p, final LongFunction<NodeRequest> request, final Consumer<Response> then) {
         final long id = ++requestIds;
         if (!p.alive) {
             world.at(world.now() + 1, () -> then.accept(new Response(-1, 0, "{}")));
@@ -213,10 +210,7 @@
     }
 
     /** One request by hand. */
-    void asked(
-            final SimulatedProcess p,
-            final java.util.function.LongFunction<NodeRequest> request,
-            final Consumer<Response> then) {
+    void asked(final SimulatedProcess p, final LongFunction<NodeRequest> request, final Consumer<Response> then) {
         ask(p, request, then);
     }
 
@@ -260,85 +254,10 @@
 
     // ---- publishers
 
-    /** A sender with one message under way at a time; it sends again whatever was not answered for good. */
-    void publisher(final String sender, final String topic, final String key, final long every, final int patience) {
-        publishNext(sender, topic, key, every, patience, 1);
-    }
-
-    private void publishNext(
-            final String sender,
-            final String topic,
-            final String key,
-            final long every,
-            final int patience,
-            final long seq) {
-        if (quiet) {
-            return;
-        }
-        final Sent s = world.history.sending(topic, sender, seq, sender + " says " + seq);
-        s.sentAt = world.now();
-        go(
-                s,
-                key,
-                0,
-                patience,
-                () -> world.at(
-                        world.now() + every / 2 + world.random.nextLong(every),
-                        () -> publishNext(sender, topic, key, every, patience, seq + 1 + world.random.nextInt(2))));
-    }
-
-    private void go(final Sent s, final String key, final int goes, final int patience, final Runnable next) {
-        world.count("publish goes");
-        final long at = world.now();
-        ask(anyGateway(), id -> new NodeRequest.Publish(id, key, s.topic, s.sender, s.seq, s.text), r -> {
-            final long now = world.now();
-            if (r.status() < 400 || r.status() >= 500) {
-                service.asked("publish to group " + groupOf(s.topic), at, r.status() == 200);
-            }
-            switch (r.status()) {
-                case 200 -> {
-                    operators.keyUsed(key, "published");
-                    final boolean first = s.committedAt < 0;
-                    world.history.committed(now, s, json(r.json()).getInt("position"));
-                    if (first) {
-                        punctual.committed(s);
-                        world.sendToAccept.add(now - s.sentAt);
-                    }
-                    next.run();
-                }
-                case 401, 403 -> {
-                    world.count("keys refused");
-                    next.run();
-                }
-                case 409 -> {
-                    if (!s.maybeAppended) {
-                        world.history.violation(
-                                now,
-                                "sequence " + s.seq + " of " + s.topic + "|" + s.sender
-                                        + " was refused for good at its first go");
-                    }
-                    next.run();
-                }
-                default -> {
-                    // why: only an outright refusal is certain; a reset or an unsettled publish may be in the log
-                    if (r.status() != 503 && r.status() != -1) {
-                        s.maybeAppended = true;
-                        world.count(r.status() == 504 ? "unsettled" : "resets and time-outs");
-                    } else {
-                        world.count("refused for now");
-                    }
-                    if (goes + 1 >= patience || (quiet && goes > 40)) {
-                        s.abandoned = true;
-                        world.count("abandoned");
-                        next.run();
-                    } else {
-                        world.at(
-                                now + Math.max(100, r.retryAfterMs()) + world.random.nextInt(100),
-                                () -> go(s, key, goes + 1, patience, next));
-                    }
-                }
-            }
-        });
+    /** Begins a sender that publishes about every {@code periodMs}, each message in at most so many attempts. */
+    void publisher(
+            final String sender, final String topic, final String key, final long periodMs, final int maxAttempts) {
+        new Publisher(world, this, sender, topic, key, periodMs, maxAttempts).publish(1);
     }
 
     // ---- subscribers
--- a/testing/src/main/java/brookpath/testing/sim/DayOperators.java
+++ b/testing/src/main/java/brookpath/testing/sim/DayOperators.java
@@ -2,6 +2,7 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
+import brookpath.coordination.configuration.Configuration;
 import brookpath.coordination.configuration.ConfigurationClient;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.node.GatewayNode;
@@ -176,46 +177,55 @@
 
     /** What every data-plane process shows, against what was confirmed. */
     void watch() {
-        for (final SimulatedProcess p : world.processes.values()) {
-            final ConfigurationClient c = !p.alive || p.frozen()
-                    ? null
-                    : p.node instanceof GatewayNode f
-                            ? f.client()
-                            : p.node instanceof StorageNode s ? s.client() : null;
-            if (c == null) {
-                continue;
-            }
-            final long version = c.configuration().version();
-            final Map.Entry<Long, Long> missing = confirmedAt.higherEntry(version);
-            if (missing != null
-                    && world.now()
-                            > Math.max(missing.getValue(), world.wellness.configurationExcusedUntil(p.id))
-                                    + world.timing.changeMs()) {
-                world.history.violation(
-                        world.now(),
-                        "node " + p.id + " has spec " + version + " still, " + (world.now() - missing.getValue())
-                                + " ms after " + missing.getKey() + " was confirmed, and is not cut off");
-            }
-            if (!c.leased(p.mono())) {
-                continue;
-            }
-            final Long was = shown.put(p.id, version);
-            if (was != null && version < was) {
-                world.history.violation(world.now(), "node " + p.id + " went back from spec " + was + " to " + version);
-            }
-            final Map.Entry<Long, Long> newest = confirmedAt.lastEntry();
-            if (newest != null && version < newest.getKey() && world.now() > newest.getValue()) {
-                world.history.violation(
-                        world.now(),
-                        "node " + p.id + " honours spec " + version + " while " + newest.getKey() + " was confirmed at "
-                                + newest.getValue());
-            }
-            if (version > 0 && refused.contains(c.configuration().changeId())) {
-                world.history.violation(
-                        world.now(),
-                        "node " + p.id + " honours the refused change "
-                                + c.configuration().changeId());
+        for (final SimulatedProcess process : world.processes.values()) {
+            final ConfigurationClient client = process.alive && !process.frozen() ? clientOf(process) : null;
+            if (client != null) {
+                checkInTime(process, client.configuration().version());
+                if (client.leased(process.mono())) {
+                    checkLeased(process, client.configuration());
+                }
             }
         }
     }
+
+    private static ConfigurationClient clientOf(final SimulatedProcess process) {
+        if (process.node instanceof GatewayNode gateway) {
+            return gateway.client();
+        }
+        return process.node instanceof StorageNode storage ? storage.client() : null;
+    }
+
+    /** A confirmed version is everywhere within the bound for changes. */
+    private void checkInTime(final SimulatedProcess process, final long version) {
+        final Map.Entry<Long, Long> missing = confirmedAt.higherEntry(version);
+        if (missing != null
+                && world.now()
+                        > Math.max(missing.getValue(), world.wellness.configurationExcusedUntil(process.id))
+                                + world.timing.changeMs()) {
+            violation("node " + process.id + " has configuration " + version + " still, "
+                    + (world.now() - missing.getValue()) + " ms after " + missing.getKey()
+                    + " was confirmed, and is not cut off");
+        }
+    }
+
+    /** Under a lease no version older than the newest confirmed one is honoured, and none that was rejected. */
+    private void checkLeased(final SimulatedProcess process, final Configuration configuration) {
+        final long version = configuration.version();
+        final Long before = shown.put(process.id, version);
+        if (before != null && version < before) {
+            violation("node " + process.id + " went back from configuration " + before + " to " + version);
+        }
+        final Map.Entry<Long, Long> newest = confirmedAt.lastEntry();
+        if (newest != null && version < newest.getKey() && world.now() > newest.getValue()) {
+            violation("node " + process.id + " honours configuration " + version + " while " + newest.getKey()
+                    + " was confirmed at " + newest.getValue());
+        }
+        if (version > 0 && refused.contains(configuration.changeId())) {
+            violation("node " + process.id + " honours the rejected change " + configuration.changeId());
+        }
+    }
+
+    private void violation(final String text) {
+        world.history.violation(world.now(), text);
+    }
 }
--- a/testing/src/main/java/brookpath/testing/sim/EventQueue.java
+++ b/testing/src/main/java/brookpath/testing/sim/EventQueue.java
@@ -9,8 +9,8 @@
 public final class EventQueue {
     private record Event(long time, long sequence, Runnable task) {}
 
-    private final PriorityQueue<Event> events = new PriorityQueue<>((a, b) ->
-            a.time != b.time ? Long.compare(a.time, b.time) : Long.compare(a.sequence, b.sequence));
+    private final PriorityQueue<Event> events = new PriorityQueue<>(
+            (a, b) -> a.time != b.time ? Long.compare(a.time, b.time) : Long.compare(a.sequence, b.sequence));
     private long now;
     private long scheduled;
 
--- /dev/null
+++ b/testing/src/main/java/brookpath/testing/sim/ProcessLog.java
@@ -0,0 +1,130 @@
+package brookpath.testing.sim;
+
+import brookpath.coordination.action.Action;
+import brookpath.state.wal.WriteAheadLog;
+import brookpath.transport.loop.DiskWriter;
+import java.util.ArrayList;
+import java.util.List;
+
+/** The disk thread of a simulated process: it writes and syncs the write-ahead log, one batch after another. */
+final class ProcessLog {
+    private static final long SCRUB_PERIOD_MS = 10_000;
+
+    private final SimulatedProcess process;
+    private final SimulatedCluster world;
+    private WriteAheadLog writeAheadLog;
+    private DiskWriter writer;
+    private List<Action> pending = new ArrayList<>();
+    private boolean busy;
+
+    ProcessLog(final SimulatedProcess process) {
+        this.process = process;
+        world = process.world;
+    }
+
+    /** Forgets what a former incarnation had not written. */
+    void reset() {
+        pending = new ArrayList<>();
+        busy = false;
+    }
+
+    /**
+     * Opens the log on what the disk still holds.
+     *
+     * @return the entries to replay
+     * @throws java.io.UncheckedIOException where the disk fails
+     */
+    List<byte[]> recover() {
+        final WriteAheadLog.Recovery recovery = WriteAheadLog.recover(process.disk);
+        writeAheadLog = recovery.writeAheadLog();
+        writer = new DiskWriter(writeAheadLog);
+        world.count(recovery.damaged() ? "damaged folders" : "recoveries");
+        return recovery.replayed();
+    }
+
+    /** Looks for damaged records every so often. */
+    void scheduleScrub() {
+        if (process.disk != null) {
+            process.after(SCRUB_PERIOD_MS, () -> {
+                if (!process.frozen() && !busy && !writeAheadLog.whole()) {
+                    world.count("damage found by the sweep of the disk");
+                    process.run(p -> p.node.damaged(p.time()));
+                }
+                scheduleScrub();
+            });
+        }
+    }
+
+    void add(final Action write) {
+        pending.add(write);
+    }
+
+    /** Begins to write what was added, unless a batch is under way. */
+    void writePending() {
+        if (!busy && !pending.isEmpty()) {
+            write(takePending());
+        }
+    }
+
+    private List<Action> takePending() {
+        final List<Action> batch = pending;
+        pending = new ArrayList<>();
+        writer.add(batch);
+        return batch;
+    }
+
+    private void write(final List<Action> batch) {
+        busy = true;
+        final boolean allWritten;
+        try {
+            allWritten = writer.write();
+        } catch (final RuntimeException ex) {
+            world.kill(process, false);
+            return;
+        }
+        process.after(process.syncMs + world.random.nextInt(3), () -> sync(batch, allWritten));
+    }
+
+    private void sync(final List<Action> batch, final boolean allWritten) {
+        final long incarnation = process.life;
+        final long number;
+        try {
+            number = world.mutations.contains(Mutation.NO_FSYNC) ? writer.written() : writer.sync();
+        } catch (final RuntimeException ex) {
+            // why: a failed sync takes the process out, as the real host does
+            world.count("failed syncs");
+            world.kill(process, false);
+            return;
+        }
+        if (allWritten && crashesAfterSync(batch)) {
+            return;
+        }
+        busy = !allWritten;
+        process.run(p -> p.node.synced(number, p.time()));
+        if (process.alive && process.life == incarnation) {
+            continueAfterSync(allWritten);
+        }
+    }
+
+    private boolean crashesAfterSync(final List<Action> batch) {
+        return world.armed != null
+                && batch.stream()
+                        .anyMatch(a -> a instanceof Action.Write w && CrashPoint.ofWrite(w.entry()) == world.armed)
+                && CrashPoint.owns(process.node, world.groups)
+                && world.crashes(process);
+    }
+
+    /** What has come meanwhile is written at once, what found the disk full after a pause. */
+    private void continueAfterSync(final boolean allWritten) {
+        if (writer.takeSnapshotRefused()) {
+            world.count("snapshots without room");
+            process.after(world.timing.recoverMs() / 4, () -> process.run(p -> p.node.snapshotRefused(p.time())));
+        }
+        if (!allWritten) {
+            world.count("writes that found the disk full");
+            process.after(world.timing.diskPause(), () -> write(takePending()));
+        } else if (!process.frozen()) {
+            writePending();
+        }
+    }
+}
--- a/testing/src/main/java/brookpath/testing/sim/SimulatedCluster.java
+++ b/testing/src/main/java/brookpath/testing/sim/SimulatedCluster.java
@@ -1,7 +1,6 @@
 package brookpath.testing.sim;
 
 import brookpath.coordination.TimingBounds;
-import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Member;
 import brookpath.coordination.node.ControllerNode;
 import brookpath.coordination.node.GatewayNode;
@@ -12,7 +11,6 @@
 import java.util.ArrayList;
 import java.util.EnumSet;
 import java.util.List;
-import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 
@@ -20,9 +18,11 @@
 public final class SimulatedCluster {
     static final long WALL = 1_700_000_000_000L;
     private static final long ROLL_BYTES = 64 << 10;
-    private static final int NOTES = 4000;
-
-    private record Due(long at, long order, Runnable what) {}
+    private static final int MAX_NOTES = 4000;
+    private static final int FOUNDING_CONTROLLERS = 3;
+    private static final int FIRST_STORAGE = 11;
+    private static final int FIRST_GATEWAY = 31;
+    private static final List<String> ZONES = List.of("a", "b", "c", "d");
 
     private static final List<Integer> SEEDS = List.of(1, 2, 3);
 
@@ -43,19 +43,13 @@
     final List<Integer> controllers = new ArrayList<>();
     final List<Integer> storages = new ArrayList<>();
     final List<Integer> gateways = new ArrayList<>();
-    private final PriorityQueue<Due> queue =
-            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
+    private final EventQueue events = new EventQueue(0);
     private final ArrayDeque<String> notes = new ArrayDeque<>();
-    private final TreeMap<Integer, Long> actedAt = new TreeMap<>();
-    /** How long groups were without an acting leader, each time. */
-    public final List<Long> leaderless = new ArrayList<>();
+    private final LeaderWatch leaders = new LeaderWatch(this);
 
     /** Set before the first run: how many machines at once the fleet is founded to lose. */
     int toleratedLosses = 1;
 
-    private long now;
-    private long order;
-
     public SimulatedCluster(final long seed, final FleetSize shape, final EnumSet<Mutation> mutations) {
         this(seed, shape, mutations, TimingBounds.DEFAULT, TimingBounds.DEFAULT);
     }
@@ -75,45 +69,51 @@
         groups = shape.groups();
         platform = new Platform(this);
         callers = new Callers(this);
-        final String[] zones = {"a", "b", "c", "d"};
-        final List<Member> members = List.of(new Member(1, 50, ""), new Member(2, 50, ""), new Member(3, 50, ""));
-        for (int i = 1; i <= 3; i++) {
-            controllers.add(i);
-            final SimulatedProcess p = new SimulatedProcess(this, i, zones[i - 1], true, (process, entries) -> {
-                final ControllerNode node = new ControllerNode(
-                        process.id,
-                        members,
-                        new Founding(groups, 3, 4, toleratedLosses),
-                        controlTiming,
-                        random.nextLong(),
-                        process.life << 32,
-                        ROLL_BYTES);
-                entries.forEach(e -> node.replay(e, process.time()));
-                return node;
-            });
-            p.foundOnStart = true;
-            processes.put(i, p);
+        for (int i = 0; i < FOUNDING_CONTROLLERS; i++) {
+            addFoundingController(1 + i, ZONES.get(i));
         }
-        for (int i = 0; i < 4; i++) {
-            storage(11 + i, zones[i]);
+        for (int i = 0; i < ZONES.size(); i++) {
+            storage(FIRST_STORAGE + i, ZONES.get(i));
         }
         for (int i = 0; i < shape.gateways(); i++) {
-            gateways.add(31 + i);
-            final String zone = zones[i % zones.length];
-            processes.put(
-                    31 + i,
-                    new SimulatedProcess(
-                            this,
-                            31 + i,
-                            zone,
-                            false,
-                            (process, entries) -> new GatewayNode(process.info(), SEEDS, timing, process.life << 32)));
+            addGateway(FIRST_GATEWAY + i, ZONES.get(i % ZONES.size()));
         }
         processes.values().forEach(p -> at(random.nextInt(500), p::start));
         at(0, this::watch);
         at(1_000, platform::watch);
     }
 
+    private void addFoundingController(final int id, final String zone) {
+        controllers.add(id);
+        final List<Member> founders = List.of(new Member(1, 50, ""), new Member(2, 50, ""), new Member(3, 50, ""));
+        final SimulatedProcess added = new SimulatedProcess(this, id, zone, true, (process, entries) -> {
+            final ControllerNode node = new ControllerNode(
+                    process.id,
+                    founders,
+                    new Founding(groups, 3, 4, toleratedLosses),
+                    controlTiming,
+                    random.nextLong(),
+                    process.life << 32,
+                    ROLL_BYTES);
+            entries.forEach(e -> node.replay(e, process.time()));
+            return node;
+        });
+        added.foundOnStart = true;
+        processes.put(id, added);
+    }
+
+    private void addGateway(final int id, final String zone) {
+        gateways.add(id);
+        processes.put(
+                id,
+                new SimulatedProcess(
+                        this,
+                        id,
+                        zone,
+                        false,
+                        (process, entries) -> new GatewayNode(process.info(), SEEDS, timing, process.life << 32)));
+    }
+
     /** One more controller that no founding names, as an operator would add it: empty, with these to ask first. */
     SimulatedProcess addController(final int id, final String zone, final List<Integer> seeds) {
         controllers.add(id);
@@ -175,8 +175,14 @@
         return world;
     }
 
+    /** Virtual time in milliseconds. */
     public long now() {
-        return now;
+        return events.now();
+    }
+
+    /** How long groups were without an acting leader, each time, in milliseconds. */
+    public List<Long> leaderless() {
+        return leaders.leaderlessMs();
     }
 
     /** The periods of one process. */
@@ -184,17 +190,14 @@
         return controllers.contains(id) ? controlTiming : timing;
     }
 
-    public void at(final long time, final Runnable what) {
-        queue.add(new Due(Math.max(now, time), order++, what));
+    /** Runs a task at a virtual time, or at once where that has passed. */
+    public void at(final long time, final Runnable task) {
+        events.schedule(time, task);
     }
 
+    /** Runs everything up to a virtual time. */
     public void run(final long until) {
-        while (!queue.isEmpty() && queue.peek().at <= until) {
-            final Due due = queue.poll();
-            now = due.at;
-            due.what.run();
-        }
-        now = until;
+        events.runUntil(until);
     }
 
     public void count(final String what) {
@@ -206,8 +209,8 @@
     }
 
     void note(final int node, final String text, final boolean grave) {
-        notes.add(now + " node " + node + ": " + text);
-        if (notes.size() > NOTES) {
+        notes.add(now() + " node " + node + ": " + text);
+        if (notes.size() > MAX_NOTES) {
             notes.poll();
         }
         if (text.contains("won epoch")) {
@@ -220,7 +223,7 @@
             count("full syncs");
         }
         if (grave) {
-            history.violation(now, "node " + node + ": " + text);
+            history.violation(now(), "node " + node + ": " + text);
         }
     }
 
@@ -228,71 +231,11 @@
         return List.copyOf(notes);
     }
 
-    /** Every few milliseconds: at most one member of a group may act as its leader. */
     private void watch() {
-        final TreeMap<Integer, Integer> acting = new TreeMap<>();
-        for (final SimulatedProcess p : processes.values()) {
-            // why: a frozen process does nothing until it wakes, and is looked at again then
-            if (!p.alive || p.frozen()) {
-                continue;
-            }
-            if (p.node instanceof ControllerNode b) {
-                acts(acting, b.group(), p);
-            } else if (p.node instanceof StorageNode s) {
-                for (int g = 0; g < groups; g++) {
-                    if (s.group(g) != null) {
-                        acts(acting, s.group(g), p);
-                    }
-                }
-            }
-        }
-        acting.keySet().forEach(g -> {
-            final Long since = actedAt.put(g, now);
-            if (since != null && now - since > 5) {
-                leaderless.add(now - since);
-                if (now - since > timing.lease() + 2 * timing.down()) {
-                    note(0, "group " + g + " had no acting master for " + (now - since) + " ms", false);
-                }
-            }
-        });
-        actedAt.forEach((g, since) -> {
-            if (now - since > 1_000 && (now - since) % 500 < 5) {
-                final StringBuilder sb = new StringBuilder("group " + g + " has no acting master:");
-                for (final int id : storages) {
-                    if (processes.get(id).alive
-                            && processes.get(id).node instanceof StorageNode s
-                            && s.group(g) != null) {
-                        final GroupMachine m = s.group(g);
-                        sb.append(" [")
-                                .append(id)
-                                .append(" role ")
-                                .append(m.role())
-                                .append(" epoch ")
-                                .append(m.term())
-                                .append(" hears ")
-                                .append(m.leaderHeard())
-                                .append(": ")
-                                .append(m.why())
-                                .append("; ")
-                                .append(m.obstacle())
-                                .append(']');
-                    }
-                }
-                note(0, sb.toString(), false);
-            }
-        });
+        leaders.check();
         wellness.watch();
         callers.operators.watch();
-        at(now + 5, this::watch);
-    }
-
-    private void acts(final TreeMap<Integer, Integer> acting, final GroupMachine g, final SimulatedProcess p) {
-        if (g.mayAct(p.mono())) {
-            final Integer other = acting.put(g.id(), p.id);
-            if (other != null) {
-                history.violation(now, "nodes " + other + " and " + p.id + " both act as master of group " + g.id());
-            }
-        }
+        at(now() + LeaderWatch.PERIOD_MS, this::watch);
     }
 
     // ---- faults
@@ -328,7 +271,7 @@
         callers.gatewayGone(p);
         for (final SimulatedProcess other : processes.values()) {
             if (other.alive) {
-                at(now + 1, () -> other.run(o -> o.node.sessionLost(p.id, o.time())));
+                at(now() + 1, () -> other.run(o -> o.node.sessionLost(p.id, o.time())));
             }
         }
     }
@@ -343,7 +286,7 @@
     void freeze(final SimulatedProcess p, final long forMs) {
         if (p.alive && !p.frozen()) {
             note(p.id, "freezes for " + forMs, false);
-            p.frozenUntil = now + forMs;
+            p.frozenUntil = now() + forMs;
         }
     }
 }
--- a/testing/src/main/java/brookpath/testing/sim/SimulatedDay.java
+++ b/testing/src/main/java/brookpath/testing/sim/SimulatedDay.java
@@ -241,7 +241,7 @@
                 world.counts,
                 world.history.latencies(),
                 world.sendToAccept,
-                world.leaderless,
+                world.leaderless(),
                 world.net.crossZoneBytes,
                 world.notes(),
                 trace);
--- a/testing/src/main/java/brookpath/testing/sim/Sweep.java
+++ b/testing/src/main/java/brookpath/testing/sim/Sweep.java
@@ -8,7 +8,17 @@
 
 /** Runs many seeds outside CI: {@code bin/sweep FIRST COUNT [FAULT,...]}. Exits 1 where a day had a violation. */
 public final class Sweep {
-    private Sweep() {}
+    private final EnumSet<SimulatedDay.Fault> faults;
+    /** A single day is printed in full. */
+    private final boolean single;
+
+    private final List<Long> gaps = Collections.synchronizedList(new ArrayList<>());
+    private final List<Long> latencies = Collections.synchronizedList(new ArrayList<>());
+
+    private Sweep(final EnumSet<SimulatedDay.Fault> faults, final boolean single) {
+        this.faults = faults;
+        this.single = single;
+    }
 
     public static void main(final String[] args) {
         final long first = args.length > 0 ? Long.parseLong(args[0]) : 1;
@@ -21,39 +31,43 @@
         } else {
             faults.addAll(EnumSet.allOf(SimulatedDay.Fault.class));
         }
-        final List<Long> gaps = Collections.synchronizedList(new ArrayList<>());
-        final List<Long> latencies = Collections.synchronizedList(new ArrayList<>());
+        final Sweep sweep = new Sweep(faults, count == 1);
         final long bad = LongStream.range(first, first + count)
                 .parallel()
-                .filter(seed -> {
-                    try {
-                        final SimulatedDay.Outcome day = SimulatedDay.live(SimulatedDay.Plan.of(seed, faults));
-                        gaps.addAll(day.leaderless());
-                        latencies.addAll(day.latencies());
-                        synchronized (Sweep.class) {
-                            if (!day.good() || count == 1) {
-                                System.out.println(day);
-                                if (count == 1) {
-                                    day.notes().forEach(System.out::println);
-                                }
-                            }
-                        }
-                        return !day.good();
-                    } catch (final RuntimeException ex) {
-                        synchronized (Sweep.class) {
-                            System.out.println("seed " + seed + ": " + ex);
-                            ex.printStackTrace(System.out);
-                        }
-                        return true;
-                    }
-                })
+                .filter(seed -> !sweep.runDay(seed))
                 .count();
-        spread("masterless ms", gaps);
-        spread("acceptance-to-delivery ms", latencies);
+        spread("masterless ms", sweep.gaps);
+        spread("acceptance-to-delivery ms", sweep.latencies);
         System.out.println(count + " seeds, " + bad + " with violations");
         System.exit(bad == 0 ? 0 : 1);
     }
 
+    /** Whether the day of this seed was without a violation. */
+    private boolean runDay(final long seed) {
+        try {
+            final SimulatedDay.Outcome day = SimulatedDay.live(SimulatedDay.Plan.of(seed, faults));
+            gaps.addAll(day.leaderless());
+            latencies.addAll(day.latencies());
+            print(day);
+            return day.good();
+        } catch (final RuntimeException ex) {
+            synchronized (this) {
+                System.out.println("seed " + seed + ": " + ex);
+                ex.printStackTrace(System.out);
+            }
+            return false;
+        }
+    }
+
+    private synchronized void print(final SimulatedDay.Outcome day) {
+        if (!day.good() || single) {
+            System.out.println(day);
+        }
+        if (single) {
+            day.notes().forEach(System.out::println);
+        }
+    }
+
     private static void spread(final String what, final List<Long> values) {
         Collections.sort(values);
         if (!values.isEmpty()) {
