--- a/testing/src/main/java/brookpath/testing/fleet/Load.java
+++ b/testing/src/main/java/brookpath/testing/fleet/CallerLoad.java
@@ -16,7 +16,7 @@
 import java.util.function.Predicate;
 
 /** Stand-in callers over HTTP, at a user's rates, with the simulator's oracle watching. */
-public final class Load implements AutoCloseable {
+public final class CallerLoad implements AutoCloseable {
     private static final int TIMER_THREADS = 2;
     private static final long READINESS_PERIOD_MS = 250;
     private static final long SUBSCRIBE_SPACING_MS = 5;
@@ -26,7 +26,7 @@
     private static final long NANOS_PER_MILLI = 1_000_000;
     private static final long MICROS_PER_SECOND = 1_000_000;
 
-    private final Profile profile;
+    private final LoadProfile profile;
     private final History history = new History();
     private final RemovedKeys keys = new RemovedKeys(history);
     private final Measurements measurements = new Measurements();
@@ -38,7 +38,7 @@
     private final long bornAt = System.nanoTime();
 
     /** @param seed for what is published and subscribed; the times are the machine's own */
-    public Load(final Fleet fleet, final Profile profile, final long seed) {
+    public CallerLoad(final Fleet fleet, final LoadProfile profile, final long seed) {
         this.profile = profile;
         random = new SplittableRandom(seed);
         final ReadyGateways gateways = new ReadyGateways(fleet, random.split());
@@ -66,7 +66,7 @@
         keys.grantUnderWay(key);
     }
 
-    /** The oracle, for those who judge besides; to be held while it is used. */
+    /** The oracle, for those who verify besides; to be held while it is used. */
     public History history() {
         return history;
     }
--- a/testing/src/main/java/brookpath/testing/fleet/FleetDay.java
+++ b/testing/src/main/java/brookpath/testing/fleet/FleetDay.java
@@ -14,7 +14,7 @@
  */
 final class FleetDay implements AutoCloseable {
     /** The kinds of failure, by what they do to a running fleet. */
-    enum Strike {
+    enum FleetFault {
         KILL,
         FREEZE,
         RESTART,
@@ -36,8 +36,8 @@
     private static final long BROKEN_SETTINGS_MS = 1_500;
 
     private final Fleet fleet;
-    private final Load load;
-    private final Profile profile;
+    private final CallerLoad load;
+    private final LoadProfile profile;
     private final Relay relay;
     private final SplittableRandom random;
     private final UsagePlatform platform;
@@ -46,8 +46,8 @@
 
     FleetDay(
             final Fleet fleet,
-            final Load load,
-            final Profile profile,
+            final CallerLoad load,
+            final LoadProfile profile,
             final Relay relay,
             final UsagePlatform platform,
             final long seed) {
@@ -56,20 +56,20 @@
         this.profile = profile;
         this.relay = relay;
         this.platform = platform;
-        platform.judgeBy(load);
+        platform.verifyAgainst(load);
         random = new SplittableRandom(seed);
         operators = new FleetOperators(fleet, load, profile, this::count);
     }
 
     /** Strikes every few seconds until the time is up, the last time right before; then all machines come back. */
-    void live(final long ms, final List<Strike> kinds) throws IOException, InterruptedException {
+    void live(final long ms, final List<FleetFault> kinds) throws IOException, InterruptedException {
         operators.start();
         final long end = load.clock() + ms;
         while (load.clock() < end) {
-            strike(any(kinds));
+            causeFault(any(kinds));
             Thread.sleep(1_500 + random.nextInt(2_500));
         }
-        strike(any(kinds));
+        causeFault(any(kinds));
         recover();
         Thread.sleep(LAST_CHANGES_MS);
         operators.stop();
@@ -112,7 +112,7 @@
     }
 
     /** Storage machines most of all, and never while another machine is away. */
-    private Fleet.Unit victim() {
+    private Fleet.Unit target() {
         final List<Fleet.Unit> controllers =
                 fleet.units().values().stream().filter(unit -> unit.controller).toList();
         final int kind = random.nextInt(10);
@@ -122,38 +122,38 @@
         return any(kind < 8 ? controllers : fleet.gateways());
     }
 
-    private void strike(final Strike kind) throws IOException, InterruptedException {
-        final Fleet.Unit victim = victim();
+    private void causeFault(final FleetFault kind) throws IOException, InterruptedException {
+        final Fleet.Unit target = target();
         count(kind.name());
         switch (kind) {
-            case KILL -> kill(victim);
-            case FREEZE -> freeze(victim);
-            case RESTART -> restart(victim);
+            case KILL -> kill(target);
+            case FREEZE -> freeze(target);
+            case RESTART -> restart(target);
             case LOSS -> losePackets();
-            case ONE_WAY -> cutOneWay(victim);
+            case ONE_WAY -> cutOneWay(target);
             case RESETS -> relay.reset(node -> node >= FIRST_GATEWAY, CLIENT_RESETS);
-            case PLATFORM -> platform.troubleFor(PLATFORM_TROUBLE_NANOS);
-            case SETTINGS -> breakSettings(victim);
+            case PLATFORM -> platform.failFor(PLATFORM_TROUBLE_NANOS);
+            case SETTINGS -> breakSettings(target);
         }
     }
 
-    private void kill(final Fleet.Unit victim) throws IOException, InterruptedException {
-        victim.kill();
+    private void kill(final Fleet.Unit target) throws IOException, InterruptedException {
+        target.kill();
         Thread.sleep(500 + random.nextInt(3_000));
-        victim.start(false);
-        awaitWhole(victim);
+        target.start(false);
+        awaitWhole(target);
     }
 
-    private void freeze(final Fleet.Unit victim) throws IOException, InterruptedException {
-        victim.signal("STOP");
+    private void freeze(final Fleet.Unit target) throws IOException, InterruptedException {
+        target.signal("STOP");
         Thread.sleep(600 + random.nextInt(2_500));
-        victim.signal("CONT");
+        target.signal("CONT");
     }
 
-    private void restart(final Fleet.Unit victim) throws IOException, InterruptedException {
-        victim.stop();
-        victim.start(false);
-        awaitWhole(victim);
+    private void restart(final Fleet.Unit target) throws IOException, InterruptedException {
+        target.stop();
+        target.start(false);
+        awaitWhole(target);
     }
 
     private void losePackets() throws InterruptedException {
@@ -162,21 +162,21 @@
         relay.heal();
     }
 
-    private void cutOneWay(final Fleet.Unit victim) throws InterruptedException {
+    private void cutOneWay(final Fleet.Unit target) throws InterruptedException {
         for (final Fleet.Unit other : fleet.units().values()) {
-            if (other != victim && random.nextInt(3) > 0) {
-                relay.cut(victim.node, other.node);
+            if (other != target && random.nextInt(3) > 0) {
+                relay.cut(target.node, other.node);
             }
         }
         Thread.sleep(1_000 + random.nextInt(2_000));
         relay.heal();
     }
 
-    private static void breakSettings(final Fleet.Unit victim) throws IOException, InterruptedException {
-        final String good = Files.readString(victim.settings());
-        Files.writeString(victim.settings(), good.substring(0, good.length() / 2));
+    private static void breakSettings(final Fleet.Unit target) throws IOException, InterruptedException {
+        final String good = Files.readString(target.settings());
+        Files.writeString(target.settings(), good.substring(0, good.length() / 2));
         Thread.sleep(BROKEN_SETTINGS_MS);
-        Files.writeString(victim.settings(), good);
+        Files.writeString(target.settings(), good);
     }
 
     /** Until the machine counts again, so that the next failure is not the second at a time. */
--- a/testing/src/main/java/brookpath/testing/fleet/FleetMain.java
+++ b/testing/src/main/java/brookpath/testing/fleet/FleetMain.java
@@ -120,12 +120,12 @@
     }
 
     private boolean runScenario() throws Exception {
-        final Profile profile = options.profile();
+        final LoadProfile profile = options.profile();
         final String document = profile.document(0, "fleet-first");
         final HttpResponse<String> change = fleet.post(fleet.units().get(2), "/v1/changes", document);
         System.out.println(
                 "change: " + change.statusCode() + " " + change.body().strip());
-        try (Load load = new Load(fleet, profile, options.seed())) {
+        try (CallerLoad load = new CallerLoad(fleet, profile, options.seed())) {
             Thread.sleep(FIRST_CHANGE_MS);
             warmUp(load);
             if (options.isDay()) {
@@ -140,11 +140,11 @@
             if (relay != null) {
                 printZoneBytes(load);
             }
-            return judge(load);
+            return verify(load);
         }
     }
 
-    private void warmUp(final Load load) throws InterruptedException {
+    private void warmUp(final CallerLoad load) throws InterruptedException {
         final int sessions = options.profile().sessions();
         load.subscribe();
         for (int i = 0; i < LISTENING_POLLS && load.listening() < sessions; i++) {
@@ -156,7 +156,7 @@
         load.measureFromHere();
     }
 
-    private boolean judge(final Load load) throws InterruptedException {
+    private boolean verify(final CallerLoad load) throws InterruptedException {
         final History history = load.settle();
         if (platform != null) {
             Thread.sleep(LAST_USAGE_REPORT_MS);
@@ -181,7 +181,7 @@
         return safe ? " good" : " BAD";
     }
 
-    private void printZoneBytes(final Load load) {
+    private void printZoneBytes(final CallerLoad load) {
         long all = 0;
         final TreeMap<String, Long> pairs = new TreeMap<>();
         for (final int from : fleet.units().keySet()) {
--- a/testing/src/main/java/brookpath/testing/fleet/FleetOperators.java
+++ b/testing/src/main/java/brookpath/testing/fleet/FleetOperators.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Consumer;
 
-/** Operators who hand over changes, one or two at a time, some of them nonsense, and judge what becomes of them. */
+/** Operators who hand over changes, one or two at a time, some of them nonsense, and verify what becomes of them. */
 final class FleetOperators implements AutoCloseable {
     private static final int CONTROLLERS = 3;
     private static final int MAX_ATTEMPTS = 60;
@@ -31,15 +31,16 @@
     private record Change(String id, long basedOn, boolean withShaky, boolean nonsense, int firstController) {}
 
     private final Fleet fleet;
-    private final Load load;
-    private final Profile profile;
+    private final CallerLoad load;
+    private final LoadProfile profile;
     private final Consumer<String> counter;
     private final AtomicBoolean open = new AtomicBoolean(true);
     private final Thread thread = new Thread(this::operate, "operators");
     private volatile long newestConfirmed = 1;
     private int changes;
 
-    FleetOperators(final Fleet fleet, final Load load, final Profile profile, final Consumer<String> counter) {
+    FleetOperators(
+            final Fleet fleet, final CallerLoad load, final LoadProfile profile, final Consumer<String> counter) {
         this.fleet = fleet;
         this.load = load;
         this.profile = profile;
@@ -157,7 +158,7 @@
         for (int attempt = 0; attempt < MAX_READ_ATTEMPTS; attempt++) {
             final String page = fleet.get(controller(attempt), "/v1/spec");
             if (!page.isEmpty()) {
-                judge(JsonText.parse(page));
+                verify(JsonText.parse(page));
                 return;
             }
             Thread.sleep(RETRY_MS);
@@ -165,7 +166,7 @@
         violation("the newest spec could not be read");
     }
 
-    private void judge(final JsonObject read) {
+    private void verify(final JsonObject read) {
         final long version = read.getInt("version");
         final String confirmedId = load.history().confirmedAs(newestConfirmed);
         final boolean older = version < newestConfirmed;
--- a/testing/src/main/java/brookpath/testing/fleet/FleetOptions.java
+++ b/testing/src/main/java/brookpath/testing/fleet/FleetOptions.java
@@ -17,7 +17,7 @@
         boolean keep,
         int port,
         int gateways,
-        Profile profile,
+        LoadProfile profile,
         String scenario,
         long zoneUs,
         long durationMs,
@@ -42,7 +42,7 @@
                         "scenario",
                         true,
                         "none, steady, kill-master, freeze-master, rolling, all-restart, retire, day, or day-KIND with one of "
-                                + List.of(FleetDay.Strike.values()) + " (none)")
+                                + List.of(FleetDay.FleetFault.values()) + " (none)")
                 .addOption(
                         null,
                         "zone-us",
@@ -73,7 +73,7 @@
 
     private static boolean isScenario(final String name) {
         return SCENARIOS.contains(name)
-                || Arrays.stream(FleetDay.Strike.values()).anyMatch(kind -> name.equals(DAY_OF_ONE_KIND + kind));
+                || Arrays.stream(FleetDay.FleetFault.values()).anyMatch(kind -> name.equals(DAY_OF_ONE_KIND + kind));
     }
 
     /** A command line without findings. */
@@ -87,7 +87,7 @@
                 line.hasOption("keep"),
                 Integer.parseInt(line.getOptionValue("port", "8000")),
                 Integer.parseInt(line.getOptionValue("fronts", "3")),
-                Profile.named(profile),
+                LoadProfile.named(profile),
                 scenario,
                 relayed ? Long.parseLong(line.getOptionValue("zone-us", defaultZoneUs)) : NO_RELAY,
                 Integer.parseInt(line.getOptionValue("seconds", "20")) * MILLIS_PER_SECOND,
@@ -108,10 +108,10 @@
     }
 
     /** The kinds of failure of a day. */
-    List<FleetDay.Strike> strikes() {
+    List<FleetDay.FleetFault> strikes() {
         if (scenario.equals(DAY)) {
-            return List.of(FleetDay.Strike.values());
+            return List.of(FleetDay.FleetFault.values());
         }
-        return List.of(FleetDay.Strike.valueOf(scenario.substring(DAY_OF_ONE_KIND.length())));
+        return List.of(FleetDay.FleetFault.valueOf(scenario.substring(DAY_OF_ONE_KIND.length())));
     }
 }
--- a/testing/src/main/java/brookpath/testing/fleet/FleetScenario.java
+++ b/testing/src/main/java/brookpath/testing/fleet/FleetScenario.java
@@ -23,9 +23,9 @@
     private static final long RETIRE_POLL_MS = 50;
 
     private final Fleet fleet;
-    private final Load load;
+    private final CallerLoad load;
 
-    FleetScenario(final Fleet fleet, final Load load) {
+    FleetScenario(final Fleet fleet, final CallerLoad load) {
         this.fleet = fleet;
         this.load = load;
     }
@@ -45,23 +45,23 @@
     }
 
     private void killLeader() throws IOException, InterruptedException {
-        final Fleet.Unit victim = busiest();
-        final Set<Integer> groups = mastered(victim);
+        final Fleet.Unit target = busiest();
+        final Set<Integer> groups = groupsLedBy(target);
         final long at = load.clock();
-        victim.kill();
+        target.kill();
         awaitActing(at, groups);
         Thread.sleep(OBSERVED_MS);
         printGaps(at, groups, "killed");
-        victim.start(false);
+        target.start(false);
     }
 
     private void freezeLeader() throws IOException, InterruptedException {
-        final Fleet.Unit victim = busiest();
-        final Set<Integer> groups = mastered(victim);
+        final Fleet.Unit target = busiest();
+        final Set<Integer> groups = groupsLedBy(target);
         final long at = load.clock();
-        victim.signal("STOP");
+        target.signal("STOP");
         Thread.sleep(OBSERVED_MS);
-        victim.signal("CONT");
+        target.signal("CONT");
         printGaps(at, groups, "frozen");
     }
 
@@ -135,7 +135,7 @@
         Fleet.Unit best = null;
         int most = -1;
         for (final Fleet.Unit unit : fleet.storages()) {
-            final int count = mastered(unit).size();
+            final int count = groupsLedBy(unit).size();
             if (count > most) {
                 most = count;
                 best = unit;
@@ -144,7 +144,7 @@
         return best;
     }
 
-    private Set<Integer> mastered(final Fleet.Unit unit) throws InterruptedException {
+    private Set<Integer> groupsLedBy(final Fleet.Unit unit) throws InterruptedException {
         final Set<Integer> groups = new TreeSet<>();
         for (final GroupView view : groupsOf(unit)) {
             if (view.isLeader()) {
--- a/testing/src/main/java/brookpath/testing/fleet/Profile.java
+++ b/testing/src/main/java/brookpath/testing/fleet/LoadProfile.java
@@ -5,18 +5,18 @@
  *
  * @param perSecond messages a second, over all topics
  */
-public record Profile(String name, int topics, double perSecond, int sessions, int tenants) {
+public record LoadProfile(String name, int topics, double perSecond, int sessions, int tenants) {
     /** The user with few topics and a middling rate. */
-    public static final Profile JADRAN = new Profile("jadran", 110, 45, 400, 8);
+    public static final LoadProfile JADRAN = new LoadProfile("jadran", 110, 45, 400, 8);
 
     /** The user with many topics and a high rate. */
-    public static final Profile SAJHA = new Profile("sajha", 450, 95, 400, 8);
+    public static final LoadProfile SAJHA = new LoadProfile("sajha", 450, 95, 400, 8);
 
     /** For quick runs. */
-    public static final Profile SMALL = new Profile("small", 12, 30, 24, 3);
+    public static final LoadProfile SMALL = new LoadProfile("small", 12, 30, 24, 3);
 
     /** The profile of this name; the small one for any other. */
-    static Profile named(final String name) {
+    static LoadProfile named(final String name) {
         return switch (name) {
             case "jadran" -> JADRAN;
             case "sajha" -> SAJHA;
--- a/testing/src/main/java/brookpath/testing/fleet/Publisher.java
+++ b/testing/src/main/java/brookpath/testing/fleet/Publisher.java
@@ -30,7 +30,7 @@
     private static final int SERVICE_UNAVAILABLE = 503;
 
     private final CallerContext context;
-    private final Profile profile;
+    private final LoadProfile profile;
     private final SplittableRandom random;
     private final Map<String, Long> sequences = new HashMap<>();
     private final Set<String> busy = new HashSet<>();
@@ -38,7 +38,7 @@
     private final AtomicInteger underWay = new AtomicInteger();
     private volatile boolean stopped;
 
-    Publisher(final CallerContext context, final Profile profile, final SplittableRandom random) {
+    Publisher(final CallerContext context, final LoadProfile profile, final SplittableRandom random) {
         this.context = context;
         this.profile = profile;
         this.random = random;
--- a/testing/src/main/java/brookpath/testing/fleet/UsagePlatform.java
+++ b/testing/src/main/java/brookpath/testing/fleet/UsagePlatform.java
@@ -18,11 +18,11 @@
     private static final long SLOW_RESPONSE_MS = 1_000;
 
     private final HttpServer server;
-    private volatile Load load;
+    private volatile CallerLoad load;
     /** The wall clock when the callers' own began. */
     private volatile long bornAt;
 
-    private volatile long troubleUntil;
+    private volatile long failingUntil;
     private volatile int reports;
 
     UsagePlatform() throws IOException {
@@ -37,14 +37,14 @@
     }
 
     /** Reports are handed to this run's oracle from now on. */
-    void judgeBy(final Load callers) {
+    void verifyAgainst(final CallerLoad callers) {
         bornAt = System.currentTimeMillis() - callers.clock();
         load = callers;
     }
 
     /** It is slow and reports errors for a while. */
-    void troubleFor(final long nanos) {
-        troubleUntil = System.nanoTime() + nanos;
+    void failFor(final long nanos) {
+        failingUntil = System.nanoTime() + nanos;
     }
 
     int reports() {
@@ -57,16 +57,16 @@
 
     private void handle(final HttpExchange exchange) throws IOException {
         final String body = new String(exchange.getRequestBody().readAllBytes(), UTF_8);
-        final boolean trouble = System.nanoTime() < troubleUntil;
-        if (trouble) {
+        final boolean failing = System.nanoTime() < failingUntil;
+        if (failing) {
             respondSlowly();
         }
-        // in trouble it takes every other report and says of all that it did not, so the same must come again
-        final boolean takes = !trouble || body.hashCode() % 2 == 0;
+        // in failing it takes every other report and says of all that it did not, so the same must come again
+        final boolean takes = !failing || body.hashCode() % 2 == 0;
         if (takes && load != null) {
             take(body);
         }
-        exchange.sendResponseHeaders(trouble ? SERVER_ERROR : OK, -1);
+        exchange.sendResponseHeaders(failing ? SERVER_ERROR : OK, -1);
         exchange.close();
     }
 
--- a/testing/src/main/java/brookpath/testing/oracle/History.java
+++ b/testing/src/main/java/brookpath/testing/oracle/History.java
@@ -149,7 +149,7 @@
      * A message as a listener got it.
      *
      * @param one whether the topic's space promises one order over all its topics
-     * @param listeningSince since when the listener has been there, for its latency; negative where that is not judged
+     * @param listeningSince since when the listener has been there, for its latency; negative where that is not checked
      */
     public void delivered(
             final long now,
@@ -174,8 +174,8 @@
         if (!l.got.add(id)) {
             violation(now, l.name + " got " + id + " twice");
         }
-        judgeOrder(now, l, topic, position, sender, seq);
-        judgePosition(now, topic, position, id);
+        checkOrder(now, l, topic, position, sender, seq);
+        checkPosition(now, topic, position, id);
         if (one) {
             l.spaceOrder
                     .computeIfAbsent(topic.substring(0, topic.indexOf('/')), k -> new ArrayList<>())
@@ -188,7 +188,7 @@
     }
 
     /** A sender's sequences and a topic's positions rise. */
-    private void judgeOrder(
+    private void checkOrder(
             final long now,
             final Listener l,
             final String topic,
@@ -206,7 +206,7 @@
     }
 
     /** A position holds the same message for everyone. */
-    private void judgePosition(final long now, final String topic, final long position, final String id) {
+    private void checkPosition(final long now, final String topic, final long position, final String id) {
         final String other = byPosition.putIfAbsent(topic + "@" + position, id);
         if (other != null && !other.equals(id)) {
             violation(
--- a/testing/src/main/java/brookpath/testing/oracle/UsageLedger.java
+++ b/testing/src/main/java/brookpath/testing/oracle/UsageLedger.java
@@ -7,7 +7,7 @@
 import java.util.function.Predicate;
 
 /**
- * What the platform was told, per window, against what the senders know, the clock on the wall, and what each
+ * What was reported to the platform, per window, against what the senders know, the clock on the wall, and what each
  * controller would tell.
  */
 public final class UsageLedger {
@@ -75,10 +75,10 @@
     /**
      * Each window of each tenant has been reported once its time is up.
      *
-     * @param excusedUntil platform or control plane out until then
+     * @param exemptUntil platform or control plane out until then
      */
-    public void punctual(final long now, final List<String> tenants, final long windowMs, final long excusedUntil) {
-        for (long end = firstEnd; Math.max(end, excusedUntil) + MAX_REPORT_DELAY_MS < now; end += windowMs) {
+    public void checkInTime(final long now, final List<String> tenants, final long windowMs, final long exemptUntil) {
+        for (long end = firstEnd; Math.max(end, exemptUntil) + MAX_REPORT_DELAY_MS < now; end += windowMs) {
             for (final String tenant : tenants) {
                 if (reports.computeIfAbsent(tenant, k -> new TreeMap<>()).putIfAbsent(end, new Report(-1, -1, false))
                         == null) {
@@ -121,32 +121,32 @@
                 committedAt.add(s.committedAt);
             }
         }
-        final TreeMap<Long, Report> reported = reports.getOrDefault(tenant, new TreeMap<>());
-        long told = 0;
-        for (final Map.Entry<Long, Report> entry : reported.entrySet()) {
-            told += Math.max(0, entry.getValue().publishes);
-            settleWindow(now, tenant, entry.getKey(), told, sentAt, committedAt);
+        final TreeMap<Long, Report> byWindow = reports.getOrDefault(tenant, new TreeMap<>());
+        long reported = 0;
+        for (final Map.Entry<Long, Report> entry : byWindow.entrySet()) {
+            reported += Math.max(0, entry.getValue().publishes);
+            checkWindow(now, tenant, entry.getKey(), reported, sentAt, committedAt);
         }
-        if (told < committedAt.size() || told > sentAt.size()) {
+        if (reported < committedAt.size() || reported > sentAt.size()) {
             history.violation(
                     now,
-                    "tenant " + tenant + " was reported " + told + " publishes, had " + committedAt.size()
+                    "tenant " + tenant + " was reported " + reported + " publishes, had " + committedAt.size()
                             + " accepted and at most " + sentAt.size() + " in the logs");
         }
     }
 
-    private void settleWindow(
+    private void checkWindow(
             final long now,
             final String tenant,
             final long end,
-            final long told,
+            final long reported,
             final List<Long> sentAt,
             final List<Long> committedAt) {
         final String through =
-                "tenant " + tenant + " was reported " + told + " publishes through the window ending " + end;
+                "tenant " + tenant + " was reported " + reported + " publishes through the window ending " + end;
         final long most =
                 sentAt.stream().filter(time -> time < end + MAX_CLOCK_ERROR_MS).count();
-        if (told > most) {
+        if (reported > most) {
             history.violation(now, through + ", at most " + most + " had been sent by then");
         }
         final long least = committedAt.stream()
@@ -154,7 +154,7 @@
                 .count();
         final boolean comesLate =
                 reports.get(tenant).tailMap(end, false).values().stream().anyMatch(report -> report.late);
-        if (told < least && !comesLate) {
+        if (reported < least && !comesLate) {
             history.violation(
                     now,
                     through + ", " + least
--- a/testing/src/main/java/brookpath/testing/oracle/control/Availability.java
+++ b/testing/src/main/java/brookpath/testing/oracle/control/Availability.java
@@ -10,7 +10,7 @@
  * off, joined again, reset, slowed or had its clock stepped for a while.
  */
 public final class Availability {
-    /** The core is settled this long after the last trouble. */
+    /** The core is settled this long after the last disturb. */
     public static final long SETTLE_MS = 4_000;
     /** In settled time a valid order has its final answer within this. */
     public static final long ACKNOWLEDGE_MS = 5_000;
@@ -20,21 +20,21 @@
     private final ControlViolations violations;
     private final Map<String, Long> openOrders = new HashMap<>();
     private final Map<Integer, Long> servedAt = new HashMap<>();
-    private final Map<Integer, Long> excusedUntil = new HashMap<>();
-    private long troubleUntil;
+    private final Map<Integer, Long> exemptUntil = new HashMap<>();
+    private long disturbedUntil;
 
     public Availability(final ControlViolations violations) {
         this.violations = violations;
     }
 
     /** Trouble in the core that ends at this moment, now or later. */
-    public void trouble(final long until) {
-        troubleUntil = Math.max(troubleUntil, until);
+    public void disturb(final long until) {
+        disturbedUntil = Math.max(disturbedUntil, until);
     }
 
     /** This controller is down, frozen or cut off until then. */
-    public void excuse(final int node, final long until) {
-        excusedUntil.merge(node, until, Math::max);
+    public void exempt(final int node, final long until) {
+        exemptUntil.merge(node, until, Math::max);
     }
 
     public boolean settled(final long now) {
@@ -42,7 +42,7 @@
     }
 
     private long settledSince() {
-        return troubleUntil + SETTLE_MS;
+        return disturbedUntil + SETTLE_MS;
     }
 
     /** A valid order is sent for the first time, or its time begins anew. */
@@ -84,8 +84,8 @@
     }
 
     private void watchReads(final long now, final int node) {
-        final long excused = excusedUntil.getOrDefault(node, 0L) + SETTLE_MS;
-        final long since = Math.max(Math.max(excused, settledSince()), servedAt.getOrDefault(node, 0L));
+        final long exempted = exemptUntil.getOrDefault(node, 0L) + SETTLE_MS;
+        final long since = Math.max(Math.max(exempted, settledSince()), servedAt.getOrDefault(node, 0L));
         if (now - since > READ_MS) {
             servedAt.put(node, now);
             violations.add(now, ControlRule.UNAVAILABLE, "controller " + node + " has served no read since " + since);
--- a/testing/src/main/java/brookpath/testing/oracle/control/CallHistory.java
+++ b/testing/src/main/java/brookpath/testing/oracle/control/CallHistory.java
@@ -3,22 +3,24 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Which call each answer belongs to: the same process in the same life, the same kind of call, the same subject. */
+/**
+ * Which call each answer belongs to: the same process in the same incarnation, the same kind of call, the same subject.
+ */
 public final class CallHistory {
     /**
      * A call to a process.
      *
-     * @param life counts the starts of the process, so that an answer after a restart is told from one before
+     * @param incarnation counts the starts of the process, so that an answer after a restart is told from one before
      * @param subject what the call is about, as its answer names it; empty where an answer names nothing
      */
-    public record Call(int node, long life, String kind, String subject) {}
+    public record Call(int node, long incarnation, String kind, String subject) {}
 
     /**
      * What an answer says that it is about.
      *
      * @param kind empty where the answer does not tell, as with most refusals
      */
-    public record Answer(int node, long life, String kind, String subject) {}
+    public record Answer(int node, long incarnation, String kind, String subject) {}
 
     private final ControlViolations violations;
     private final Map<Long, Call> calls = new HashMap<>();
@@ -33,7 +35,7 @@
         calls.put(callId, call);
     }
 
-    /** Whether this is one of the calls that are judged here. */
+    /** Whether this is one of the calls that are checked here. */
     public boolean knows(final long callId) {
         return calls.containsKey(callId);
     }
@@ -48,7 +50,7 @@
         if (answered.put(callId, true) != null) {
             violations.add(at, ControlRule.WRONG_ANSWER, "call " + callId + ", " + call + ", was answered twice");
         }
-        final boolean otherProcess = answer.node() != call.node() || answer.life() != call.life();
+        final boolean otherProcess = answer.node() != call.node() || answer.incarnation() != call.incarnation();
         final boolean otherKind = !answer.kind().isEmpty() && !answer.kind().equals(call.kind());
         final boolean otherSubject = !answer.kind().isEmpty()
                 && !call.subject().isEmpty()
--- a/testing/src/main/java/brookpath/testing/oracle/control/RetireHistory.java
+++ b/testing/src/main/java/brookpath/testing/oracle/control/RetireHistory.java
@@ -21,7 +21,7 @@
         long settledMs;
         boolean completed;
         boolean removed;
-        boolean judged;
+        boolean checked;
     }
 
     private final ControlViolations violations;
@@ -89,8 +89,8 @@
                 return;
             }
             retirement.settledMs += settled ? step : 0;
-            if (retirement.settledMs > COMPLETE_MS && !retirement.judged) {
-                retirement.judged = true;
+            if (retirement.settledMs > COMPLETE_MS && !retirement.checked) {
+                retirement.checked = true;
                 violations.add(
                         now,
                         ControlRule.RETIREMENT,
--- a/testing/src/main/java/brookpath/testing/oracle/package-info.java
+++ b/testing/src/main/java/brookpath/testing/oracle/package-info.java
@@ -1,2 +1,5 @@
-/** Judges what callers, operators and the platform saw. Knows nothing of the system's insides. */
+/**
+ * What must never happen, checked from outside: the history of everything that callers sent and received, and the
+ * ledger of reported usage.
+ */
 package brookpath.testing.oracle;
--- a/testing/src/main/java/brookpath/testing/relay/package-info.java
+++ b/testing/src/main/java/brookpath/testing/relay/package-info.java
@@ -1,2 +1,2 @@
-/** A relay between processes on loopback that delays, loses, cuts and counts what passes. */
+/** A relay between real processes on loopback that delays, loses, partitions and counts what passes. */
 package brookpath.testing.relay;
--- a/testing/src/main/java/brookpath/testing/sim/Callers.java
+++ b/testing/src/main/java/brookpath/testing/sim/Callers.java
@@ -25,9 +25,9 @@
     private static final long AWAY_MAX = 20_000;
     static final String[] SPACES = {"permits", "closures", "clues"};
     /** Tenants whose keys operators take away and give back; half of the sessions use the second. */
-    static final List<String> SHAKY = List.of("guest", "half");
+    static final List<String> REVOCABLE_TENANTS = List.of("guest", "half");
 
-    private final SimulatedCluster world;
+    private final SimulatedCluster cluster;
     private final Map<Long, Consumer<Response>> waiting = new HashMap<>();
     private final Map<Long, Integer> requestAt = new HashMap<>();
     final Map<Long, Subscriber> sessions = new TreeMap<>();
@@ -43,13 +43,13 @@
 
     boolean quiet;
 
-    Callers(final SimulatedCluster world) {
-        this.world = world;
-        deliveryLatency = new DeliveryLatencyOracle(world, this);
-        service = new AvailabilityOracle(world);
-        operators = new DayOperators(world, this);
-        world.at(1_000, this::roll);
-        world.at(500, this::lookForReady);
+    Callers(final SimulatedCluster cluster) {
+        this.cluster = cluster;
+        deliveryLatency = new DeliveryLatencyOracle(cluster, this);
+        service = new AvailabilityOracle(cluster);
+        operators = new DayOperators(cluster, this);
+        cluster.at(1_000, this::checkListening);
+        cluster.at(500, this::probeReadiness);
     }
 
     static boolean oneOrder(final String topic) {
@@ -73,15 +73,15 @@
     /** All tenants of every document. */
     List<String> tenants() {
         final List<String> list = new ArrayList<>(List.of("members"));
-        list.addAll(SHAKY);
-        for (int i = list.size(); i < world.shape.tenants(); i++) {
+        list.addAll(REVOCABLE_TENANTS);
+        for (int i = list.size(); i < cluster.size.tenants(); i++) {
             list.add("tenant" + i);
         }
         return list;
     }
 
     /** What sessions heard that join their topics one by one, in order. */
-    final List<Action.ToSession> told = new ArrayList<>();
+    final List<Action.ToSession> sessionActions = new ArrayList<>();
 
     boolean holds(final Subscriber s) {
         return sessions.get(s.sessionId) == s;
@@ -94,7 +94,7 @@
     }
 
     int groupOf(final String topic) {
-        return Placement.groupOf(topic, new Configuration.Space(spaceOf(topic), 0, oneOrder(topic), 0), world.groups);
+        return Placement.groupOf(topic, new Configuration.Space(spaceOf(topic), 0, oneOrder(topic), 0), cluster.groups);
     }
 
     private final Map<Integer, String> topicIn = new HashMap<>();
@@ -111,15 +111,15 @@
     }
 
     /** Who ought to be listening and is, twice a second; and somebody asks how many listen. */
-    private void roll() {
+    private void checkListening() {
         if (!quiet) {
             for (final Subscriber s : subscribers) {
-                if (s.listener.entitled && !s.naps) {
-                    service.asked("listening", world.now(), s.listeningSince >= 0 && holds(s));
+                if (s.listener.entitled && !s.disconnected) {
+                    service.asked("listening", cluster.now(), s.listeningSince >= 0 && holds(s));
                 }
             }
-            for (int g = 0; g < world.groups && operators.anyConfirmed(); g++) {
-                final long at = world.now();
+            for (int g = 0; g < cluster.groups && operators.anyConfirmed(); g++) {
+                final long at = cluster.now();
                 final String topic = topicIn(g);
                 ask(
                         anyGateway(),
@@ -127,7 +127,7 @@
                         r -> service.asked("count in group " + groupOf(topic), at, r.status() == 200));
             }
         }
-        world.at(world.now() + 500, this::roll);
+        cluster.at(cluster.now() + 500, this::checkListening);
     }
 
     // ---- what the processes give back
@@ -137,14 +137,14 @@
         final Consumer<Response> then = waiting.remove(requestId);
         requestAt.remove(requestId);
         if (then != null) {
-            world.at(world.now(), () -> then.accept(r));
+            cluster.at(cluster.now(), () -> then.accept(r));
         }
     }
 
     void deliver(final SimulatedProcess from, final long sessionId, final byte[] line) {
         final Subscriber s = sessions.get(sessionId);
         if (s != null) {
-            world.at(world.now(), () -> {
+            cluster.at(cluster.now(), () -> {
                 if (sessions.get(sessionId) == s) {
                     s.line(line);
                 }
@@ -155,13 +155,13 @@
     void closed(final SimulatedProcess from, final long sessionId, final String why) {
         final Subscriber s = sessions.remove(sessionId);
         if (s != null) {
-            world.count("sessions closed");
-            world.at(world.now(), () -> s.gone(why));
+            cluster.count("sessions closed");
+            cluster.at(cluster.now(), () -> s.gone(why));
         }
     }
 
     /** A process died: whatever was asked of it gets a reset. */
-    void gatewayGone(final SimulatedProcess p) {
+    void resetConnections(final SimulatedProcess p) {
         for (final long id : new ArrayList<>(requestAt.keySet())) {
             if (requestAt.get(id) == p.id) {
                 respond(p, id, new Response(0, 0, "{\"outcome\":\"reset\"}"));
@@ -176,12 +176,12 @@
 
     /** Breaks nearly all sessions at once. */
     void resetAll() {
-        world.count("mass resets");
+        cluster.count("mass resets");
         for (final long id : new ArrayList<>(sessions.keySet())) {
-            if (world.random.nextInt(20) != 0) {
+            if (cluster.random.nextInt(20) != 0) {
                 final Subscriber s = sessions.get(id);
-                world.processes.get(s.gateway).request(new NodeRequest.Unsubscribe(id));
-                closed(world.processes.get(s.gateway), id, "reset");
+                cluster.processes.get(s.gateway).request(new NodeRequest.Unsubscribe(id));
+                closed(cluster.processes.get(s.gateway), id, "reset");
             }
         }
     }
@@ -189,13 +189,13 @@
     long ask(final SimulatedProcess p, final LongFunction<NodeRequest> request, final Consumer<Response> then) {
         final long id = ++requestIds;
         if (!p.alive) {
-            world.at(world.now() + 1, () -> then.accept(new Response(-1, 0, "{}")));
+            cluster.at(cluster.now() + 1, () -> then.accept(new Response(-1, 0, "{}")));
             return id;
         }
         waiting.put(id, then);
         requestAt.put(id, p.id);
-        world.at(world.now() + 1, () -> p.request(request.apply(id)));
-        world.at(world.now() + PATIENCE, () -> {
+        cluster.at(cluster.now() + 1, () -> p.request(request.apply(id)));
+        cluster.at(cluster.now() + PATIENCE, () -> {
             if (requestAt.containsKey(id)) {
                 respond(p, id, new Response(0, 0, "{\"outcome\":\"timed out\"}"));
             }
@@ -209,40 +209,35 @@
         requestAt.remove(requestId);
     }
 
-    /** One request by hand. */
-    void asked(final SimulatedProcess p, final LongFunction<NodeRequest> request, final Consumer<Response> then) {
-        ask(p, request, then);
-    }
-
     /** One of those that the platform holds for ready. */
     SimulatedProcess anyGateway() {
-        final List<Integer> from = ready.isEmpty() ? world.gateways : ready;
-        return world.processes.get(from.get(world.random.nextInt(from.size())));
+        final List<Integer> from = ready.isEmpty() ? cluster.gateways : ready;
+        return cluster.processes.get(from.get(cluster.random.nextInt(from.size())));
     }
 
     /** One that takes connections at all. */
     SimulatedProcess anyController() {
-        final List<Integer> from = world.controllers.stream()
-                .filter(id -> world.processes.get(id).alive)
+        final List<Integer> from = cluster.controllers.stream()
+                .filter(id -> cluster.processes.get(id).alive)
                 .toList();
-        return world.processes.get(from.isEmpty() ? 1 : from.get(world.random.nextInt(from.size())));
+        return cluster.processes.get(from.isEmpty() ? 1 : from.get(cluster.random.nextInt(from.size())));
     }
 
     private List<Integer> ready = new ArrayList<>();
 
     /** The platform's part: it asks each gateway, and hands nobody to those that say no or nothing. */
-    private void lookForReady() {
+    private void probeReadiness() {
         final List<Integer> now = new ArrayList<>();
-        for (final int id : world.gateways) {
-            ask(world.processes.get(id), NodeRequest.ReadinessProbe::new, r -> {
+        for (final int id : cluster.gateways) {
+            ask(cluster.processes.get(id), NodeRequest.ReadinessProbe::new, r -> {
                 if (r.status() == 200) {
                     now.add(id);
                 }
             });
         }
-        world.at(world.now() + 250, () -> {
+        cluster.at(cluster.now() + 250, () -> {
             ready = now;
-            lookForReady();
+            probeReadiness();
         });
     }
 
@@ -257,23 +252,25 @@
     /** Begins a sender that publishes about every {@code periodMs}, each message in at most so many attempts. */
     void publisher(
             final String sender, final String topic, final String key, final long periodMs, final int maxAttempts) {
-        new Publisher(world, this, sender, topic, key, periodMs, maxAttempts).publish(1);
+        new Publisher(cluster, this, sender, topic, key, periodMs, maxAttempts).publish(1);
     }
 
     // ---- subscribers
 
     void subscriber(final String name, final String key, final List<String> topics) {
-        final Subscriber s = new Subscriber(world, this, name, key, topics);
+        final Subscriber s = new Subscriber(cluster, this, name, key, topics);
         subscribers.add(s);
         s.connect();
-        world.at(world.now() + 10_000 + world.random.nextLong(30_000), () -> s.nap(AWAY_MAX, 40_000));
+        cluster.at(
+                cluster.now() + 10_000 + cluster.random.nextLong(30_000),
+                () -> s.disconnectTemporarily(AWAY_MAX, 40_000));
     }
 
-    /** One that comes and goes all the time. */
-    void restless(final String name, final String key, final List<String> topics) {
-        final Subscriber s = new Subscriber(world, this, name, key, topics);
+    /** One that comes and attempts all the time. */
+    void reconnectingSubscriber(final String name, final String key, final List<String> topics) {
+        final Subscriber s = new Subscriber(cluster, this, name, key, topics);
         subscribers.add(s);
         s.connect();
-        world.at(world.now() + 1_000, () -> s.nap(500, 500));
+        cluster.at(cluster.now() + 1_000, () -> s.disconnectTemporarily(500, 500));
     }
 }
--- a/testing/src/main/java/brookpath/testing/sim/ControlAnswer.java
+++ b/testing/src/main/java/brookpath/testing/sim/ControlAnswer.java
@@ -25,20 +25,20 @@
     private static final String DOCUMENT = "\"document\":";
 
     static ControlAnswer of(final Response response) {
-        final JsonObject told = json(response.json());
+        final JsonObject answer = json(response.json());
         final long version =
-                told.containsKey("version") ? told.getJsonNumber("version").longValue() : 0;
-        if (told.containsKey("document")) {
+                answer.containsKey("version") ? answer.getJsonNumber("version").longValue() : 0;
+        if (answer.containsKey("document")) {
             return new ControlAnswer(READ, "", version, document(response.json()), false);
         }
-        if (told.containsKey("changeId")) {
-            return new ControlAnswer(CHANGE, told.getString("changeId"), version, "", false);
+        if (answer.containsKey("changeId")) {
+            return new ControlAnswer(CHANGE, answer.getString("changeId"), version, "", false);
         }
-        if (told.containsKey("node") && told.getString("outcome", "").equals("retiring")) {
-            return new ControlAnswer(RETIRE, String.valueOf(told.getInt("node")), version, "", false);
+        if (answer.containsKey("node") && answer.getString("outcome", "").equals("retiring")) {
+            return new ControlAnswer(RETIRE, String.valueOf(answer.getInt("node")), version, "", false);
         }
-        if (told.containsKey("empty")) {
-            return new ControlAnswer(RETIREMENT, "", version, "", told.getBoolean("empty"));
+        if (answer.containsKey("empty")) {
+            return new ControlAnswer(RETIREMENT, "", version, "", answer.getBoolean("empty"));
         }
         return new ControlAnswer("", "", version, "", false);
     }
--- a/testing/src/main/java/brookpath/testing/sim/ControlCall.java
+++ b/testing/src/main/java/brookpath/testing/sim/ControlCall.java
@@ -17,17 +17,17 @@
     private static final long PATIENCE_MS = 1_000;
     private static final int REACHED = 100;
 
-    private final SimulatedCluster world;
+    private final SimulatedCluster cluster;
     private final CallHistory history;
     /** Machines that callers cannot reach. */
     final Set<Integer> unreachable = new HashSet<>();
 
     private int lostPercent;
 
-    ControlCall(final SimulatedCluster world, final CallHistory history) {
-        this.world = world;
+    ControlCall(final SimulatedCluster cluster, final CallHistory history) {
+        this.cluster = cluster;
         this.history = history;
-        world.callers.answers = this::answered;
+        cluster.callers.answers = this::answered;
     }
 
     /** From now on so many of a hundred acknowledgements are lost on their way to the operator. */
@@ -37,7 +37,7 @@
 
     /** By chance: is this acknowledgement lost? */
     boolean losesAnswer() {
-        return lostPercent > 0 && world.random.nextInt(100) < lostPercent;
+        return lostPercent > 0 && cluster.random.nextInt(100) < lostPercent;
     }
 
     /**
@@ -59,14 +59,14 @@
                 then.accept(response.status() < REACHED ? SILENCE : response);
             }
         };
-        world.at(world.now() + PATIENCE_MS, () -> once.accept(SILENCE));
+        cluster.at(cluster.now() + PATIENCE_MS, () -> once.accept(SILENCE));
         if (unreachable.contains(process.id)) {
             return;
         }
-        world.callers.asked(
+        cluster.callers.ask(
                 process,
                 id -> {
-                    history.asked(id, new Call(process.id, process.life, kind, subject));
+                    history.asked(id, new Call(process.id, process.incarnation, kind, subject));
                     return new NodeRequest.Operate(id, kind, body);
                 },
                 response -> {
@@ -78,8 +78,9 @@
 
     private void answered(final SimulatedProcess from, final long callId, final Response response) {
         if (response.status() >= REACHED && history.knows(callId)) {
-            final ControlAnswer told = ControlAnswer.of(response);
-            history.answered(world.now(), callId, new Answer(from.id, from.life, told.kind(), told.subject()));
+            final ControlAnswer answer = ControlAnswer.of(response);
+            history.answered(
+                    cluster.now(), callId, new Answer(from.id, from.incarnation, answer.kind(), answer.subject()));
         }
     }
 }
--- a/testing/src/main/java/brookpath/testing/sim/ControlDay.java
+++ b/testing/src/main/java/brookpath/testing/sim/ControlDay.java
@@ -14,7 +14,7 @@
  * and a recovery after which everything is read back.
  */
 public final class ControlDay {
-    private static final FleetSize SHAPE = new FleetSize(2, 2, 4, 6, 6, 8, 2);
+    private static final FleetSize SIZE = new FleetSize(2, 2, 4, 6, 6, 8, 2);
     private static final long START_MS = 4_000;
     private static final long FIRST_ORDER_MS = 20_000;
     private static final long ORDER_EVERY_MS = 700;
@@ -59,7 +59,7 @@
     }
 
     private final Plan plan;
-    private final SimulatedCluster world;
+    private final SimulatedCluster cluster;
     private final ControlFleet fleet;
     private final ControlHistory history = new ControlHistory();
     private final ControlCall calls;
@@ -68,12 +68,12 @@
 
     private ControlDay(final Plan plan) {
         this.plan = plan;
-        world = new SimulatedCluster(plan.seed(), SHAPE, EnumSet.noneOf(Mutation.class));
-        fleet = new ControlFleet(world);
-        calls = new ControlCall(world, history.calls);
-        operators = new Operators(world, fleet, history, calls);
-        final RetireOperator retirements = new RetireOperator(world, fleet, history, calls);
-        faults = new ControlFaults(world, fleet, history, operators, retirements, calls);
+        cluster = new SimulatedCluster(plan.seed(), SIZE, EnumSet.noneOf(Mutation.class));
+        fleet = new ControlFleet(cluster);
+        calls = new ControlCall(cluster, history.calls);
+        operators = new Operators(cluster, fleet, history, calls);
+        final RetireOperator retirements = new RetireOperator(cluster, fleet, history, calls);
+        faults = new ControlFaults(cluster, fleet, history, operators, retirements, calls);
     }
 
     /** Plays the day. */
@@ -90,26 +90,26 @@
     }
 
     private void begin() {
-        world.run(START_MS);
-        history.availability.trouble(world.now());
+        cluster.run(START_MS);
+        history.availability.disturb(cluster.now());
         operators.order(true);
-        final long giveUpAt = world.now() + FIRST_ORDER_MS;
-        while (operators.newest() == 0 && world.now() < giveUpAt) {
-            world.run(world.now() + WATCH_EVERY_MS);
+        final long giveUpAt = cluster.now() + FIRST_ORDER_MS;
+        while (operators.newest() == 0 && cluster.now() < giveUpAt) {
+            cluster.run(cluster.now() + WATCH_EVERY_MS);
         }
         clients();
         watch();
         operators.work(ORDER_EVERY_MS);
         operators.read(READ_EVERY_MS);
-        world.run(world.now() + MachineFaults.CATCH_UP_MS);
+        cluster.run(cluster.now() + MachineFaults.CATCH_UP_MS);
     }
 
     private void clients() {
-        for (int i = 0; i < SHAPE.topics(); i++) {
-            world.callers.publisher("ana", Callers.topic(i), "key-members", 1_000, 30);
+        for (int i = 0; i < SIZE.topics(); i++) {
+            cluster.callers.publisher("ana", Callers.topic(i), "key-members", 1_000, 30);
         }
-        for (int i = 0; i < SHAPE.sessions(); i++) {
-            world.callers.subscriber("sub-" + i, "key-members", List.of(Callers.topic(i % SHAPE.topics())));
+        for (int i = 0; i < SIZE.sessions(); i++) {
+            cluster.callers.subscriber("sub-" + i, "key-members", List.of(Callers.topic(i % SIZE.topics())));
         }
     }
 
@@ -118,50 +118,51 @@
                 .filter(process -> process.alive && !process.frozen())
                 .map(process -> process.id)
                 .toList();
-        history.watch(world.now(), running);
-        world.at(world.now() + WATCH_EVERY_MS, this::watch);
+        history.watch(cluster.now(), running);
+        cluster.at(cluster.now() + WATCH_EVERY_MS, this::watch);
     }
 
     /** One kind after another: some at once when the last machine is back, some later, some on top of others. */
     private void troubles() {
         final List<ControlFault> kinds = new ArrayList<>(plan.faults());
-        final long end = world.now() + plan.lengthMs();
-        while (world.now() < end && !kinds.isEmpty()) {
-            final ControlFault kind = kinds.get(world.random.nextInt(kinds.size()));
+        final long end = cluster.now() + plan.lengthMs();
+        while (cluster.now() < end && !kinds.isEmpty()) {
+            final ControlFault kind = kinds.get(cluster.random.nextInt(kinds.size()));
             final boolean struck = faults.strike(kind);
-            final long pause = struck && world.random.nextBoolean() ? world.random.nextLong(PAUSE_MS) : WATCH_EVERY_MS;
-            world.run(Math.min(end, world.now() + pause));
+            final long pause =
+                    struck && cluster.random.nextBoolean() ? cluster.random.nextLong(PAUSE_MS) : WATCH_EVERY_MS;
+            cluster.run(Math.min(end, cluster.now() + pause));
         }
-        world.run(end);
+        cluster.run(end);
     }
 
     /** The day's last failure comes once all machines are back, right after an acknowledgement. */
     private void close() {
         faults.stop();
         final boolean calm = plan.faults().isEmpty();
-        world.run(Math.max(world.now(), faults.machines().outUntil()));
+        cluster.run(Math.max(cluster.now(), faults.machines().outUntil()));
         if (calm) {
             return;
         }
         final boolean[] struck = new boolean[1];
         faults.close(() -> struck[0] = true);
-        final long giveUpAt = world.now() + LAST_ORDER_MS;
-        while (!struck[0] && world.now() < giveUpAt) {
-            world.run(world.now() + 1);
+        final long giveUpAt = cluster.now() + LAST_ORDER_MS;
+        while (!struck[0] && cluster.now() < giveUpAt) {
+            cluster.run(cluster.now() + 1);
         }
-        world.count(struck[0] ? "control: closing faults" : "control: no acknowledgement to close on");
-        world.run(Math.max(world.now(), faults.machines().outUntil() - MachineFaults.CATCH_UP_MS + 1));
+        cluster.count(struck[0] ? "control: closing faults" : "control: no acknowledgement to close on");
+        cluster.run(Math.max(cluster.now(), faults.machines().outUntil() - MachineFaults.CATCH_UP_MS + 1));
     }
 
     private void recover() {
         faults.machines().mend();
-        world.run(world.now() + RECOVER_MS);
+        cluster.run(cluster.now() + RECOVER_MS);
         operators.quiet();
-        world.callers.quiet = true;
-        world.run(world.now() + QUIET_MS);
+        cluster.callers.quiet = true;
+        cluster.run(cluster.now() + QUIET_MS);
         operators.readBack(READ_BACK_TRIES);
-        world.run(world.now() + READ_BACK_MS);
-        world.history.settle(world.now());
+        cluster.run(cluster.now() + READ_BACK_MS);
+        cluster.history.settle(cluster.now());
         history.settle();
     }
 
@@ -170,9 +171,9 @@
                 plan.seed(),
                 history.violations.all().stream().map(Object::toString).toList(),
                 new TreeMap<>(history.violations.counts()),
-                world.history.violations(),
+                cluster.history.violations(),
                 operators.newest(),
-                world.counts,
-                world.notes());
+                cluster.counts,
+                cluster.notes());
     }
 }
--- a/testing/src/main/java/brookpath/testing/sim/ControlFaults.java
+++ b/testing/src/main/java/brookpath/testing/sim/ControlFaults.java
@@ -17,7 +17,7 @@
     private static final int REFUSED_ORDERS = 500;
     private static final int LOST_PERCENT = 70;
 
-    private final SimulatedCluster world;
+    private final SimulatedCluster cluster;
     private final ControlFleet fleet;
     private final Operators operators;
     private final RetireOperator retirements;
@@ -31,18 +31,18 @@
     private boolean stopped;
 
     ControlFaults(
-            final SimulatedCluster world,
+            final SimulatedCluster cluster,
             final ControlFleet fleet,
             final ControlHistory history,
             final Operators operators,
             final RetireOperator retirements,
             final ControlCall calls) {
-        this.world = world;
+        this.cluster = cluster;
         this.fleet = fleet;
         this.operators = operators;
         this.retirements = retirements;
         this.calls = calls;
-        machines = new MachineFaults(world, fleet, history, calls);
+        machines = new MachineFaults(cluster, fleet, history, calls);
         operators.observer(this);
     }
 
@@ -50,19 +50,19 @@
         return machines;
     }
 
-    /** No trouble begins any more. */
+    /** No disturb begins any more. */
     void stop() {
         stopped = true;
         armed = null;
         calls.loseAnswers(0);
     }
 
-    /** Brings this trouble about now, or, where it waits for an order, at the next one; false where it has to wait. */
+    /** Brings this disturb about now, or, where it waits for an order, at the next one; false where it has to wait. */
     boolean strike(final ControlFault fault) {
         if (mustWait(fault)) {
             return false;
         }
-        world.count("control: " + fault);
+        cluster.count("control: " + fault);
         if (ControlFault.ON_AN_ORDER.contains(fault)) {
             armed = fault;
             operators.order(true);
@@ -77,9 +77,9 @@
     private boolean mustWait(final ControlFault fault) {
         return switch (fault) {
             case STORM, REFUSED_ORDERS -> operators.storming();
-            case CLOCK_STEP, RESETS, RACES, ANSWERS_LOST -> world.now() < disturbedUntil;
+            case CLOCK_STEP, RESETS, RACES, ANSWERS_LOST -> cluster.now() < disturbedUntil;
             case RETIRE, RETIRE_THEN_WIPE, WIPE_DURING_RETIRE, POWER_AFTER_RETIRE ->
-                world.now() < retiringUntil || !machines.free() || armed != null;
+                cluster.now() < retiringUntil || !machines.free() || armed != null;
             default -> !machines.free() || armed != null;
         };
     }
@@ -87,25 +87,25 @@
     // ---- troubles that take no machine out
 
     private void disturb(final ControlFault fault) {
-        final long spanMs = span(2_000, 10_000);
-        disturbedUntil = world.now() + spanMs;
+        final long durationMs = span(2_000, 10_000);
+        disturbedUntil = cluster.now() + durationMs;
         switch (fault) {
             case CLOCK_STEP -> {
-                final long by = 1_000 + world.random.nextLong(9_000);
-                machines.clockStep(world.random.nextBoolean() ? by : -by, spanMs);
+                final long by = 1_000 + cluster.random.nextLong(9_000);
+                machines.clockStep(cluster.random.nextBoolean() ? by : -by, durationMs);
             }
             case RESETS -> machines.resets();
             case STORM ->
-                operators.storm(STORM_MOST / 3 + world.random.nextInt(STORM_MOST), 20L + world.random.nextInt(80));
+                operators.storm(STORM_MOST / 3 + cluster.random.nextInt(STORM_MOST), 20L + cluster.random.nextInt(80));
             case REFUSED_ORDERS -> operators.refusedOrders(REFUSED_ORDERS);
             case RACES -> {
                 for (int i = 0; i < 5; i++) {
-                    world.at(world.now() + 400L * i, operators::race);
+                    cluster.at(cluster.now() + 400L * i, operators::race);
                 }
             }
             case ANSWERS_LOST -> {
                 calls.loseAnswers(LOST_PERCENT);
-                world.at(world.now() + spanMs, () -> calls.loseAnswers(0));
+                cluster.at(cluster.now() + durationMs, () -> calls.loseAnswers(0));
             }
             default -> throw new IllegalArgumentException(fault.name());
         }
@@ -138,7 +138,9 @@
             case CLOCK_REPEATS -> {
                 machines.clockRepeats(
                         controller(),
-                        any(world.gateways.stream().map(world.processes::get).toList()),
+                        any(cluster.gateways.stream()
+                                .map(cluster.processes::get)
+                                .toList()),
                         3,
                         span(400, 1_500));
                 operators.storm(20, 50);
@@ -150,7 +152,7 @@
 
     private void cut(final ControlFault fault, final SimulatedProcess process, final long span) {
         final List<SimulatedProcess> core = machines.others(process, fleet.counted());
-        final List<SimulatedProcess> all = machines.others(process, List.copyOf(world.processes.values()));
+        final List<SimulatedProcess> all = machines.others(process, List.copyOf(cluster.processes.values()));
         switch (fault) {
             case CUT_OFF -> machines.cutFromCallersToo(process, span);
             case CUT_SENDING -> machines.cut(process, all, SENDING, span);
@@ -158,7 +160,7 @@
             case CUT_FROM_CORE -> machines.cut(process, core, BOTH, span);
             case CUT_FROM_HALF -> {
                 final List<SimulatedProcess> half = core.stream()
-                        .filter(other -> world.random.nextBoolean())
+                        .filter(other -> cluster.random.nextBoolean())
                         .toList();
                 machines.cut(process, half, BOTH, span);
             }
@@ -176,29 +178,29 @@
         machines.others(process, fleet.controllers()).forEach(other -> seeds.add(other.id));
         fleet.seeds(seeds.subList(0, ControlFleet.SEEDS));
         final SimulatedProcess gateway =
-                any(world.gateways.stream().map(world.processes::get).toList());
-        world.kill(gateway, false);
-        world.at(world.now() + span(200, 1_000), () -> world.restart(gateway));
+                any(cluster.gateways.stream().map(cluster.processes::get).toList());
+        cluster.kill(gateway, false);
+        cluster.at(cluster.now() + span(200, 1_000), () -> cluster.restart(gateway));
     }
 
     /** One more storage machine comes, an old one is emptied, and is shut down for good once it holds nothing. */
     private void retire(final Consumer<SimulatedProcess> acknowledged, final Runnable then) {
-        retiringUntil = world.now() + 2 * RETIRE_MS;
+        retiringUntil = cluster.now() + 2 * RETIRE_MS;
         final SimulatedProcess leaving = any(fleet.storages());
         machines.addStorage(leaving.zone);
-        world.at(world.now() + MachineFaults.CATCH_UP_MS, () -> {
+        cluster.at(cluster.now() + MachineFaults.CATCH_UP_MS, () -> {
             if (leaving.goneForGood || stopped) {
                 return;
             }
             final Runnable emptied = () -> {
-                retiringUntil = world.now();
+                retiringUntil = cluster.now();
                 if (!stopped) {
                     machines.remove(leaving);
                     then.run();
                 }
             };
             retirements.retire(new RetireOperator.Retirement(
-                    leaving, fleet.name(leaving.id), world.now() + RETIRE_MS, acknowledged, emptied));
+                    leaving, fleet.name(leaving.id), cluster.now() + RETIRE_MS, acknowledged, emptied));
         });
     }
 
@@ -213,7 +215,7 @@
         if (stopped || !machines.free()) {
             return;
         }
-        if (world.random.nextBoolean()) {
+        if (cluster.random.nextBoolean()) {
             machines.allDown(true, true);
         } else {
             final SimulatedProcess leader = fleet.controlLeader();
@@ -231,12 +233,12 @@
         final ControlFault fault = armed;
         armed = null;
         final SimulatedProcess leader = fleet.controlLeader();
-        final SimulatedProcess victim = leader == null || world.random.nextBoolean() ? by : leader;
-        world.at(world.now() + world.random.nextInt(5), () -> {
+        final SimulatedProcess target = leader == null || cluster.random.nextBoolean() ? by : leader;
+        cluster.at(cluster.now() + cluster.random.nextInt(5), () -> {
             switch (fault) {
-                case POWER_AFTER_ACK -> machines.down(victim, true, span(300, 10_000));
-                case WIPE_AFTER_ACK -> machines.wipe(victim, span(300, 10_000));
-                case KILL_ALL -> machines.allDown(false, world.random.nextBoolean());
+                case POWER_AFTER_ACK -> machines.down(target, true, span(300, 10_000));
+                case WIPE_AFTER_ACK -> machines.wipe(target, span(300, 10_000));
+                case KILL_ALL -> machines.allDown(false, cluster.random.nextBoolean());
                 default -> machines.allDown(true, true);
             }
         });
@@ -248,11 +250,11 @@
             return;
         }
         armed = null;
-        world.at(world.now() + span(5, 400), () -> {
+        cluster.at(cluster.now() + span(5, 400), () -> {
             final SimulatedProcess leader = fleet.controlLeader();
-            final SimulatedProcess victim = leader == null || world.random.nextBoolean() ? to : leader;
-            if (!stopped && machines.free() && !victim.goneForGood) {
-                machines.down(victim, world.random.nextBoolean(), span(300, 5_000));
+            final SimulatedProcess target = leader == null || cluster.random.nextBoolean() ? to : leader;
+            if (!stopped && machines.free() && !target.goneForGood) {
+                machines.down(target, cluster.random.nextBoolean(), span(300, 5_000));
             }
         });
     }
@@ -262,8 +264,8 @@
      * and then while all others lose power.
      */
     void close(final Runnable struck) {
-        final int kind = world.random.nextInt(4);
-        world.count("control: closed by kind " + kind);
+        final int kind = cluster.random.nextInt(4);
+        cluster.count("control: closed by kind " + kind);
         operators.observer(new Operators.Observer() {
             @Override
             public void acknowledged(final SimulatedProcess by) {
@@ -292,20 +294,20 @@
     // ---- draws
 
     private long span(final long least, final long most) {
-        return least + world.random.nextLong(most - least);
+        return least + cluster.random.nextLong(most - least);
     }
 
     private <T> T any(final List<T> list) {
-        return list.get(world.random.nextInt(list.size()));
+        return list.get(cluster.random.nextInt(list.size()));
     }
 
     /** The control leader in every other draw, else any controller. */
     private SimulatedProcess controller() {
         final SimulatedProcess leader = fleet.controlLeader();
-        return leader == null || world.random.nextBoolean() ? any(fleet.controllers()) : leader;
+        return leader == null || cluster.random.nextBoolean() ? any(fleet.controllers()) : leader;
     }
 
     private SimulatedProcess counted() {
-        return world.random.nextInt(3) == 0 ? any(fleet.storages()) : controller();
+        return cluster.random.nextInt(3) == 0 ? any(fleet.storages()) : controller();
     }
 }
--- a/testing/src/main/java/brookpath/testing/sim/ControlFleet.java
+++ b/testing/src/main/java/brookpath/testing/sim/ControlFleet.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 
 /**
- * The processes of a control day: a world's fleet with a fourth controller, settings as the users' machines get them,
+ * The processes of a control day: a cluster's fleet with a fourth controller, settings as the users' machines get them,
  * and machines that are replaced by empty ones, at another number or at one that was used before.
  */
 final class ControlFleet {
@@ -29,7 +29,7 @@
     private static final int FIRST_NEW_STORAGE = 101;
     private static final int FIRST_NEW_CONTROLLER = 201;
 
-    private final SimulatedCluster world;
+    private final SimulatedCluster cluster;
     private final Map<Integer, String> names = new HashMap<>();
     private final Map<Integer, Long> startedAt = new HashMap<>();
     /** The controllers that a settings file names which is written now. */
@@ -39,19 +39,19 @@
     private int nextStorage = FIRST_NEW_STORAGE;
     private int machines;
 
-    /** Takes over a world none of whose processes has started yet. */
-    ControlFleet(final SimulatedCluster world) {
-        this.world = world;
-        seeds = List.copyOf(world.controllers);
-        for (final int id : world.controllers) {
-            world.processes.get(id).maker = this::controllerNode;
+    /** Takes over a cluster none of whose processes has started yet. */
+    ControlFleet(final SimulatedCluster cluster) {
+        this.cluster = cluster;
+        seeds = List.copyOf(cluster.controllers);
+        for (final int id : cluster.controllers) {
+            cluster.processes.get(id).maker = this::controllerNode;
         }
-        for (final int id : world.storages) {
+        for (final int id : cluster.storages) {
             names.put(id, nextName());
-            world.processes.get(id).maker = this::storageNode;
+            cluster.processes.get(id).maker = this::storageNode;
         }
-        for (final int id : world.gateways) {
-            world.processes.get(id).maker = this::gatewayNode;
+        for (final int id : cluster.gateways) {
+            cluster.processes.get(id).maker = this::gatewayNode;
         }
         addController("d").start();
     }
@@ -61,7 +61,7 @@
     }
 
     private Node controllerNode(final SimulatedProcess process, final List<byte[]> entries) {
-        startedAt.put(process.id, world.now());
+        startedAt.put(process.id, cluster.now());
         // why: only the settings of the very first start name founders, as on the users' machines
         final boolean first = process.foundOnStart;
         final List<Member> founders =
@@ -70,9 +70,9 @@
                 info(process, ""),
                 founders,
                 seeds,
-                new Founding(world.groups, COPIES, STORAGES, TOLERATED_LOSSES),
-                world.timing,
-                world.random.nextLong(),
+                new Founding(cluster.groups, COPIES, STORAGES, TOLERATED_LOSSES),
+                cluster.timing,
+                cluster.random.nextLong(),
                 firstId(),
                 ROLL_BYTES);
         entries.forEach(entry -> node.replay(entry, process.time()));
@@ -83,9 +83,9 @@
         final StorageNode node = new StorageNode(
                 info(process, name(process.id)),
                 seeds,
-                world.timing,
+                cluster.timing,
                 TOLERATED_LOSSES,
-                world.random.nextLong(),
+                cluster.random.nextLong(),
                 firstId(),
                 ROLL_BYTES);
         entries.forEach(entry -> node.replay(entry, process.time()));
@@ -93,7 +93,7 @@
     }
 
     private Node gatewayNode(final SimulatedProcess process, final List<byte[]> entries) {
-        return new GatewayNode(info(process, ""), seeds, world.timing, firstId());
+        return new GatewayNode(info(process, ""), seeds, cluster.timing, firstId());
     }
 
     private static NodeInfo info(final SimulatedProcess process, final String name) {
@@ -101,9 +101,9 @@
         return new NodeInfo(info.node(), info.zone(), info.address(), name, info.machine());
     }
 
-    /** Where the IDs of a life begin: drawn, as the product's own programs do. */
+    /** Where the IDs of an incarnation begin: drawn, as the product's own programs do. */
     private long firstId() {
-        return world.random.nextLong() >>> 2;
+        return cluster.random.nextLong() >>> 2;
     }
 
     /** When a controller started last. */
@@ -123,40 +123,41 @@
 
     /** The seeds that name the present controllers. */
     void freshSeeds() {
-        seeds(world.controllers.subList(0, SEEDS));
+        seeds(cluster.controllers.subList(0, SEEDS));
     }
 
     /** An empty controller at a number that nobody had; it does not run yet. */
     SimulatedProcess addController(final String zone) {
-        final SimulatedProcess added = new SimulatedProcess(world, nextController++, zone, true, this::controllerNode);
-        world.processes.put(added.id, added);
-        world.controllers.add(added.id);
-        world.wellness.down(added);
+        final SimulatedProcess added =
+                new SimulatedProcess(cluster, nextController++, zone, true, this::controllerNode);
+        cluster.processes.put(added.id, added);
+        cluster.controllers.add(added.id);
+        cluster.outages.down(added);
         return added;
     }
 
     /** An empty storage machine at a number that nobody had; it does not run yet. */
     SimulatedProcess addStorage(final String zone) {
-        final SimulatedProcess added = new SimulatedProcess(world, nextStorage++, zone, true, this::storageNode);
+        final SimulatedProcess added = new SimulatedProcess(cluster, nextStorage++, zone, true, this::storageNode);
         names.put(added.id, nextName());
-        world.processes.put(added.id, added);
-        world.storages.add(added.id);
-        world.wellness.down(added);
+        cluster.processes.put(added.id, added);
+        cluster.storages.add(added.id);
+        cluster.outages.down(added);
         return added;
     }
 
     /** A machine is gone for good, with its disk. */
     void remove(final SimulatedProcess gone) {
         gone.goneForGood = true;
-        world.kill(gone, true);
+        cluster.kill(gone, true);
         gone.disk.wipe();
-        world.controllers.remove((Integer) gone.id);
-        world.storages.remove((Integer) gone.id);
+        cluster.controllers.remove((Integer) gone.id);
+        cluster.storages.remove((Integer) gone.id);
     }
 
     /** From the next start on there is another, empty machine at this number. */
     void reuseAddress(final SimulatedProcess gone) {
-        world.kill(gone, true);
+        cluster.kill(gone, true);
         gone.disk.wipe();
         if (names.containsKey(gone.id)) {
             names.put(gone.id, nextName());
@@ -164,15 +165,15 @@
     }
 
     boolean isController(final SimulatedProcess process) {
-        return world.controllers.contains(process.id);
+        return cluster.controllers.contains(process.id);
     }
 
     List<SimulatedProcess> controllers() {
-        return world.controllers.stream().map(world.processes::get).toList();
+        return cluster.controllers.stream().map(cluster.processes::get).toList();
     }
 
     List<SimulatedProcess> storages() {
-        return world.storages.stream().map(world.processes::get).toList();
+        return cluster.storages.stream().map(cluster.processes::get).toList();
     }
 
     /** The machines with disks, whose loss counts. */
--- a/testing/src/main/java/brookpath/testing/sim/DayOperators.java
+++ b/testing/src/main/java/brookpath/testing/sim/DayOperators.java
@@ -20,7 +20,7 @@
 final class DayOperators {
     private static final long REMOVED_KEY_MS = 5_000;
 
-    private final SimulatedCluster world;
+    private final SimulatedCluster cluster;
     private final Callers callers;
     private final Map<Integer, Long> shown = new HashMap<>();
     private final TreeMap<Long, Long> confirmedAt = new TreeMap<>();
@@ -29,8 +29,8 @@
     private final Set<String> refused = new LinkedHashSet<>();
     private int changes;
 
-    DayOperators(final SimulatedCluster world, final Callers callers) {
-        this.world = world;
+    DayOperators(final SimulatedCluster cluster, final Callers callers) {
+        this.cluster = cluster;
         this.callers = callers;
     }
 
@@ -42,10 +42,10 @@
     void keyUsed(final String key, final String did) {
         final Long at = removedAt.get(key);
         // why: a change under way may give the key back before its operator hears of it
-        if (at != null && grantsUnderWay.getOrDefault(key, 0) == 0 && world.now() > at + REMOVED_KEY_MS) {
-            world.history.violation(
-                    world.now(),
-                    "key " + key + " " + did + " " + (world.now() - at) + " ms after its removal was confirmed");
+        if (at != null && grantsUnderWay.getOrDefault(key, 0) == 0 && cluster.now() > at + REMOVED_KEY_MS) {
+            cluster.history.violation(
+                    cluster.now(),
+                    "key " + key + " " + did + " " + (cluster.now() - at) + " ms after its removal was confirmed");
         }
     }
 
@@ -69,20 +69,20 @@
                     .append("\",\"spaces\":[")
                     .append(t.equals("guest") ? "\"permits\"" : "\"permits\",\"closures\",\"clues\"")
                     .append("],\"keys\":[")
-                    .append(Callers.SHAKY.contains(t) && !withKeys.contains(t) ? "" : "\"key-" + t + "\"")
+                    .append(Callers.REVOCABLE_TENANTS.contains(t) && !withKeys.contains(t) ? "" : "\"key-" + t + "\"")
                     .append("]}");
         }
         return sb.append("]}").toString();
     }
 
     String document(final long basedOn, final String changeId, final boolean withGuest) {
-        return document(basedOn, changeId, withGuest ? Callers.SHAKY : List.of("half"));
+        return document(basedOn, changeId, withGuest ? Callers.REVOCABLE_TENANTS : List.of("half"));
     }
 
     /** Hands a document to any controller, again and again under the same ID until it gets a final outcome. */
     void change(final String doc, final String changeId, final Consumer<Response> then) {
         final SimulatedProcess p = callers.anyController();
-        final long at = world.now();
+        final long at = cluster.now();
         callers.ask(p, id -> new NodeRequest.Operate(id, "change", doc.getBytes(UTF_8)), r -> {
             callers.service.asked("change", at, r.status() == 200 || (r.status() >= 400 && r.status() < 500));
             if (r.status() == 200) {
@@ -90,20 +90,20 @@
                 confirmed(version, changeId);
                 then.accept(r);
             } else if (r.status() == 409 || r.status() == 422 || r.status() == 400) {
-                world.count("changes refused");
+                cluster.count("changes refused");
                 refused.add(changeId);
                 then.accept(r);
             } else {
-                world.at(world.now() + 200 + world.random.nextInt(500), () -> change(doc, changeId, then));
+                cluster.at(cluster.now() + 200 + cluster.random.nextInt(500), () -> change(doc, changeId, then));
             }
         });
     }
 
     /** A change was confirmed to an operator, and has to hold from now on. */
     void confirmed(final long version, final String changeId) {
-        world.history.confirmed(world.now(), version, changeId);
-        confirmedAt.putIfAbsent(version, world.now());
-        world.count("changes confirmed");
+        cluster.history.confirmed(cluster.now(), version, changeId);
+        confirmedAt.putIfAbsent(version, cluster.now());
+        cluster.count("changes confirmed");
     }
 
     /** Two operators race on the newest version that one of them read, now and then with nonsense. */
@@ -115,12 +115,12 @@
         callers.ask(p, id -> new NodeRequest.Operate(id, "spec", new byte[0]), r -> {
             if (r.status() == 200 && !callers.quiet) {
                 final long version = Callers.json(r.json()).getInt("version");
-                final int racers = 1 + world.random.nextInt(2);
+                final int racers = 1 + cluster.random.nextInt(2);
                 for (int i = 0; i < racers; i++) {
-                    turn(version, world.random.nextInt(5) == 0);
+                    turn(version, cluster.random.nextInt(5) == 0);
                 }
             }
-            world.at(world.now() + every / 2 + world.random.nextLong(every), () -> raceOnAndOn(every));
+            cluster.at(cluster.now() + every / 2 + cluster.random.nextLong(every), () -> raceOnAndOn(every));
         });
     }
 
@@ -128,7 +128,7 @@
     void race() {
         readConfiguration(r -> {
             if (r.status() == 200) {
-                world.count("staged races");
+                cluster.count("staged races");
                 turn(Callers.json(r.json()).getInt("version"), false);
                 turn(Callers.json(r.json()).getInt("version"), false);
             }
@@ -140,14 +140,15 @@
         callers.ask(
                 callers.anyController(),
                 id -> new NodeRequest.Operate(id, kind, body),
-                r -> world.count(kind + " said " + r.status()));
+                r -> cluster.count(kind + " said " + r.status()));
     }
 
     /** One change that takes keys away or gives them back, by chance. */
     void turn(final long basedOn, final boolean nonsense) {
         final String changeId = "change-" + ++changes;
-        final List<String> keys =
-                Callers.SHAKY.stream().filter(t -> world.random.nextInt(3) != 0).toList();
+        final List<String> keys = Callers.REVOCABLE_TENANTS.stream()
+                .filter(t -> cluster.random.nextInt(3) != 0)
+                .toList();
         final String doc = document(basedOn, changeId, keys);
         keys.forEach(t -> grantsUnderWay.merge("key-" + t, 1, Integer::sum));
         change(nonsense ? doc.replace("\"keepingSeconds\":30", "\"keepingSeconds\":-3") : doc, changeId, res -> {
@@ -156,14 +157,14 @@
                 return;
             }
             if (nonsense) {
-                world.history.violation(world.now(), changeId + " is nonsense and was confirmed");
+                cluster.history.violation(cluster.now(), changeId + " is nonsense and was confirmed");
             }
-            if (Callers.json(res.json()).getInt("version") == world.history.newestConfirmed()) {
-                for (final String t : Callers.SHAKY) {
+            if (Callers.json(res.json()).getInt("version") == cluster.history.newestConfirmed()) {
+                for (final String t : Callers.REVOCABLE_TENANTS) {
                     if (keys.contains(t)) {
                         removedAt.remove("key-" + t);
                     } else {
-                        removedAt.putIfAbsent("key-" + t, world.now());
+                        removedAt.putIfAbsent("key-" + t, cluster.now());
                     }
                 }
             }
@@ -177,7 +178,7 @@
 
     /** What every data-plane process shows, against what was confirmed. */
     void watch() {
-        for (final SimulatedProcess process : world.processes.values()) {
+        for (final SimulatedProcess process : cluster.processes.values()) {
             final ConfigurationClient client = process.alive && !process.frozen() ? clientOf(process) : null;
             if (client != null) {
                 checkInTime(process, client.configuration().version());
@@ -199,11 +200,11 @@
     private void checkInTime(final SimulatedProcess process, final long version) {
         final Map.Entry<Long, Long> missing = confirmedAt.higherEntry(version);
         if (missing != null
-                && world.now()
-                        > Math.max(missing.getValue(), world.wellness.configurationExcusedUntil(process.id))
-                                + world.timing.changeMs()) {
+                && cluster.now()
+                        > Math.max(missing.getValue(), cluster.outages.configurationOutageUntil(process.id))
+                                + cluster.timing.changeMs()) {
             violation("node " + process.id + " has configuration " + version + " still, "
-                    + (world.now() - missing.getValue()) + " ms after " + missing.getKey()
+                    + (cluster.now() - missing.getValue()) + " ms after " + missing.getKey()
                     + " was confirmed, and is not cut off");
         }
     }
@@ -216,7 +217,7 @@
             violation("node " + process.id + " went back from configuration " + before + " to " + version);
         }
         final Map.Entry<Long, Long> newest = confirmedAt.lastEntry();
-        if (newest != null && version < newest.getKey() && world.now() > newest.getValue()) {
+        if (newest != null && version < newest.getKey() && cluster.now() > newest.getValue()) {
             violation("node " + process.id + " honours configuration " + version + " while " + newest.getKey()
                     + " was confirmed at " + newest.getValue());
         }
@@ -226,6 +227,6 @@
     }
 
     private void violation(final String text) {
-        world.history.violation(world.now(), text);
+        cluster.history.violation(cluster.now(), text);
     }
 }
--- a/testing/src/main/java/brookpath/testing/sim/DeliveryLatencyOracle.java
+++ b/testing/src/main/java/brookpath/testing/sim/DeliveryLatencyOracle.java
@@ -8,46 +8,46 @@
  * others.
  */
 final class DeliveryLatencyOracle {
-    private final SimulatedCluster world;
+    private final SimulatedCluster cluster;
     private final Callers callers;
 
-    DeliveryLatencyOracle(final SimulatedCluster world, final Callers callers) {
-        this.world = world;
+    DeliveryLatencyOracle(final SimulatedCluster cluster, final Callers callers) {
+        this.cluster = cluster;
         this.callers = callers;
     }
 
     void committed(final Sent s) {
         final int group = callers.groupOf(s.topic);
         for (final Subscriber sub : callers.listeningTo(s.topic)) {
-            world.count("deliveries judged");
-            look(s, sub, sub.sessionId, group, s.committedAt + world.timing.deliverMs());
+            cluster.count("deliveries judged");
+            look(s, sub, sub.sessionId, group, s.committedAt + cluster.timing.deliverMs());
         }
     }
 
     private void look(final Sent s, final Subscriber sub, final long sessionId, final int group, final long deadline) {
-        world.at(deadline + 1, () -> {
+        cluster.at(deadline + 1, () -> {
             if (sub.listener.has(s) || sub.sessionId != sessionId || !callers.holds(sub)) {
-                // why: a session that broke is judged by its resuming, not by this
+                // why: a session that broke is checked by its resuming, not by this
                 return;
             }
-            ExpectedOutages.Excuse why = null;
+            ExpectedOutages.Outage why = null;
             long until = 0;
-            for (final Map.Entry<ExpectedOutages.Excuse, Long> e :
-                    world.wellness.deliveryExcuses(sub.gateway, group).entrySet()) {
+            for (final Map.Entry<ExpectedOutages.Outage, Long> e :
+                    cluster.outages.deliveryOutages(sub.gateway, group).entrySet()) {
                 if (e.getValue() > until) {
                     until = e.getValue();
                     why = e.getKey();
                 }
             }
-            if (until + world.timing.deliverMs() <= deadline) {
-                world.history.violation(
-                        world.now(),
+            if (until + cluster.timing.deliverMs() <= deadline) {
+                cluster.history.violation(
+                        cluster.now(),
                         sub.name + " on front " + sub.gateway + " has not got " + s.topic + "|" + s.sender + "|" + s.seq
                                 + ", accepted at " + s.committedAt + " in group " + group + ", "
-                                + (world.now() - s.committedAt) + " ms later, though it was listening");
+                                + (cluster.now() - s.committedAt) + " ms later, though it was listening");
             } else {
-                world.count("late, excused by " + why);
-                look(s, sub, sessionId, group, until + world.timing.deliverMs());
+                cluster.count("late, excused by " + why);
+                look(s, sub, sessionId, group, until + cluster.timing.deliverMs());
             }
         });
     }
--- a/testing/src/main/java/brookpath/testing/sim/ExpectedOutages.java
+++ b/testing/src/main/java/brookpath/testing/sim/ExpectedOutages.java
@@ -14,15 +14,15 @@
  * kill of somebody else excuses nothing.
  */
 final class ExpectedOutages {
-    /** What may excuse a judgement. */
-    enum Excuse {
+    /** What may exempt a judgement. */
+    enum Outage {
         DOWN,
         CUT_OFF,
         NO_CONTROL,
         NO_GROUP
     }
 
-    private final SimulatedCluster world;
+    private final SimulatedCluster cluster;
     private final TreeMap<Integer, Long> downUntil = new TreeMap<>();
     private final TreeMap<Integer, Long> cutOffUntil = new TreeMap<>();
     private final TreeMap<Integer, TreeMap<Integer, Long>> groupCutOffUntil = new TreeMap<>();
@@ -30,17 +30,17 @@
     private long noControlUntil;
     private long machinesOutUntil;
 
-    ExpectedOutages(final SimulatedCluster world) {
-        this.world = world;
+    ExpectedOutages(final SimulatedCluster cluster) {
+        this.cluster = cluster;
     }
 
     private boolean works(final int id) {
-        final SimulatedProcess p = world.processes.get(id);
+        final SimulatedProcess p = cluster.processes.get(id);
         return p.alive && !p.frozen();
     }
 
     private boolean joined(final int a, final int b) {
-        return a == b || (!world.net.isCut(a, b) && !world.net.isCut(b, a));
+        return a == b || (!cluster.net.isCut(a, b) && !cluster.net.isCut(b, a));
     }
 
     private List<Integer> joinedTo(final int id, final List<Integer> some) {
@@ -71,24 +71,24 @@
     }
 
     private boolean rebuilt(final int id) {
-        return world.processes.get(id).node instanceof ControllerNode b
+        return cluster.processes.get(id).node instanceof ControllerNode b
                 && b.group().lost();
     }
 
     /** Seen between two looks. */
     void down(final SimulatedProcess p) {
-        downUntil.put(p.id, world.now());
-        machinesOutUntil = world.now();
+        downUntil.put(p.id, cluster.now());
+        machinesOutUntil = cluster.now();
     }
 
     void watch() {
-        final long now = world.now();
-        final List<Integer> control = core(world.controllers);
+        final long now = cluster.now();
+        final List<Integer> control = core(cluster.controllers);
         if (control.size() < 2) {
             noControlUntil = now;
         }
-        final boolean cuts = world.net.anyCut();
-        for (final SimulatedProcess p : world.processes.values()) {
+        final boolean cuts = cluster.net.anyCut();
+        for (final SimulatedProcess p : cluster.processes.values()) {
             if (!p.alive || p.frozen()) {
                 downUntil.put(p.id, now);
                 machinesOutUntil = p.goneForGood ? machinesOutUntil : now;
@@ -97,19 +97,19 @@
             }
         }
         // why: one slow disk excuses nothing; two at once are more than the one machine whose loss must be survived
-        final long slow = world.storages.stream()
-                .filter(id -> world.processes.get(id).syncMs > 50)
+        final long slow = cluster.storages.stream()
+                .filter(id -> cluster.processes.get(id).syncMs > 50)
                 .count();
         machinesOutUntil = cuts || slow > 1 ? now : machinesOutUntil;
-        for (int g = 0; g < world.groups; g++) {
+        for (int g = 0; g < cluster.groups; g++) {
             watchGroup(g, control, cuts, now);
         }
     }
 
     private void watchGroup(final int g, final List<Integer> control, final boolean cuts, final long now) {
         List<Integer> members = List.of();
-        for (final int id : world.storages) {
-            final GroupMachine m = world.processes.get(id).node instanceof StorageNode s ? s.group(g) : null;
+        for (final int id : cluster.storages) {
+            final GroupMachine m = cluster.processes.get(id).node instanceof StorageNode s ? s.group(g) : null;
             if (m != null && members.isEmpty() && works(id)) {
                 members = m.members().stream().map(Member::node).toList();
             }
@@ -124,7 +124,7 @@
             noGroupUntil.put(g, now);
         }
         if (cuts) {
-            for (final int gateway : world.gateways) {
+            for (final int gateway : cluster.gateways) {
                 if (joinedTo(gateway, core).size() <= members.size() / 2) {
                     groupCutOffUntil
                             .computeIfAbsent(gateway, k -> new TreeMap<>())
@@ -135,7 +135,7 @@
     }
 
     /** The latest instant at which something excused this process from knowing the newest configuration. */
-    long configurationExcusedUntil(final int id) {
+    long configurationOutageUntil(final int id) {
         return Math.max(noControlUntil, Math.max(downUntil.getOrDefault(id, 0L), cutOffUntil.getOrDefault(id, 0L)));
     }
 
@@ -144,16 +144,16 @@
     }
 
     /** The latest instant at which something kept this gateway from delivering the group's records, by what. */
-    TreeMap<Excuse, Long> deliveryExcuses(final int gateway, final int group) {
-        final TreeMap<Excuse, Long> until = new TreeMap<>();
-        until.put(Excuse.DOWN, downUntil.getOrDefault(gateway, 0L));
+    TreeMap<Outage, Long> deliveryOutages(final int gateway, final int group) {
+        final TreeMap<Outage, Long> until = new TreeMap<>();
+        until.put(Outage.DOWN, downUntil.getOrDefault(gateway, 0L));
         until.put(
-                Excuse.CUT_OFF,
+                Outage.CUT_OFF,
                 Math.max(
                         cutOffUntil.getOrDefault(gateway, 0L),
                         groupCutOffUntil.getOrDefault(gateway, new TreeMap<>()).getOrDefault(group, 0L)));
-        until.put(Excuse.NO_CONTROL, noControlUntil);
-        until.put(Excuse.NO_GROUP, noGroupUntil.getOrDefault(group, 0L));
+        until.put(Outage.NO_CONTROL, noControlUntil);
+        until.put(Outage.NO_GROUP, noGroupUntil.getOrDefault(group, 0L));
         return until;
     }
 
--- a/testing/src/main/java/brookpath/testing/sim/MachineFaults.java
+++ b/testing/src/main/java/brookpath/testing/sim/MachineFaults.java
@@ -18,18 +18,18 @@
     private static final long REPEATED_DOWN_MS = 200;
     private static final long RESTART_EVERY_MS = 1_000;
 
-    private final SimulatedCluster world;
+    private final SimulatedCluster cluster;
     private final ControlFleet fleet;
     private final ControlHistory history;
     private final ControlCall calls;
     private long outUntil;
 
     MachineFaults(
-            final SimulatedCluster world,
+            final SimulatedCluster cluster,
             final ControlFleet fleet,
             final ControlHistory history,
             final ControlCall calls) {
-        this.world = world;
+        this.cluster = cluster;
         this.fleet = fleet;
         this.history = history;
         this.calls = calls;
@@ -37,7 +37,7 @@
 
     /** Whether all counted machines are back. */
     boolean free() {
-        return world.now() >= outUntil;
+        return cluster.now() >= outUntil;
     }
 
     long outUntil() {
@@ -45,36 +45,36 @@
     }
 
     /** A machine is out from now until it is back at that moment and has caught up. */
-    private void out(final SimulatedProcess process, final long spanMs) {
-        final long backAt = world.now() + spanMs;
+    private void out(final SimulatedProcess process, final long durationMs) {
+        final long backAt = cluster.now() + durationMs;
         outUntil = Math.max(outUntil, backAt + CATCH_UP_MS);
-        trouble();
-        world.at(backAt, this::trouble);
-        history.availability.excuse(process.id, backAt);
+        disturb();
+        cluster.at(backAt, this::disturb);
+        history.availability.exempt(process.id, backAt);
     }
 
     /** The core is unsettled by what happens now. */
-    void trouble() {
-        history.availability.trouble(world.now());
+    void disturb() {
+        history.availability.disturb(cluster.now());
     }
 
     // ---- down and back
 
-    void down(final SimulatedProcess process, final boolean powerLoss, final long spanMs) {
-        out(process, spanMs);
-        world.kill(process, powerLoss);
-        world.at(world.now() + spanMs, () -> back(process));
+    void down(final SimulatedProcess process, final boolean powerLoss, final long durationMs) {
+        out(process, durationMs);
+        cluster.kill(process, powerLoss);
+        cluster.at(cluster.now() + durationMs, () -> back(process));
     }
 
     /** Starts what does not run, unless it was shut down for good meanwhile. */
     private void back(final SimulatedProcess process) {
         if (!process.goneForGood) {
-            world.restart(process);
+            cluster.restart(process);
         }
     }
 
-    void wipe(final SimulatedProcess process, final long spanMs) {
-        down(process, true, spanMs);
+    void wipe(final SimulatedProcess process, final long durationMs) {
+        down(process, true, durationMs);
         process.disk.wipe();
     }
 
@@ -85,29 +85,29 @@
     void clockRepeats(
             final SimulatedProcess controller, final SimulatedProcess gateway, final int restarts, final long upMs) {
         final long skew = controller.skew;
-        world.freeze(gateway, restarts * (REPEATED_DOWN_MS + upMs));
+        cluster.freeze(gateway, restarts * (REPEATED_DOWN_MS + upMs));
         for (int i = 0; i < restarts; i++) {
-            world.at(world.now() + i * (REPEATED_DOWN_MS + upMs), () -> {
-                controller.skew -= world.now() + REPEATED_DOWN_MS - fleet.startedAt(controller);
+            cluster.at(cluster.now() + i * (REPEATED_DOWN_MS + upMs), () -> {
+                controller.skew -= cluster.now() + REPEATED_DOWN_MS - fleet.startedAt(controller);
                 down(controller, false, REPEATED_DOWN_MS);
             });
         }
-        final long spanMs = restarts * (REPEATED_DOWN_MS + upMs);
-        out(controller, spanMs);
-        world.at(world.now() + spanMs, () -> controller.skew = skew);
+        final long durationMs = restarts * (REPEATED_DOWN_MS + upMs);
+        out(controller, durationMs);
+        cluster.at(cluster.now() + durationMs, () -> controller.skew = skew);
     }
 
-    void freeze(final SimulatedProcess process, final long spanMs) {
-        out(process, spanMs);
-        world.freeze(process, spanMs);
+    void freeze(final SimulatedProcess process, final long durationMs) {
+        out(process, durationMs);
+        cluster.freeze(process, durationMs);
     }
 
     /** All counted machines, or all there are, go at once and come back one by one. */
     void allDown(final boolean powerLoss, final boolean gatewaysToo) {
-        final List<SimulatedProcess> all = gatewaysToo ? List.copyOf(world.processes.values()) : fleet.counted();
+        final List<SimulatedProcess> all = gatewaysToo ? List.copyOf(cluster.processes.values()) : fleet.counted();
         for (final SimulatedProcess process : all) {
             if (!process.goneForGood) {
-                down(process, powerLoss, 200 + world.random.nextLong(1_500));
+                down(process, powerLoss, 200 + cluster.random.nextLong(1_500));
             }
         }
     }
@@ -115,10 +115,10 @@
     void rollingRestart(final long downMs) {
         long at = 0;
         for (final SimulatedProcess process : fleet.controllers()) {
-            world.at(world.now() + at, () -> down(process, false, downMs));
+            cluster.at(cluster.now() + at, () -> down(process, false, downMs));
             at += downMs + CATCH_UP_MS;
         }
-        outUntil = Math.max(outUntil, world.now() + at);
+        outUntil = Math.max(outUntil, cluster.now() + at);
     }
 
     // ---- cuts
@@ -134,37 +134,37 @@
             final SimulatedProcess process,
             final List<SimulatedProcess> from,
             final Direction direction,
-            final long spanMs) {
-        out(process, spanMs);
-        excuseThoseCutFromCore(from, spanMs);
-        world.note(process.id, "is cut off, " + direction + ", for " + spanMs, false);
+            final long durationMs) {
+        out(process, durationMs);
+        excuseThoseCutFromCore(from, durationMs);
+        cluster.note(process.id, "is cut off, " + direction + ", for " + durationMs, false);
         for (final SimulatedProcess other : from) {
             if (direction != Direction.HEARING) {
-                world.net.cut(process.id, other.id);
+                cluster.net.cut(process.id, other.id);
             }
             if (direction != Direction.SENDING) {
-                world.net.cut(other.id, process.id);
+                cluster.net.cut(other.id, process.id);
             }
         }
-        world.at(world.now() + spanMs, world.net::heal);
+        cluster.at(cluster.now() + durationMs, cluster.net::heal);
     }
 
     /**
      * A controller is in touch only where it reaches every other that itself reaches more than half of them; whoever is
      * cut off from such a one is excused.
      */
-    private void excuseThoseCutFromCore(final List<SimulatedProcess> from, final long spanMs) {
+    private void excuseThoseCutFromCore(final List<SimulatedProcess> from, final long durationMs) {
         final List<SimulatedProcess> cut =
                 from.stream().filter(fleet::isController).toList();
         if (2 * (fleet.controllers().size() - cut.size()) > fleet.controllers().size()) {
-            cut.forEach(other -> history.availability.excuse(other.id, world.now() + spanMs));
+            cut.forEach(other -> history.availability.exempt(other.id, cluster.now() + durationMs));
         }
     }
 
-    void cutFromCallersToo(final SimulatedProcess process, final long spanMs) {
-        cut(process, others(process, List.copyOf(world.processes.values())), Direction.BOTH, spanMs);
+    void cutFromCallersToo(final SimulatedProcess process, final long durationMs) {
+        cut(process, others(process, List.copyOf(cluster.processes.values())), Direction.BOTH, durationMs);
         calls.unreachable.add(process.id);
-        world.at(world.now() + spanMs, () -> calls.unreachable.remove(process.id));
+        cluster.at(cluster.now() + durationMs, () -> calls.unreachable.remove(process.id));
     }
 
     List<SimulatedProcess> others(final SimulatedProcess process, final List<SimulatedProcess> all) {
@@ -180,8 +180,8 @@
         final SimulatedProcess next = controller ? fleet.addController(gone.zone) : fleet.addStorage(gone.zone);
         fleet.freshSeeds();
         out(next, REPLACEMENT_GAP_MS);
-        world.note(next.id, "is to replace node " + gone.id, false);
-        world.at(world.now() + REPLACEMENT_GAP_MS, next::start);
+        cluster.note(next.id, "is to replace node " + gone.id, false);
+        cluster.at(cluster.now() + REPLACEMENT_GAP_MS, next::start);
     }
 
     /** The new controller comes first; the old one is asked to hand over, and ends. */
@@ -190,11 +190,11 @@
         fleet.freshSeeds();
         next.start();
         out(next, CATCH_UP_MS);
-        world.note(next.id, "is to replace node " + gone.id + ", announced", false);
-        world.at(world.now() + CATCH_UP_MS, () -> {
+        cluster.note(next.id, "is to replace node " + gone.id + ", announced", false);
+        cluster.at(cluster.now() + CATCH_UP_MS, () -> {
             out(gone, RETREAT_MS);
-            world.callers.asked(gone, NodeRequest.Retreat::new, response -> world.count("control: retreats"));
-            world.at(world.now() + RETREAT_MS, () -> {
+            cluster.callers.ask(gone, NodeRequest.Retreat::new, response -> cluster.count("control: retreats"));
+            cluster.at(cluster.now() + RETREAT_MS, () -> {
                 remove(gone);
                 fleet.freshSeeds();
             });
@@ -203,7 +203,7 @@
 
     /** A machine never comes back, and nobody is to wait for it. */
     void remove(final SimulatedProcess gone) {
-        trouble();
+        disturb();
         if (!fleet.isController(gone)) {
             history.retirements.removed(fleet.name(gone.id));
         }
@@ -217,7 +217,7 @@
             history.retirements.removed(fleet.name(gone.id));
         }
         fleet.reuseAddress(gone);
-        world.at(world.now() + REPLACEMENT_GAP_MS, () -> back(gone));
+        cluster.at(cluster.now() + REPLACEMENT_GAP_MS, () -> back(gone));
     }
 
     /** One more storage machine, before another one is emptied. */
@@ -229,22 +229,22 @@
 
     // ---- disks
 
-    void slowDisk(final SimulatedProcess process, final long syncMs, final long spanMs) {
-        out(process, spanMs);
-        history.availability.trouble(world.now() + spanMs);
+    void slowDisk(final SimulatedProcess process, final long syncMs, final long durationMs) {
+        out(process, durationMs);
+        history.availability.disturb(cluster.now() + durationMs);
         process.syncMs = syncMs;
-        world.at(world.now() + spanMs, () -> process.syncMs = DISK_SYNC_MS);
+        cluster.at(cluster.now() + durationMs, () -> process.syncMs = DISK_SYNC_MS);
     }
 
     /** The disk takes no bytes; whoever looks after the process starts it again and again should it end. */
-    void fullDisk(final SimulatedProcess process, final long spanMs) {
-        out(process, spanMs);
-        history.availability.trouble(world.now() + spanMs);
+    void fullDisk(final SimulatedProcess process, final long durationMs) {
+        out(process, durationMs);
+        history.availability.disturb(cluster.now() + durationMs);
         process.disk.full(true);
-        for (long at = RESTART_EVERY_MS; at < spanMs; at += RESTART_EVERY_MS) {
-            world.at(world.now() + at, () -> back(process));
+        for (long at = RESTART_EVERY_MS; at < durationMs; at += RESTART_EVERY_MS) {
+            cluster.at(cluster.now() + at, () -> back(process));
         }
-        world.at(world.now() + spanMs, () -> {
+        cluster.at(cluster.now() + durationMs, () -> {
             process.disk.full(false);
             back(process);
         });
@@ -252,45 +252,45 @@
 
     // ---- without a loss
 
-    void clockStep(final long byMs, final long spanMs) {
-        for (final SimulatedProcess process : world.processes.values()) {
-            if (world.random.nextInt(10) < 3) {
+    void clockStep(final long byMs, final long durationMs) {
+        for (final SimulatedProcess process : cluster.processes.values()) {
+            if (cluster.random.nextInt(10) < 3) {
                 process.skew += byMs;
-                world.at(world.now() + spanMs, () -> {
+                cluster.at(cluster.now() + durationMs, () -> {
                     process.skew -= byMs;
-                    trouble();
+                    disturb();
                 });
             }
         }
-        trouble();
+        disturb();
     }
 
     /** Most sessions between processes break, and those with callers. */
     void resets() {
         final List<SimulatedProcess> all =
-                world.processes.values().stream().filter(p -> p.alive).toList();
+                cluster.processes.values().stream().filter(p -> p.alive).toList();
         for (int i = 0; i < all.size(); i++) {
             for (int j = i + 1; j < all.size(); j++) {
-                if (world.random.nextInt(5) != 0) {
-                    world.net.reset(all.get(i), all.get(j));
+                if (cluster.random.nextInt(5) != 0) {
+                    cluster.net.reset(all.get(i), all.get(j));
                 }
             }
         }
-        world.callers.resetAll();
-        trouble();
+        cluster.callers.resetAll();
+        disturb();
     }
 
     /** The last failure of a day is over: nothing is cut or slowed any more. */
     void mend() {
-        world.net.heal();
+        cluster.net.heal();
         calls.unreachable.clear();
-        for (final SimulatedProcess process : world.processes.values()) {
+        for (final SimulatedProcess process : cluster.processes.values()) {
             process.syncMs = DISK_SYNC_MS;
             if (process.disk != null) {
                 process.disk.full(false);
             }
             back(process);
         }
-        trouble();
+        disturb();
     }
 }
--- a/testing/src/main/java/brookpath/testing/sim/Operators.java
+++ b/testing/src/main/java/brookpath/testing/sim/Operators.java
@@ -32,7 +32,7 @@
     private static final int TOO_LATE = 408;
     private static final int TOO_MANY = 429;
 
-    private final SimulatedCluster world;
+    private final SimulatedCluster cluster;
     private final ControlFleet fleet;
     private final ControlHistory history;
     private final ControlCall calls;
@@ -45,11 +45,11 @@
     private boolean quiet;
 
     Operators(
-            final SimulatedCluster world,
+            final SimulatedCluster cluster,
             final ControlFleet fleet,
             final ControlHistory history,
             final ControlCall calls) {
-        this.world = world;
+        this.cluster = cluster;
         this.fleet = fleet;
         this.history = history;
         this.calls = calls;
@@ -80,18 +80,18 @@
         if (quiet) {
             return;
         }
-        switch (world.random.nextInt(10)) {
+        switch (cluster.random.nextInt(10)) {
             case 0 -> race();
             case 1 -> order(false);
             case 2 -> repeat();
             default -> order(true);
         }
-        world.at(world.now() + every / 2 + world.random.nextLong(every), () -> work(every));
+        cluster.at(cluster.now() + every / 2 + cluster.random.nextLong(every), () -> work(every));
     }
 
     /** Two operators make different changes from the same version, at once. */
     void race() {
-        world.count("control: races");
+        cluster.count("control: races");
         order(true);
         order(true);
     }
@@ -101,7 +101,7 @@
         storming = changes > 0 && !quiet;
         if (storming) {
             order(true);
-            world.at(world.now() + gapMs, () -> storm(changes - 1, gapMs));
+            cluster.at(cluster.now() + gapMs, () -> storm(changes - 1, gapMs));
         }
     }
 
@@ -110,7 +110,7 @@
         storming = changes > 0 && !quiet;
         if (storming) {
             order(false);
-            world.at(world.now() + REFUSED_GAP_MS, () -> refusedOrders(changes - 1));
+            cluster.at(cluster.now() + REFUSED_GAP_MS, () -> refusedOrders(changes - 1));
         } else if (!acknowledged.isEmpty()) {
             repeat(acknowledged.get(acknowledged.size() - 1));
         }
@@ -124,16 +124,16 @@
     /** One whole configuration on top of the newest version that is known; nothing where eight are under way. */
     void order(final boolean valid) {
         if (underWay >= MOST_UNDER_WAY) {
-            world.count("control: orders held back");
+            cluster.count("control: orders held back");
             return;
         }
         final String changeId = "order-" + ++orders;
-        final String document = world.callers.operators.document(newest, changeId, true);
+        final String document = cluster.callers.operators.document(newest, changeId, true);
         final String text = valid ? document : document.replace("\"keepingSeconds\":30", "\"keepingSeconds\":-3");
-        final Change change = new Change(changeId, newest, text, valid, world.now());
+        final Change change = new Change(changeId, newest, text, valid, cluster.now());
         history.changes.sent(change);
         if (valid) {
-            history.availability.ordered(world.now(), changeId);
+            history.availability.ordered(cluster.now(), changeId);
         }
         underWay++;
         send(change, anyController(null), 0);
@@ -142,20 +142,20 @@
     /** The newest order, or an older one, that was acknowledged is sent once more, as by one who did not hear of it. */
     private void repeat() {
         if (!acknowledged.isEmpty() && underWay < MOST_UNDER_WAY) {
-            final int back = world.random.nextBoolean() ? 1 : 1 + world.random.nextInt(acknowledged.size());
+            final int back = cluster.random.nextBoolean() ? 1 : 1 + cluster.random.nextInt(acknowledged.size());
             repeat(acknowledged.get(acknowledged.size() - Math.min(back, REPEATED_WITHIN)));
         }
     }
 
     private void repeat(final Change change) {
-        world.count("control: repeats");
+        cluster.count("control: repeats");
         underWay++;
-        history.availability.ordered(world.now(), change.changeId());
+        history.availability.ordered(cluster.now(), change.changeId());
         send(change, anyController(null), 0);
     }
 
     private void send(final Change change, final SimulatedProcess to, final int tries) {
-        world.count(tries == 0 ? "control: orders" : "control: orders sent again");
+        cluster.count(tries == 0 ? "control: orders" : "control: orders sent again");
         calls.call(
                 to,
                 ControlAnswer.CHANGE,
@@ -169,14 +169,14 @@
 
     private void answered(final Change change, final SimulatedProcess by, final int tries, final Response response) {
         if (!isFinal(response.status())) {
-            world.note(by.id, change.changeId() + " got no clear answer: " + response, false);
+            cluster.note(by.id, change.changeId() + " got no clear answer: " + response, false);
             again(change, by, tries);
             return;
         }
         if (response.status() == OK) {
             taken(change, ControlAnswer.of(response).version());
             if (calls.losesAnswer()) {
-                world.count("control: acknowledgements lost");
+                cluster.count("control: acknowledgements lost");
                 history.availability.finished(change.changeId());
                 again(change, by, tries);
                 return;
@@ -194,13 +194,13 @@
     }
 
     private void taken(final Change change, final long version) {
-        history.changes.acknowledged(world.now(), change.changeId(), version);
-        world.callers.operators.confirmed(version, change.changeId());
+        history.changes.acknowledged(cluster.now(), change.changeId(), version);
+        cluster.callers.operators.confirmed(version, change.changeId());
     }
 
     private void refused(final Change change, final Response response) {
-        world.count("control: refused with " + response.status());
-        history.changes.refused(world.now(), change.changeId(), response.status());
+        cluster.count("control: refused with " + response.status());
+        history.changes.refused(cluster.now(), change.changeId(), response.status());
         if (response.status() == CONFLICT) {
             read(anyController(null));
         }
@@ -208,8 +208,8 @@
 
     private void again(final Change change, final SimulatedProcess last, final int tries) {
         final long pause = Math.min(LONGEST_PAUSE_MS, PAUSE_MS << Math.min(tries, 4));
-        world.at(
-                world.now() + pause / 2 + world.random.nextLong(pause),
+        cluster.at(
+                cluster.now() + pause / 2 + cluster.random.nextLong(pause),
                 () -> send(change, anyController(last), tries + 1));
     }
 
@@ -217,7 +217,7 @@
     private SimulatedProcess anyController(final SimulatedProcess last) {
         final List<SimulatedProcess> others =
                 fleet.controllers().stream().filter(process -> process != last).toList();
-        return others.get(world.random.nextInt(others.size()));
+        return others.get(cluster.random.nextInt(others.size()));
     }
 
     // ---- reads
@@ -225,45 +225,45 @@
     /** Reads from each controller, again and again, also after the last order. */
     void read(final long every) {
         fleet.controllers().forEach(this::read);
-        world.at(world.now() + every / 2 + world.random.nextLong(every), () -> read(every));
+        cluster.at(cluster.now() + every / 2 + cluster.random.nextLong(every), () -> read(every));
     }
 
     private void read(final SimulatedProcess from) {
-        final long startedAt = world.now();
+        final long startedAt = cluster.now();
         calls.call(from, ControlAnswer.READ, new byte[0], "", response -> {
             if (response.status() == OK) {
-                final ControlAnswer told = ControlAnswer.of(response);
-                history.availability.served(world.now(), from.id);
+                final ControlAnswer answer = ControlAnswer.of(response);
+                history.availability.served(cluster.now(), from.id);
                 history.changes.read(
                         startedAt,
-                        world.now(),
-                        told.version(),
-                        ControlAnswer.changeIdOf(told.document()),
-                        told.document());
-                newest = Math.max(newest, told.version());
+                        cluster.now(),
+                        answer.version(),
+                        ControlAnswer.changeIdOf(answer.document()),
+                        answer.document());
+                newest = Math.max(newest, answer.version());
             } else if (response.status() / 100 == 4) {
                 // why: no configuration at all is the oldest one
-                history.changes.read(startedAt, world.now(), 0, "", "");
+                history.changes.read(startedAt, cluster.now(), 0, "", "");
             }
         });
     }
 
     /** The last read, from any controller that answers; tried for a while. */
     void readBack(final int tries) {
-        final long startedAt = world.now();
+        final long startedAt = cluster.now();
         calls.call(anyController(null), ControlAnswer.READ, new byte[0], "", response -> {
-            final ControlAnswer told = ControlAnswer.of(response);
+            final ControlAnswer answer = ControlAnswer.of(response);
             if (response.status() == OK) {
                 history.changes.readBack(
                         startedAt,
-                        world.now(),
-                        told.version(),
-                        ControlAnswer.changeIdOf(told.document()),
-                        told.document());
+                        cluster.now(),
+                        answer.version(),
+                        ControlAnswer.changeIdOf(answer.document()),
+                        answer.document());
             } else if (tries > 0 && !isFinal(response.status())) {
-                world.at(world.now() + LONGEST_PAUSE_MS, () -> readBack(tries - 1));
+                cluster.at(cluster.now() + LONGEST_PAUSE_MS, () -> readBack(tries - 1));
             } else {
-                history.changes.readBackFailed(world.now(), response.status());
+                history.changes.readBackFailed(cluster.now(), response.status());
             }
         });
     }
--- a/testing/src/main/java/brookpath/testing/sim/Platform.java
+++ b/testing/src/main/java/brookpath/testing/sim/Platform.java
@@ -16,38 +16,38 @@
  * hears back.
  */
 public final class Platform {
-    private final SimulatedCluster world;
-    private long troubleUntil;
+    private final SimulatedCluster cluster;
+    private long disturbedUntil;
     private boolean down;
 
-    Platform(final SimulatedCluster world) {
-        this.world = world;
+    Platform(final SimulatedCluster cluster) {
+        this.cluster = cluster;
     }
 
     /** @param down takes nothing at all meanwhile */
-    void trouble(final long forMs, final boolean down) {
+    void disturb(final long forMs, final boolean down) {
         this.down = down;
-        troubleUntil = Math.max(troubleUntil, world.now() + forMs);
+        disturbedUntil = Math.max(disturbedUntil, cluster.now() + forMs);
     }
 
-    long troubleUntil() {
-        return troubleUntil;
+    long disturbedUntil() {
+        return disturbedUntil;
     }
 
     void post(final SimulatedProcess from, final Action.Post post) {
         logged(from, post);
-        final long life = from.life;
-        final boolean trouble = world.now() < troubleUntil;
-        final int kind = !trouble ? 3 : down ? 0 : world.random.nextInt(4);
-        final long delay = trouble && kind != 0 ? 2_000 + world.random.nextInt(3_000) : 5;
-        world.at(world.now() + delay, () -> {
+        final long incarnation = from.incarnation;
+        final boolean disturb = cluster.now() < disturbedUntil;
+        final int kind = !disturb ? 3 : down ? 0 : cluster.random.nextInt(4);
+        final long delay = disturb && kind != 0 ? 2_000 + cluster.random.nextInt(3_000) : 5;
+        cluster.at(cluster.now() + delay, () -> {
             // why: 0 fails before it takes the report, 1 and 2 take it and the response is lost or late, 3 works
             if (kind != 0) {
                 take(post);
             }
             final PostOutcome outcome =
                     kind == 0 ? PostOutcome.FAILED : kind == 1 ? PostOutcome.UNKNOWN : PostOutcome.ACCEPTED;
-            if (from.alive && from.life == life) {
+            if (from.alive && from.incarnation == incarnation) {
                 from.request(new NodeRequest.Posted(post.requestId(), outcome));
             }
         });
@@ -62,19 +62,19 @@
                 return;
             }
         }
-        world.history.violation(
-                world.now(), "node " + from.id + " posts " + post.key() + " before its log has accepted the total");
+        cluster.history.violation(
+                cluster.now(), "node " + from.id + " posts " + post.key() + " before its log has accepted the total");
     }
 
     private void take(final Action.Post post) {
-        world.count("usage posts");
+        cluster.count("usage posts");
         try (var rd = Json.createReader(new ByteArrayInputStream(post.json().getBytes(UTF_8)))) {
             final var obj = rd.readObject();
             final long end = obj.getJsonNumber("windowEndMs").longValue();
             obj.getJsonArray("tenants")
                     .getValuesAs(JsonObject.class)
-                    .forEach(t -> world.history.usage.reported(
-                            world.now(),
+                    .forEach(t -> cluster.history.usage.reported(
+                            cluster.now(),
                             t.getString("tenant"),
                             end - SimulatedCluster.WALL,
                             t.getJsonNumber("publishes").longValue(),
@@ -83,30 +83,30 @@
         }
     }
 
-    /** Every so often: reports are punctual, and every controller that knows a window's total knows the same. */
+    /** Every so often: reports are checkInTime, and every controller that knows a window's total knows the same. */
     void watch() {
-        final long excused = Math.max(troubleUntil, world.wellness.noControlUntil());
-        world.history.usage.punctual(
-                world.now(), world.callers.tenants(), world.timing.windowMs(), Math.min(excused, world.now()));
-        for (final int id : world.controllers) {
-            if (world.processes.get(id).alive && world.processes.get(id).node instanceof ControllerNode b) {
+        final long excused = Math.max(disturbedUntil, cluster.outages.noControlUntil());
+        cluster.history.usage.checkInTime(
+                cluster.now(), cluster.callers.tenants(), cluster.timing.windowMs(), Math.min(excused, cluster.now()));
+        for (final int id : cluster.controllers) {
+            if (cluster.processes.get(id).alive && cluster.processes.get(id).node instanceof ControllerNode b) {
                 for (final ControlState.Window w : ((ControlState) b.group().live()).windows()) {
-                    final long end = (w.window() + 1) * world.timing.windowMs() - SimulatedCluster.WALL;
+                    final long end = (w.window() + 1) * cluster.timing.windowMs() - SimulatedCluster.WALL;
                     if (w.index() <= b.group().committed()) {
                         w.used()
-                                .forEach(u -> world.history.usage.agrees(
-                                        world.now(), "node " + id, u.tenant(), end, u.publishes(), u.bytes()));
+                                .forEach(u -> cluster.history.usage.agrees(
+                                        cluster.now(), "node " + id, u.tenant(), end, u.publishes(), u.bytes()));
                     }
                 }
             }
         }
-        world.at(world.now() + 1_000, this::watch);
+        cluster.at(cluster.now() + 1_000, this::watch);
     }
 
     void settle() {
-        for (final String tenant : world.callers.tenants()) {
-            world.history.usage.settle(
-                    world.now(), tenant, s -> Callers.tenantOf(s.sender).equals(tenant));
+        for (final String tenant : cluster.callers.tenants()) {
+            cluster.history.usage.settle(
+                    cluster.now(), tenant, s -> Callers.tenantOf(s.sender).equals(tenant));
         }
     }
 }
--- a/testing/src/main/java/brookpath/testing/sim/ProcessHeartbeats.java
+++ b/testing/src/main/java/brookpath/testing/sim/ProcessHeartbeats.java
@@ -42,7 +42,7 @@
     /** Begins with the process's new node. */
     void start() {
         monitor = new HeartbeatMonitor(
-                process.world.timingOf(process.id), process.node.heartbeatPeriod(), process.node.promises());
+                process.cluster.timingOf(process.id), process.node.heartbeatPeriod(), process.node.promises());
     }
 
     /** The table as the state thread has it. */
@@ -136,13 +136,13 @@
     }
 
     private long lagMs() {
-        return process.world.random.nextInt(ONE_LAG_IN) == 0 ? 1 + process.world.random.nextInt(MAX_LAG_MS) : 0;
+        return process.cluster.random.nextInt(ONE_LAG_IN) == 0 ? 1 + process.cluster.random.nextInt(MAX_LAG_MS) : 0;
     }
 
     private void send() {
         out.drain().forEach(action -> {
             if (action instanceof Action.Send send) {
-                process.world.net.send(process, send.node(), send.message());
+                process.cluster.net.send(process, send.node(), send.message());
             }
         });
     }
--- a/testing/src/main/java/brookpath/testing/sim/ProcessLog.java
+++ b/testing/src/main/java/brookpath/testing/sim/ProcessLog.java
@@ -11,7 +11,7 @@
     private static final long SCRUB_PERIOD_MS = 10_000;
 
     private final SimulatedProcess process;
-    private final SimulatedCluster world;
+    private final SimulatedCluster cluster;
     private WriteAheadLog writeAheadLog;
     private DiskWriter writer;
     private List<Action> pending = new ArrayList<>();
@@ -19,7 +19,7 @@
 
     ProcessLog(final SimulatedProcess process) {
         this.process = process;
-        world = process.world;
+        cluster = process.cluster;
     }
 
     /** Forgets what a former incarnation had not written. */
@@ -38,7 +38,7 @@
         final WriteAheadLog.Recovery recovery = WriteAheadLog.recover(process.disk);
         writeAheadLog = recovery.writeAheadLog();
         writer = new DiskWriter(writeAheadLog);
-        world.count(recovery.damaged() ? "damaged folders" : "recoveries");
+        cluster.count(recovery.damaged() ? "damaged folders" : "recoveries");
         return recovery.replayed();
     }
 
@@ -47,7 +47,7 @@
         if (process.disk != null) {
             process.after(SCRUB_PERIOD_MS, () -> {
                 if (!process.frozen() && !busy && !writeAheadLog.whole()) {
-                    world.count("damage found by the sweep of the disk");
+                    cluster.count("damage found by the sweep of the disk");
                     process.run(p -> p.node.damaged(p.time()));
                 }
                 scheduleScrub();
@@ -79,21 +79,21 @@
         try {
             allWritten = writer.write();
         } catch (final RuntimeException ex) {
-            world.kill(process, false);
+            cluster.kill(process, false);
             return;
         }
-        process.after(process.syncMs + world.random.nextInt(3), () -> sync(batch, allWritten));
+        process.after(process.syncMs + cluster.random.nextInt(3), () -> sync(batch, allWritten));
     }
 
     private void sync(final List<Action> batch, final boolean allWritten) {
-        final long incarnation = process.life;
+        final long incarnation = process.incarnation;
         final long number;
         try {
-            number = world.mutations.contains(Mutation.NO_FSYNC) ? writer.written() : writer.sync();
+            number = cluster.mutations.contains(Mutation.NO_FSYNC) ? writer.written() : writer.sync();
         } catch (final RuntimeException ex) {
             // why: a failed sync takes the process out, as the real host does
-            world.count("failed syncs");
-            world.kill(process, false);
+            cluster.count("failed syncs");
+            cluster.kill(process, false);
             return;
         }
         if (allWritten && crashesAfterSync(batch)) {
@@ -101,28 +101,28 @@
         }
         busy = !allWritten;
         process.run(p -> p.node.synced(number, p.time()));
-        if (process.alive && process.life == incarnation) {
+        if (process.alive && process.incarnation == incarnation) {
             continueAfterSync(allWritten);
         }
     }
 
     private boolean crashesAfterSync(final List<Action> batch) {
-        return world.armed != null
+        return cluster.armed != null
                 && batch.stream()
-                        .anyMatch(a -> a instanceof Action.Write w && CrashPoint.ofWrite(w.entry()) == world.armed)
-                && CrashPoint.owns(process.node, world.groups)
-                && world.crashes(process);
+                        .anyMatch(a -> a instanceof Action.Write w && CrashPoint.ofWrite(w.entry()) == cluster.armed)
+                && CrashPoint.owns(process.node, cluster.groups)
+                && cluster.crashes(process);
     }
 
     /** What has come meanwhile is written at once, what found the disk full after a pause. */
     private void continueAfterSync(final boolean allWritten) {
         if (writer.takeSnapshotRefused()) {
-            world.count("snapshots without room");
-            process.after(world.timing.recoverMs() / 4, () -> process.run(p -> p.node.snapshotRefused(p.time())));
+            cluster.count("snapshots without room");
+            process.after(cluster.timing.recoverMs() / 4, () -> process.run(p -> p.node.snapshotRefused(p.time())));
         }
         if (!allWritten) {
-            world.count("writes that found the disk full");
-            process.after(world.timing.diskPause(), () -> write(takePending()));
+            cluster.count("writes that found the disk full");
+            process.after(cluster.timing.diskPause(), () -> write(takePending()));
         } else if (!process.frozen()) {
             writePending();
         }
--- a/testing/src/main/java/brookpath/testing/sim/RetireOperator.java
+++ b/testing/src/main/java/brookpath/testing/sim/RetireOperator.java
@@ -28,17 +28,17 @@
             Consumer<SimulatedProcess> acknowledged,
             Runnable emptied) {}
 
-    private final SimulatedCluster world;
+    private final SimulatedCluster cluster;
     private final ControlFleet fleet;
     private final ControlHistory history;
     private final ControlCall calls;
 
     RetireOperator(
-            final SimulatedCluster world,
+            final SimulatedCluster cluster,
             final ControlFleet fleet,
             final ControlHistory history,
             final ControlCall calls) {
-        this.world = world;
+        this.cluster = cluster;
         this.fleet = fleet;
         this.history = history;
         this.calls = calls;
@@ -46,12 +46,12 @@
 
     /** Orders that the machine be emptied, again until that is acknowledged; waits until it is empty. */
     void retire(final Retirement retirement) {
-        world.count("control: retirements");
+        cluster.count("control: retirements");
         order(retirement);
     }
 
     private void order(final Retirement retirement) {
-        if (world.now() > retirement.giveUpAt()) {
+        if (cluster.now() > retirement.giveUpAt()) {
             look(retirement);
             return;
         }
@@ -66,19 +66,19 @@
 
     /** Sends the order once; the next step comes a while after its answer. */
     private void send(final Retirement retirement, final Consumer<Boolean> next) {
-        final long startedAt = world.now();
+        final long startedAt = cluster.now();
         final SimulatedProcess to = anyController();
         final String subject = String.valueOf(retirement.storage().id);
         calls.call(to, ControlAnswer.RETIRE, retirement.name().getBytes(UTF_8), subject, response -> {
             final boolean taken = response.status() / 100 == 2;
             if (taken) {
-                history.retirements.acknowledged(world.now(), retirement.name());
+                history.retirements.acknowledged(cluster.now(), retirement.name());
                 retirement.acknowledged().accept(to);
             } else if (Operators.isFinal(response.status())) {
-                world.count("control: retirements refused with " + response.status());
-                history.retirements.refused(startedAt, world.now(), retirement.name(), response.status());
+                cluster.count("control: retirements refused with " + response.status());
+                history.retirements.refused(startedAt, cluster.now(), retirement.name(), response.status());
             }
-            world.at(world.now() + AGAIN_MS, () -> next.accept(taken));
+            cluster.at(cluster.now() + AGAIN_MS, () -> next.accept(taken));
         });
     }
 
@@ -87,21 +87,21 @@
         if (retirement.storage().goneForGood || !retirement.name().equals(fleet.name(retirement.storage().id))) {
             return;
         }
-        final long startedAt = world.now();
+        final long startedAt = cluster.now();
         final byte[] name = retirement.name().getBytes(UTF_8);
         calls.call(anyController(), ControlAnswer.RETIREMENT, name, "", response -> {
             final Progress progress = progress(response);
             if (progress != null) {
-                history.retirements.progress(startedAt, world.now(), retirement.name(), progress);
+                history.retirements.progress(startedAt, cluster.now(), retirement.name(), progress);
             }
             if (progress == Progress.COMPLETED) {
-                world.count("control: retirements completed");
+                cluster.count("control: retirements completed");
                 retirement.emptied().run();
-                world.at(world.now() + AGAIN_MS, () -> send(retirement, taken -> {}));
-            } else if (progress == Progress.RUNNING && world.random.nextBoolean()) {
+                cluster.at(cluster.now() + AGAIN_MS, () -> send(retirement, taken -> {}));
+            } else if (progress == Progress.RUNNING && cluster.random.nextBoolean()) {
                 send(retirement, taken -> look(retirement));
             } else {
-                world.at(world.now() + AGAIN_MS, () -> look(retirement));
+                cluster.at(cluster.now() + AGAIN_MS, () -> look(retirement));
             }
         });
     }
@@ -119,6 +119,6 @@
 
     private SimulatedProcess anyController() {
         final List<SimulatedProcess> all = fleet.controllers();
-        return all.get(world.random.nextInt(all.size()));
+        return all.get(cluster.random.nextInt(all.size()));
     }
 }
--- a/testing/src/main/java/brookpath/testing/sim/SimulatedCluster.java
+++ b/testing/src/main/java/brookpath/testing/sim/SimulatedCluster.java
@@ -36,9 +36,9 @@
     final SimulatedNetwork net = new SimulatedNetwork(this);
     final Callers callers;
     public final Platform platform;
-    final FleetSize shape;
+    final FleetSize size;
     final int groups;
-    final ExpectedOutages wellness = new ExpectedOutages(this);
+    final ExpectedOutages outages = new ExpectedOutages(this);
     public final List<Long> sendToAccept = new ArrayList<>();
     final List<Integer> controllers = new ArrayList<>();
     final List<Integer> storages = new ArrayList<>();
@@ -50,14 +50,14 @@
     /** Set before the first run: how many machines at once the fleet is founded to lose. */
     int toleratedLosses = 1;
 
-    public SimulatedCluster(final long seed, final FleetSize shape, final EnumSet<Mutation> mutations) {
-        this(seed, shape, mutations, TimingBounds.DEFAULT, TimingBounds.DEFAULT);
+    public SimulatedCluster(final long seed, final FleetSize size, final EnumSet<Mutation> mutations) {
+        this(seed, size, mutations, TimingBounds.DEFAULT, TimingBounds.DEFAULT);
     }
 
     /** @param controlTiming of the control plane's processes */
     SimulatedCluster(
             final long seed,
-            final FleetSize shape,
+            final FleetSize size,
             final EnumSet<Mutation> mutations,
             final TimingBounds timing,
             final TimingBounds controlTiming) {
@@ -65,8 +65,8 @@
         this.controlTiming = controlTiming;
         random = new SplittableRandom(seed);
         this.mutations = mutations;
-        this.shape = shape;
-        groups = shape.groups();
+        this.size = size;
+        groups = size.groups();
         platform = new Platform(this);
         callers = new Callers(this);
         for (int i = 0; i < FOUNDING_CONTROLLERS; i++) {
@@ -75,7 +75,7 @@
         for (int i = 0; i < ZONES.size(); i++) {
             storage(FIRST_STORAGE + i, ZONES.get(i));
         }
-        for (int i = 0; i < shape.gateways(); i++) {
+        for (int i = 0; i < size.gateways(); i++) {
             addGateway(FIRST_GATEWAY + i, ZONES.get(i % ZONES.size()));
         }
         processes.values().forEach(p -> at(random.nextInt(500), p::start));
@@ -93,7 +93,7 @@
                     new Founding(groups, 3, 4, toleratedLosses),
                     controlTiming,
                     random.nextLong(),
-                    process.life << 32,
+                    process.incarnation << 32,
                     ROLL_BYTES);
             entries.forEach(e -> node.replay(e, process.time()));
             return node;
@@ -111,7 +111,8 @@
                         id,
                         zone,
                         false,
-                        (process, entries) -> new GatewayNode(process.info(), SEEDS, timing, process.life << 32)));
+                        (process, entries) ->
+                                new GatewayNode(process.info(), SEEDS, timing, process.incarnation << 32)));
     }
 
     /** One more controller that no founding names, as an operator would add it: empty, with these to ask first. */
@@ -125,7 +126,7 @@
                     new Founding(groups, 3, 4, toleratedLosses),
                     controlTiming,
                     random.nextLong(),
-                    process.life << 32,
+                    process.incarnation << 32,
                     ROLL_BYTES);
             entries.forEach(e -> node.replay(e, process.time()));
             return node;
@@ -139,7 +140,7 @@
         storages.add(id);
         final SimulatedProcess added = new SimulatedProcess(this, id, zone, true, (process, entries) -> {
             final StorageNode node = new StorageNode(
-                    process.info(), SEEDS, timing, 1, random.nextLong(), process.life << 32, ROLL_BYTES);
+                    process.info(), SEEDS, timing, 1, random.nextLong(), process.incarnation << 32, ROLL_BYTES);
             entries.forEach(e -> node.replay(e, process.time()));
             return node;
         });
@@ -151,30 +152,11 @@
     SimulatedProcess addStorage(final int id, final String zone) {
         final SimulatedProcess added = storage(id, zone);
         note(id, "is added", false);
-        wellness.down(added);
+        outages.down(added);
         added.start();
         return added;
     }
 
-    /** A small world whose first document is confirmed, and whose groups have leaders. */
-    static SimulatedCluster serving(final long seed) {
-        return serving(seed, TimingBounds.DEFAULT, TimingBounds.DEFAULT);
-    }
-
-    /** The same with other periods. */
-    static SimulatedCluster serving(final long seed, final TimingBounds timing, final TimingBounds controlTiming) {
-        final SimulatedCluster world =
-                new SimulatedCluster(seed, FleetSize.SMALL, EnumSet.noneOf(Mutation.class), timing, controlTiming);
-        world.run(4_000);
-        world.callers.operators.change(world.callers.operators.document(0, "first", true), "first", r -> {
-            if (r.status() != 200) {
-                throw new IllegalStateException("the first change was not confirmed: " + r);
-            }
-        });
-        world.run(8_000);
-        return world;
-    }
-
     /** Virtual time in milliseconds. */
     public long now() {
         return events.now();
@@ -233,7 +215,7 @@
 
     private void watch() {
         leaders.check();
-        wellness.watch();
+        outages.watch();
         callers.operators.watch();
         at(now() + LeaderWatch.PERIOD_MS, this::watch);
     }
@@ -262,13 +244,13 @@
             return;
         }
         p.alive = false;
-        p.life++;
-        wellness.down(p);
+        p.incarnation++;
+        outages.down(p);
         if (powerLoss && p.disk != null) {
             p.disk.powerLoss(random);
         }
         note(p.id, powerLoss ? "loses power" : "is killed", false);
-        callers.gatewayGone(p);
+        callers.resetConnections(p);
         for (final SimulatedProcess other : processes.values()) {
             if (other.alive) {
                 at(now() + 1, () -> other.run(o -> o.node.sessionLost(p.id, o.time())));
--- a/testing/src/main/java/brookpath/testing/sim/SimulatedDay.java
+++ b/testing/src/main/java/brookpath/testing/sim/SimulatedDay.java
@@ -12,7 +12,7 @@
 
 /** One seeded day: a fleet, its callers and operators, failures, and a morning after on which all is read back. */
 public final class SimulatedDay {
-    private static final long LULL = 24_000;
+    private static final long RECOVERY_PAUSE_MS = 24_000;
 
     /** What may go wrong in a day. */
     public enum Fault {
@@ -48,7 +48,7 @@
     /** What a day is made of. */
     public record Plan(
             long seed,
-            FleetSize shape,
+            FleetSize size,
             long lengthMs,
             long faultEveryMs,
             EnumSet<Fault> faults,
@@ -66,11 +66,11 @@
         }
 
         public Plan broken(final Mutation mutation) {
-            return new Plan(seed, shape, lengthMs, faultEveryMs, faults, EnumSet.of(mutation), ending);
+            return new Plan(seed, size, lengthMs, faultEveryMs, faults, EnumSet.of(mutation), ending);
         }
 
         public Plan ending(final Ending other) {
-            return new Plan(seed, shape, lengthMs, faultEveryMs, faults, mutations, other);
+            return new Plan(seed, size, lengthMs, faultEveryMs, faults, mutations, other);
         }
 
         public Plan sized(final FleetSize other) {
@@ -78,11 +78,11 @@
         }
 
         public Plan lasting(final long ms) {
-            return new Plan(seed, shape, ms, faultEveryMs, faults, mutations, ending);
+            return new Plan(seed, size, ms, faultEveryMs, faults, mutations, ending);
         }
     }
 
-    /** How a day ends: without a failure, on one, or on one whose victim, a disk machine, is never seen again. */
+    /** How a day ends: without a failure, on one, or on one whose target, a disk machine, is never seen again. */
     public enum Ending {
         CALM,
         ON_A_FAULT,
@@ -114,62 +114,62 @@
     }
 
     private final Plan plan;
-    private final SimulatedCluster world;
+    private final SimulatedCluster cluster;
     private int strikes;
     private final DayFaults failures;
 
     private SimulatedDay(final Plan plan) {
         this.plan = plan;
-        world = new SimulatedCluster(plan.seed, plan.shape, plan.mutations);
-        failures = new DayFaults(world);
+        cluster = new SimulatedCluster(plan.seed, plan.size, plan.mutations);
+        failures = new DayFaults(cluster);
     }
 
     public static Outcome live(final Plan plan) {
         return new SimulatedDay(plan).live();
     }
 
-    /** A calm day's world after its people have been about for the plan's length, for measurements. */
+    /** A calm day's cluster after its startCallers have been about for the plan's length, for measurements. */
     static SimulatedCluster calm(final Plan plan) {
         final SimulatedDay day = new SimulatedDay(plan);
         day.begin();
-        day.world.run(day.world.now() + plan.lengthMs);
-        return day.world;
+        day.cluster.run(day.cluster.now() + plan.lengthMs);
+        return day.cluster;
     }
 
     private void begin() {
-        world.run(4_000);
-        world.callers.operators.change(world.callers.operators.document(0, "first", true), "first", r -> {
+        cluster.run(4_000);
+        cluster.callers.operators.change(cluster.callers.operators.document(0, "first", true), "first", r -> {
             if (r.status() != 200) {
-                world.history.violation(world.now(), "the first change was not confirmed: " + r);
+                cluster.history.violation(cluster.now(), "the first change was not confirmed: " + r);
             }
         });
-        world.run(8_000);
-        people();
-        world.run(11_000);
+        cluster.run(8_000);
+        startCallers();
+        cluster.run(11_000);
     }
 
     private Outcome live() {
         begin();
-        world.callers.operators.raceOnAndOn(2_000);
-        long next = world.now() + plan.faultEveryMs;
+        cluster.callers.operators.raceOnAndOn(2_000);
+        long next = cluster.now() + plan.faultEveryMs;
         final List<Fault> faults = new ArrayList<>(plan.faults);
-        final long end = world.now() + plan.lengthMs;
-        while (world.now() < end && !faults.isEmpty()) {
-            world.run(Math.min(end, next));
-            // why: now and then a lull in which all machines are back, so that recovery is judged in mid-day, too
-            next = world.now()
+        final long end = cluster.now() + plan.lengthMs;
+        while (cluster.now() < end && !faults.isEmpty()) {
+            cluster.run(Math.min(end, next));
+            // why: now and then a lull in which all machines are back, so that recovery is checked in mid-day, too
+            next = cluster.now()
                     + plan.faultEveryMs / 2
-                    + world.random.nextLong(plan.faultEveryMs)
-                    + (++strikes % 6 == 0 ? LULL : 0);
-            failures.strike(faults.get(world.random.nextInt(faults.size())));
-            if (world.random.nextInt(4) == 0) {
-                failures.strike(faults.get(world.random.nextInt(faults.size())));
+                    + cluster.random.nextLong(plan.faultEveryMs)
+                    + (++strikes % 6 == 0 ? RECOVERY_PAUSE_MS : 0);
+            failures.strike(faults.get(cluster.random.nextInt(faults.size())));
+            if (cluster.random.nextInt(4) == 0) {
+                failures.strike(faults.get(cluster.random.nextInt(faults.size())));
             }
         }
-        world.run(end);
+        cluster.run(end);
         if (plan.ending != Ending.CALM && !faults.isEmpty()) {
-            failures.strike(faults.get(world.random.nextInt(faults.size())));
-            world.run(world.now() + 1_000);
+            failures.strike(faults.get(cluster.random.nextInt(faults.size())));
+            cluster.run(cluster.now() + 1_000);
         }
         if (plan.ending == Ending.ONE_GONE) {
             failures.loseOne();
@@ -178,38 +178,39 @@
     }
 
     /**
-     * Two senders a topic at the shape's rate, one patient and one of any; half of the sessions live on a key that
-     * comes and goes.
+     * Two senders a topic at the size's rate, one patient and one of any; half of the sessions live on a key that comes
+     * and attempts.
      */
-    private void people() {
-        final FleetSize shape = plan.shape;
-        final long every = (long) (2_000 * shape.topics() / shape.perSecond());
-        final List<String> tenants = world.callers.tenants();
-        for (int i = 0; i < shape.topics(); i++) {
+    private void startCallers() {
+        final FleetSize size = plan.size;
+        final long every = (long) (2_000 * size.topics() / size.perSecond());
+        final List<String> tenants = cluster.callers.tenants();
+        for (int i = 0; i < size.topics(); i++) {
             final String tenant = tenants.size() > 3 ? tenants.get(3 + i % (tenants.size() - 3)) : "members";
-            world.callers.publisher("ana", Callers.topic(i), "key-members", every, 30);
-            world.callers.publisher(tenant + "-bo", Callers.topic(i), "key-" + tenant, every, i % 2 == 0 ? 1 : 30);
+            cluster.callers.publisher("ana", Callers.topic(i), "key-members", every, 30);
+            cluster.callers.publisher(tenant + "-bo", Callers.topic(i), "key-" + tenant, every, i % 2 == 0 ? 1 : 30);
         }
         for (int i = 0; i < 4; i++) {
-            world.callers.publisher("half-" + i, Callers.topic(i), "key-half", 1_000, 5);
+            cluster.callers.publisher("half-" + i, Callers.topic(i), "key-half", 1_000, 5);
         }
-        for (int i = 0; i < shape.sessions(); i++) {
-            world.callers.subscriber(
+        for (int i = 0; i < size.sessions(); i++) {
+            cluster.callers.subscriber(
                     "sub-" + i,
                     i % 2 == 0 ? "key-members" : "key-half",
-                    List.of(Callers.topic(i % shape.topics()), Callers.topic(world.random.nextInt(shape.topics())))
+                    List.of(Callers.topic(i % size.topics()), Callers.topic(cluster.random.nextInt(size.topics())))
                             .stream()
                             .distinct()
                             .toList());
         }
         for (int i = 0; i < 3; i++) {
-            world.callers.restless("restless-" + i, "key-members", List.of(Callers.topic(i), Callers.topic(i + 3)));
+            cluster.callers.reconnectingSubscriber(
+                    "restless-" + i, "key-members", List.of(Callers.topic(i), Callers.topic(i + 3)));
         }
         for (int i = 0; i < 4; i++) {
-            world.callers.subscriber("clues-" + i, "key-members", List.of("clues/t2", "clues/t5"));
+            cluster.callers.subscriber("clues-" + i, "key-members", List.of("clues/t2", "clues/t5"));
         }
-        world.callers.publisher("guest-1", "permits/t0", "key-guest", 500, 5);
-        world.callers.subscriber("guest", "key-guest", List.of("permits/t0"));
+        cluster.callers.publisher("guest-1", "permits/t0", "key-guest", 500, 5);
+        cluster.callers.subscriber("guest", "key-guest", List.of("permits/t0"));
     }
 
     /**
@@ -218,68 +219,68 @@
      */
     private Outcome morningAfter() {
         failures.end();
-        final long healed = world.now();
-        // why: the bound, the span that is judged, and the patience of those who asked last in it
-        world.run(healed + world.timing.recoverMs() + 12_000);
-        world.callers.quiet = true;
-        world.run(world.now() + 30_000);
-        world.history.settle(world.now());
+        final long healed = cluster.now();
+        // why: the bound, the span that is checked, and the patience of those who asked last in it
+        cluster.run(healed + cluster.timing.recoverMs() + 12_000);
+        cluster.callers.quiet = true;
+        cluster.run(cluster.now() + 30_000);
+        cluster.history.settle(cluster.now());
         readBack();
         sameLogs();
         // why: the last window of the day ends, and its report has its time
-        world.run(world.now() + world.timing.windowMs() + 11_000);
-        world.platform.settle();
+        cluster.run(cluster.now() + cluster.timing.windowMs() + 11_000);
+        cluster.platform.settle();
         long trace = 17;
-        for (final String note : world.notes()) {
+        for (final String note : cluster.notes()) {
             trace = trace * 31 + note.hashCode();
         }
         return new Outcome(
                 plan.seed,
-                world.history.violations(),
-                world.history.committed(),
-                world.history.delivered(),
-                world.counts,
-                world.history.latencies(),
-                world.sendToAccept,
-                world.leaderless(),
-                world.net.crossZoneBytes,
-                world.notes(),
+                cluster.history.violations(),
+                cluster.history.committed(),
+                cluster.history.delivered(),
+                cluster.counts,
+                cluster.history.latencies(),
+                cluster.sendToAccept,
+                cluster.leaderless(),
+                cluster.net.crossZoneBytes,
+                cluster.notes(),
                 trace);
     }
 
     /** The newest configuration reads as what was confirmed last, or as something newer. */
     private void readBack() {
-        final long newest = world.history.newestConfirmed();
+        final long newest = cluster.history.newestConfirmed();
         final boolean[] read = new boolean[1];
-        world.callers.operators.readConfiguration(r -> {
+        cluster.callers.operators.readConfiguration(r -> {
             read[0] = true;
             try (var rd = jakarta.json.Json.createReader(
                     new ByteArrayInputStream(r.json().getBytes(UTF_8)))) {
                 final var obj = rd.readObject();
                 if (r.status() != 200 || obj.getInt("version") < newest) {
-                    world.history.violation(
-                            world.now(),
+                    cluster.history.violation(
+                            cluster.now(),
                             "newest spec reads as " + r.status() + " " + r.json() + ", confirmed was " + newest);
                 } else if (obj.getInt("version") == newest
                         && !obj.getJsonObject("document")
                                 .getString("changeId")
-                                .equals(world.history.confirmedAs(newest))) {
-                    world.history.violation(world.now(), "spec " + newest + " reads back as another change");
+                                .equals(cluster.history.confirmedAs(newest))) {
+                    cluster.history.violation(cluster.now(), "spec " + newest + " reads back as another change");
                 }
             }
         });
-        world.run(world.now() + 4_000);
+        cluster.run(cluster.now() + 4_000);
         if (!read[0]) {
-            world.history.violation(world.now(), "newest spec could not be read");
+            cluster.history.violation(cluster.now(), "newest spec could not be read");
         }
     }
 
     /** All members of a group hold the same record at the same committed position. */
     private void sameLogs() {
-        for (int g = 0; g < world.groups; g++) {
+        for (int g = 0; g < cluster.groups; g++) {
             final TreeMap<Long, byte[]> all = new TreeMap<>();
-            for (final int id : world.storages) {
-                if (!(world.processes.get(id).node() instanceof StorageNode s) || s.group(g) == null) {
+            for (final int id : cluster.storages) {
+                if (!(cluster.processes.get(id).node() instanceof StorageNode s) || s.group(g) == null) {
                     continue;
                 }
                 for (long index = s.group(g).baseIndex() + 1;
@@ -288,8 +289,8 @@
                     final LogRecord logRecord = s.group(g).logRecord(index);
                     final byte[] other = all.putIfAbsent(index, logRecord.bytes());
                     if (other != null && !java.util.Arrays.equals(other, logRecord.bytes())) {
-                        world.history.violation(
-                                world.now(), "group " + g + " has two records at accepted position " + index);
+                        cluster.history.violation(
+                                cluster.now(), "group " + g + " has two records at accepted position " + index);
                     }
                 }
             }
--- a/testing/src/main/java/brookpath/testing/sim/SimulatedNetwork.java
+++ b/testing/src/main/java/brookpath/testing/sim/SimulatedNetwork.java
@@ -13,15 +13,15 @@
 final class SimulatedNetwork {
     private static final long LENGTH_BYTES = 4;
 
-    private final SimulatedCluster world;
+    private final SimulatedCluster cluster;
     private final FrameCodec codec = new FrameCodec();
     private final Map<Long, Long> lastAt = new HashMap<>();
     private final Set<Long> cuts = new HashSet<>();
-    /** The newest life of the sender that was heard on each link. */
-    private final Map<Long, Long> heardLives = new HashMap<>();
+    /** The newest incarnation of the sender that was heard on each link. */
+    private final Map<Long, Long> newestIncarnations = new HashMap<>();
 
     private final Map<Long, Long> resetAt = new HashMap<>();
-    int lossPerMille;
+    int lossPerThousand;
     long extraDelay;
     /** Loss of single links, in one direction. */
     final Map<Long, Integer> linkLoss = new HashMap<>();
@@ -30,8 +30,8 @@
     /** Bytes between zones so far, by what they were for. */
     final java.util.TreeMap<String, Long> crossZoneBytes = new java.util.TreeMap<>();
 
-    SimulatedNetwork(final SimulatedCluster world) {
-        this.world = world;
+    SimulatedNetwork(final SimulatedCluster cluster) {
+        this.cluster = cluster;
     }
 
     static long link(final int from, final int to) {
@@ -61,8 +61,8 @@
     }
 
     private void breakSession(final SimulatedProcess from, final SimulatedProcess to) {
-        resetAt.put(link(from.id, to.id), world.now());
-        world.at(world.now() + 1, () -> to.run(p -> p.node.sessionLost(from.id, p.time())));
+        resetAt.put(link(from.id, to.id), cluster.now());
+        cluster.at(cluster.now() + 1, () -> to.run(p -> p.node.sessionLost(from.id, p.time())));
     }
 
     private boolean resetSince(final long link, final long sentAt) {
@@ -71,7 +71,7 @@
 
     /** False where the sender knows at once that nothing left: the other process is not running. */
     boolean send(final SimulatedProcess from, final int to, final PeerMessage message) {
-        final SimulatedProcess target = world.processes.get(to);
+        final SimulatedProcess target = cluster.processes.get(to);
         if (target == null || !target.alive) {
             return false;
         }
@@ -85,16 +85,19 @@
         target.gotBytes += frame.length + LENGTH_BYTES;
         final long link = link(from.id, to);
         // why: virtual time has whole milliseconds, so half of one is one by turns
-        final int zones = from.zone.equals(target.zone) ? 0 : (world.shape.halfMillis() + world.random.nextInt(2)) / 2;
-        long delay = zones + extraDelay + (world.random.nextInt(4) == 0 ? 1 : 0);
-        if (world.random.nextInt(1000)
-                < Math.max(lossPerMille, linkLoss.isEmpty() ? 0 : linkLoss.getOrDefault(link, 0))) {
+        final int zones = from.zone.equals(target.zone)
+                ? 0
+                : (cluster.size.zoneDelayHalfMillis() + cluster.random.nextInt(2)) / 2;
+        long delay = zones + extraDelay + (cluster.random.nextInt(4) == 0 ? 1 : 0);
+        if (cluster.random.nextInt(1000)
+                < Math.max(lossPerThousand, linkLoss.isEmpty() ? 0 : linkLoss.getOrDefault(link, 0))) {
             // why: to those above, a lost packet is one that comes late, and everything behind it waits
-            delay += 200L << world.random.nextInt(2);
+            delay += 200L << cluster.random.nextInt(2);
         }
-        final long at = Math.max(lastAt.getOrDefault(link, 0L), world.now() + delay) + transmission(link, frame.length);
+        final long at =
+                Math.max(lastAt.getOrDefault(link, 0L), cluster.now() + delay) + transmission(link, frame.length);
         lastAt.put(link, at);
-        arrive(from, from.life, target, target.life, link, frame, at, 0, world.now());
+        arrive(from, from.incarnation, target, target.incarnation, link, frame, at, 0, cluster.now());
         return true;
     }
 
@@ -106,33 +109,33 @@
 
     private void arrive(
             final SimulatedProcess from,
-            final long fromLife,
+            final long fromIncarnation,
             final SimulatedProcess to,
-            final long toLife,
+            final long toIncarnation,
             final long link,
             final byte[] frame,
             final long at,
-            final int goes,
+            final int attempts,
             final long sentAt) {
-        world.at(at, () -> {
-            if (!to.alive || to.life != toLife || resetSince(link, sentAt)) {
+        cluster.at(at, () -> {
+            if (!to.alive || to.incarnation != toIncarnation || resetSince(link, sentAt)) {
                 return;
             }
             if (cuts.contains(link)) {
                 // why: a short cut delays, and what was sent arrives late and in order; a long one breaks the session
-                if (goes > 8 || !from.alive || from.life != fromLife) {
-                    if (from.alive && from.life == fromLife) {
+                if (attempts > 8 || !from.alive || from.incarnation != fromIncarnation) {
+                    if (from.alive && from.incarnation == fromIncarnation) {
                         from.run(p -> p.node.sessionLost(to.id, p.time()));
                     }
                     return;
                 }
-                final long again = world.now() + 250;
+                final long again = cluster.now() + 250;
                 lastAt.merge(link, again, Math::max);
-                arrive(from, fromLife, to, toLife, link, frame, again, goes + 1, sentAt);
+                arrive(from, fromIncarnation, to, toIncarnation, link, frame, again, attempts + 1, sentAt);
                 return;
             }
-            // why: a session is with one life, and a newer one's ends those of the lives before it
-            if (heardLives.merge(link, fromLife, Math::max) == fromLife) {
+            // why: a session is with one incarnation, and a newer one's ends those of the incarnations before it
+            if (newestIncarnations.merge(link, fromIncarnation, Math::max) == fromIncarnation) {
                 to.message(from.id, codec.decode(frame, 0, frame.length));
             }
         });
--- a/testing/src/main/java/brookpath/testing/sim/SimulatedProcess.java
+++ b/testing/src/main/java/brookpath/testing/sim/SimulatedProcess.java
@@ -20,18 +20,18 @@
  * fail.
  */
 public final class SimulatedProcess {
-    final SimulatedCluster world;
+    final SimulatedCluster cluster;
     final int id;
     final FaultyDisk disk;
     final String zone;
-    /** Makes the node of each life; a fleet of another shape sets its own before the first start. */
+    /** Makes the node of each incarnation; a fleet of another size sets its own before the first start. */
     BiFunction<SimulatedProcess, List<byte[]>, Node> maker;
 
     Node node;
     private final ProcessHeartbeats heartbeats;
     private final ProcessLog log;
-    long life;
-    /** The machine's identity: what the disk keeps, or where there is none, another in each life. */
+    long incarnation;
+    /** The machine's identity: what the disk keeps, or where there is none, another in each incarnation. */
     private long machine;
     /** What operators call the machine. */
     String name;
@@ -57,12 +57,12 @@
     private final ArrayDeque<Function<SimulatedProcess, List<Action>>> backlog = new ArrayDeque<>();
 
     SimulatedProcess(
-            final SimulatedCluster world,
+            final SimulatedCluster cluster,
             final int id,
             final String zone,
             final boolean hasDisk,
             final BiFunction<SimulatedProcess, List<byte[]>, Node> maker) {
-        this.world = world;
+        this.cluster = cluster;
         this.id = id;
         this.zone = zone;
         name = "machine-" + id;
@@ -78,11 +78,11 @@
     }
 
     Time time() {
-        return new Time(world.now() + monoBase, world.now() + skew + SimulatedCluster.WALL);
+        return new Time(cluster.now() + monoBase, cluster.now() + skew + SimulatedCluster.WALL);
     }
 
     long mono() {
-        return world.now() + monoBase;
+        return cluster.now() + monoBase;
     }
 
     public Node node() {
@@ -90,24 +90,24 @@
     }
 
     boolean frozen() {
-        return world.now() < frozenUntil;
+        return cluster.now() < frozenUntil;
     }
 
     /** Starts, or starts again, on whatever its disk still holds. */
     void start() {
-        life++;
+        incarnation++;
         alive = true;
         frozenUntil = 0;
-        monoBase = world.random.nextInt(1_000_000);
+        monoBase = cluster.random.nextInt(1_000_000);
         log.reset();
         backlog.clear();
         heartbeats.reset();
         final List<byte[]> entries;
-        machine = (long) id << 32 | life;
+        machine = (long) id << 32 | incarnation;
         try {
             entries = disk == null ? List.of() : recover();
         } catch (final UncheckedIOException ex) {
-            world.count("would not start");
+            cluster.count("would not start");
             alive = false;
             return;
         }
@@ -129,18 +129,18 @@
 
     /** Runs a task later, unless this incarnation has ended by then. */
     void after(final long delayMs, final Runnable task) {
-        final long scheduledBy = life;
-        world.at(world.now() + delayMs, () -> {
-            if (alive && life == scheduledBy) {
+        final long scheduledBy = incarnation;
+        cluster.at(cluster.now() + delayMs, () -> {
+            if (alive && incarnation == scheduledBy) {
                 task.run();
             }
         });
     }
 
     private void scheduleTick() {
-        after(world.timingOf(id).tick(), () -> {
+        after(cluster.timingOf(id).tick(), () -> {
             if (frozen()) {
-                after(frozenUntil - world.now(), this::scheduleTick);
+                after(frozenUntil - cluster.now(), this::scheduleTick);
                 return;
             }
             run(p -> p.node.tick(p.time(), p.heartbeats.seen()));
@@ -156,19 +156,19 @@
         if (frozen()) {
             backlog.add(event);
             if (backlog.size() == 1) {
-                after(frozenUntil - world.now(), this::thaw);
+                after(frozenUntil - cluster.now(), this::thaw);
             }
             return;
         }
         heartbeats.tick();
-        final long before = world.armed == CrashPoint.ACCEPT ? CrashPoint.committed(node, world.groups) : 0;
+        final long before = cluster.armed == CrashPoint.ACCEPT ? CrashPoint.committed(node, cluster.groups) : 0;
         final long began = System.nanoTime();
         final List<Action> actions = event.apply(this);
         busyNanos += System.nanoTime() - began;
-        if (world.armed == CrashPoint.ACCEPT
+        if (cluster.armed == CrashPoint.ACCEPT
                 && before > 0
-                && CrashPoint.committed(node, world.groups) > before
-                && world.crashes(this)) {
+                && CrashPoint.committed(node, cluster.groups) > before
+                && cluster.crashes(this)) {
             return;
         }
         execute(actions);
@@ -226,35 +226,36 @@
         } else if (action instanceof Action.Write || action instanceof Action.Roll) {
             log.add(action);
         } else if (action instanceof Action.Respond respond) {
-            world.callers.respond(this, respond.requestId(), respond.response().at(mono()));
+            cluster.callers.respond(
+                    this, respond.requestId(), respond.response().at(mono()));
         } else if (action instanceof Action.Deliver deliver) {
-            world.callers.deliver(this, deliver.sessionId(), deliver.line());
+            cluster.callers.deliver(this, deliver.sessionId(), deliver.line());
         } else if (action instanceof Action.Post post) {
-            world.platform.post(this, post);
+            cluster.platform.post(this, post);
         } else if (action instanceof Action.CloseSession close) {
-            world.callers.closed(this, close.sessionId(), close.why());
+            cluster.callers.closed(this, close.sessionId(), close.why());
         } else if (action instanceof Action.ToSession toSession) {
-            world.callers.told.add(toSession);
+            cluster.callers.sessionActions.add(toSession);
         } else if (action instanceof Action.Note note) {
-            world.note(id, note.text(), note.grave());
+            cluster.note(id, note.text(), note.grave());
         }
     }
 
     private void send(final Action.Send send) {
-        if (!world.net.send(this, send.node(), send.message())) {
+        if (!cluster.net.send(this, send.node(), send.message())) {
             after(0, () -> run(p -> p.node.unsent(send.node(), send.message(), p.time())));
         }
     }
 
     private boolean crashesAfter(final Action action) {
-        if (world.armed == null) {
+        if (cluster.armed == null) {
             return false;
         }
         final boolean reached = action instanceof Action.Write write
-                ? world.armed == CrashPoint.APPEND
+                ? cluster.armed == CrashPoint.APPEND
                         && CrashPoint.ofWrite(write.entry()) == CrashPoint.SYNC
-                        && CrashPoint.owns(node, world.groups)
-                : CrashPoint.ofAction(action) == world.armed;
-        return reached && world.crashes(this);
+                        && CrashPoint.owns(node, cluster.groups)
+                : CrashPoint.ofAction(action) == cluster.armed;
+        return reached && cluster.crashes(this);
     }
 }
--- a/testing/src/main/java/brookpath/testing/sim/Slopes.java
+++ b/testing/src/main/java/brookpath/testing/sim/Slopes.java
@@ -17,7 +17,7 @@
 
     public static void main(final String[] args) {
         memory();
-        for (final FleetSize shape : List.of(
+        for (final FleetSize size : List.of(
                 new FleetSize(4, 11, 450, 400, 8, 95, 3),
                 new FleetSize(16, 11, 450, 400, 8, 95, 3),
                 new FleetSize(64, 11, 450, 400, 8, 95, 3),
@@ -25,65 +25,65 @@
                 new FleetSize(16, 176, 450, 400, 8, 95, 3),
                 new FleetSize(16, 11, 450, 1_600, 8, 95, 3),
                 new FleetSize(16, 11, 450, 400, 8, 380, 3))) {
-            final SimulatedCluster world =
+            final SimulatedCluster cluster =
                     SimulatedDay.calm(SimulatedDay.Plan.of(1, EnumSet.noneOf(SimulatedDay.Fault.class))
-                            .sized(shape)
+                            .sized(size)
                             .lasting(WARM_MS));
-            for (final SimulatedProcess p : world.processes.values()) {
+            for (final SimulatedProcess p : cluster.processes.values()) {
                 p.sentMessages = 0;
                 p.sentBytes = 0;
                 p.gotBytes = 0;
                 p.busyNanos = 0;
             }
-            final int committed = world.history.committed();
-            final int delivered = world.history.delivered();
-            world.run(world.now() + MEASURED_MS);
+            final int committed = cluster.history.committed();
+            final int delivered = cluster.history.delivered();
+            cluster.run(cluster.now() + MEASURED_MS);
             System.out.printf(
                     Locale.ROOT,
                     "groups %d, fronts %d, sessions %d: %d accepted/s, %d delivered/s%n",
-                    shape.groups(),
-                    shape.gateways(),
-                    shape.sessions(),
-                    (world.history.committed() - committed) * 1_000L / MEASURED_MS,
-                    (world.history.delivered() - delivered) * 1_000L / MEASURED_MS);
-            tell("front", world, world.gateways);
-            tell("storage", world, world.storages);
-            tell("bailiff", world, world.controllers);
+                    size.groups(),
+                    size.gateways(),
+                    size.sessions(),
+                    (cluster.history.committed() - committed) * 1_000L / MEASURED_MS,
+                    (cluster.history.delivered() - delivered) * 1_000L / MEASURED_MS);
+            tell("front", cluster, cluster.gateways);
+            tell("storage", cluster, cluster.storages);
+            tell("bailiff", cluster, cluster.controllers);
         }
     }
 
     /** Heap of one gateway per session that listens to two topics of 1,000. */
     private static void memory() {
-        final SimulatedCluster world =
+        final SimulatedCluster cluster =
                 SimulatedDay.calm(SimulatedDay.Plan.of(1, EnumSet.noneOf(SimulatedDay.Fault.class))
                         .lasting(WARM_MS));
-        world.callers.quiet = true;
-        world.run(world.now() + 5_000);
-        final SimulatedProcess gateway = world.processes.get(world.gateways.get(0));
+        cluster.callers.quiet = true;
+        cluster.run(cluster.now() + 5_000);
+        final SimulatedProcess gateway = cluster.processes.get(cluster.gateways.get(0));
         final long before = used();
         final int sessions = 4_000;
         for (int i = 0; i < sessions; i++) {
             final int n = i;
-            world.callers.asked(
+            cluster.callers.ask(
                     gateway,
                     id -> {
                         for (int t = 0; t < 2; t++) {
                             final String topic = "permits/m" + (2 * n + t) % 1_000;
-                            world.callers.asked(
+                            cluster.callers.ask(
                                     gateway,
                                     join -> new NodeRequest.Join(join, id, topic, null),
-                                    r -> world.count("joined " + r.status()));
+                                    r -> cluster.count("joined " + r.status()));
                         }
                         return new NodeRequest.Open(id, "key-members");
                     },
-                    r -> world.count("opened " + r.status()));
+                    r -> cluster.count("opened " + r.status()));
         }
-        world.run(world.now() + 5_000);
+        cluster.run(cluster.now() + 5_000);
         System.out.printf(
                 Locale.ROOT,
                 "%d sessions opened, %d topics joined at one front: %d bytes of heap a session%n",
-                world.counted("opened 200"),
-                world.counted("joined 200"),
+                cluster.counted("opened 200"),
+                cluster.counted("joined 200"),
                 (used() - before) / sessions);
     }
 
@@ -92,13 +92,13 @@
         return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
     }
 
-    private static void tell(final String role, final SimulatedCluster world, final List<Integer> ids) {
+    private static void tell(final String role, final SimulatedCluster cluster, final List<Integer> ids) {
         long messages = 0;
         long out = 0;
         long in = 0;
         long busy = 0;
         for (final int id : ids) {
-            final SimulatedProcess p = world.processes.get(id);
+            final SimulatedProcess p = cluster.processes.get(id);
             messages += p.sentMessages;
             out += p.sentBytes;
             in += p.gotBytes;
--- a/testing/src/main/java/brookpath/testing/sim/Subscriber.java
+++ b/testing/src/main/java/brookpath/testing/sim/Subscriber.java
@@ -13,7 +13,7 @@
 
 /** A session of a day, on some topics: it comes back with its cursor whenever it was dropped or has been away. */
 final class Subscriber {
-    private final SimulatedCluster world;
+    private final SimulatedCluster cluster;
     private final Callers callers;
     final String name;
     final String key;
@@ -23,36 +23,36 @@
     int gateway;
     long sessionId;
     long listeningSince = -1;
-    boolean naps;
+    boolean disconnected;
 
     Subscriber(
-            final SimulatedCluster world,
+            final SimulatedCluster cluster,
             final Callers callers,
             final String name,
             final String key,
             final List<String> topics) {
-        this.world = world;
+        this.cluster = cluster;
         this.callers = callers;
         this.name = name;
         this.key = key;
         this.topics = topics;
-        listener = world.history.listener(name, new LinkedHashSet<>(topics));
+        listener = cluster.history.listener(name, new LinkedHashSet<>(topics));
     }
 
     void connect() {
         final SimulatedProcess p = callers.anyGateway();
         gateway = p.id;
         listeningSince = -1;
-        naps = false;
+        disconnected = false;
         final boolean resumes = cursor != null;
-        final long at = world.now();
+        final long at = cluster.now();
         final long[] mine = new long[1];
         mine[0] = callers.ask(p, i -> new NodeRequest.Subscribe(i, key, topics, cursor), r -> {
             if (resumes && (r.status() < 400 || r.status() >= 500)) {
                 callers.service.asked("resume", at, r.status() == 200);
             }
             if (r.status() == 200) {
-                world.count("subscribed");
+                cluster.count("subscribed");
                 return;
             }
             if (!callers.sessions.remove(mine[0], this)) {
@@ -60,16 +60,16 @@
                 return;
             }
             if (r.status() == 410) {
-                world.history.refusedResume(world.now(), listener, Callers.KEEPING_MS);
-                world.count("too old to resume");
+                cluster.history.refusedResume(cluster.now(), listener, Callers.KEEPING_MS);
+                cluster.count("too old to resume");
                 listener.entitled = false;
                 return;
             }
             if (r.status() == 401) {
                 listener.entitled = false;
-                world.count("keys refused");
+                cluster.count("keys refused");
             }
-            world.at(world.now() + 100 + r.retryAfterMs() + world.random.nextInt(300), this::connect);
+            cluster.at(cluster.now() + 100 + r.retryAfterMs() + cluster.random.nextInt(300), this::connect);
         });
         sessionId = mine[0];
         callers.sessions.put(sessionId, this);
@@ -81,15 +81,15 @@
         cursor = obj.getString("cursor");
         if (obj.getString("type").equals("message")) {
             if (!listener.topics().contains(obj.getString("topic"))) {
-                world.history.violation(world.now(), name + " got an unasked topic");
+                cluster.history.violation(cluster.now(), name + " got an unasked topic");
             }
-            world.history.begunIfNot(
-                    world.now(),
+            cluster.history.begunIfNot(
+                    cluster.now(),
                     listener,
                     obj.getString("topic"),
                     obj.getJsonNumber("position").longValue());
-            world.history.delivered(
-                    world.now(),
+            cluster.history.delivered(
+                    cluster.now(),
                     listener,
                     obj.getString("topic"),
                     obj.getJsonNumber("position").longValue(),
@@ -97,38 +97,39 @@
                     obj.getJsonNumber("sequence").longValue(),
                     obj.getString("message"),
                     Callers.oneOrder(obj.getString("topic")),
-                    listeningSince < 0 ? -1 : Math.max(listeningSince, world.processes.get(gateway).frozenUntil));
+                    listeningSince < 0 ? -1 : Math.max(listeningSince, cluster.processes.get(gateway).frozenUntil));
         } else {
             if (listeningSince < 0) {
-                listeningSince = world.now();
+                listeningSince = cluster.now();
             }
             final Map<String, Long> at = new HashMap<>();
             for (final String part : new String(Base64.getUrlDecoder().decode(cursor), UTF_8).split(",")) {
                 at.put(part.substring(0, part.indexOf('@')), Long.parseLong(part.substring(part.indexOf('@') + 1)));
             }
-            world.history.begun(world.now(), listener, at);
+            cluster.history.begun(cluster.now(), listener, at);
         }
     }
 
     void gone(final String why) {
-        world.count("sessions gone");
+        cluster.count("sessions gone");
         listeningSince = -1;
-        world.at(world.now() + 50 + world.random.nextInt(500), this::connect);
+        cluster.at(cluster.now() + 50 + cluster.random.nextInt(500), this::connect);
     }
 
     /** Drops off for a while and comes back, inside the keeping time. */
-    void nap(final long away, final long every) {
+    void disconnectTemporarily(final long away, final long every) {
         if (callers.quiet) {
             return;
         }
         if (callers.sessions.remove(sessionId) == this) {
-            world.count("naps");
-            naps = true;
-            final SimulatedProcess p = world.processes.get(gateway);
+            cluster.count("naps");
+            disconnected = true;
+            final SimulatedProcess p = cluster.processes.get(gateway);
             p.request(new NodeRequest.Unsubscribe(sessionId));
             callers.forget(sessionId);
-            world.at(world.now() + 100 + world.random.nextLong(away), this::connect);
+            cluster.at(cluster.now() + 100 + cluster.random.nextLong(away), this::connect);
         }
-        world.at(world.now() + every / 2 + world.random.nextLong(every), () -> nap(away, every));
+        cluster.at(
+                cluster.now() + every / 2 + cluster.random.nextLong(every), () -> disconnectTemporarily(away, every));
     }
 }
--- a/testing/src/test/java/brookpath/testing/oracle/control/ControlHistoryTest.java
+++ b/testing/src/test/java/brookpath/testing/oracle/control/ControlHistoryTest.java
@@ -221,7 +221,7 @@
 
     @Test
     public void anOrderWithoutAnswerInSettledTimeIsSeen() {
-        history.availability.trouble(1_000);
+        history.availability.disturb(1_000);
         history.availability.ordered(900, "one");
         final long due = 1_000 + Availability.SETTLE_MS + Availability.ACKNOWLEDGE_MS;
         history.watch(due, List.of());
@@ -315,7 +315,7 @@
 
     @Test
     public void aControllerThatServesNoReadsInSettledTimeIsSeen() {
-        history.availability.trouble(1_000);
+        history.availability.disturb(1_000);
         final long due = 1_000 + Availability.SETTLE_MS + Availability.READ_MS;
         history.watch(due, List.of(CONTROLLER));
         assertTrue(history.violations.all().isEmpty(), "the bound is not over yet");
@@ -325,8 +325,8 @@
 
     @Test
     public void aControllerThatIsCutOffIsExcused() {
-        history.availability.trouble(1_000);
-        history.availability.excuse(CONTROLLER, 20_000);
+        history.availability.disturb(1_000);
+        history.availability.exempt(CONTROLLER, 20_000);
         history.watch(20_000, List.of(CONTROLLER));
         assertGood();
     }
--- a/testing/src/test/java/brookpath/testing/sim/AddressReuseTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/AddressReuseTest.java
@@ -21,11 +21,11 @@
     private static final int ACCEPTED = 202;
     private static final int NOT_FOUND = 404;
 
-    private SimulatedCluster world;
+    private SimulatedCluster cluster;
 
     private ControllerNode controlLeader() {
-        return world.controllers.stream()
-                .map(id -> world.processes.get(id))
+        return cluster.controllers.stream()
+                .map(id -> cluster.processes.get(id))
                 .filter(p -> p.alive && ((ControllerNode) p.node).group().mayAct(p.mono()))
                 .map(p -> (ControllerNode) p.node)
                 .findFirst()
@@ -39,9 +39,9 @@
 
     private Response operate(final String kind, final byte[] body) {
         final Response[] got = new Response[1];
-        world.callers.asked(world.processes.get(1), id -> new NodeRequest.Operate(id, kind, body), r -> got[0] = r);
+        cluster.callers.ask(cluster.processes.get(1), id -> new NodeRequest.Operate(id, kind, body), r -> got[0] = r);
         for (int i = 0; i < 400 && got[0] == null; i++) {
-            world.run(world.now() + 10);
+            cluster.run(cluster.now() + 10);
         }
         assertNotNull(got[0], "no response within 4 s");
         return got[0];
@@ -55,14 +55,14 @@
 
     /** Empties a storage machine, and says which. */
     private SimulatedProcess emptied(final long seed) {
-        world = SimulatedCluster.serving(seed);
-        final SimulatedProcess leaving = world.processes.get(world.storages.get(0));
+        cluster = ServingCluster.start(seed);
+        final SimulatedProcess leaving = cluster.processes.get(cluster.storages.get(0));
         final byte[] order = PackedBuffer.writer().num(leaving.id).num(1).done();
         assertEquals(operate("retire", order).status(), ACCEPTED);
         for (int i = 0;
                 i < 300 && (groupsOf(leaving.id) > 0 || metadata().retiring().isEmpty());
                 i++) {
-            world.run(world.now() + 100);
+            cluster.run(cluster.now() + 100);
         }
         assertEquals(groupsOf(leaving.id), 0);
         assertEquals(metadata().retiring(), List.of(leaving.id));
@@ -79,13 +79,13 @@
         final Response before = operate("retired", name(process).getBytes(java.nio.charset.StandardCharsets.UTF_8));
         assertTrue(before.json().contains("\"empty\":true"), before.toString());
         final long former = metadata().node(process.id).machine();
-        world.kill(process, true);
+        cluster.kill(process, true);
         process.disk.wipe();
-        world.run(world.now() + 4_000);
+        cluster.run(cluster.now() + 4_000);
         assertEquals(metadata().retiring(), List.of(process.id), "gone is not replaced");
         process.name = "another-machine";
-        world.restart(process);
-        world.run(world.now() + 4_000);
+        cluster.restart(process);
+        cluster.run(cluster.now() + 4_000);
         assertNotEquals(metadata().node(process.id).machine(), former);
         assertEquals(metadata().retiring(), List.of(), "the new machine is taken for the one that left");
         final Response after = operate("retired", name(process).getBytes(java.nio.charset.StandardCharsets.UTF_8));
@@ -97,11 +97,11 @@
     public void aMachineThatLostItsDiskIsStillLeaving() {
         final SimulatedProcess process = emptied(74);
         final long former = metadata().node(process.id).machine();
-        world.kill(process, true);
+        cluster.kill(process, true);
         process.disk.wipe();
-        world.run(world.now() + 1_000);
-        world.restart(process);
-        world.run(world.now() + 4_000);
+        cluster.run(cluster.now() + 1_000);
+        cluster.restart(process);
+        cluster.run(cluster.now() + 4_000);
         assertNotEquals(metadata().node(process.id).machine(), former);
         assertEquals(metadata().retiring(), List.of(process.id), "the order is forgotten with the disk");
         final Response again = operate("retireNamed", name(process).getBytes(java.nio.charset.StandardCharsets.UTF_8));
@@ -112,10 +112,10 @@
     public void aMachineThatOnlyRestartsIsStillLeaving() {
         final SimulatedProcess process = emptied(72);
         final long machine = metadata().node(process.id).machine();
-        world.kill(process, true);
-        world.run(world.now() + 1_000);
-        world.restart(process);
-        world.run(world.now() + 4_000);
+        cluster.kill(process, true);
+        cluster.run(cluster.now() + 1_000);
+        cluster.restart(process);
+        cluster.run(cluster.now() + 4_000);
         assertEquals(metadata().node(process.id).machine(), machine);
         assertEquals(metadata().retiring(), List.of(process.id));
         assertFalse(metadata().nodes().isEmpty());
@@ -123,14 +123,14 @@
 
     @Test
     public void aRepeatedRestartChangesNoMetadata() {
-        world = SimulatedCluster.serving(73);
+        cluster = ServingCluster.start(73);
         final long version = metadata().version();
-        final SimulatedProcess process = world.processes.get(world.storages.get(1));
+        final SimulatedProcess process = cluster.processes.get(cluster.storages.get(1));
         for (int i = 0; i < 3; i++) {
-            world.kill(process, false);
-            world.run(world.now() + 500);
-            world.restart(process);
-            world.run(world.now() + 3_000);
+            cluster.kill(process, false);
+            cluster.run(cluster.now() + 500);
+            cluster.restart(process);
+            cluster.run(cluster.now() + 3_000);
         }
         assertEquals(metadata().version(), version);
     }
--- a/testing/src/test/java/brookpath/testing/sim/CallIdsTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/CallIdsTest.java
@@ -20,7 +20,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Replies that third nodes carry may outlive the life of the process that asked; they answer no other. */
+/** Replies that third nodes carry may outlive the incarnation of the process that asked; they answer no other. */
 public final class CallIdsTest {
     private static final NodeInfo GATEWAY = new NodeInfo(31, "a", "sim:31", "", 31);
     private static final List<Integer> SEEDS = List.of(1, 2, 3);
@@ -28,7 +28,7 @@
     private static final long IDS = 1L << 50;
     private static final Time NOW = new Time(10_000, 10_000);
 
-    private static GatewayNode life(final long firstId) {
+    private static GatewayNode incarnation(final long firstId) {
         return new GatewayNode(GATEWAY, SEEDS, TimingBounds.DEFAULT, firstId);
     }
 
@@ -47,8 +47,8 @@
 
     @Test
     public void aGrantForAFormerLifeGivesNoLease() {
-        final ConfigurationPoll former = poll(life(FORMER_IDS));
-        final GatewayNode gateway = life(IDS);
+        final ConfigurationPoll former = poll(incarnation(FORMER_IDS));
+        final GatewayNode gateway = incarnation(IDS);
         final ConfigurationPoll own = poll(gateway);
         assertNotEquals(own.pollId(), former.pollId());
         gateway.message(2, grant(former), NOW);
@@ -59,7 +59,7 @@
 
     @Test
     public void addressesThatAFormerLifeAskedForAreNotTaken() {
-        final SimulatedProcess process = SimulatedCluster.serving(81).processes.get(31);
+        final SimulatedProcess process = ServingCluster.start(81).processes.get(31);
         final GatewayNode gateway = (GatewayNode) process.node;
         final byte[] elsewhere =
                 PackedBuffer.writer().num(1).num(32).str("a").str("gone:1").done();
--- a/testing/src/test/java/brookpath/testing/sim/ClusterScenario.java
+++ b/testing/src/test/java/brookpath/testing/sim/ClusterScenario.java
@@ -25,7 +25,7 @@
     SimulatedCluster cluster;
 
     final void begin(final long seed) {
-        cluster = SimulatedCluster.serving(seed);
+        cluster = ServingCluster.start(seed);
     }
 
     final void startCallers() {
@@ -117,7 +117,7 @@
     }
 
     final void sendOperatorRequest(final String kind, final byte[] body, final Consumer<Response> then) {
-        cluster.callers.asked(controlLeader(), id -> new NodeRequest.Operate(id, kind, body), then);
+        cluster.callers.ask(controlLeader(), id -> new NodeRequest.Operate(id, kind, body), then);
         cluster.run(cluster.now() + 500);
     }
 
@@ -132,7 +132,7 @@
     final Response publish(
             final int gateway, final String key, final String topic, final String sender, final long seq) {
         final Response[] got = new Response[1];
-        cluster.callers.asked(
+        cluster.callers.ask(
                 cluster.processes.get(gateway),
                 id -> new NodeRequest.Publish(id, key, topic, sender, seq, "x"),
                 r -> got[0] = r);
--- a/testing/src/test/java/brookpath/testing/sim/ConfigurationUpdatesTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ConfigurationUpdatesTest.java
@@ -61,7 +61,7 @@
     }
 
     private long carried() {
-        final Map<String, Long> bytes = world.net.crossZoneBytes;
+        final Map<String, Long> bytes = cluster.net.crossZoneBytes;
         return CARRIERS.stream().mapToLong(c -> bytes.getOrDefault(c, 0L)).sum();
     }
 
@@ -76,13 +76,13 @@
         long version = version(answered(askConfiguration(leader())).response);
         version = changed(version, "larger", 0, spaces);
         final long before = carried();
-        final long from = world.now();
+        final long from = cluster.now();
         for (int i = 1; i <= CHANGES; i++) {
             version = changed(version, "storm-" + i, i, spaces);
         }
         final long bytes = carried() - before;
-        final long lasted = world.now() - from;
-        world.run(world.now() + lasted);
+        final long lasted = cluster.now() - from;
+        cluster.run(cluster.now() + lasted);
         final long usual = carried() - before - bytes;
         final long document =
                 large(version, "storm-" + CHANGES, CHANGES, spaces).length();
@@ -91,8 +91,8 @@
                 + " ms, and as long a time without changes "
                 + usual);
         assertTrue(bytes < CHANGES * document, bytes + " bytes: more than one whole document a change");
-        for (final int id : world.gateways) {
-            final GatewayNode gateway = (GatewayNode) world.processes.get(id).node;
+        for (final int id : cluster.gateways) {
+            final GatewayNode gateway = (GatewayNode) cluster.processes.get(id).node;
             assertEquals(gateway.client().configuration().version(), version);
         }
     }
@@ -105,8 +105,8 @@
         final long before = carried();
         version = changed(version, "one-more", 1, MOST_SPACES + 1);
         assertTrue(carried() - before < 100_000, "a space more carried " + (carried() - before) + " bytes");
-        for (final int id : world.gateways) {
-            final GatewayNode gateway = (GatewayNode) world.processes.get(id).node;
+        for (final int id : cluster.gateways) {
+            final GatewayNode gateway = (GatewayNode) cluster.processes.get(id).node;
             assertEquals(gateway.client().configuration().version(), version);
         }
     }
@@ -117,16 +117,16 @@
         long version = version(answered(askConfiguration(leader())).response);
         for (int i = 0; i < 6; i++) {
             version = changed(version, "before-" + i, i);
-            world.kill(leader(), true);
-            world.run(world.now() + 1_500);
+            cluster.kill(leader(), true);
+            cluster.run(cluster.now() + 1_500);
             others(actingLeader()).forEach(p -> {
                 if (!p.alive) {
-                    world.restart(p);
+                    cluster.restart(p);
                 }
             });
             version = changed(version, "after-" + i, i + 1);
         }
-        assertTrue(world.history.violations().isEmpty(), String.join("\n", world.history.violations()));
+        assertTrue(cluster.history.violations().isEmpty(), String.join("\n", cluster.history.violations()));
     }
 
     @Test
@@ -182,7 +182,7 @@
     public void nobodyAsksForTheWholeOnACalmStart() {
         begin(64);
         assertEquals(
-                world.notes().stream()
+                cluster.notes().stream()
                         .filter(n -> n.contains("asks for the whole"))
                         .toList(),
                 List.of());
