--- a/testing/src/test/java/brookpath/testing/sim/ControlReadsTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ControlReadsTest.java
@@ -31,7 +31,7 @@
 
     private void lose(final SimulatedProcess p, final Loss loss) {
         if (loss == Loss.FROZEN) {
-            world.freeze(p, CUT_MS);
+            cluster.freeze(p, CUT_MS);
         }
         if (loss == Loss.BOTH_WAYS || loss == Loss.NOT_HEARD) {
             cutFrom(p);
@@ -45,8 +45,8 @@
     public void aLeaderWithoutContactServesNothingOldForTwentySeconds(final Loss loss, final int seed) {
         begin(seed);
         final SimulatedProcess lost = leader();
-        final long healedAt = world.now() + CUT_MS;
-        world.at(healedAt, world.net::heal);
+        final long healedAt = cluster.now() + CUT_MS;
+        cluster.at(healedAt, cluster.net::heal);
         lose(lost, loss);
         final List<Asked> askedOfLost = new ArrayList<>();
         final List<Asked> reads = new ArrayList<>();
@@ -54,9 +54,9 @@
         long newest = 1;
         long confirmed = 1;
         Asked change = null;
-        for (int i = 0; world.now() < healedAt + 5_000; i++) {
-            for (final int id : world.controllers) {
-                reads.add(askConfiguration(world.processes.get(id)));
+        for (int i = 0; cluster.now() < healedAt + 5_000; i++) {
+            for (final int id : cluster.controllers) {
+                reads.add(askConfiguration(cluster.processes.get(id)));
                 confirmedBefore.add(confirmed);
             }
             askedOfLost.add(askConfiguration(lost));
@@ -66,14 +66,14 @@
             if (change == null) {
                 change = askChange(others(lost).get(i % 2), document(newest, "next-" + i));
             }
-            world.run(world.now() + 100);
+            cluster.run(cluster.now() + 100);
             if (change.status() == 200) {
                 confirmed = version(change.response);
             }
             newest = Math.max(newest, change.response == null ? 0 : version(change.response));
             change = change.response == null ? change : null;
         }
-        world.run(world.now() + 4_000);
+        cluster.run(cluster.now() + 4_000);
         for (final Asked asked : askedOfLost) {
             assertTrue(asked.unclear() || asked.answeredAt > healedAt, loss + ": " + asked);
         }
@@ -104,11 +104,11 @@
         final Asked retired = ask(leader, "retired", "machine-11".getBytes(UTF_8));
         final Asked unknown = askRetireNamed(leader, "nobody");
         final Asked outcome = ask(leader, "outcome", "never".getBytes(UTF_8));
-        world.run(world.now() + 300);
+        cluster.run(cluster.now() + 300);
         for (final Asked asked : List.of(read, retired, unknown, outcome)) {
             assertNull(asked.response, "answered without a majority: " + asked);
         }
-        world.run(world.now() + 4_000);
+        cluster.run(cluster.now() + 4_000);
         for (final Asked asked : List.of(read, retired, unknown, outcome)) {
             assertTrue(asked.status() >= 500, asked.toString());
             assertTrue(asked.response.retryAfterMs() > 0, asked.toString());
@@ -125,7 +125,7 @@
             assertEquals(read.status(), 200, read.toString());
             longest = Math.max(longest, read.answeredAt - read.at);
         }
-        assertTrue(longest < world.timing.heartbeat() / 2, "a read took " + longest + " ms");
+        assertTrue(longest < cluster.timing.heartbeat() / 2, "a read took " + longest + " ms");
     }
 
     /**
@@ -135,14 +135,14 @@
     public void manyReadsAtOnceAreAllAnswered() {
         begin(112);
         final SimulatedProcess leader = leader();
-        world.net.extraDelay = 20;
+        cluster.net.extraDelay = 20;
         final long term = group(leader).term();
         final List<Asked> reads = new ArrayList<>();
         for (int i = 0; i < 1_000; i++) {
             reads.add(askConfiguration(leader));
-            world.run(world.now() + 1);
+            cluster.run(cluster.now() + 1);
         }
-        world.run(world.now() + 2_000);
+        cluster.run(cluster.now() + 2_000);
         reads.forEach(r -> assertEquals(r.status(), 200, r.toString()));
         assertEquals(group(leader).term(), term, "the master lost its mastership");
     }
@@ -153,14 +153,14 @@
         begin(113);
         final SimulatedProcess leader = leader();
         final SimulatedProcess carrier = others(leader).get(0);
-        world.net.cut(leader.id, carrier.id);
+        cluster.net.cut(leader.id, carrier.id);
         final Asked read = askConfiguration(carrier);
-        world.run(world.now() + 10);
+        cluster.run(cluster.now() + 10);
         assertEquals(answered(askChange(leader, document(1, "newer"))).status(), 200);
-        final long confirmedAt = world.now();
-        world.run(read.at + 2_100);
-        world.net.heal();
-        world.run(read.at + 2_900);
+        final long confirmedAt = cluster.now();
+        cluster.run(read.at + 2_100);
+        cluster.net.heal();
+        cluster.run(read.at + 2_900);
         assertTrue(
                 read.status() >= 500 || version(read.response) == 2,
                 read + ", though version 2 was confirmed at " + confirmedAt);
@@ -172,12 +172,12 @@
         final SimulatedProcess leader = leader();
         final SimulatedProcess carrier = others(leader).get(0);
         final Asked read = askConfiguration(carrier);
-        world.run(world.now() + 1);
-        world.freeze(carrier, 2_500);
-        world.run(world.now() + 10);
+        cluster.run(cluster.now() + 1);
+        cluster.freeze(carrier, 2_500);
+        cluster.run(cluster.now() + 10);
         assertEquals(answered(askChange(leader, document(1, "newer"))).status(), 200);
-        final long confirmedAt = world.now();
-        world.run(read.at + 2_900);
+        final long confirmedAt = cluster.now();
+        cluster.run(read.at + 2_900);
         assertTrue(read.status() >= 500, read + ", though version 2 was confirmed at " + confirmedAt);
     }
 
@@ -186,11 +186,11 @@
         begin(115);
         final SimulatedProcess leader = leader();
         final SimulatedProcess carrier = others(leader).get(0);
-        world.net.cut(leader.id, carrier.id);
+        cluster.net.cut(leader.id, carrier.id);
         final Asked order = askRetire(carrier, 11);
         final Asked read = askConfiguration(carrier);
-        world.run(world.now() + 20);
-        world.kill(leader, true);
+        cluster.run(cluster.now() + 20);
+        cluster.kill(leader, true);
         answered(order);
         answered(read);
         assertEquals(order.status(), 504, order.toString());
@@ -207,15 +207,15 @@
         for (final SimulatedProcess lost : List.of(follower, leader)) {
             cutFrom(lost);
             cutTo(lost);
-            world.run(world.now() + 2 * world.timing.down() + world.timing.heartbeat());
+            cluster.run(cluster.now() + 2 * cluster.timing.down() + cluster.timing.heartbeat());
             for (final Asked asked : List.of(
                     askConfiguration(lost), askChange(lost, document(1, "cut-" + lost.id)), askRetire(lost, 11))) {
-                world.run(world.now() + 20);
+                cluster.run(cluster.now() + 20);
                 assertEquals(asked.status(), 503, asked.toString());
                 assertTrue(asked.response.retryAfterMs() > 0, asked.toString());
             }
-            world.net.heal();
-            world.run(world.now() + 4_000);
+            cluster.net.heal();
+            cluster.run(cluster.now() + 4_000);
         }
     }
 }
--- a/testing/src/test/java/brookpath/testing/sim/ControlScene.java
+++ b/testing/src/test/java/brookpath/testing/sim/ControlScene.java
@@ -15,11 +15,11 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** What the staged scenes of the control plane share: a small world in virtual time, and an operator. */
+/** What the staged scenes of the control plane share: a small cluster in virtual time, and an operator. */
 abstract class ControlScene {
     private static final Pattern VERSION = Pattern.compile("\"version\":([0-9]+)");
 
-    SimulatedCluster world;
+    SimulatedCluster cluster;
 
     /** An answer that may not have come yet. */
     static final class Asked {
@@ -48,13 +48,13 @@
     }
 
     void begin(final long seed) {
-        world = SimulatedCluster.serving(seed);
+        cluster = ServingCluster.start(seed);
     }
 
     /** The process that acts as the control leader just now, null for none. */
     SimulatedProcess actingLeader() {
-        for (final int id : world.controllers) {
-            final SimulatedProcess p = world.processes.get(id);
+        for (final int id : cluster.controllers) {
+            final SimulatedProcess p = cluster.processes.get(id);
             if (p.alive && !p.frozen() && group(p).mayAct(p.mono())) {
                 return p;
             }
@@ -64,7 +64,7 @@
 
     SimulatedProcess leader() {
         for (int i = 0; i < 1_000 && actingLeader() == null; i++) {
-            world.run(world.now() + 10);
+            cluster.run(cluster.now() + 10);
         }
         assertNotNull(actingLeader(), "no control master within 10 s");
         return actingLeader();
@@ -73,9 +73,9 @@
     /** Members of the control group other than this one. */
     List<SimulatedProcess> others(final SimulatedProcess p) {
         final List<SimulatedProcess> others = new ArrayList<>();
-        world.controllers.forEach(id -> {
+        cluster.controllers.forEach(id -> {
             if (id != p.id) {
-                others.add(world.processes.get(id));
+                others.add(cluster.processes.get(id));
             }
         });
         return others;
@@ -90,19 +90,19 @@
     }
 
     void cutFrom(final SimulatedProcess p) {
-        others(p).forEach(o -> world.net.cut(p.id, o.id));
+        others(p).forEach(o -> cluster.net.cut(p.id, o.id));
     }
 
     void cutTo(final SimulatedProcess p) {
-        others(p).forEach(o -> world.net.cut(o.id, p.id));
+        others(p).forEach(o -> cluster.net.cut(o.id, p.id));
     }
 
-    /** Asks one process, and goes on without waiting for the answer. */
+    /** Asks one process, and attempts on without waiting for the answer. */
     Asked ask(final SimulatedProcess p, final String kind, final byte[] body) {
-        final Asked asked = new Asked(p.id, world.now());
-        world.callers.asked(p, id -> new NodeRequest.Operate(id, kind, body), r -> {
+        final Asked asked = new Asked(p.id, cluster.now());
+        cluster.callers.ask(p, id -> new NodeRequest.Operate(id, kind, body), r -> {
             asked.response = r;
-            asked.answeredAt = world.now();
+            asked.answeredAt = cluster.now();
         });
         return asked;
     }
@@ -123,10 +123,10 @@
         return ask(p, "retireNamed", name.getBytes(UTF_8));
     }
 
-    /** Runs the world until the answer is there. */
+    /** Runs the cluster until the answer is there. */
     Asked answered(final Asked asked) {
         for (int i = 0; i < 800 && asked.response == null; i++) {
-            world.run(world.now() + 5);
+            cluster.run(cluster.now() + 5);
         }
         assertNotNull(asked.response, "no response within 4 s");
         return asked;
@@ -135,16 +135,16 @@
     /** Sends the same change to any node until it gets a final answer. */
     Response settled(final String document, final String changeId) {
         final Response[] got = new Response[1];
-        world.callers.operators.change(document, changeId, r -> got[0] = r);
+        cluster.callers.operators.change(document, changeId, r -> got[0] = r);
         for (int i = 0; i < 6_000 && got[0] == null; i++) {
-            world.run(world.now() + 5);
+            cluster.run(cluster.now() + 5);
         }
         assertNotNull(got[0], changeId + " has no final answer within 30 s");
         return got[0];
     }
 
     String document(final long basedOn, final String changeId) {
-        return world.callers.operators.document(basedOn, changeId, true);
+        return cluster.callers.operators.document(basedOn, changeId, true);
     }
 
     static long version(final Response response) {
--- a/testing/src/test/java/brookpath/testing/sim/ControlStateSizeTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ControlStateSizeTest.java
@@ -33,32 +33,32 @@
 
     @Test
     public void theCommittedVersionStaysThoughManyNewerOnesWaitForCopies() {
-        final SimulatedCluster world = SimulatedCluster.serving(11);
-        final SimulatedProcess leader = controlLeader(world);
+        final SimulatedCluster cluster = ServingCluster.start(11);
+        final SimulatedProcess leader = controlLeader(cluster);
         final long committed = committedVersion(leader);
         assertTrue(committed > 0);
-        for (final int id : world.controllers) {
+        for (final int id : cluster.controllers) {
             if (id != leader.id) {
                 // why: the followers answer heartbeats, so the leader leads on, but nothing that it appends reaches a
                 // disk
                 // there
-                world.processes.get(id).syncMs = 1_000_000;
+                cluster.processes.get(id).syncMs = 1_000_000;
             }
         }
         final List<Response> responses = new ArrayList<>();
         for (int i = 0; i < CHANGES_BEYOND_ANY_BOUND; i++) {
-            final String doc = world.callers.operators.document(committed + i, "waits-" + i, true);
-            world.callers.asked(
+            final String doc = cluster.callers.operators.document(committed + i, "waits-" + i, true);
+            cluster.callers.ask(
                     leader, id -> new NodeRequest.Operate(id, "change", doc.getBytes(UTF_8)), responses::add);
-            world.run(world.now() + 20);
+            cluster.run(cluster.now() + 20);
             assertEquals(committedVersion(leader), committed, "after " + (i + 1) + " changes that are not accepted");
             assertTrue(committedMetadataVersion(leader) > 0, "no roster after " + (i + 1) + " changes");
         }
         assertTrue(
                 responses.stream().anyMatch(r -> r.status() == 503 && r.retryAfterMs() > 0),
                 "none was refused at once for the many that wait: " + responses);
-        for (final int id : world.controllers) {
-            world.processes.get(id).syncMs = 2;
+        for (final int id : cluster.controllers) {
+            cluster.processes.get(id).syncMs = 2;
         }
     }
 
@@ -129,9 +129,9 @@
         return bytes;
     }
 
-    private static SimulatedProcess controlLeader(final SimulatedCluster world) {
-        return world.controllers.stream()
-                .map(world.processes::get)
+    private static SimulatedProcess controlLeader(final SimulatedCluster cluster) {
+        return cluster.controllers.stream()
+                .map(cluster.processes::get)
                 .filter(p -> p.alive && ((ControllerNode) p.node).group().mayAct(p.mono()))
                 .findFirst()
                 .orElseThrow();
--- a/testing/src/test/java/brookpath/testing/sim/FullSyncTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/FullSyncTest.java
@@ -20,81 +20,81 @@
     /** What the link carries in its time, without loss: 20 MB at 350 kB a second take 59 s. */
     private static final long TRANSFER_MS = 59_000;
 
-    private SimulatedCluster world;
+    private SimulatedCluster cluster;
 
     @Test
     public void aLargeSnapshotGoesInPartsAndTheHeartbeatsComeBetweenThem() {
         final SimulatedProcess joiner = wipedMemberBehindASlowLink(21);
-        final long from = world.now();
+        final long from = cluster.now();
         long unheard = 0;
-        while (group(joiner).lost() && world.now() < from + 2 * TRANSFER_MS) {
-            world.run(world.now() + 10);
-            unheard += world.now() > from + 3_000 && group(joiner).leaderHeard() == 0 ? 10 : 0;
+        while (group(joiner).lost() && cluster.now() < from + 2 * TRANSFER_MS) {
+            cluster.run(cluster.now() + 10);
+            unheard += cluster.now() > from + 3_000 && group(joiner).leaderHeard() == 0 ? 10 : 0;
         }
-        System.out.println("MEASURED full sync of 20 MB: " + (world.now() - from) + " ms, master unheard " + unheard);
+        System.out.println("MEASURED full sync of 20 MB: " + (cluster.now() - from) + " ms, master unheard " + unheard);
         assertTrue(
                 !group(joiner).lost(),
                 "not rebuilt after " + 2 * TRANSFER_MS + " ms: " + group(joiner).why());
         assertEquals(unheard, 0L, "the beats were kept by the image");
-        assertTrue(world.now() - from < TRANSFER_MS * 3 / 2, "took " + (world.now() - from) + " ms");
+        assertTrue(cluster.now() - from < TRANSFER_MS * 3 / 2, "took " + (cluster.now() - from) + " ms");
     }
 
     @Test
     public void aTransferGoesOnWhereItWasAfterALostSession() {
         final SimulatedProcess joiner = wipedMemberBehindASlowLink(22);
-        final long from = world.now();
-        world.run(from + TRANSFER_MS / 2);
+        final long from = cluster.now();
+        cluster.run(from + TRANSFER_MS / 2);
         cutOff(joiner);
-        world.run(world.now() + 5_000);
-        world.net.heal();
-        while (group(joiner).lost() && world.now() < from + 3 * TRANSFER_MS) {
-            world.run(world.now() + 10);
+        cluster.run(cluster.now() + 5_000);
+        cluster.net.heal();
+        while (group(joiner).lost() && cluster.now() < from + 3 * TRANSFER_MS) {
+            cluster.run(cluster.now() + 10);
         }
-        System.out.println("MEASURED full sync cut once for 5 s: " + (world.now() - from) + " ms");
+        System.out.println("MEASURED full sync cut once for 5 s: " + (cluster.now() - from) + " ms");
         assertTrue(!group(joiner).lost(), "not rebuilt: " + group(joiner).why());
         // why: begun again it would take the half that was there once more
-        assertTrue(world.now() - from < TRANSFER_MS * 5 / 4 + 5_000, "took " + (world.now() - from) + " ms");
+        assertTrue(cluster.now() - from < TRANSFER_MS * 5 / 4 + 5_000, "took " + (cluster.now() - from) + " ms");
     }
 
     /** Without a machine that could take its place the member stays one, however long it is away. */
     private void retireSpare() {
-        final SimulatedProcess spare = world.storages.stream()
-                .map(world.processes::get)
+        final SimulatedProcess spare = cluster.storages.stream()
+                .map(cluster.processes::get)
                 .filter(p -> group(p) == null)
                 .findFirst()
                 .orElseThrow();
-        world.callers.operators.operate(
+        cluster.callers.operators.operate(
                 "retire", PackedBuffer.writer().num(spare.id).num(1).done());
-        world.run(world.now() + 8_000);
+        cluster.run(cluster.now() + 8_000);
     }
 
     private SimulatedProcess wipedMemberBehindASlowLink(final long seed) {
-        world = SimulatedCluster.serving(seed);
+        cluster = ServingCluster.start(seed);
         retireSpare();
         final SimulatedProcess leader = leader();
         // why: the log has to be trimmed, else the joiner takes it record by record
         for (int i = 0; i < 200; i++) {
             append(leader, i, 10);
         }
-        world.run(world.now() + 60_000);
+        cluster.run(cluster.now() + 60_000);
         assertNotEquals(group(leader()).baseIndex(), 0L, "nothing was trimmed");
         for (int i = 0; i < RECORDS; i++) {
             append(leader(), 1_000 + i, RECORD_BYTES);
         }
-        world.run(world.now() + 3_000);
-        final SimulatedProcess joiner = world.processes.get(group(leader()).members().stream()
+        cluster.run(cluster.now() + 3_000);
+        final SimulatedProcess joiner = cluster.processes.get(group(leader()).members().stream()
                 .map(m -> m.node())
                 .filter(n -> n != leader().id)
                 .findFirst()
                 .orElseThrow());
-        world.kill(joiner, false);
+        cluster.kill(joiner, false);
         joiner.disk.wipe();
-        for (final int id : world.processes.keySet()) {
-            world.net.linkBitsPerSecond.put(SimulatedNetwork.link(id, joiner.id), SLOW_BITS_PER_SECOND);
+        for (final int id : cluster.processes.keySet()) {
+            cluster.net.linkBitsPerSecond.put(SimulatedNetwork.link(id, joiner.id), SLOW_BITS_PER_SECOND);
         }
-        world.run(world.now() + 500);
-        world.restart(joiner);
-        world.run(world.now() + 1_000);
+        cluster.run(cluster.now() + 500);
+        cluster.restart(joiner);
+        cluster.run(cluster.now() + 1_000);
         assertTrue(group(joiner).lost());
         return joiner;
     }
@@ -107,22 +107,22 @@
                         LogRecord.PUBLISH,
                         LogRecord.publishBody(seq + 1, 2, "members", "permits/large", "ana", new String(text)),
                         leader.mono(),
-                        SimulatedCluster.WALL + world.now());
+                        SimulatedCluster.WALL + cluster.now());
         if (seq % 10 == 0) {
-            world.run(world.now() + 1);
+            cluster.run(cluster.now() + 1);
         }
     }
 
     private void cutOff(final SimulatedProcess joiner) {
-        for (final int id : world.processes.keySet()) {
-            world.net.cut(id, joiner.id);
-            world.net.cut(joiner.id, id);
+        for (final int id : cluster.processes.keySet()) {
+            cluster.net.cut(id, joiner.id);
+            cluster.net.cut(joiner.id, id);
         }
     }
 
     private SimulatedProcess leader() {
-        return world.storages.stream()
-                .map(world.processes::get)
+        return cluster.storages.stream()
+                .map(cluster.processes::get)
                 .filter(p -> p.alive && group(p) != null && group(p).mayAct(p.mono()))
                 .findFirst()
                 .orElseThrow();
--- a/testing/src/test/java/brookpath/testing/sim/GroupRepairTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/GroupRepairTest.java
@@ -30,34 +30,34 @@
     private static final long REPAIR_BOUND_MS = 1_500;
     private static final int MEASURED_SEEDS = 104;
 
-    private SimulatedCluster world;
+    private SimulatedCluster cluster;
     /** First answers by topic, to be got again by a repeat. */
     private final TreeMap<String, String> answers = new TreeMap<>();
 
     private void begin(final long seed) {
-        begin(SimulatedCluster.serving(seed));
+        begin(ServingCluster.start(seed));
     }
 
     private void begin(final SimulatedCluster serving) {
-        world = serving;
+        cluster = serving;
         answers.clear();
         for (int i = 0; i < 9; i++) {
             final String topic = "permits/t" + i;
-            world.callers.publisher("ana", topic, "key-members", 200, 40);
-            world.callers.subscriber("sub-" + i, "key-members", List.of(topic));
+            cluster.callers.publisher("ana", topic, "key-members", 200, 40);
+            cluster.callers.subscriber("sub-" + i, "key-members", List.of(topic));
         }
-        world.run(world.now() + 3_000);
+        cluster.run(cluster.now() + 3_000);
     }
 
     private GroupMachine copy(final int node, final int group) {
-        final SimulatedProcess p = world.processes.get(node);
+        final SimulatedProcess p = cluster.processes.get(node);
         return p.alive && !p.frozen() && p.node instanceof StorageNode s ? s.group(group) : null;
     }
 
     private GroupMachine acting(final int group) {
-        for (final int id : world.storages) {
+        for (final int id : cluster.storages) {
             final GroupMachine g = copy(id, group);
-            if (g != null && g.mayAct(world.processes.get(id).mono())) {
+            if (g != null && g.mayAct(cluster.processes.get(id).mono())) {
                 return g;
             }
         }
@@ -65,8 +65,8 @@
     }
 
     private SimulatedProcess controlLeader() {
-        for (final int id : world.controllers) {
-            final SimulatedProcess p = world.processes.get(id);
+        for (final int id : cluster.controllers) {
+            final SimulatedProcess p = cluster.processes.get(id);
             if (p.alive && ((ControllerNode) p.node).group().mayAct(p.mono())) {
                 return p;
             }
@@ -101,21 +101,21 @@
 
     /** How long until all groups are whole again, in milliseconds. */
     private long untilWhole(final int without, final long limit) {
-        final long from = world.now();
-        while (!allWhole(without) && world.now() < from + limit) {
-            world.run(world.now() + 5);
+        final long from = cluster.now();
+        while (!allWhole(without) && cluster.now() < from + limit) {
+            cluster.run(cluster.now() + 5);
         }
-        return allWhole(without) ? world.now() - from : Long.MAX_VALUE;
+        return allWhole(without) ? cluster.now() - from : Long.MAX_VALUE;
     }
 
     private Response publish(final String topic, final String sender, final long seq) {
         final Response[] got = new Response[1];
-        world.callers.asked(
-                world.processes.get(GATEWAY),
+        cluster.callers.ask(
+                cluster.processes.get(GATEWAY),
                 id -> new NodeRequest.Publish(id, "key-members", topic, sender, seq, "x"),
                 r -> got[0] = r);
         for (int i = 0; i < 400 && got[0] == null; i++) {
-            world.run(world.now() + 10);
+            cluster.run(cluster.now() + 10);
         }
         assertNotNull(got[0], "no response within 4 s");
         return got[0];
@@ -126,7 +126,7 @@
             // why: a topic that nobody listens to, for what is published here is not told to the judge of deliveries
             final String topic = "permits/read-back" + i;
             final Response r = publish(topic, sender, 1);
-            assertEquals(r.status(), 200, world.now() + " " + topic + ": " + r);
+            assertEquals(r.status(), 200, cluster.now() + " " + topic + ": " + r);
             answers.put(sender + " " + topic, r.json());
         }
     }
@@ -139,26 +139,27 @@
             assertTrue(
                     again.json().equals(json), what + ": " + key + " got " + again + ", not " + json + "\n" + notes());
         });
-        publishAll("later" + world.now());
-        world.callers.quiet = true;
-        world.run(world.now() + 25_000);
-        world.history.settle(world.now());
-        assertTrue(world.history.violations().isEmpty(), what + ": " + String.join("\n", world.history.violations()));
+        publishAll("later" + cluster.now());
+        cluster.callers.quiet = true;
+        cluster.run(cluster.now() + 25_000);
+        cluster.history.settle(cluster.now());
+        assertTrue(
+                cluster.history.violations().isEmpty(), what + ": " + String.join("\n", cluster.history.violations()));
     }
 
     private void lose(final int node) {
-        final SimulatedProcess p = world.processes.get(node);
-        world.kill(p, true);
+        final SimulatedProcess p = cluster.processes.get(node);
+        cluster.kill(p, true);
         p.disk.wipe();
     }
 
     private void loseDiskAndReturn(final int node, final long downMs) {
         lose(node);
-        world.at(world.now() + downMs, () -> world.restart(world.processes.get(node)));
+        cluster.at(cluster.now() + downMs, () -> cluster.restart(cluster.processes.get(node)));
     }
 
     private String notes() {
-        return String.join("\n", world.notes());
+        return String.join("\n", cluster.notes());
     }
 
     @Test
@@ -168,16 +169,16 @@
             publishAll("first");
             final int gone = 11 + (int) seed % 4;
             lose(gone);
-            world.run(world.now() + 2_000);
-            world.addStorage(NEWCOMER, world.processes.get(gone).zone);
-            world.run(world.now() + CATCH_UP_MS);
+            cluster.run(cluster.now() + 2_000);
+            cluster.addStorage(NEWCOMER, cluster.processes.get(gone).zone);
+            cluster.run(cluster.now() + CATCH_UP_MS);
             assertTrue(allWhole(gone), "seed " + seed + " is not whole:\n" + notes());
             publishAll("second");
-            final int next = world.storages.get((int) (seed / 4 % 5));
+            final int next = cluster.storages.get((int) (seed / 4 % 5));
             loseDiskAndReturn(next == gone ? NEWCOMER : next, seed % 2 == 0 ? 1_000 : 8_000);
-            world.run(world.now() + 3_000);
+            cluster.run(cluster.now() + 3_000);
             publishAll("third");
-            world.run(world.now() + 12_000);
+            cluster.run(cluster.now() + 12_000);
             readBack("seed " + seed);
         }
     }
@@ -189,13 +190,13 @@
             publishAll("first");
             final int gone = 11 + (int) seed % 4;
             lose(gone);
-            world.run(world.now() + CATCH_UP_MS);
+            cluster.run(cluster.now() + CATCH_UP_MS);
             assertTrue(allWhole(gone), "seed " + seed + " is not whole:\n" + notes());
             final int next = 11 + (int) (seed + 1) % 4;
             loseDiskAndReturn(next, seed % 2 == 0 ? 1_000 : 8_000);
-            world.run(world.now() + 3_000);
+            cluster.run(cluster.now() + 3_000);
             publishAll("second");
-            world.run(world.now() + 12_000);
+            cluster.run(cluster.now() + 12_000);
             readBack("seed " + seed);
         }
     }
@@ -206,22 +207,22 @@
             begin(seed);
             publishAll("first");
             final int cutOff = 11 + (int) seed % 4;
-            world.processes.keySet().forEach(id -> {
-                world.net.cut(id, cutOff);
-                world.net.cut(cutOff, id);
+            cluster.processes.keySet().forEach(id -> {
+                cluster.net.cut(id, cutOff);
+                cluster.net.cut(cutOff, id);
             });
-            world.run(world.now() + 20_000);
+            cluster.run(cluster.now() + 20_000);
             assertTrue(allWhole(cutOff), "seed " + seed + " is not whole:\n" + notes());
-            world.net.heal();
-            world.run(world.now() + 3_000);
+            cluster.net.heal();
+            cluster.run(cluster.now() + 3_000);
             for (int g = 0; g < GROUPS; g++) {
                 assertTrue(copy(cutOff, g) == null, "seed " + seed + ": group " + g + " was not dropped");
             }
             publishAll("second");
-            world.run(world.now() + 60_000);
+            cluster.run(cluster.now() + 60_000);
             final List<Integer> versions = versions();
             assertTrue(held(cutOff) >= 2, "seed " + seed + ": only " + held(cutOff) + " groups came back");
-            world.run(world.now() + 60_000);
+            cluster.run(cluster.now() + 60_000);
             assertEquals(versions(), versions, "seed " + seed + ": copies go to and fro");
             readBack("seed " + seed);
         }
@@ -246,12 +247,12 @@
     private void retire(final int node) {
         final Response[] got = new Response[1];
         for (int i = 0; i < 20 && (got[0] == null || got[0].status() == 503); i++) {
-            world.callers.asked(
+            cluster.callers.ask(
                     controlLeader(),
                     id -> new NodeRequest.Operate(
                             id, "retire", PackedBuffer.writer().num(node).num(1).done()),
                     r -> got[0] = r);
-            world.run(world.now() + 10);
+            cluster.run(cluster.now() + 10);
         }
         assertEquals(got[0].status(), 202, got[0].toString());
     }
@@ -270,9 +271,9 @@
     }
 
     private void untilCompleted(final int leaving, final String what) {
-        final long limit = world.now() + 30_000;
-        while (!completed(leaving) && world.now() < limit) {
-            world.run(world.now() + 1);
+        final long limit = cluster.now() + 30_000;
+        while (!completed(leaving) && cluster.now() < limit) {
+            cluster.run(cluster.now() + 1);
         }
         assertTrue(completed(leaving), what + " does not end:\n" + notes());
         for (int g = 0; g < GROUPS; g++) {
@@ -290,16 +291,16 @@
             publishAll("first");
             final int leaving = 11 + step % 4;
             retire(leaving);
-            world.run(world.now() + 15L * step);
+            cluster.run(cluster.now() + 15L * step);
             final int other = 11 + (step + 1 + step / 4 % 3) % 4;
             loseDiskAndReturn(other, 300);
-            final long returned = world.now() + 300;
+            final long returned = cluster.now() + 300;
             untilCompleted(leaving, "step " + step);
             lose(leaving);
-            world.run(Math.max(world.now(), returned + CATCH_UP_MS));
+            cluster.run(Math.max(cluster.now(), returned + CATCH_UP_MS));
             final int third = 11 + (step + 2) % 4;
             loseDiskAndReturn(third == leaving ? other : third, 1_000);
-            world.run(world.now() + 8_000);
+            cluster.run(cluster.now() + 8_000);
             readBack("step " + step);
         }
     }
@@ -314,7 +315,7 @@
             untilCompleted(leaving, "seed " + seed);
             lose(leaving);
             loseDiskAndReturn(11 + (int) (seed + 1 + seed / 4 % 3) % 4, 1_000);
-            world.run(world.now() + 8_000);
+            cluster.run(cluster.now() + 8_000);
             readBack("seed " + seed);
         }
     }
@@ -326,10 +327,10 @@
             publishAll("first");
             final int gone = 11 + step % 4;
             lose(gone);
-            world.addStorage(NEWCOMER, world.processes.get(gone).zone);
-            world.run(world.now() + 1_000 + 20L * step);
+            cluster.addStorage(NEWCOMER, cluster.processes.get(gone).zone);
+            cluster.run(cluster.now() + 1_000 + 20L * step);
             lose(NEWCOMER);
-            world.run(world.now() + 7_000);
+            cluster.run(cluster.now() + 7_000);
             assertTrue(allWhole(gone) && allWhole(NEWCOMER), "step " + step + " is not whole:\n" + notes());
             readBack("step " + step);
         }
@@ -342,14 +343,14 @@
             final List<Integer> versions = versions();
             final SimulatedProcess leader = controlLeader();
             if (seed % 2 == 0) {
-                world.kill(leader, true);
+                cluster.kill(leader, true);
             } else {
-                world.freeze(leader, 3_000);
+                cluster.freeze(leader, 3_000);
             }
-            world.run(world.now() + 10_000);
+            cluster.run(cluster.now() + 10_000);
             assertEquals(versions(), versions, "seed " + seed + ": copies moved:\n" + notes());
             assertFalse(notes().contains("taken for gone: [1"), "seed " + seed + ":\n" + notes());
-            world.restart(leader);
+            cluster.restart(leader);
             readBack("seed " + seed);
         }
     }
@@ -363,13 +364,13 @@
             final List<Long> fromLoss = new ArrayList<>();
             final List<Long> fromJudgement = new ArrayList<>();
             for (long seed = 0; seed < MEASURED_SEEDS; seed++) {
-                begin(SimulatedCluster.serving(seed, storages, control));
+                begin(ServingCluster.start(seed, storages, control));
                 final int gone = 11 + (int) seed % 4;
                 lose(gone);
                 if (newcomer) {
-                    world.at(world.now() + 1_000, () -> world.addStorage(NEWCOMER, "d"));
+                    cluster.at(cluster.now() + 1_000, () -> cluster.addStorage(NEWCOMER, "d"));
                 }
-                final long from = world.now();
+                final long from = cluster.now();
                 final long took = untilWhole(gone, 8_000);
                 fromLoss.add(took);
                 fromJudgement.add(took - (judgedAt() - from));
@@ -383,7 +384,7 @@
     }
 
     private long judgedAt() {
-        return world.notes().stream()
+        return cluster.notes().stream()
                 .filter(n -> n.contains("taken for gone: [1"))
                 .mapToLong(n -> Long.parseLong(n.substring(0, n.indexOf(' '))))
                 .findFirst()
--- a/testing/src/test/java/brookpath/testing/sim/JoinedSessionsTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/JoinedSessionsTest.java
@@ -26,17 +26,17 @@
 public final class JoinedSessionsTest {
     private static final String TOPIC = "permits/a";
 
-    private SimulatedCluster world;
+    private SimulatedCluster cluster;
 
     private void begin(final long seed) {
-        world = SimulatedCluster.serving(seed);
+        cluster = ServingCluster.start(seed);
     }
 
     private Response ask(final int node, final LongFunction<NodeRequest> request) {
         final Response[] got = new Response[1];
-        world.callers.asked(world.processes.get(node), request, r -> got[0] = r);
+        cluster.callers.ask(cluster.processes.get(node), request, r -> got[0] = r);
         for (int i = 0; i < 400 && got[0] == null; i++) {
-            world.run(world.now() + 10);
+            cluster.run(cluster.now() + 10);
         }
         assertNotNull(got[0], "no response within 4 s");
         return got[0];
@@ -64,7 +64,7 @@
 
     private List<Action.Hand> handed(final long session) {
         final List<Action.Hand> list = new ArrayList<>();
-        world.callers.told.forEach(a -> {
+        cluster.callers.sessionActions.forEach(a -> {
             if (a instanceof Action.Hand h && h.sessionId() == session) {
                 list.add(h);
             }
@@ -79,8 +79,8 @@
     private SimulatedProcess leader() {
         final int g = Placement.groupOf(
                 TOPIC, new Configuration.Space("permits", 30_000, false, 2), FleetSize.SMALL.groups());
-        for (final int id : world.storages) {
-            final SimulatedProcess p = world.processes.get(id);
+        for (final int id : cluster.storages) {
+            final SimulatedProcess p = cluster.processes.get(id);
             final GroupMachine m = p.alive && p.node instanceof StorageNode s ? s.group(g) : null;
             if (m != null && m.mayAct(p.mono())) {
                 return p;
@@ -97,20 +97,20 @@
         for (long seq = 1; seq <= 3; seq++) {
             assertEquals(publish(32, seq).status(), 200);
         }
-        world.run(world.now() + 300);
+        cluster.run(cluster.now() + 300);
         assertEquals(heard(first), List.of(1L, 2L, 3L));
         final String cursor = Cursor.one(handed(first).get(1).logRecord().index());
-        world.kill(world.processes.get(31), true);
+        cluster.kill(cluster.processes.get(31), true);
         assertEquals(publish(32, 4).status(), 200);
         final long second = open(33, "key-members");
         final Response joined = join(33, second, TOPIC, cursor);
         assertEquals(joined.json(), cursor);
         assertEquals(publish(32, 5).status(), 200);
-        world.run(world.now() + 300);
+        cluster.run(cluster.now() + 300);
         assertEquals(heard(second), List.of(3L, 4L, 5L));
         assertEquals(ask(33, i -> new NodeRequest.Leave(i, second, TOPIC)).status(), 200);
         assertEquals(publish(32, 6).status(), 200);
-        world.run(world.now() + 300);
+        cluster.run(cluster.now() + 300);
         assertEquals(heard(second), List.of(3L, 4L, 5L), "it has left the topic");
     }
 
@@ -131,20 +131,20 @@
         final long session = open(31, "key-guest");
         assertEquals(join(31, session, TOPIC, null).status(), 200);
         assertEquals(publish(32, 1).status(), 200);
-        world.callers.operators.change(
-                world.callers.operators.document(1, "second", false),
+        cluster.callers.operators.change(
+                cluster.callers.operators.document(1, "second", false),
                 "second",
                 r -> assertEquals(r.status(), 200, r.toString()));
-        world.run(world.now() + 3_000);
+        cluster.run(cluster.now() + 3_000);
         assertTrue(
-                world.callers.told.stream()
+                cluster.callers.sessionActions.stream()
                         .anyMatch(a -> a instanceof Action.Ended e
                                 && e.sessionId() == session
                                 && e.topic().equals(TOPIC)
                                 && e.why().status() == 401),
-                world.callers.told.toString());
+                cluster.callers.sessionActions.toString());
         assertEquals(publish(32, 2).status(), 200);
-        world.run(world.now() + 300);
+        cluster.run(cluster.now() + 300);
         assertEquals(heard(session), List.of(1L));
     }
 
@@ -157,14 +157,14 @@
             assertEquals(publish(31, 1).status(), 200);
             final SimulatedProcess leader = leader();
             final List<Response> got = new ArrayList<>();
-            world.callers.asked(
-                    world.processes.get(31),
+            cluster.callers.ask(
+                    cluster.processes.get(31),
                     i -> new NodeRequest.Publish(i, "key-members", TOPIC, "ana", 2, "x"),
                     got::add);
             // why: a little later each time, so that the publish has come further each time
-            world.run(world.now() + seed - 30);
-            world.kill(leader, true);
-            world.run(world.now() + 3_000);
+            cluster.run(cluster.now() + seed - 30);
+            cluster.kill(leader, true);
+            cluster.run(cluster.now() + 3_000);
             assertEquals(got.size(), 1, "seed " + seed);
             assertEquals(got.get(0).status(), 200, "seed " + seed + ": " + got);
             assertEquals(heard(session), List.of(1L, 2L), "seed " + seed);
@@ -181,14 +181,14 @@
             final Response[] got = new Response[9];
             for (int seq = 1; seq <= 8; seq++) {
                 final int n = seq;
-                world.callers.asked(
-                        world.processes.get(31),
+                cluster.callers.ask(
+                        cluster.processes.get(31),
                         i -> new NodeRequest.Publish(i, "key-members", TOPIC, "ana", n, "x" + n),
                         r -> got[n] = r);
             }
-            world.run(world.now() + 1 + seed % 6);
-            world.kill(leader, true);
-            world.run(world.now() + 3_000);
+            cluster.run(cluster.now() + 1 + seed % 6);
+            cluster.kill(leader, true);
+            cluster.run(cluster.now() + 3_000);
             final List<Long> heard = heard(session);
             assertEquals(heard, heard.stream().sorted().distinct().toList(), "seed " + seed);
             for (int seq = 1; seq <= 8; seq++) {
@@ -210,8 +210,8 @@
         assertEquals(publish(33, 5).status(), 200);
         assertEquals(publish(32, 4).status(), 409);
         final SimulatedProcess leader = leader();
-        world.kill(leader, true);
-        world.run(world.now() + 2_000);
+        cluster.kill(leader, true);
+        cluster.run(cluster.now() + 2_000);
         assertEquals(publish(31, 5).status(), 200);
         assertEquals(publish(31, 4).status(), 409);
     }
@@ -220,14 +220,14 @@
     public void aStorageMachineThatRetreatsHandsItsMastershipsOver() {
         begin(25);
         final SimulatedProcess leaving = leader();
-        final long asked = world.now();
+        final long asked = cluster.now();
         assertEquals(ask(leaving.id, NodeRequest.Retreat::new).status(), 200);
-        assertTrue(world.now() - asked < world.timing.down(), "it took " + (world.now() - asked) + " ms");
+        assertTrue(cluster.now() - asked < cluster.timing.down(), "it took " + (cluster.now() - asked) + " ms");
         // why: it leaves once another is elected, which then opens its term
-        world.run(world.now() + 50);
+        cluster.run(cluster.now() + 50);
         assertTrue(leader() != leaving);
         assertEquals(publish(31, 1).status(), 200);
-        world.run(world.now() + 2_000);
+        cluster.run(cluster.now() + 2_000);
         assertTrue(leader() != leaving, "it was elected again though it is about to leave");
     }
 
@@ -237,7 +237,7 @@
         final long session = open(31, "key-members");
         join(31, session, TOPIC, null);
         assertEquals(ask(31, NodeRequest.Retreat::new).status(), 200);
-        final Action.Move move = (Action.Move) world.callers.told.stream()
+        final Action.Move move = (Action.Move) cluster.callers.sessionActions.stream()
                 .filter(a -> a instanceof Action.Move)
                 .findFirst()
                 .orElseThrow();
@@ -249,7 +249,7 @@
     @Test
     public void aDocumentMayBringItsOwnVersionAndAnAnnotation() {
         begin(27);
-        final String doc = world.callers.operators.document(1, "numbered", true);
+        final String doc = cluster.callers.operators.document(1, "numbered", true);
         final String numbered = "{\"version\":17,\"annotation\":\"as it was: {\\\"x\\\":35.0}\"," + doc.substring(1);
         final Response r = ask(
                 1,
@@ -261,7 +261,7 @@
                 read.json().contains("\"version\":17") && read.json().contains("as it was: {\\\"x\\\":35.0}"),
                 read.json());
         assertEquals(
-                ((GatewayNode) world.processes.get(31).node)
+                ((GatewayNode) cluster.processes.get(31).node)
                         .client()
                         .configuration()
                         .version(),
@@ -282,7 +282,7 @@
     public void aControllerThatIsNoMemberCarriesRequestsAndKnowsTheOthers() {
         begin(28);
         final SimulatedProcess attendant = new SimulatedProcess(
-                world,
+                cluster,
                 4,
                 "d",
                 true,
@@ -291,13 +291,13 @@
                         List.of(),
                         List.of(1, 2, 3),
                         new Founding(4, 3, 4, 1),
-                        world.timing,
+                        cluster.timing,
                         7,
-                        process.life << 32,
+                        process.incarnation << 32,
                         1 << 20));
-        world.processes.put(4, attendant);
+        cluster.processes.put(4, attendant);
         attendant.start();
-        world.run(world.now() + 2_000);
+        cluster.run(cluster.now() + 2_000);
         final Response read = ask(4, i -> new NodeRequest.Operate(i, "spec", new byte[0]));
         assertEquals(read.status(), 200, read.toString());
         assertEquals(ask(4, NodeRequest.ReadinessProbe::new).status(), 200);
--- a/testing/src/test/java/brookpath/testing/sim/OrderRepeatsTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/OrderRepeatsTest.java
@@ -24,14 +24,14 @@
             if (answered(askRetireNamed(leader(), name)).status() == 202) {
                 return;
             }
-            world.run(world.now() + 200);
+            cluster.run(cluster.now() + 200);
         }
         throw new AssertionError("the order was never acknowledged");
     }
 
     private void untilEmpty(final int node) {
         for (int i = 0; i < 300; i++) {
-            world.run(world.now() + 100);
+            cluster.run(cluster.now() + 100);
             if (metadata(leader()).groups().stream()
                     .noneMatch(g -> g.membership().holds(node))) {
                 return;
@@ -41,27 +41,27 @@
     }
 
     private void assertNoViolations() {
-        assertTrue(world.history.violations().isEmpty(), String.join("\n", world.history.violations()));
+        assertTrue(cluster.history.violations().isEmpty(), String.join("\n", cluster.history.violations()));
     }
 
     @Test
     public void aRetirementThatWasAcknowledgedOutlivesALossOfPower() {
         begin(120);
-        world.run(world.now() + 3_000);
+        cluster.run(cluster.now() + 3_000);
         final SimulatedProcess leader = leader();
         // why: the record is on no second disk for a while, though heartbeats are answered and the lease runs
         others(leader).forEach(p -> p.syncMs = 400);
         final Asked order = askRetire(leader, LEAVING);
         for (int i = 0; i < 2_000 && order.response == null; i++) {
-            world.run(world.now() + 1);
+            cluster.run(cluster.now() + 1);
         }
-        world.controllers.forEach(id -> world.kill(world.processes.get(id), true));
+        cluster.controllers.forEach(id -> cluster.kill(cluster.processes.get(id), true));
         others(leader).forEach(p -> {
             p.syncMs = 2;
-            world.restart(p);
+            cluster.restart(p);
         });
         final SimulatedProcess next = leader();
-        world.run(world.now() + 500);
+        cluster.run(cluster.now() + 500);
         assertEquals(order.status(), 202, order.toString());
         assertTrue(metadata(next).retiring().contains(LEAVING), "acknowledged and lost: " + order);
     }
@@ -69,14 +69,14 @@
     @Test
     public void aRetirementIsAcknowledgedAgainWhileItIsUnderWay() {
         begin(121);
-        world.run(world.now() + 3_000);
+        cluster.run(cluster.now() + 3_000);
         assertEquals(answered(askRetire(leader(), LEAVING)).status(), 202);
         // why: now no live machine can take the copies, which must not turn the order into a refused one
-        world.kill(world.processes.get(12), false);
-        world.kill(world.processes.get(13), false);
-        world.run(world.now() + 4_000);
+        cluster.kill(cluster.processes.get(12), false);
+        cluster.kill(cluster.processes.get(13), false);
+        cluster.run(cluster.now() + 4_000);
         for (int i = 0; i < 3; i++) {
-            final Asked again = answered(askRetire(world.processes.get(world.controllers.get(i)), LEAVING));
+            final Asked again = answered(askRetire(cluster.processes.get(cluster.controllers.get(i)), LEAVING));
             assertEquals(again.status(), 202, again.toString());
         }
     }
@@ -84,17 +84,17 @@
     @Test
     public void aRetirementIsAcknowledgedAgainWhenTheMachineIsGone() {
         begin(122);
-        world.run(world.now() + 3_000);
+        cluster.run(cluster.now() + 3_000);
         retireNamed(LEAVING_NAME);
         untilEmpty(LEAVING);
-        world.kill(world.processes.get(LEAVING), true);
-        world.run(world.now() + 6_000);
+        cluster.kill(cluster.processes.get(LEAVING), true);
+        cluster.run(cluster.now() + 6_000);
         forget(LEAVING);
-        world.run(world.now() + 500);
+        cluster.run(cluster.now() + 500);
         assertEquals(metadata(leader()).node(LEAVING), null, "nothing was staged");
         for (int round = 0; round < 2; round++) {
-            for (final int id : world.controllers) {
-                final SimulatedProcess p = world.processes.get(id);
+            for (final int id : cluster.controllers) {
+                final SimulatedProcess p = cluster.processes.get(id);
                 assertEquals(answered(askRetireNamed(p, LEAVING_NAME)).status(), 202);
                 final Asked state = answered(ask(p, "retired", LEAVING_NAME.getBytes(UTF_8)));
                 assertEquals(state.status(), 200, state.toString());
@@ -102,10 +102,10 @@
                 assertEquals(answered(askRetireNamed(p, "nobody")).status(), 404);
             }
             // why: what is remembered must come back from the disks, and from another leader
-            world.controllers.forEach(id -> world.kill(world.processes.get(id), true));
-            world.controllers.forEach(id -> world.restart(world.processes.get(id)));
+            cluster.controllers.forEach(id -> cluster.kill(cluster.processes.get(id), true));
+            cluster.controllers.forEach(id -> cluster.restart(cluster.processes.get(id)));
             leader();
-            world.run(world.now() + 4_000);
+            cluster.run(cluster.now() + 4_000);
         }
     }
 
@@ -119,7 +119,7 @@
                 groups,
                 was.retiring().stream().filter(n -> n != node).toList());
         leader.run(p -> {
-            group(p).append(LogRecord.CONTROL, ControlState.metadataBody(then), p.mono(), world.now());
+            group(p).append(LogRecord.CONTROL, ControlState.metadataBody(then), p.mono(), cluster.now());
             return List.of();
         });
     }
@@ -127,15 +127,15 @@
     @Test
     public void aLeaderThatHasNotHeardTheStorageMachinesYetRefusesNoRetirement() {
         begin(123);
-        world.run(world.now() + 3_000);
-        world.kill(leader(), false);
+        cluster.run(cluster.now() + 3_000);
+        cluster.kill(leader(), false);
         for (int i = 0; i < 2_000 && actingLeader() == null; i++) {
-            world.run(world.now() + 1);
+            cluster.run(cluster.now() + 1);
         }
         final Asked order = askRetire(leader(), LEAVING);
-        world.run(world.now() + 2_900);
+        cluster.run(cluster.now() + 2_900);
         assertTrue(order.status() == 202 || order.unclear(), order.toString());
-        world.run(world.now() + 3_000);
+        cluster.run(cluster.now() + 3_000);
         assertEquals(answered(askRetire(leader(), LEAVING)).status(), 202);
     }
 
@@ -155,8 +155,8 @@
             }
         }
         assertEquals(refused, 5_000);
-        for (final int id : world.controllers) {
-            final Asked again = answered(askChange(world.processes.get(id), newest));
+        for (final int id : cluster.controllers) {
+            final Asked again = answered(askChange(cluster.processes.get(id), newest));
             assertEquals(again.status(), 200, again.toString());
             assertEquals(version(again.response), 2);
         }
@@ -182,15 +182,15 @@
             assertEquals(settled(document(i, "later-" + i), "later-" + i).status(), 200);
         }
         for (int round = 0; round < 2; round++) {
-            for (final int id : world.controllers) {
-                final Asked again = answered(askChange(world.processes.get(id), first));
+            for (final int id : cluster.controllers) {
+                final Asked again = answered(askChange(cluster.processes.get(id), first));
                 assertEquals(again.status(), 200, again.toString());
                 assertEquals(version(again.response), 2, again.toString());
             }
-            world.controllers.forEach(id -> world.kill(world.processes.get(id), true));
-            world.controllers.forEach(id -> world.restart(world.processes.get(id)));
+            cluster.controllers.forEach(id -> cluster.kill(cluster.processes.get(id), true));
+            cluster.controllers.forEach(id -> cluster.restart(cluster.processes.get(id)));
             leader();
-            world.run(world.now() + 4_000);
+            cluster.run(cluster.now() + 4_000);
         }
         assertNoViolations();
     }
@@ -201,12 +201,12 @@
             begin(seed);
             final String document = document(1, "same");
             final List<Asked> asked = new ArrayList<>();
-            world.controllers.forEach(id -> asked.add(askChange(world.processes.get(id), document)));
+            cluster.controllers.forEach(id -> asked.add(askChange(cluster.processes.get(id), document)));
             if (seed % 2 == 0) {
                 final SimulatedProcess leader = leader();
-                world.at(world.now() + (seed - 130) / 2, () -> world.kill(leader, true));
+                cluster.at(cluster.now() + (seed - 130) / 2, () -> cluster.kill(leader, true));
             }
-            world.run(world.now() + 6_000);
+            cluster.run(cluster.now() + 6_000);
             for (final Asked a : asked) {
                 assertTrue(a.unclear() || (a.status() == 200 && version(a.response) == 2), "seed " + seed + ": " + a);
             }
@@ -225,18 +225,18 @@
             final List<String> documents = List.of(document(1, "left"), document(1, "right"));
             final SimulatedProcess leader = leader();
             final int deathMs = step;
-            world.at(world.now() + deathMs, () -> world.kill(leader, true));
-            world.at(world.now() + deathMs + 2_000, () -> world.restart(leader));
+            cluster.at(cluster.now() + deathMs, () -> cluster.kill(leader, true));
+            cluster.at(cluster.now() + deathMs + 2_000, () -> cluster.restart(leader));
             final List<Asked> asked = new ArrayList<>();
-            // why: each goes to all nodes at once, and again after the death, as after lost answers
+            // why: each attempts to all nodes at once, and again after the death, as after lost answers
             for (int round = 0; round < 5; round++) {
-                for (final int id : world.controllers) {
-                    asked.add(askChange(world.processes.get(id), documents.get(id % 2)));
-                    asked.add(askChange(world.processes.get(id), documents.get(1 - id % 2)));
+                for (final int id : cluster.controllers) {
+                    asked.add(askChange(cluster.processes.get(id), documents.get(id % 2)));
+                    asked.add(askChange(cluster.processes.get(id), documents.get(1 - id % 2)));
                 }
-                world.run(world.now() + 700);
+                cluster.run(cluster.now() + 700);
             }
-            world.run(world.now() + 4_000);
+            cluster.run(cluster.now() + 4_000);
             final Response left = settled(documents.get(0), "left");
             final Response right = settled(documents.get(1), "right");
             assertEquals(
@@ -264,12 +264,12 @@
         others(leader).forEach(p -> p.syncMs = 400);
         final Asked winner = askChange(leader, document(1, "winner"));
         final Asked loser = askChange(leader, document(1, "loser"));
-        world.run(world.now() + 5);
+        cluster.run(cluster.now() + 5);
         final long appended = group(leader).endIndex();
         for (int i = 0; i < 200 && group(leader).committed() < appended; i++) {
             assertNull(winner.response, "confirmed before it is accepted: " + winner);
             assertNull(loser.response, "lost to a version that is not accepted: " + loser);
-            world.run(world.now() + 5);
+            cluster.run(cluster.now() + 5);
         }
         assertEquals(answered(winner).status(), 200);
         assertEquals(answered(loser).status(), 409);
@@ -279,17 +279,17 @@
     @Test
     public void aChangeIsConfirmedOnlyOnceItIsCommitted() {
         begin(142);
-        world.storages.forEach(id -> world.kill(world.processes.get(id), false));
-        world.gateways.forEach(id -> world.kill(world.processes.get(id), false));
-        world.run(world.now() + 10_000);
+        cluster.storages.forEach(id -> cluster.kill(cluster.processes.get(id), false));
+        cluster.gateways.forEach(id -> cluster.kill(cluster.processes.get(id), false));
+        cluster.run(cluster.now() + 10_000);
         final SimulatedProcess leader = leader();
         others(leader).forEach(p -> p.syncMs = 400);
         final Asked change = askChange(leader, document(1, "slow"));
-        world.run(world.now() + 5);
+        cluster.run(cluster.now() + 5);
         final long appended = group(leader).endIndex();
         for (int i = 0; i < 200 && group(leader).committed() < appended; i++) {
             assertNull(change.response, "confirmed before it is accepted: " + change);
-            world.run(world.now() + 5);
+            cluster.run(cluster.now() + 5);
         }
         assertEquals(answered(change).status(), 200);
     }
@@ -298,10 +298,10 @@
     public void twoChangesUnderOneIdNeverBothWin() {
         begin(140);
         final String one = document(1, "twice");
-        final String other = world.callers.operators.document(1, "twice", false);
+        final String other = cluster.callers.operators.document(1, "twice", false);
         final Asked first = askChange(leader(), one);
         final Asked second = askChange(others(leader()).get(0), other);
-        world.run(world.now() + 3_500);
+        cluster.run(cluster.now() + 3_500);
         assertEquals(answered(askChange(leader(), one)).status() == 200, first.status() == 200);
         assertEquals(first.status() + second.status(), 200 + 409, first + " " + second);
     }
--- a/testing/src/test/java/brookpath/testing/sim/RejoinAfterManyChangesTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/RejoinAfterManyChangesTest.java
@@ -17,7 +17,7 @@
     private static final long CATCH_UP_MS = 4_000;
     private static final int ANNOTATION_BYTES = 8_000;
 
-    private SimulatedCluster world;
+    private SimulatedCluster cluster;
     private long version;
 
     @Test
@@ -38,11 +38,11 @@
     public void aMemberThatIsBehindNeverLeadsThoughTheLeaderDiesAsItComesBack() {
         for (long seed = 43; seed < 49; seed++) {
             final SimulatedProcess away = comesBackAfterManyChanges(seed, false);
-            world.run(world.now() + 50 * (seed - 43));
-            world.kill(controlLeader(), true);
+            cluster.run(cluster.now() + 50 * (seed - 43));
+            cluster.kill(controlLeader(), true);
             SimulatedProcess next = null;
             for (int i = 0; i < 500 && next == null; i++) {
-                world.run(world.now() + 10);
+                cluster.run(cluster.now() + 10);
                 next = controlLeader();
             }
             assertTrue(next != null, "seed " + seed + ": no master within 5 s");
@@ -52,44 +52,44 @@
     }
 
     private SimulatedProcess comesBackAfterManyChanges(final long seed, final boolean wiped) {
-        world = SimulatedCluster.serving(seed);
+        cluster = ServingCluster.start(seed);
         final SimulatedProcess leader = controlLeader();
-        final SimulatedProcess away = world.processes.get(leader.id == 1 ? 2 : 1);
+        final SimulatedProcess away = cluster.processes.get(leader.id == 1 ? 2 : 1);
         version = committedVersion(leader);
-        world.kill(away, true);
+        cluster.kill(away, true);
         if (wiped) {
             away.disk.wipe();
         }
         final long before = group(leader).endIndex();
         for (int i = 0; i < CHANGES; i++) {
             change(leader, "run-" + i);
-            world.run(world.now() + AWAY_MS / CHANGES);
+            cluster.run(cluster.now() + AWAY_MS / CHANGES);
         }
         assertEquals(committedVersion(leader), version, "not all changes were accepted");
         assertTrue(group(leader).baseIndex() > before, "the log was not trimmed beneath the member that is away");
-        world.restart(away);
+        cluster.restart(away);
         return away;
     }
 
     private void change(final SimulatedProcess leader, final String changeId) {
-        final String plain = world.callers.operators.document(version, changeId, true);
+        final String plain = cluster.callers.operators.document(version, changeId, true);
         final String doc =
                 plain.substring(0, plain.length() - 1) + ",\"annotation\":\"" + "z".repeat(ANNOTATION_BYTES) + "\"}";
-        world.callers.asked(leader, id -> new NodeRequest.Operate(id, "change", doc.getBytes(UTF_8)), r -> {});
+        cluster.callers.ask(leader, id -> new NodeRequest.Operate(id, "change", doc.getBytes(UTF_8)), r -> {});
         version++;
     }
 
     private void catchesUp(final SimulatedProcess away) {
-        final long from = world.now();
-        while (committedVersion(away) < version && world.now() < from + CATCH_UP_MS) {
-            world.run(world.now() + 10);
+        final long from = cluster.now();
+        while (committedVersion(away) < version && cluster.now() < from + CATCH_UP_MS) {
+            cluster.run(cluster.now() + 10);
         }
-        System.out.println("MEASURED caught up with " + CHANGES + " changes in " + (world.now() - from) + " ms");
+        System.out.println("MEASURED caught up with " + CHANGES + " changes in " + (cluster.now() - from) + " ms");
         assertEquals(
                 committedVersion(away),
                 version,
                 "after " + CATCH_UP_MS + " ms: " + group(away).why());
-        world.run(world.now() + 500);
+        cluster.run(cluster.now() + 500);
         assertEquals(group(away).syncedIndex(), group(controlLeader()).syncedIndex());
         assertTrue(!group(away).lost());
     }
@@ -97,25 +97,25 @@
     /** Only the one that was away and one other are left: whoever leads has everything. */
     private void othersDieAndTheNewestIsStillThere(final SimulatedProcess away) {
         final SimulatedProcess leader = controlLeader();
-        world.kill(leader, true);
-        world.run(world.now() + 4_000);
+        cluster.kill(leader, true);
+        cluster.run(cluster.now() + 4_000);
         assertEquals(committedVersion(controlLeader()), version);
-        final SimulatedProcess other = world.controllers.stream()
-                .map(world.processes::get)
+        final SimulatedProcess other = cluster.controllers.stream()
+                .map(cluster.processes::get)
                 .filter(p -> p != away && p != leader)
                 .findFirst()
                 .orElseThrow();
-        world.restart(leader);
-        world.run(world.now() + 4_000);
-        world.kill(other, true);
-        world.run(world.now() + 4_000);
+        cluster.restart(leader);
+        cluster.run(cluster.now() + 4_000);
+        cluster.kill(other, true);
+        cluster.run(cluster.now() + 4_000);
         assertEquals(committedVersion(controlLeader()), version);
-        assertTrue(world.history.violations().isEmpty(), String.join("\n", world.history.violations()));
+        assertTrue(cluster.history.violations().isEmpty(), String.join("\n", cluster.history.violations()));
     }
 
     private SimulatedProcess controlLeader() {
-        return world.controllers.stream()
-                .map(world.processes::get)
+        return cluster.controllers.stream()
+                .map(cluster.processes::get)
                 .filter(p -> p.alive && group(p).mayAct(p.mono()))
                 .findFirst()
                 .orElse(null);
--- a/testing/src/test/java/brookpath/testing/sim/SessionScenariosTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/SessionScenariosTest.java
@@ -18,7 +18,7 @@
         }
         startCallers();
         final SimulatedProcess gateway = cluster.processes.get(31);
-        cluster.callers.asked(gateway, id -> new NodeRequest.Drain(id, true), r -> assertEquals(r.status(), 200));
+        cluster.callers.ask(gateway, id -> new NodeRequest.Drain(id, true), r -> assertEquals(r.status(), 200));
         final int before = cluster.counted("sessions closed");
         cluster.run(cluster.now() + 500);
         final int soon = cluster.counted("sessions closed") - before;
@@ -26,10 +26,10 @@
         final int all = cluster.counted("sessions closed") - before;
         assertTrue(soon < all && all >= 2, soon + " of " + all + " left at once");
         final Response[] got = new Response[1];
-        cluster.callers.asked(gateway, NodeRequest.ReadinessProbe::new, r -> got[0] = r);
+        cluster.callers.ask(gateway, NodeRequest.ReadinessProbe::new, r -> got[0] = r);
         cluster.run(cluster.now() + 100);
         assertEquals(got[0].status(), 503);
-        cluster.callers.asked(
+        cluster.callers.ask(
                 gateway,
                 id -> new NodeRequest.Subscribe(id, "key-members", List.of("permits/t0"), null),
                 r -> got[0] = r);
