--- a/coordination/src/main/java/brookpath/coordination/node/gateway/SessionTerminator.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/SessionTerminator.java
@@ -1,5 +1,7 @@
 package brookpath.coordination.node.gateway;
 
+import static brookpath.coordination.message.ResponseStatus.GONE;
+
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
 import brookpath.coordination.message.Response;
@@ -9,7 +11,6 @@
 
 /** Ends sessions, or single topics of them, and tells the callers why. */
 final class SessionTerminator {
-    private static final int GONE = 410;
     private static final String NOT_READ_IN_TIME = "no member in sync could be read in time";
     private static final String NO_LONGER_KEPT = "history after the cursor is no longer kept";
 
--- a/coordination/src/main/java/brookpath/coordination/node/storage/UsageWindowReporter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/UsageWindowReporter.java
@@ -1,5 +1,7 @@
 package brookpath.coordination.node.storage;
 
+import static brookpath.coordination.message.ResponseStatus.OK;
+
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
 import brookpath.coordination.configuration.ConfigurationClient;
@@ -18,7 +20,6 @@
  * leader until that has acknowledged them.
  */
 public final class UsageWindowReporter {
-    private static final int OK = 200;
     /** The newest acknowledged window where none is. */
     private static final long NONE = -1;
 
@@ -75,7 +76,7 @@
 
     /** The control leader's reply: the newest window of the group that its log has. */
     public void acknowledged(final ControlReply reply) {
-        if (reply.status() == OK) {
+        if (reply.status() == OK.code()) {
             acknowledgedWindow.put(
                     groupOf(reply.requestId()),
                     PackedBuffer.reader(reply.body()).num());
