--- a/testing/src/main/java/brookpath/testing/sim/ProcessLog.java
+++ b/testing/src/main/java/brookpath/testing/sim/ProcessLog.java
@@ -46,7 +46,7 @@
     void scheduleScrub() {
         if (process.disk != null) {
             process.after(SCRUB_PERIOD_MS, () -> {
-                if (!process.frozen() && !busy && !writeAheadLog.whole()) {
+                if (!process.frozen() && !busy && !writeAheadLog.isIntact()) {
                     cluster.count("damage found by the sweep of the disk");
                     process.run(p -> p.node.damaged(p.time()));
                 }
