--- a/testing/src/main/java/brookpath/testing/sim/ControlDay.java
+++ b/testing/src/main/java/brookpath/testing/sim/ControlDay.java
@@ -66,9 +66,10 @@
     private final Operators operators;
     private final ControlFaults faults;
 
-    private ControlDay(final Plan plan) {
+    private ControlDay(final Plan plan, final ActionObserver observer) {
         this.plan = plan;
         cluster = new SimulatedCluster(plan.seed(), SIZE, EnumSet.noneOf(Mutation.class));
+        cluster.observer = observer;
         fleet = new ControlFleet(cluster);
         calls = new ControlCall(cluster, history.calls);
         operators = new Operators(cluster, fleet, history, calls);
@@ -78,7 +79,12 @@
 
     /** Plays the day. */
     public static Outcome play(final Plan plan) {
-        return new ControlDay(plan).play();
+        return play(plan, ActionObserver.NONE);
+    }
+
+    /** Plays the day and shows the observer the actions of all processes. */
+    public static Outcome play(final Plan plan, final ActionObserver observer) {
+        return new ControlDay(plan, observer).play();
     }
 
     private Outcome play() {
@@ -128,9 +134,9 @@
         final long end = cluster.now() + plan.lengthMs();
         while (cluster.now() < end && !kinds.isEmpty()) {
             final ControlFault kind = kinds.get(cluster.random.nextInt(kinds.size()));
-            final boolean struck = faults.strike(kind);
+            final boolean caused = faults.causeFault(kind);
             final long pause =
-                    struck && cluster.random.nextBoolean() ? cluster.random.nextLong(PAUSE_MS) : WATCH_EVERY_MS;
+                    caused && cluster.random.nextBoolean() ? cluster.random.nextLong(PAUSE_MS) : WATCH_EVERY_MS;
             cluster.run(Math.min(end, cluster.now() + pause));
         }
         cluster.run(end);
@@ -144,13 +150,13 @@
         if (calm) {
             return;
         }
-        final boolean[] struck = new boolean[1];
-        faults.close(() -> struck[0] = true);
+        final boolean[] caused = new boolean[1];
+        faults.close(() -> caused[0] = true);
         final long giveUpAt = cluster.now() + LAST_ORDER_MS;
-        while (!struck[0] && cluster.now() < giveUpAt) {
+        while (!caused[0] && cluster.now() < giveUpAt) {
             cluster.run(cluster.now() + 1);
         }
-        cluster.count(struck[0] ? "control: closing faults" : "control: no acknowledgement to close on");
+        cluster.count(caused[0] ? "control: closing faults" : "control: no acknowledgement to close on");
         cluster.run(Math.max(cluster.now(), faults.machines().outUntil() - MachineFaults.CATCH_UP_MS + 1));
     }
 
--- a/testing/src/main/java/brookpath/testing/sim/ControlFaults.java
+++ b/testing/src/main/java/brookpath/testing/sim/ControlFaults.java
@@ -58,7 +58,7 @@
     }
 
     /** Brings this disturb about now, or, where it waits for an order, at the next one; false where it has to wait. */
-    boolean strike(final ControlFault fault) {
+    boolean causeFault(final ControlFault fault) {
         if (mustWait(fault)) {
             return false;
         }
--- a/testing/src/main/java/brookpath/testing/sim/DayFaults.java
+++ b/testing/src/main/java/brookpath/testing/sim/DayFaults.java
@@ -72,7 +72,7 @@
     }
 
     /** Brings about one failure of this kind. */
-    void strike(final Fault fault) {
+    void causeFault(final Fault fault) {
         final SimulatedProcess p = target();
         final long durationMs = 300 + cluster.random.nextLong(5_000);
         switch (fault) {
--- a/testing/src/main/java/brookpath/testing/sim/ProcessHeartbeats.java
+++ b/testing/src/main/java/brookpath/testing/sim/ProcessHeartbeats.java
@@ -141,6 +141,7 @@
 
     private void send() {
         out.drain().forEach(action -> {
+            process.cluster.observer.observe(process.cluster.now(), process.id, action);
             if (action instanceof Action.Send send) {
                 process.cluster.net.send(process, send.node(), send.message());
             }
--- a/testing/src/main/java/brookpath/testing/sim/SimulatedCluster.java
+++ b/testing/src/main/java/brookpath/testing/sim/SimulatedCluster.java
@@ -50,6 +50,9 @@
     /** Set before the first run: how many machines at once the fleet is founded to lose. */
     int toleratedLosses = 1;
 
+    /** Sees the actions of all processes; set before the first run. */
+    ActionObserver observer = ActionObserver.NONE;
+
     public SimulatedCluster(final long seed, final FleetSize size, final EnumSet<Mutation> mutations) {
         this(seed, size, mutations, TimingBounds.DEFAULT, TimingBounds.DEFAULT);
     }
--- a/testing/src/main/java/brookpath/testing/sim/SimulatedDay.java
+++ b/testing/src/main/java/brookpath/testing/sim/SimulatedDay.java
@@ -115,22 +115,35 @@
 
     private final Plan plan;
     private final SimulatedCluster cluster;
-    private int strikes;
+    private int faultsCaused;
     private final DayFaults failures;
 
-    private SimulatedDay(final Plan plan) {
+    private SimulatedDay(final Plan plan, final ActionObserver observer) {
         this.plan = plan;
         cluster = new SimulatedCluster(plan.seed, plan.size, plan.mutations);
+        cluster.observer = observer;
         failures = new DayFaults(cluster);
     }
 
     public static Outcome live(final Plan plan) {
-        return new SimulatedDay(plan).live();
+        return live(plan, ActionObserver.NONE);
     }
 
-    /** A calm day's cluster after its startCallers have been about for the plan's length, for measurements. */
+    /** Plays the day and shows the observer the actions of all processes. */
+    public static Outcome live(final Plan plan, final ActionObserver observer) {
+        return new SimulatedDay(plan, observer).live();
+    }
+
+    /**
+     * Plays the day up to its last fault, without the recovery, and shows the observer the actions of all processes.
+     */
+    public static void playFaults(final Plan plan, final ActionObserver observer) {
+        new SimulatedDay(plan, observer).playFaults();
+    }
+
+    /** The cluster of a calm day after its callers have been about for the plan's length, for measurements. */
     static SimulatedCluster calm(final Plan plan) {
-        final SimulatedDay day = new SimulatedDay(plan);
+        final SimulatedDay day = new SimulatedDay(plan, ActionObserver.NONE);
         day.begin();
         day.cluster.run(day.cluster.now() + plan.lengthMs);
         return day.cluster;
@@ -149,6 +162,11 @@
     }
 
     private Outcome live() {
+        playFaults();
+        return morningAfter();
+    }
+
+    private void playFaults() {
         begin();
         cluster.callers.operators.raceOnAndOn(2_000);
         long next = cluster.now() + plan.faultEveryMs;
@@ -160,21 +178,20 @@
             next = cluster.now()
                     + plan.faultEveryMs / 2
                     + cluster.random.nextLong(plan.faultEveryMs)
-                    + (++strikes % 6 == 0 ? RECOVERY_PAUSE_MS : 0);
-            failures.strike(faults.get(cluster.random.nextInt(faults.size())));
+                    + (++faultsCaused % 6 == 0 ? RECOVERY_PAUSE_MS : 0);
+            failures.causeFault(faults.get(cluster.random.nextInt(faults.size())));
             if (cluster.random.nextInt(4) == 0) {
-                failures.strike(faults.get(cluster.random.nextInt(faults.size())));
+                failures.causeFault(faults.get(cluster.random.nextInt(faults.size())));
             }
         }
         cluster.run(end);
         if (plan.ending != Ending.CALM && !faults.isEmpty()) {
-            failures.strike(faults.get(cluster.random.nextInt(faults.size())));
+            failures.causeFault(faults.get(cluster.random.nextInt(faults.size())));
             cluster.run(cluster.now() + 1_000);
         }
         if (plan.ending == Ending.ONE_GONE) {
             failures.loseOne();
         }
-        return morningAfter();
     }
 
     /**
--- a/testing/src/main/java/brookpath/testing/sim/SimulatedProcess.java
+++ b/testing/src/main/java/brookpath/testing/sim/SimulatedProcess.java
@@ -207,6 +207,7 @@
             if (!alive) {
                 return;
             }
+            cluster.observer.observe(cluster.now(), id, action);
             execute(action);
             heartbeatNow |= action instanceof Action.HeartbeatNow;
             if (crashesAfter(action)) {
