--- a/testing/src/main/java/brookpath/testing/disk/FaultyDisk.java
+++ b/testing/src/main/java/brookpath/testing/disk/FaultyDisk.java
@@ -29,6 +29,7 @@
     private long capacity = Long.MAX_VALUE;
     private long syncs;
 
+    /** Whether every sync fails from now on. */
     public void failing(final boolean on) {
         failing = on;
     }
@@ -49,6 +50,7 @@
                 : capacity - names.values().stream().mapToLong(d -> d.len).sum();
     }
 
+    /** How many syncs there were. */
     public long syncs() {
         return syncs;
     }
@@ -96,6 +98,7 @@
         powerLoss(random);
     }
 
+    /** Loses everything, as a new disk in the machine. */
     public void wipe() {
         names.clear();
         durable.clear();
--- a/testing/src/main/java/brookpath/testing/fleet/FleetOperators.java
+++ b/testing/src/main/java/brookpath/testing/fleet/FleetOperators.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Consumer;
 
-/** Operators who hand over changes, one or two at a time, some of them nonsense, and verify what becomes of them. */
+/** Operators who hand over changes, one or two at a time, some of them nonsense, and check what becomes of them. */
 final class FleetOperators implements AutoCloseable {
     private static final int CONTROLLERS = 3;
     private static final int MAX_ATTEMPTS = 60;
--- a/testing/src/main/java/brookpath/testing/fleet/Subscriber.java
+++ b/testing/src/main/java/brookpath/testing/fleet/Subscriber.java
@@ -19,7 +19,7 @@
     private static final int OK = 200;
     private static final int UNAUTHORIZED = 401;
     private static final int GONE = 410;
-    private static final long KEEPING_MS = 30_000;
+    private static final long RETENTION_MS = 30_000;
     private static final long RECONNECT_MS = 50;
     private static final long RECONNECT_JITTER_MASK = 255;
 
@@ -76,7 +76,7 @@
         context.measurements().count("subscribe status " + status);
         if (status == GONE) {
             synchronized (context.history()) {
-                context.history().refusedResume(context.now(), listener, KEEPING_MS);
+                context.history().refusedResume(context.now(), listener, RETENTION_MS);
                 listener.entitled = false;
             }
         } else if (status == UNAUTHORIZED) {
--- a/testing/src/main/java/brookpath/testing/fleet/UsagePlatform.java
+++ b/testing/src/main/java/brookpath/testing/fleet/UsagePlatform.java
@@ -61,7 +61,7 @@
         if (failing) {
             respondSlowly();
         }
-        // in failing it takes every other report and says of all that it did not, so the same must come again
+        // while it fails it takes every other report and says of all that it did not, so the same must come again
         final boolean takes = !failing || body.hashCode() % 2 == 0;
         if (takes && load != null) {
             take(body);
--- a/testing/src/main/java/brookpath/testing/oracle/History.java
+++ b/testing/src/main/java/brookpath/testing/oracle/History.java
@@ -17,7 +17,7 @@
         public final long seq;
         public final String text;
         public long position;
-        /** When its first go began. */
+        /** When its first attempt began, in milliseconds. */
         public long sentAt;
 
         public long committedAt = -1;
@@ -69,6 +69,7 @@
     private final TreeMap<Long, String> confirmedConfigurations = new TreeMap<>();
     private final List<Long> latencies = new ArrayList<>();
     private int committed;
+    /** What was reported of usage. */
     public final UsageLedger usage = new UsageLedger(this);
 
     /** Notes that something was seen that may not be so; only the first ones are kept. */
@@ -78,18 +79,22 @@
         }
     }
 
+    /** The violations so far, each with its virtual time in milliseconds. */
     public List<String> violations() {
         return violations;
     }
 
+    /** Messages whose senders were told that they are committed. */
     public int committed() {
         return committed;
     }
 
+    /** Deliveries to all listeners together. */
     public int delivered() {
         return listeners.stream().mapToInt(l -> l.delivered).sum();
     }
 
+    /** Times from commit to delivery, in milliseconds. */
     public List<Long> latencies() {
         return latencies;
     }
@@ -98,14 +103,17 @@
         return topic + "|" + sender + "|" + seq;
     }
 
+    /** Every message that was sent, committed or not. */
     public Iterable<Sent> sent() {
         return sent.values();
     }
 
+    /** A message is about to be sent; a retry gives the message of the first attempt. */
     public Sent sending(final String topic, final String sender, final long seq, final String text) {
         return sent.computeIfAbsent(id(topic, sender, seq), k -> new Sent(topic, sender, seq, text));
     }
 
+    /** A sender was told that its message is committed at this position. */
     public void committed(final long now, final Sent s, final long position) {
         if (s.committedAt < 0) {
             s.committedAt = now;
@@ -124,6 +132,7 @@
         }
     }
 
+    /** Adds a listener to these topics. */
     public Listener listener(final String name, final Set<String> topics) {
         final Listener l = new Listener(name, topics);
         listeners.add(l);
@@ -282,6 +291,7 @@
 
     // ---- configurations
 
+    /** A change was confirmed as this version: no other may be. */
     public void confirmed(final long now, final long version, final String changeId) {
         final String other = confirmedConfigurations.put(version, changeId);
         if (other != null && !other.equals(changeId)) {
@@ -289,10 +299,12 @@
         }
     }
 
+    /** The newest confirmed version; 0 for none. */
     public long newestConfirmed() {
         return confirmedConfigurations.isEmpty() ? 0 : confirmedConfigurations.lastKey();
     }
 
+    /** The change that was confirmed as this version; null for none. */
     public String confirmedAs(final long version) {
         return confirmedConfigurations.get(version);
     }
--- a/testing/src/main/java/brookpath/testing/oracle/UsageLedger.java
+++ b/testing/src/main/java/brookpath/testing/oracle/UsageLedger.java
@@ -26,6 +26,7 @@
     private int lateReports;
     private long latest;
 
+    /** Checks against what this history knows was sent, and adds its violations there. */
     public UsageLedger(final History history) {
         this.history = history;
     }
--- a/testing/src/main/java/brookpath/testing/oracle/control/Availability.java
+++ b/testing/src/main/java/brookpath/testing/oracle/control/Availability.java
@@ -10,7 +10,7 @@
  * off, joined again, reset, slowed or had its clock stepped for a while.
  */
 public final class Availability {
-    /** The core is settled this long after the last disturb. */
+    /** The core is settled this long after the last disturbance. */
     public static final long SETTLE_MS = 4_000;
     /** In settled time a valid order has its final answer within this. */
     public static final long ACKNOWLEDGE_MS = 5_000;
@@ -23,6 +23,7 @@
     private final Map<Integer, Long> exemptUntil = new HashMap<>();
     private long disturbedUntil;
 
+    /** Adds what it finds to these violations. */
     public Availability(final ControlViolations violations) {
         this.violations = violations;
     }
@@ -37,6 +38,7 @@
         exemptUntil.merge(node, until, Math::max);
     }
 
+    /** Whether the core has been undisturbed for long enough that it must answer. */
     public boolean settled(final long now) {
         return now >= settledSince();
     }
--- a/testing/src/main/java/brookpath/testing/oracle/control/CallHistory.java
+++ b/testing/src/main/java/brookpath/testing/oracle/control/CallHistory.java
@@ -26,6 +26,7 @@
     private final Map<Long, Call> calls = new HashMap<>();
     private final Map<Long, Boolean> answered = new HashMap<>();
 
+    /** Adds what it finds to these violations. */
     public CallHistory(final ControlViolations violations) {
         this.violations = violations;
     }
--- a/testing/src/main/java/brookpath/testing/oracle/control/ChangeHistory.java
+++ b/testing/src/main/java/brookpath/testing/oracle/control/ChangeHistory.java
@@ -30,6 +30,7 @@
     /** The newest version that some caller knew, from each moment at which that grew. */
     private final TreeMap<Long, Long> knownAt = new TreeMap<>();
 
+    /** Adds what it finds to these violations. */
     public ChangeHistory(final ControlViolations violations) {
         this.violations = violations;
     }
--- a/testing/src/main/java/brookpath/testing/oracle/control/ControlViolations.java
+++ b/testing/src/main/java/brookpath/testing/oracle/control/ControlViolations.java
@@ -27,6 +27,7 @@
         }
     }
 
+    /** The first violations of each rule, in the order in which they were found. */
     public List<Violation> all() {
         return List.copyOf(violations);
     }
--- a/testing/src/main/java/brookpath/testing/oracle/control/RetireHistory.java
+++ b/testing/src/main/java/brookpath/testing/oracle/control/RetireHistory.java
@@ -28,6 +28,7 @@
     private final Map<String, Retirement> retirements = new TreeMap<>();
     private long watchedAt;
 
+    /** Adds what it finds to these violations. */
     public RetireHistory(final ControlViolations violations) {
         this.violations = violations;
     }
--- a/testing/src/main/java/brookpath/testing/sim/Callers.java
+++ b/testing/src/main/java/brookpath/testing/sim/Callers.java
@@ -20,9 +20,9 @@
 
 /** Stand-in publishers and subscribers. They see only what HTTP would show them. */
 public final class Callers {
-    static final long PATIENCE = 3_000;
-    static final long KEEPING_MS = 30_000;
-    private static final long AWAY_MAX = 20_000;
+    static final long REQUEST_TIMEOUT_MS = 3_000;
+    static final long RETENTION_MS = 30_000;
+    private static final long MAX_DISCONNECTED_MS = 20_000;
     static final String[] SPACES = {"permits", "closures", "clues"};
     /** Tenants whose keys operators take away and give back; half of the sessions use the second. */
     static final List<String> REVOCABLE_TENANTS = List.of("guest", "half");
@@ -115,7 +115,7 @@
         if (!quiet) {
             for (final Subscriber s : subscribers) {
                 if (s.listener.entitled && !s.disconnected) {
-                    service.asked("listening", cluster.now(), s.listeningSince >= 0 && holds(s));
+                    service.requested("listening", cluster.now(), s.listeningSince >= 0 && holds(s));
                 }
             }
             for (int g = 0; g < cluster.groups && operators.anyConfirmed(); g++) {
@@ -124,7 +124,7 @@
                 ask(
                         anyGateway(),
                         id -> new NodeRequest.Count(id, "key-members", topic, ""),
-                        r -> service.asked("count in group " + groupOf(topic), at, r.status() == 200));
+                        r -> service.requested("count in group " + groupOf(topic), at, r.status() == 200));
             }
         }
         cluster.at(cluster.now() + 500, this::checkListening);
@@ -195,7 +195,7 @@
         waiting.put(id, then);
         requestAt.put(id, p.id);
         cluster.at(cluster.now() + 1, () -> p.request(request.apply(id)));
-        cluster.at(cluster.now() + PATIENCE, () -> {
+        cluster.at(cluster.now() + REQUEST_TIMEOUT_MS, () -> {
             if (requestAt.containsKey(id)) {
                 respond(p, id, new Response(0, 0, "{\"outcome\":\"timed out\"}"));
             }
@@ -263,10 +263,10 @@
         s.connect();
         cluster.at(
                 cluster.now() + 10_000 + cluster.random.nextLong(30_000),
-                () -> s.disconnectTemporarily(AWAY_MAX, 40_000));
+                () -> s.disconnectTemporarily(MAX_DISCONNECTED_MS, 40_000));
     }
 
-    /** One that comes and attempts all the time. */
+    /** Begins a subscriber that disconnects and comes back all the time. */
     void reconnectingSubscriber(final String name, final String key, final List<String> topics) {
         final Subscriber s = new Subscriber(cluster, this, name, key, topics);
         subscribers.add(s);
--- a/testing/src/main/java/brookpath/testing/sim/ControlFaults.java
+++ b/testing/src/main/java/brookpath/testing/sim/ControlFaults.java
@@ -50,14 +50,14 @@
         return machines;
     }
 
-    /** No disturb begins any more. */
+    /** No fault begins any more. */
     void stop() {
         stopped = true;
         armed = null;
         calls.loseAnswers(0);
     }
 
-    /** Brings this disturb about now, or, where it waits for an order, at the next one; false where it has to wait. */
+    /** Brings this fault about now, or, where it waits for an order, at the next one; false where it has to wait. */
     boolean causeFault(final ControlFault fault) {
         if (mustWait(fault)) {
             return false;
@@ -67,7 +67,7 @@
             armed = fault;
             operators.order(true);
         } else if (ControlFault.WITHOUT_LOSS.contains(fault)) {
-            disturb(fault);
+            cause(fault);
         } else {
             takeOut(fault);
         }
@@ -86,7 +86,7 @@
 
     // ---- troubles that take no machine out
 
-    private void disturb(final ControlFault fault) {
+    private void cause(final ControlFault fault) {
         final long durationMs = span(2_000, 10_000);
         disturbedUntil = cluster.now() + durationMs;
         switch (fault) {
@@ -285,7 +285,7 @@
 
             @Override
             public void sent(final SimulatedProcess to) {
-                // why: the last failure strikes at an acknowledgement
+                // why: the last fault comes at an acknowledgement
             }
         });
         operators.order(true);
--- a/testing/src/main/java/brookpath/testing/sim/DayFaults.java
+++ b/testing/src/main/java/brookpath/testing/sim/DayFaults.java
@@ -58,7 +58,7 @@
     void loseOne() {
         SimulatedProcess p = null;
         for (int i = 0; i < 200 && (p == null || !peersHealthy(p)); i++) {
-            // why: never two at a time; the last failure's target is waited for
+            // why: never two at a time; the machine that the last fault took down is waited for
             cluster.run(cluster.now() + 100);
             p = cluster.random.nextInt(3) == 0 ? randomProcess(cluster.controllers) : randomLeader();
         }
@@ -277,7 +277,7 @@
     }
 
     private void damageReplica(final SimulatedProcess p) {
-        // why: one copy attempts bad on a running machine, on its disk or in its memory
+        // why: one replica decays on a running machine, on its disk or in its memory
         if (p.disk != null && peersHealthy(p) && cluster.random.nextInt(3) == 0) {
             cluster.count(p.disk.corrupt(cluster.random) ? "rotten disks" : "no rot");
         } else if (p.node() instanceof StorageNode s && peersHealthy(p)) {
--- a/testing/src/main/java/brookpath/testing/sim/DayOperators.java
+++ b/testing/src/main/java/brookpath/testing/sim/DayOperators.java
@@ -57,7 +57,7 @@
             sb.append(i == 0 ? "" : ",")
                     .append("{\"name\":\"")
                     .append(Callers.SPACES[i])
-                    .append("\",\"keepingSeconds\":" + Callers.KEEPING_MS / 1_000 + ",\"order\":\"")
+                    .append("\",\"keepingSeconds\":" + Callers.RETENTION_MS / 1_000 + ",\"order\":\"")
                     .append(Callers.SPACES[i].equals("clues") ? "one" : "sender")
                     .append("\"}");
         }
@@ -84,7 +84,7 @@
         final SimulatedProcess p = callers.anyController();
         final long at = cluster.now();
         callers.ask(p, id -> new NodeRequest.Operate(id, "change", doc.getBytes(UTF_8)), r -> {
-            callers.service.asked("change", at, r.status() == 200 || (r.status() >= 400 && r.status() < 500));
+            callers.service.requested("change", at, r.status() == 200 || (r.status() >= 400 && r.status() < 500));
             if (r.status() == 200) {
                 final long version = Callers.json(r.json()).getInt("version");
                 confirmed(version, changeId);
--- a/testing/src/main/java/brookpath/testing/sim/EventQueue.java
+++ b/testing/src/main/java/brookpath/testing/sim/EventQueue.java
@@ -14,10 +14,12 @@
     private long now;
     private long scheduled;
 
+    /** Begins at a time in milliseconds. */
     public EventQueue(final long startTime) {
         now = startTime;
     }
 
+    /** The current virtual time, in milliseconds. */
     public long now() {
         return now;
     }
--- a/testing/src/main/java/brookpath/testing/sim/ExpectedOutages.java
+++ b/testing/src/main/java/brookpath/testing/sim/ExpectedOutages.java
@@ -9,12 +9,12 @@
 import java.util.TreeMap;
 
 /**
- * Until when each process, each group and the control plane was unwell, as a bystander sees it who knows the failures
- * and nothing else. These are the only excuses that the judges take; a slow disk, a lossy link, a wrong clock or a mere
- * kill of somebody else excuses nothing.
+ * Until when each process, each group and the control plane was unavailable, as a bystander sees it who knows the
+ * faults and nothing else. These are the only exemptions that the oracles take; a slow disk, a lossy link, a wrong
+ * clock or a mere kill of somebody else exempts nothing.
  */
 final class ExpectedOutages {
-    /** What may exempt a judgement. */
+    /** What may keep a record from its listeners. */
     enum Outage {
         DOWN,
         CUT_OFF,
@@ -75,7 +75,7 @@
                 && b.group().lost();
     }
 
-    /** Seen between two looks. */
+    /** Went down between two checks. */
     void down(final SimulatedProcess p) {
         downUntil.put(p.id, cluster.now());
         machinesOutUntil = cluster.now();
@@ -96,7 +96,7 @@
                 cutOffUntil.put(p.id, now);
             }
         }
-        // why: one slow disk excuses nothing; two at once are more than the one machine whose loss must be survived
+        // why: one slow disk exempts nothing; two at once are more than the one machine whose loss must be survived
         final long slow = cluster.storages.stream()
                 .filter(id -> cluster.processes.get(id).syncMs > 50)
                 .count();
@@ -134,7 +134,7 @@
         }
     }
 
-    /** The latest instant at which something excused this process from knowing the newest configuration. */
+    /** The latest instant at which something exempted this process from knowing the newest configuration. */
     long configurationOutageUntil(final int id) {
         return Math.max(noControlUntil, Math.max(downUntil.getOrDefault(id, 0L), cutOffUntil.getOrDefault(id, 0L)));
     }
--- a/testing/src/main/java/brookpath/testing/sim/Platform.java
+++ b/testing/src/main/java/brookpath/testing/sim/Platform.java
@@ -37,9 +37,9 @@
     void post(final SimulatedProcess from, final Action.Post post) {
         logged(from, post);
         final long incarnation = from.incarnation;
-        final boolean disturb = cluster.now() < disturbedUntil;
-        final int kind = !disturb ? 3 : down ? 0 : cluster.random.nextInt(4);
-        final long delay = disturb && kind != 0 ? 2_000 + cluster.random.nextInt(3_000) : 5;
+        final boolean disturbed = cluster.now() < disturbedUntil;
+        final int kind = !disturbed ? 3 : down ? 0 : cluster.random.nextInt(4);
+        final long delay = disturbed && kind != 0 ? 2_000 + cluster.random.nextInt(3_000) : 5;
         cluster.at(cluster.now() + delay, () -> {
             // why: 0 fails before it takes the report, 1 and 2 take it and the response is lost or late, 3 works
             if (kind != 0) {
--- a/testing/src/main/java/brookpath/testing/sim/Publisher.java
+++ b/testing/src/main/java/brookpath/testing/sim/Publisher.java
@@ -61,7 +61,7 @@
 
     private void answered(final Sent sent, final int attempt, final long askedAt, final Response response) {
         if (response.status() < 400 || response.status() >= 500) {
-            callers.service.asked("publish to group " + callers.groupOf(topic), askedAt, response.status() == 200);
+            callers.service.requested("publish to group " + callers.groupOf(topic), askedAt, response.status() == 200);
         }
         switch (response.status()) {
             case 200 -> committed(sent, response);
--- a/testing/src/main/java/brookpath/testing/sim/SimulatedCluster.java
+++ b/testing/src/main/java/brookpath/testing/sim/SimulatedCluster.java
@@ -26,20 +26,32 @@
 
     private static final List<Integer> SEEDS = List.of(1, 2, 3);
 
+    /** The one source of random numbers; who draws from it, and in which order, is part of a seed's history. */
     public final SplittableRandom random;
+    /** Periods of the data plane's processes. */
     public final TimingBounds timing;
+
     private final TimingBounds controlTiming;
+    /** What callers saw, and what broke a rule. */
     public final History history = new History();
+    /** All processes by node number, also those that do not run. */
     public final TreeMap<Integer, SimulatedProcess> processes = new TreeMap<>();
+    /** How often each kind of event happened. */
     public final TreeMap<String, Integer> counts = new TreeMap<>();
+    /** In which ways the simulation is broken on purpose. */
     public final EnumSet<Mutation> mutations;
+
     final SimulatedNetwork net = new SimulatedNetwork(this);
     final Callers callers;
+    /** Takes the usage reports. */
     public final Platform platform;
+
     final FleetSize size;
     final int groups;
     final ExpectedOutages outages = new ExpectedOutages(this);
+    /** Times from the first attempt of a publish to its acknowledgement, in milliseconds. */
     public final List<Long> sendToAccept = new ArrayList<>();
+
     final List<Integer> controllers = new ArrayList<>();
     final List<Integer> storages = new ArrayList<>();
     final List<Integer> gateways = new ArrayList<>();
@@ -53,6 +65,7 @@
     /** Sees the actions of all processes; set before the first run. */
     ActionObserver observer = ActionObserver.NONE;
 
+    /** A cluster with the default periods, whose processes start within its first half second. */
     public SimulatedCluster(final long seed, final FleetSize size, final EnumSet<Mutation> mutations) {
         this(seed, size, mutations, TimingBounds.DEFAULT, TimingBounds.DEFAULT);
     }
@@ -185,10 +198,12 @@
         events.runUntil(until);
     }
 
+    /** Counts one event of a kind. */
     public void count(final String what) {
         counts.merge(what, 1, Integer::sum);
     }
 
+    /** How often a kind of event happened. */
     public int counted(final String what) {
         return counts.getOrDefault(what, 0);
     }
@@ -212,6 +227,7 @@
         }
     }
 
+    /** The newest notes of all nodes, each with its virtual time in milliseconds and its node. */
     public List<String> notes() {
         return List.copyOf(notes);
     }
--- a/testing/src/main/java/brookpath/testing/sim/SimulatedDay.java
+++ b/testing/src/main/java/brookpath/testing/sim/SimulatedDay.java
@@ -82,7 +82,7 @@
         }
     }
 
-    /** How a day ends: without a failure, on one, or on one whose target, a disk machine, is never seen again. */
+    /** How a day ends: without a failure, on one, or on one whose machine, one with a disk, is never seen again. */
     public enum Ending {
         CALM,
         ON_A_FAULT,
@@ -125,13 +125,14 @@
         failures = new DayFaults(cluster);
     }
 
-    public static Outcome live(final Plan plan) {
-        return live(plan, ActionObserver.NONE);
+    /** Plays the day. */
+    public static Outcome play(final Plan plan) {
+        return play(plan, ActionObserver.NONE);
     }
 
     /** Plays the day and shows the observer the actions of all processes. */
-    public static Outcome live(final Plan plan, final ActionObserver observer) {
-        return new SimulatedDay(plan, observer).live();
+    public static Outcome play(final Plan plan, final ActionObserver observer) {
+        return new SimulatedDay(plan, observer).play();
     }
 
     /**
@@ -161,7 +162,7 @@
         cluster.run(11_000);
     }
 
-    private Outcome live() {
+    private Outcome play() {
         playFaults();
         return morningAfter();
     }
@@ -174,7 +175,7 @@
         final long end = cluster.now() + plan.lengthMs;
         while (cluster.now() < end && !faults.isEmpty()) {
             cluster.run(Math.min(end, next));
-            // why: now and then a lull in which all machines are back, so that recovery is checked in mid-day, too
+            // why: now and then a pause in which all machines are back, so that recovery is checked in mid-day, too
             next = cluster.now()
                     + plan.faultEveryMs / 2
                     + cluster.random.nextLong(plan.faultEveryMs)
@@ -195,8 +196,8 @@
     }
 
     /**
-     * Two senders a topic at the size's rate, one patient and one of any; half of the sessions live on a key that comes
-     * and attempts.
+     * Two senders a topic at the rate of its size, one patient and one of any; half of the sessions live on a key that
+     * is revoked and restored.
      */
     private void startCallers() {
         final FleetSize size = plan.size;
--- a/testing/src/main/java/brookpath/testing/sim/SimulatedProcess.java
+++ b/testing/src/main/java/brookpath/testing/sim/SimulatedProcess.java
@@ -24,7 +24,7 @@
     final int id;
     final FaultyDisk disk;
     final String zone;
-    /** Makes the node of each incarnation; a fleet of another size sets its own before the first start. */
+    /** Makes the node of each incarnation; another kind of fleet sets its own before the first start. */
     BiFunction<SimulatedProcess, List<byte[]>, Node> maker;
 
     Node node;
@@ -85,6 +85,7 @@
         return cluster.now() + monoBase;
     }
 
+    /** The node of the current or last incarnation; null before the first start. */
     public Node node() {
         return node;
     }
--- a/testing/src/main/java/brookpath/testing/sim/Subscriber.java
+++ b/testing/src/main/java/brookpath/testing/sim/Subscriber.java
@@ -49,7 +49,7 @@
         final long[] mine = new long[1];
         mine[0] = callers.ask(p, i -> new NodeRequest.Subscribe(i, key, topics, cursor), r -> {
             if (resumes && (r.status() < 400 || r.status() >= 500)) {
-                callers.service.asked("resume", at, r.status() == 200);
+                callers.service.requested("resume", at, r.status() == 200);
             }
             if (r.status() == 200) {
                 cluster.count("subscribed");
@@ -60,7 +60,7 @@
                 return;
             }
             if (r.status() == 410) {
-                cluster.history.refusedResume(cluster.now(), listener, Callers.KEEPING_MS);
+                cluster.history.refusedResume(cluster.now(), listener, Callers.RETENTION_MS);
                 cluster.count("too old to resume");
                 listener.entitled = false;
                 return;
--- a/testing/src/main/java/brookpath/testing/sim/Sweep.java
+++ b/testing/src/main/java/brookpath/testing/sim/Sweep.java
@@ -45,7 +45,7 @@
     /** Whether the day of this seed was without a violation. */
     private boolean runDay(final long seed) {
         try {
-            final SimulatedDay.Outcome day = SimulatedDay.live(SimulatedDay.Plan.of(seed, faults));
+            final SimulatedDay.Outcome day = SimulatedDay.play(SimulatedDay.Plan.of(seed, faults));
             gaps.addAll(day.leaderless());
             latencies.addAll(day.latencies());
             print(day);
--- a/testing/src/main/java/brookpath/testing/sim/ZoneBytes.java
+++ b/testing/src/main/java/brookpath/testing/sim/ZoneBytes.java
@@ -14,7 +14,7 @@
     public static void main(final String[] args) {
         for (final String name : new String[] {"jadran", "sajha"}) {
             final SimulatedDay.Outcome day =
-                    SimulatedDay.live(SimulatedDay.Plan.of(1, EnumSet.noneOf(SimulatedDay.Fault.class))
+                    SimulatedDay.play(SimulatedDay.Plan.of(1, EnumSet.noneOf(SimulatedDay.Fault.class))
                             .sized(name.equals("sajha") ? FleetSize.SAJHA : FleetSize.JADRAN)
                             .lasting(LENGTH));
             final long all = day.crossZoneBytes().values().stream()
--- a/testing/src/test/java/brookpath/testing/BehaviourDigestTest.java
+++ b/testing/src/test/java/brookpath/testing/BehaviourDigestTest.java
@@ -159,7 +159,7 @@
         return row(
                 name,
                 seed,
-                (s, observer) -> SimulatedDay.live(
+                (s, observer) -> SimulatedDay.play(
                         SimulatedDay.Plan.of(s, ALL_FAULTS)
                                 .lasting(WHOLE_DAY_MS)
                                 .ending(ending),
--- a/testing/src/test/java/brookpath/testing/DayTest.java
+++ b/testing/src/test/java/brookpath/testing/DayTest.java
@@ -37,7 +37,7 @@
     @Test(dataProvider = "faults")
     public void nothingForbiddenHappens(final EnumSet<Fault> faults) {
         for (long seed = 1; seed <= 2; seed++) {
-            final Outcome day = SimulatedDay.live(Plan.of(seed, faults));
+            final Outcome day = SimulatedDay.play(Plan.of(seed, faults));
             assertTrue(day.good(), day.toString());
             // why: a day on which nothing was done would be good as well
             for (final String kind :
@@ -55,7 +55,7 @@
     @Test
     public void onACalmDayMessagesArriveInTheUsualTime() {
         for (final FleetSize shape : List.of(FleetSize.SMALL, FleetSize.JADRAN, FleetSize.SAJHA)) {
-            final Outcome day = SimulatedDay.live(
+            final Outcome day = SimulatedDay.play(
                     Plan.of(3, EnumSet.noneOf(Fault.class)).sized(shape).lasting(20_000));
             assertTrue(day.good(), day.toString());
             assertTrue(
@@ -69,7 +69,7 @@
     public void allIsReadBackThoughTheLastFailuresVictimNeverReturns() {
         for (long seed = 1; seed <= 4; seed++) {
             final Outcome day =
-                    SimulatedDay.live(Plan.of(seed, EnumSet.allOf(Fault.class)).ending(Ending.ONE_GONE));
+                    SimulatedDay.play(Plan.of(seed, EnumSet.allOf(Fault.class)).ending(Ending.ONE_GONE));
             assertTrue(day.good(), day.toString());
             assertEquals((int) day.counts().get("gone for good"), 1, day.toString());
         }
@@ -79,7 +79,7 @@
     public void theOwnerThatActedLastDiesRightAfterEachKindOfAct() {
         final TreeMap<String, Integer> died = new TreeMap<>();
         for (long seed = 1; seed <= 12; seed++) {
-            final Outcome day = SimulatedDay.live(Plan.of(seed, EnumSet.of(Fault.LAST_ACT, Fault.RETIRE)));
+            final Outcome day = SimulatedDay.play(Plan.of(seed, EnumSet.of(Fault.LAST_ACT, Fault.RETIRE)));
             assertTrue(day.good(), day.toString());
             day.counts().forEach((what, n) -> died.merge(what, n, Integer::sum));
         }
@@ -92,7 +92,7 @@
     @Test
     public void aDayOfTheUsersOwnSizes() {
         for (final FleetSize shape : List.of(FleetSize.JADRAN, FleetSize.SAJHA)) {
-            final Outcome day = SimulatedDay.live(
+            final Outcome day = SimulatedDay.play(
                     Plan.of(5, EnumSet.allOf(Fault.class)).sized(shape).lasting(40_000));
             assertTrue(day.good(), day.toString());
             assertTrue(day.committed() > 1_500 && day.counts().get("faults") >= 8, day.toString());
@@ -102,17 +102,17 @@
     @Test
     public void sameSeedSameDay() {
         final Plan plan = Plan.of(7, EnumSet.of(KILL, POWER, OWNER_DIES));
-        assertEquals(SimulatedDay.live(plan).trace(), SimulatedDay.live(plan).trace());
+        assertEquals(SimulatedDay.play(plan).trace(), SimulatedDay.play(plan).trace());
     }
 
     @Test
     public void leftOutSyncIsSeen() {
         boolean seen = false;
         for (long seed = 1; seed <= 6 && !seen; seed++) {
-            seen = !SimulatedDay.live(Plan.of(seed, EnumSet.of(BLACKOUT)).broken(Mutation.NO_FSYNC))
+            seen = !SimulatedDay.play(Plan.of(seed, EnumSet.of(BLACKOUT)).broken(Mutation.NO_FSYNC))
                     .good();
         }
         assertTrue(seen, "a disk that never syncs went unnoticed");
-        assertFalse(SimulatedDay.live(Plan.of(1, EnumSet.of(BLACKOUT))).counts().isEmpty());
+        assertFalse(SimulatedDay.play(Plan.of(1, EnumSet.of(BLACKOUT))).counts().isEmpty());
     }
 }
--- a/testing/src/test/java/brookpath/testing/sim/ControlScene.java
+++ b/testing/src/test/java/brookpath/testing/sim/ControlScene.java
@@ -97,7 +97,7 @@
         others(p).forEach(o -> cluster.net.cut(o.id, p.id));
     }
 
-    /** Asks one process, and attempts on without waiting for the answer. */
+    /** Asks one process, and continues without waiting for the answer. */
     Asked ask(final SimulatedProcess p, final String kind, final byte[] body) {
         final Asked asked = new Asked(p.id, cluster.now());
         cluster.callers.ask(p, id -> new NodeRequest.Operate(id, kind, body), r -> {
--- a/testing/src/test/java/brookpath/testing/sim/FullDiskTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/FullDiskTest.java
@@ -17,8 +17,7 @@
 import org.testng.annotations.Test;
 
 /**
- * A disk that is full or hangs: the process attempts on running, leads no longer, loses nothing, and comes back by
- * itself.
+ * A disk that is full or hangs: the process keeps running, leads no longer, loses nothing, and comes back by itself.
  */
 public final class FullDiskTest {
     private static final long FULL_MS = 20_000;
--- a/testing/src/test/java/brookpath/testing/sim/OrderRepeatsTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/OrderRepeatsTest.java
@@ -228,7 +228,7 @@
             cluster.at(cluster.now() + deathMs, () -> cluster.kill(leader, true));
             cluster.at(cluster.now() + deathMs + 2_000, () -> cluster.restart(leader));
             final List<Asked> asked = new ArrayList<>();
-            // why: each attempts to all nodes at once, and again after the death, as after lost answers
+            // why: each is sent to all nodes at once, and again after the death, as after lost answers
             for (int round = 0; round < 5; round++) {
                 for (final int id : cluster.controllers) {
                     asked.add(askChange(cluster.processes.get(id), documents.get(id % 2)));
--- a/testing/src/test/java/brookpath/testing/sim/StoredDataWriter.java
+++ b/testing/src/test/java/brookpath/testing/sim/StoredDataWriter.java
@@ -34,29 +34,29 @@
     private void write(final Path directory) throws IOException {
         begin(SEED);
         for (int i = 0; i < TOPICS; i++) {
-            world.callers.publisher("ana", Callers.topic(i), "key-members", PUBLISH_EVERY_MS, 30);
+            cluster.callers.publisher("ana", Callers.topic(i), "key-members", PUBLISH_EVERY_MS, 30);
         }
         for (int i = 1; i <= CHANGES; i++) {
             settled(document(i, "change-" + i), "change-" + i);
         }
         // why: an election on both kinds of machine, so that the term and the vote are not the first ones
         restart(leader());
-        restart(world.processes.get(STORAGE_NODE));
-        world.run(world.now() + BUSY_MS);
-        world.callers.quiet = true;
-        world.run(world.now() + SETTLE_MS);
+        restart(cluster.processes.get(STORAGE_NODE));
+        cluster.run(cluster.now() + BUSY_MS);
+        cluster.callers.quiet = true;
+        cluster.run(cluster.now() + SETTLE_MS);
         for (final int id : List.of(CONTROLLER, STORAGE_NODE)) {
-            world.kill(world.processes.get(id), false);
+            cluster.kill(cluster.processes.get(id), false);
         }
-        copy(world.processes.get(CONTROLLER).disk, directory.resolve("controller"));
-        copy(world.processes.get(STORAGE_NODE).disk, directory.resolve("storage-node"));
+        copy(cluster.processes.get(CONTROLLER).disk, directory.resolve("controller"));
+        copy(cluster.processes.get(STORAGE_NODE).disk, directory.resolve("storage-node"));
     }
 
     private void restart(final SimulatedProcess process) {
-        world.kill(process, false);
-        world.run(world.now() + SETTLE_MS);
-        world.restart(process);
-        world.run(world.now() + SETTLE_MS);
+        cluster.kill(process, false);
+        cluster.run(cluster.now() + SETTLE_MS);
+        cluster.restart(process);
+        cluster.run(cluster.now() + SETTLE_MS);
     }
 
     private static void copy(final Disk disk, final Path folder) throws IOException {
--- a/testing/src/test/java/brookpath/testing/sim/UsageRepeatTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/UsageRepeatTest.java
@@ -9,7 +9,7 @@
 import brookpath.coordination.node.ControllerNode;
 import org.testng.annotations.Test;
 
-/** A usage report whose end is told at a bad moment attempts again. */
+/** A usage report whose end is acknowledged at a bad moment is sent again. */
 public final class UsageRepeatTest {
     private static final String POSTS = "usage posts";
 
