--- a/testing/src/main/java/brookpath/testing/fleet/CallerLoad.java
+++ b/testing/src/main/java/brookpath/testing/fleet/CallerLoad.java
@@ -104,7 +104,7 @@
         return measurements.gapAfter(time, affected);
     }
 
-    /** Stops publishing, waits until nothing is under way and all is delivered, and judges. */
+    /** Stops publishing, waits until nothing is under way and all is delivered, and checks the history. */
     public History settle() throws InterruptedException {
         publisher.stop();
         for (int i = 0; i < SETTLE_POLLS && publisher.underWay() > 0; i++) {
--- a/testing/src/main/java/brookpath/testing/fleet/FleetDay.java
+++ b/testing/src/main/java/brookpath/testing/fleet/FleetDay.java
@@ -10,7 +10,7 @@
 /**
  * A day of real processes: the brief's failures one after another and over each other, racing operators all along who
  * take the key of half of the sessions away and give it back, a platform that is slow and down at times, and a failure
- * at the end. The simulator's oracle judges.
+ * at the end. The simulator's oracle checks it.
  */
 final class FleetDay implements AutoCloseable {
     /** The kinds of failure, by what they do to a running fleet. */
--- a/testing/src/main/java/brookpath/testing/fleet/FleetOperators.java
+++ b/testing/src/main/java/brookpath/testing/fleet/FleetOperators.java
@@ -110,7 +110,7 @@
                 }
                 Thread.sleep(RETRY_MS);
             } catch (final IOException ex) {
-                counter.accept("changes asked of a bailiff that is away");
+                counter.accept("changes asked of a controller that is away");
             } catch (final InterruptedException ex) {
                 Thread.currentThread().interrupt();
                 return;
@@ -153,7 +153,7 @@
         }
     }
 
-    /** Judges that the newest confirmed change is what the controllers tell. */
+    /** Checks that the newest confirmed change is what the controllers tell. */
     void readBack() throws InterruptedException {
         for (int attempt = 0; attempt < MAX_READ_ATTEMPTS; attempt++) {
             final String page = fleet.get(controller(attempt), "/v1/spec");
--- a/testing/src/main/java/brookpath/testing/fleet/RemovedKeys.java
+++ b/testing/src/main/java/brookpath/testing/fleet/RemovedKeys.java
@@ -24,7 +24,7 @@
         removedAt.remove(key);
     }
 
-    /** Judges that a caller did something with the key. To be called with the history held. */
+    /** Checks that a caller did something with the key. To be called with the history held. */
     void worked(final String key, final String did, final long now) {
         final Long at = removedAt.get(key);
         if (at != null && now > at + GRACE_MS) {
--- a/testing/src/main/java/brookpath/testing/sim/ControlDay.java
+++ b/testing/src/main/java/brookpath/testing/sim/ControlDay.java
@@ -34,7 +34,7 @@
      * What a control day came to.
      *
      * @param violations of the rules of the control plane
-     * @param others what the fleet's other judges found: topics, usage, leaders
+     * @param others what the fleet's other oracles found: topics, usage, leaders
      */
     public record Outcome(
             long seed,
--- a/testing/src/main/java/brookpath/testing/sim/DeliveryLatencyOracle.java
+++ b/testing/src/main/java/brookpath/testing/sim/DeliveryLatencyOracle.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /**
- * Judges that each committed message reaches each session that was listening, within the bound; says what excused the
+ * Checks that each committed message reaches each session that was listening, within the bound; says what excused the
  * others.
  */
 final class DeliveryLatencyOracle {
--- a/testing/src/main/java/brookpath/testing/sim/Slopes.java
+++ b/testing/src/main/java/brookpath/testing/sim/Slopes.java
@@ -46,9 +46,9 @@
                     size.sessions(),
                     (cluster.history.committed() - committed) * 1_000L / MEASURED_MS,
                     (cluster.history.delivered() - delivered) * 1_000L / MEASURED_MS);
-            tell("front", cluster, cluster.gateways);
-            tell("storage", cluster, cluster.storages);
-            tell("bailiff", cluster, cluster.controllers);
+            printRole("gateway", cluster, cluster.gateways);
+            printRole("storage", cluster, cluster.storages);
+            printRole("controller", cluster, cluster.controllers);
         }
     }
 
@@ -92,7 +92,7 @@
         return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
     }
 
-    private static void tell(final String role, final SimulatedCluster cluster, final List<Integer> ids) {
+    private static void printRole(final String role, final SimulatedCluster cluster, final List<Integer> ids) {
         long messages = 0;
         long out = 0;
         long in = 0;
--- a/testing/src/test/java/brookpath/testing/WriteAheadLogSpaceTest.java
+++ b/testing/src/test/java/brookpath/testing/WriteAheadLogSpaceTest.java
@@ -113,20 +113,24 @@
                 assertTrue(isOld || text(after.snapshot()).equals(text(filled(8, 200))), "step " + step);
                 assertEquals(texts(after), isOld ? List.of(text(FIRST)) : List.of(), "step " + step);
                 rolled += isOld ? 0 : 1;
-                // why: what a roll that was broken off left behind must not come into the next one
-                after.writeAheadLog().append(THIRD);
-                after.writeAheadLog().sync();
-                after.writeAheadLog().roll(filled(11, 100));
-                after.writeAheadLog().append(SECOND);
-                after.writeAheadLog().sync();
-                final Recovery again = WriteAheadLog.recover(disk);
-                assertEquals(text(again.snapshot()), text(filled(11, 100)));
-                assertEquals(texts(again), List.of(text(SECOND)));
+                assertNextRollIsComplete(disk, after.writeAheadLog());
             }
         }
         assertTrue(before > 100 && rolled > 20, before + " rolls were broken off, " + rolled + " were there after");
     }
 
+    /** What a roll that was broken off left behind must not come into the next one. */
+    private static void assertNextRollIsComplete(final StoppingDisk disk, final WriteAheadLog log) {
+        log.append(THIRD);
+        log.sync();
+        log.roll(filled(11, 100));
+        log.append(SECOND);
+        log.sync();
+        final Recovery again = WriteAheadLog.recover(disk);
+        assertEquals(text(again.snapshot()), text(filled(11, 100)));
+        assertEquals(texts(again), List.of(text(SECOND)));
+    }
+
     /** The operating system's own words for a full disk are understood. */
     @Test
     public void aFullDeviceIsKnownByItsMessage() throws IOException {
