--- a/coordination/src/main/java/brookpath/coordination/node/storage/PublishAdmission.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/PublishAdmission.java
@@ -5,13 +5,13 @@
 import static brookpath.coordination.message.PeerMessage.PublishReply.REFUSED_FOR_GOOD;
 
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
 import brookpath.coordination.configuration.Configuration;
 import brookpath.coordination.configuration.ConfigurationClient;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Quorums;
 import brookpath.coordination.message.PeerMessage.Publish;
 import brookpath.coordination.message.PeerMessage.PublishReply;
+import brookpath.coordination.metadata.ClusterMetadata.GroupInfo;
 import brookpath.coordination.node.Node.Time;
 import brookpath.coordination.topic.TopicState;
 import brookpath.state.record.LogRecord;
--- a/coordination/src/main/java/brookpath/coordination/route/RouteFinder.java
+++ b/coordination/src/main/java/brookpath/coordination/route/RouteFinder.java
@@ -4,15 +4,15 @@
 import static brookpath.coordination.route.Route.unavailable;
 
 import brookpath.coordination.TimingBounds;
-import brookpath.coordination.configuration.ClusterMetadata;
-import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
 import brookpath.coordination.configuration.Configuration;
-import brookpath.coordination.configuration.Placement;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Member;
 import brookpath.coordination.heartbeat.HeartbeatTable;
 import brookpath.coordination.message.PeerMessage.HeartbeatEntry;
 import brookpath.coordination.message.ResponseStatus;
+import brookpath.coordination.metadata.ClusterMetadata;
+import brookpath.coordination.metadata.ClusterMetadata.GroupInfo;
+import brookpath.coordination.placement.Placement;
 import java.util.function.IntPredicate;
 
 /** Decides where a request goes, from immutable tables alone. Whoever asks sends it there. */
@@ -111,7 +111,7 @@
         public static final Leader NONE = new Leader(0, -1);
     }
 
-    /** Who leaders the group, as the roles in the heartbeats tell it. */
+    /** Who leads the group, as the roles in the heartbeats tell it. */
     public Leader leader(final int group, final long now) {
         Leader leader = Leader.NONE;
         for (final Member m : groupOf(group).members()) {
--- a/programs/src/main/java/brookpath/programs/boot/ProcessModule.java
+++ b/programs/src/main/java/brookpath/programs/boot/ProcessModule.java
@@ -1,7 +1,7 @@
 package brookpath.programs.boot;
 
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
 import brookpath.coordination.group.Member;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.node.NodeRequest;
 import brookpath.programs.Program;
 import brookpath.programs.Role;
@@ -45,7 +45,7 @@
     SettingsWatch settingsWatch(final Host host, final PlatformPoster poster) {
         return new SettingsWatch(args, program, settings, changed -> {
             poster.url(changed.platformUrl());
-            host.submitWithoutReply(new NodeRequest.Adopt(changed.segmentBytes()));
+            host.submitWithoutReply(new NodeRequest.UpdateSettings(changed.segmentBytes()));
         });
     }
 
--- a/testing/src/main/java/brookpath/testing/fuzz/FuzzMember.java
+++ b/testing/src/main/java/brookpath/testing/fuzz/FuzzMember.java
@@ -233,7 +233,7 @@
                 disk.append(write);
             } else if (action instanceof Action.HeartbeatNow) {
                 heartbeatNow = true;
-            } else if (action instanceof Action.Note note && note.grave()) {
+            } else if (action instanceof Action.Note note && note.isError()) {
                 context.oracle.violation(note.text());
             }
         }
--- a/testing/src/main/java/brookpath/testing/sim/MachineFaults.java
+++ b/testing/src/main/java/brookpath/testing/sim/MachineFaults.java
@@ -193,7 +193,8 @@
         cluster.note(next.id, "is to replace node " + gone.id + ", announced", false);
         cluster.at(cluster.now() + CATCH_UP_MS, () -> {
             out(gone, RETREAT_MS);
-            cluster.callers.ask(gone, NodeRequest.Retreat::new, response -> cluster.count("control: retreats"));
+            cluster.callers.ask(
+                    gone, NodeRequest.GracefulShutdown::new, response -> cluster.count("control: retreats"));
             cluster.at(cluster.now() + RETREAT_MS, () -> {
                 remove(gone);
                 fleet.freshSeeds();
--- a/testing/src/main/java/brookpath/testing/sim/SimulatedCluster.java
+++ b/testing/src/main/java/brookpath/testing/sim/SimulatedCluster.java
@@ -5,7 +5,7 @@
 import brookpath.coordination.node.ControllerNode;
 import brookpath.coordination.node.GatewayNode;
 import brookpath.coordination.node.StorageNode;
-import brookpath.coordination.node.control.Founding;
+import brookpath.coordination.node.control.GroupBootstrap;
 import brookpath.testing.oracle.History;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -106,7 +106,7 @@
             final ControllerNode node = new ControllerNode(
                     process.id,
                     founders,
-                    new Founding(groups, 3, 4, toleratedLosses),
+                    new GroupBootstrap(groups, 3, 4, toleratedLosses),
                     controlTiming,
                     random.nextLong(),
                     process.incarnation << 32,
@@ -139,7 +139,7 @@
                     process.info(),
                     List.of(),
                     seeds,
-                    new Founding(groups, 3, 4, toleratedLosses),
+                    new GroupBootstrap(groups, 3, 4, toleratedLosses),
                     controlTiming,
                     random.nextLong(),
                     process.incarnation << 32,
--- a/testing/src/main/java/brookpath/testing/sim/SimulatedProcess.java
+++ b/testing/src/main/java/brookpath/testing/sim/SimulatedProcess.java
@@ -1,8 +1,8 @@
 package brookpath.testing.sim;
 
 import brookpath.coordination.action.Action;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
 import brookpath.coordination.message.PeerMessage;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.node.ControllerNode;
 import brookpath.coordination.node.Node;
 import brookpath.coordination.node.Node.Time;
@@ -230,16 +230,16 @@
         } else if (action instanceof Action.Respond respond) {
             cluster.callers.respond(
                     this, respond.requestId(), respond.response().at(mono()));
-        } else if (action instanceof Action.Deliver deliver) {
+        } else if (action instanceof Action.DeliverLine deliver) {
             cluster.callers.deliver(this, deliver.sessionId(), deliver.line());
         } else if (action instanceof Action.Post post) {
             cluster.platform.post(this, post);
         } else if (action instanceof Action.CloseSession close) {
-            cluster.callers.closed(this, close.sessionId(), close.why());
+            cluster.callers.closed(this, close.sessionId(), close.reason());
         } else if (action instanceof Action.ToSession toSession) {
             cluster.callers.sessionActions.add(toSession);
         } else if (action instanceof Action.Note note) {
-            cluster.note(id, note.text(), note.grave());
+            cluster.note(id, note.text(), note.isError());
         }
     }
 
--- a/testing/src/test/java/brookpath/testing/MovePlanTest.java
+++ b/testing/src/test/java/brookpath/testing/MovePlanTest.java
@@ -4,13 +4,13 @@
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
-import brookpath.coordination.configuration.ClusterMetadata;
-import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
-import brookpath.coordination.configuration.MovePlan;
-import brookpath.coordination.configuration.MovePlan.Move;
-import brookpath.coordination.configuration.Placement;
 import brookpath.coordination.group.Member;
+import brookpath.coordination.metadata.ClusterMetadata;
+import brookpath.coordination.metadata.ClusterMetadata.GroupInfo;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
+import brookpath.coordination.placement.MovePlan;
+import brookpath.coordination.placement.MovePlan.Move;
+import brookpath.coordination.placement.Placement;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -45,7 +45,7 @@
             // why: founded on fewer machines than there are now, and one of them may be on its way out
             final int founding = 3 + random.nextInt(size - 3);
             final List<GroupInfo> groups =
-                    Placement.found(nodes.subList(0, founding), 1 + random.nextInt(24), 3).stream()
+                    Placement.initial(nodes.subList(0, founding), 1 + random.nextInt(24), 3).stream()
                             .map(g -> new GroupInfo(g.id(), true, g.membership()))
                             .toList();
             retiring = size > 4 && random.nextBoolean() ? List.of(11 + random.nextInt(founding)) : List.of();
@@ -61,7 +61,7 @@
             for (List<Move> moves = MovePlan.next(metadata, all, all, 3);
                     !moves.isEmpty();
                     moves = MovePlan.next(metadata, all, all, 3)) {
-                assertTrue(moves.size() <= MovePlan.MOST, moves.toString());
+                assertTrue(moves.size() <= MovePlan.MAX_CONCURRENT_MOVES, moves.toString());
                 moves.forEach(this::apply);
                 assertTrue(seen.add(placement()), "seed " + seed + " goes to and fro: " + moves);
                 assertTrue(++plans < 2_000, "seed " + seed + " does not end");
@@ -122,7 +122,7 @@
         final ClusterMetadata r = new ClusterMetadata(
                 1,
                 nodes,
-                Placement.found(nodes, 3, 3).stream()
+                Placement.initial(nodes, 3, 3).stream()
                         .map(g -> new GroupInfo(g.id(), true, g.membership()))
                         .toList(),
                 List.of());
--- a/testing/src/test/java/brookpath/testing/sim/ControlMembershipTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ControlMembershipTest.java
@@ -214,7 +214,7 @@
             final SimulatedProcess leaving = cluster.processes.get(1 + i);
             cluster.addController(4 + i, leaving.zone, List.of(1, 2, 3));
             cluster.run(cluster.now() + CATCH_UP_MS);
-            cluster.callers.ask(leaving, NodeRequest.Retreat::new, r -> assertEquals(r.status(), 200));
+            cluster.callers.ask(leaving, NodeRequest.GracefulShutdown::new, r -> assertEquals(r.status(), 200));
             cluster.run(cluster.now() + 1_000);
             cluster.kill(leaving, false);
             leaving.goneForGood = true;
--- a/tools/src/main/java/brookpath/tools/datafolder/DataFolderCheck.java
+++ b/tools/src/main/java/brookpath/tools/datafolder/DataFolderCheck.java
@@ -2,8 +2,8 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.configuration.ControlState;
 import brookpath.coordination.configuration.StoredConfiguration;
+import brookpath.coordination.controllog.ControlState;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.heartbeat.HeartbeatPromises;
 import brookpath.coordination.node.ControllerNode;
--- a/transport/src/main/java/brookpath/transport/loop/ActionExecutor.java
+++ b/transport/src/main/java/brookpath/transport/loop/ActionExecutor.java
@@ -53,7 +53,7 @@
         } else if (action instanceof Action.Post post) {
             post(post);
         } else if (action instanceof Action.CloseSession close) {
-            sinks.close(close.sessionId(), close.why());
+            sinks.close(close.sessionId(), close.reason());
         } else if (action instanceof Action.ToSession delivery) {
             deliver(delivery);
         } else if (action instanceof Action.Note note) {
@@ -87,7 +87,7 @@
     }
 
     private static void log(final Action.Note note) {
-        if (note.grave()) {
+        if (note.isError()) {
             Logger.error(note.text());
         } else {
             Logger.info(note.text());
