--- a/testing/src/main/java/brookpath/testing/sim/Callers.java
+++ b/testing/src/main/java/brookpath/testing/sim/Callers.java
@@ -6,6 +6,7 @@
 import brookpath.coordination.configuration.Configuration;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.node.NodeRequest;
+import brookpath.coordination.placement.Placement;
 import jakarta.json.Json;
 import jakarta.json.JsonObject;
 import java.io.ByteArrayInputStream;
