--- a/testing/src/test/java/brookpath/testing/StoredDataTest.java
+++ b/testing/src/test/java/brookpath/testing/StoredDataTest.java
@@ -5,13 +5,13 @@
 import static org.testng.Assert.assertTrue;
 
 import brookpath.coordination.TimingBounds;
-import brookpath.coordination.metadata.ClusterMetadata;
-import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
-import brookpath.coordination.controllog.ControlState;
 import brookpath.coordination.configuration.StoredConfiguration;
+import brookpath.coordination.controllog.ControlState;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Member;
 import brookpath.coordination.group.Membership;
+import brookpath.coordination.metadata.ClusterMetadata;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.node.ControllerNode;
 import brookpath.coordination.node.Node;
 import brookpath.coordination.node.Node.Time;
