--- a/testing/src/test/java/brookpath/testing/fuzz/GroupFuzzTest.java
+++ b/testing/src/test/java/brookpath/testing/fuzz/GroupFuzzTest.java
@@ -2,18 +2,18 @@
 
 import static org.testng.Assert.assertTrue;
 
+import brookpath.testing.SeedsInParallel;
 import org.testng.annotations.Test;
 
 /** One group on a network worse than any: election and replication against an oracle that sees the inside. */
 public final class GroupFuzzTest {
     @Test
-    public void electionAndReplicationHoldOnABadNetwork() {
+    public void electionAndReplicationHoldOnABadNetwork() throws InterruptedException {
         long committed = 0;
         int leaders = 0;
         int changes = 0;
         for (final FuzzStyle style : FuzzStyle.ALL) {
-            for (long seed = 1; seed <= 12; seed++) {
-                final FuzzOutcome o = GroupFuzz.run(seed, style);
+            for (final FuzzOutcome o : SeedsInParallel.play(1, 12, seed -> GroupFuzz.run(seed, style))) {
                 assertTrue(o.violations().isEmpty(), o + " " + style);
                 committed += o.committed();
                 leaders += o.leaders();
