--- a/testing/src/main/java/brookpath/testing/oracle/control/RetireHistory.java
+++ b/testing/src/main/java/brookpath/testing/oracle/control/RetireHistory.java
@@ -21,13 +21,14 @@
         long settledMs;
         boolean completed;
         boolean removed;
-        boolean judged;
+        boolean checked;
     }
 
     private final ControlViolations violations;
     private final Map<String, Retirement> retirements = new TreeMap<>();
     private long watchedAt;
 
+    /** Adds what it finds to these violations. */
     public RetireHistory(final ControlViolations violations) {
         this.violations = violations;
     }
@@ -89,8 +90,8 @@
                 return;
             }
             retirement.settledMs += settled ? step : 0;
-            if (retirement.settledMs > COMPLETE_MS && !retirement.judged) {
-                retirement.judged = true;
+            if (retirement.settledMs > COMPLETE_MS && !retirement.checked) {
+                retirement.checked = true;
                 violations.add(
                         now,
                         ControlRule.RETIREMENT,
--- a/testing/src/test/java/brookpath/testing/GroupFuzzTest.java
+++ b/testing/src/test/java/brookpath/testing/fuzz/GroupFuzzTest.java
@@ -1,8 +1,8 @@
-package brookpath.testing;
+package brookpath.testing.fuzz;
 
 import static org.testng.Assert.assertTrue;
 
-import brookpath.testing.sim.GroupFuzz;
+import brookpath.testing.SeedsInParallel;
 import org.testng.annotations.Test;
 
 /** One group on a network worse than any: election and replication against an oracle that sees the inside. */
@@ -12,15 +12,15 @@
         long committed = 0;
         int leaders = 0;
         int changes = 0;
-        for (final GroupFuzz.Style style : GroupFuzz.STYLES) {
-            for (final GroupFuzz.Outcome o : SeedsInParallel.play(1, 12, seed -> GroupFuzz.live(seed, style))) {
+        for (final FuzzStyle style : FuzzStyle.ALL) {
+            for (final FuzzOutcome o : SeedsInParallel.play(1, 12, seed -> GroupFuzz.run(seed, style))) {
                 assertTrue(o.violations().isEmpty(), o + " " + style);
                 committed += o.committed();
                 leaders += o.leaders();
                 changes += o.changes();
             }
         }
-        assertTrue(committed > 10_000 && leaders > 300, committed + " records, " + leaders + " masters");
+        assertTrue(committed > 10_000 && leaders > 300, committed + " records, " + leaders + " leaders");
         assertTrue(changes > 500, changes + " membership changes");
     }
 }
--- a/testing/src/test/java/brookpath/testing/sim/GroupRepairScene.java
+++ b/testing/src/test/java/brookpath/testing/sim/GroupRepairScene.java
@@ -22,39 +22,39 @@
     private static final int COPIES = 3;
     private static final int GATEWAY = 32;
 
-    final SimulatedCluster world;
+    final SimulatedCluster cluster;
     /** First answers by topic, to be got again by a repeat. */
     private final TreeMap<String, String> answers = new TreeMap<>();
 
     /** Publishers, subscribers and a cluster that has served them for three seconds. */
     GroupRepairScene(final long seed) {
-        this(SimulatedCluster.serving(seed));
+        this(ServingCluster.start(seed));
     }
 
     GroupRepairScene(final SimulatedCluster serving) {
-        world = serving;
+        cluster = serving;
         for (int i = 0; i < 9; i++) {
             final String topic = "permits/t" + i;
-            world.callers.publisher("ana", topic, "key-members", 200, 40);
-            world.callers.subscriber("sub-" + i, "key-members", List.of(topic));
+            cluster.callers.publisher("ana", topic, "key-members", 200, 40);
+            cluster.callers.subscriber("sub-" + i, "key-members", List.of(topic));
         }
         run(3_000);
     }
 
     GroupMachine copy(final int node, final int group) {
-        final SimulatedProcess p = world.processes.get(node);
+        final SimulatedProcess p = cluster.processes.get(node);
         return p.alive && !p.frozen() && p.node instanceof StorageNode s ? s.group(group) : null;
     }
 
     /** Lets this much simulated time pass. */
     void run(final long ms) {
-        world.run(world.now() + ms);
+        cluster.run(cluster.now() + ms);
     }
 
     private GroupMachine acting(final int group) {
-        for (final int id : world.storages) {
+        for (final int id : cluster.storages) {
             final GroupMachine g = copy(id, group);
-            if (g != null && g.mayAct(world.processes.get(id).mono())) {
+            if (g != null && g.mayAct(cluster.processes.get(id).mono())) {
                 return g;
             }
         }
@@ -62,8 +62,8 @@
     }
 
     SimulatedProcess controlLeader() {
-        for (final int id : world.controllers) {
-            final SimulatedProcess p = world.processes.get(id);
+        for (final int id : cluster.controllers) {
+            final SimulatedProcess p = cluster.processes.get(id);
             if (p.alive && ((ControllerNode) p.node).group().mayAct(p.mono())) {
                 return p;
             }
@@ -98,17 +98,17 @@
 
     /** How long until all groups are whole again, in milliseconds. */
     long untilWhole(final int without, final long limit) {
-        final long from = world.now();
-        while (!allWhole(without) && world.now() < from + limit) {
+        final long from = cluster.now();
+        while (!allWhole(without) && cluster.now() < from + limit) {
             run(5);
         }
-        return allWhole(without) ? world.now() - from : Long.MAX_VALUE;
+        return allWhole(without) ? cluster.now() - from : Long.MAX_VALUE;
     }
 
     private Response publish(final String topic, final String sender, final long seq) {
         final Response[] got = new Response[1];
-        world.callers.asked(
-                world.processes.get(GATEWAY),
+        cluster.callers.ask(
+                cluster.processes.get(GATEWAY),
                 id -> new NodeRequest.Publish(id, "key-members", topic, sender, seq, "x"),
                 r -> got[0] = r);
         for (int i = 0; i < 400 && got[0] == null; i++) {
@@ -123,7 +123,7 @@
             // why: a topic that nobody listens to, for what is published here is not told to the judge of deliveries
             final String topic = "permits/read-back" + i;
             final Response r = publish(topic, sender, 1);
-            assertEquals(r.status(), 200, world.now() + " " + topic + ": " + r);
+            assertEquals(r.status(), 200, cluster.now() + " " + topic + ": " + r);
             answers.put(sender + " " + topic, r.json());
         }
     }
@@ -136,26 +136,27 @@
             assertTrue(
                     again.json().equals(json), what + ": " + key + " got " + again + ", not " + json + "\n" + notes());
         });
-        publishAll("later" + world.now());
-        world.callers.quiet = true;
+        publishAll("later" + cluster.now());
+        cluster.callers.quiet = true;
         run(25_000);
-        world.history.settle(world.now());
-        assertTrue(world.history.violations().isEmpty(), what + ": " + String.join("\n", world.history.violations()));
+        cluster.history.settle(cluster.now());
+        assertTrue(
+                cluster.history.violations().isEmpty(), what + ": " + String.join("\n", cluster.history.violations()));
     }
 
     void lose(final int node) {
-        final SimulatedProcess p = world.processes.get(node);
-        world.kill(p, true);
+        final SimulatedProcess p = cluster.processes.get(node);
+        cluster.kill(p, true);
         p.disk.wipe();
     }
 
     void loseDiskAndReturn(final int node, final long downMs) {
         lose(node);
-        world.at(world.now() + downMs, () -> world.restart(world.processes.get(node)));
+        cluster.at(cluster.now() + downMs, () -> cluster.restart(cluster.processes.get(node)));
     }
 
     String notes() {
-        return String.join("\n", world.notes());
+        return String.join("\n", cluster.notes());
     }
 
     int held(final int node) {
@@ -177,7 +178,7 @@
     void retire(final int node) {
         final Response[] got = new Response[1];
         for (int i = 0; i < 20 && (got[0] == null || got[0].status() == 503); i++) {
-            world.callers.asked(
+            cluster.callers.ask(
                     controlLeader(),
                     id -> new NodeRequest.Operate(
                             id, ControlRequestKind.RETIRE, PackedBuffer.writer().num(node).num(1).done()),
@@ -201,8 +202,8 @@
     }
 
     void untilCompleted(final int leaving, final String what) {
-        final long limit = world.now() + 30_000;
-        while (!completed(leaving) && world.now() < limit) {
+        final long limit = cluster.now() + 30_000;
+        while (!completed(leaving) && cluster.now() < limit) {
             run(1);
         }
         assertTrue(completed(leaving), what + " does not end:\n" + notes());
@@ -215,7 +216,7 @@
     }
 
     long judgedAt() {
-        return world.notes().stream()
+        return cluster.notes().stream()
                 .filter(n -> n.contains("taken for gone: [1"))
                 .mapToLong(n -> Long.parseLong(n.substring(0, n.indexOf(' '))))
                 .findFirst()
--- a/testing/src/test/java/brookpath/testing/sim/GroupRepairTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/GroupRepairTest.java
@@ -29,11 +29,11 @@
             final int gone = 11 + (int) seed % 4;
             scene.lose(gone);
             scene.run(2_000);
-            scene.world.addStorage(NEWCOMER, scene.world.processes.get(gone).zone);
+            scene.cluster.addStorage(NEWCOMER, scene.cluster.processes.get(gone).zone);
             scene.run(CATCH_UP_MS);
             assertTrue(scene.allWhole(gone), "seed " + seed + " is not whole:\n" + scene.notes());
             scene.publishAll("second");
-            final int next = scene.world.storages.get((int) (seed / 4 % 5));
+            final int next = scene.cluster.storages.get((int) (seed / 4 % 5));
             scene.loseDiskAndReturn(next == gone ? NEWCOMER : next, seed % 2 == 0 ? 1_000 : 8_000);
             scene.run(3_000);
             scene.publishAll("third");
@@ -66,13 +66,13 @@
             final GroupRepairScene scene = new GroupRepairScene(seed);
             scene.publishAll("first");
             final int cutOff = 11 + (int) seed % 4;
-            scene.world.processes.keySet().forEach(id -> {
-                scene.world.net.cut(id, cutOff);
-                scene.world.net.cut(cutOff, id);
+            scene.cluster.processes.keySet().forEach(id -> {
+                scene.cluster.net.cut(id, cutOff);
+                scene.cluster.net.cut(cutOff, id);
             });
             scene.run(20_000);
             assertTrue(scene.allWhole(cutOff), "seed " + seed + " is not whole:\n" + scene.notes());
-            scene.world.net.heal();
+            scene.cluster.net.heal();
             scene.run(3_000);
             for (int g = 0; g < GroupRepairScene.GROUPS; g++) {
                 assertTrue(scene.copy(cutOff, g) == null, "seed " + seed + ": group " + g + " was not dropped");
@@ -97,10 +97,10 @@
             scene.run(15 * step);
             final int other = 11 + (int) (step + 1 + step / 4 % 3) % 4;
             scene.loseDiskAndReturn(other, 300);
-            final long returned = scene.world.now() + 300;
+            final long returned = scene.cluster.now() + 300;
             scene.untilCompleted(leaving, "step " + step);
             scene.lose(leaving);
-            scene.world.run(Math.max(scene.world.now(), returned + CATCH_UP_MS));
+            scene.cluster.run(Math.max(scene.cluster.now(), returned + CATCH_UP_MS));
             final int third = 11 + (int) (step + 2) % 4;
             scene.loseDiskAndReturn(third == leaving ? other : third, 1_000);
             scene.run(8_000);
@@ -130,7 +130,7 @@
             scene.publishAll("first");
             final int gone = 11 + (int) step % 4;
             scene.lose(gone);
-            scene.world.addStorage(NEWCOMER, scene.world.processes.get(gone).zone);
+            scene.cluster.addStorage(NEWCOMER, scene.cluster.processes.get(gone).zone);
             scene.run(1_000 + 20 * step);
             scene.lose(NEWCOMER);
             scene.run(7_000);
@@ -148,14 +148,14 @@
             final List<Integer> versions = scene.versions();
             final SimulatedProcess leader = scene.controlLeader();
             if (seed % 2 == 0) {
-                scene.world.kill(leader, true);
+                scene.cluster.kill(leader, true);
             } else {
-                scene.world.freeze(leader, 3_000);
+                scene.cluster.freeze(leader, 3_000);
             }
             scene.run(10_000);
             assertEquals(scene.versions(), versions, "seed " + seed + ": copies moved:\n" + scene.notes());
             assertFalse(scene.notes().contains("taken for gone: [1"), "seed " + seed + ":\n" + scene.notes());
-            scene.world.restart(leader);
+            scene.cluster.restart(leader);
             scene.readBack("seed " + seed);
         });
     }
@@ -167,7 +167,7 @@
         final TimingBounds control = new TimingBounds(3_000, 12_000, 3_000, 5_000, 4_500);
         for (final boolean newcomer : List.of(false, true)) {
             final List<Repair> repairs = SeedsInParallel.play(0, MEASURED_SEEDS - 1, seed -> {
-                final SimulatedCluster cluster = SimulatedCluster.serving(seed, storages, control);
+                final SimulatedCluster cluster = ServingCluster.start(seed, storages, control);
                 return repairAfterALoss(new GroupRepairScene(cluster), 11 + (int) seed % 4, newcomer);
             });
             final List<Long> fromLoss =
@@ -185,9 +185,9 @@
     private static Repair repairAfterALoss(final GroupRepairScene scene, final int gone, final boolean newcomer) {
         scene.lose(gone);
         if (newcomer) {
-            scene.world.at(scene.world.now() + 1_000, () -> scene.world.addStorage(NEWCOMER, "d"));
+            scene.cluster.at(scene.cluster.now() + 1_000, () -> scene.cluster.addStorage(NEWCOMER, "d"));
         }
-        final long from = scene.world.now();
+        final long from = scene.cluster.now();
         final long took = scene.untilWhole(gone, 8_000);
         return new Repair(took, took - (scene.judgedAt() - from));
     }
