--- a/testing/src/test/java/brookpath/testing/sim/AddressReuseTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/AddressReuseTest.java
@@ -40,7 +40,10 @@
 
     private Response operate(final String kind, final byte[] body) {
         final Response[] got = new Response[1];
-        cluster.callers.ask(cluster.processes.get(1), id -> new NodeRequest.Operate(id, ControlRequestKind.of(kind), body), r -> got[0] = r);
+        cluster.callers.ask(
+                cluster.processes.get(1),
+                id -> new NodeRequest.Operate(id, ControlRequestKind.of(kind), body),
+                r -> got[0] = r);
         for (int i = 0; i < 400 && got[0] == null; i++) {
             cluster.run(cluster.now() + 10);
         }
--- a/testing/src/test/java/brookpath/testing/sim/ClusterScenario.java
+++ b/testing/src/test/java/brookpath/testing/sim/ClusterScenario.java
@@ -118,7 +118,8 @@
     }
 
     final void sendOperatorRequest(final String kind, final byte[] body, final Consumer<Response> then) {
-        cluster.callers.ask(controlLeader(), id -> new NodeRequest.Operate(id, ControlRequestKind.of(kind), body), then);
+        cluster.callers.ask(
+                controlLeader(), id -> new NodeRequest.Operate(id, ControlRequestKind.of(kind), body), then);
         cluster.run(cluster.now() + 500);
     }
 
--- a/testing/src/test/java/brookpath/testing/sim/ControlMembershipTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ControlMembershipTest.java
@@ -109,7 +109,10 @@
 
     private Response read(final SimulatedProcess from) {
         final Response[] got = new Response[1];
-        cluster.callers.ask(from, id -> new NodeRequest.Operate(id, ControlRequestKind.CONFIGURATION, new byte[0]), r -> got[0] = r);
+        cluster.callers.ask(
+                from,
+                id -> new NodeRequest.Operate(id, ControlRequestKind.CONFIGURATION, new byte[0]),
+                r -> got[0] = r);
         until("an answer", 4_000, () -> got[0] != null);
         return got[0];
     }
--- a/testing/src/test/java/brookpath/testing/sim/ControlStateSizeTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ControlStateSizeTest.java
@@ -50,7 +50,9 @@
         for (int i = 0; i < CHANGES_BEYOND_ANY_BOUND; i++) {
             final String doc = cluster.callers.operators.document(committed + i, "waits-" + i, true);
             cluster.callers.ask(
-                    leader, id -> new NodeRequest.Operate(id, ControlRequestKind.CHANGE, doc.getBytes(UTF_8)), responses::add);
+                    leader,
+                    id -> new NodeRequest.Operate(id, ControlRequestKind.CHANGE, doc.getBytes(UTF_8)),
+                    responses::add);
             cluster.run(cluster.now() + 20);
             assertEquals(committedVersion(leader), committed, "after " + (i + 1) + " changes that are not accepted");
             assertTrue(committedMetadataVersion(leader) > 0, "no cluster metadata after " + (i + 1) + " changes");
--- a/testing/src/test/java/brookpath/testing/sim/GroupRepairScene.java
+++ b/testing/src/test/java/brookpath/testing/sim/GroupRepairScene.java
@@ -181,7 +181,9 @@
             cluster.callers.ask(
                     controlLeader(),
                     id -> new NodeRequest.Operate(
-                            id, ControlRequestKind.RETIRE, PackedBuffer.writer().num(node).num(1).done()),
+                            id,
+                            ControlRequestKind.RETIRE,
+                            PackedBuffer.writer().num(node).num(1).done()),
                     r -> got[0] = r);
             run(10);
         }
--- a/testing/src/test/java/brookpath/testing/sim/RejoinAfterManyChangesTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/RejoinAfterManyChangesTest.java
@@ -76,7 +76,8 @@
         final String plain = cluster.callers.operators.document(version, changeId, true);
         final String doc =
                 plain.substring(0, plain.length() - 1) + ",\"annotation\":\"" + "z".repeat(ANNOTATION_BYTES) + "\"}";
-        cluster.callers.ask(leader, id -> new NodeRequest.Operate(id, ControlRequestKind.CHANGE, doc.getBytes(UTF_8)), r -> {});
+        cluster.callers.ask(
+                leader, id -> new NodeRequest.Operate(id, ControlRequestKind.CHANGE, doc.getBytes(UTF_8)), r -> {});
         version++;
     }
 
