--- a/coordination/src/main/java/brookpath/coordination/node/StorageNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/StorageNode.java
@@ -1,5 +1,7 @@
 package brookpath.coordination.node;
 
+import static brookpath.coordination.message.ResponseStatus.OK;
+
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
 import brookpath.coordination.configuration.ConfigurationClient;
@@ -42,7 +44,6 @@
  * the package {@code storage}), and looks after each event on a group what that event has set free.
  */
 public final class StorageNode extends Node {
-    private static final int OK = 200;
 
     private final int toleratedLosses;
     private final long seed;
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/SessionRequests.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/SessionRequests.java
@@ -1,5 +1,8 @@
 package brookpath.coordination.node.gateway;
 
+import static brookpath.coordination.message.ResponseStatus.BAD_REQUEST;
+import static brookpath.coordination.message.ResponseStatus.OK;
+
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
 import brookpath.coordination.message.Response;
@@ -16,8 +19,6 @@
 
 /** Carries out or refuses the callers' requests that open and end sessions or change what they listen to. */
 public final class SessionRequests {
-    private static final int OK = 200;
-    private static final int BAD_REQUEST = 400;
     private static final long START_AT_END = -1;
 
     private final IntSupplier maxTopics;
