--- /dev/null
+++ b/state/src/main/java/brookpath/state/disk/DataFolderInUseException.java
@@ -0,0 +1,10 @@
+package brookpath.state.disk;
+
+/** Another process holds the lock of the data folder. */
+public final class DataFolderInUseException extends IllegalStateException {
+    private static final long serialVersionUID = 1L;
+
+    DataFolderInUseException(final String message) {
+        super(message);
+    }
+}
--- a/state/src/main/java/brookpath/state/disk/FolderDisk.java
+++ b/state/src/main/java/brookpath/state/disk/FolderDisk.java
@@ -15,22 +15,25 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A real folder. Holds a lock on it, so that two processes never share one. */
+/** A folder of the file system. Holds a lock on it, so that two processes never share one. */
 public final class FolderDisk implements Disk, AutoCloseable {
+    private static final String LOCK_FILE = "lock";
+
     private final Path folder;
-    private final FileChannel lockCh;
+    private final FileChannel lockChannel;
     private final FileLock lock;
 
+    /** Creates the folder where there is none; throws {@link DataFolderInUseException} where it is locked. */
     public FolderDisk(final Path folder) {
         try {
             this.folder = Files.createDirectories(folder);
-            lockCh = FileChannel.open(folder.resolve("lock"), CREATE, WRITE);
-            lock = lockCh.tryLock();
+            lockChannel = FileChannel.open(folder.resolve(LOCK_FILE), CREATE, WRITE);
+            lock = lockChannel.tryLock();
         } catch (final IOException ex) {
             throw new UncheckedIOException(ex);
         }
         if (lock == null) {
-            throw new IllegalStateException("data folder " + folder + " is in use by another process");
+            throw new DataFolderInUseException("data folder " + folder + " is in use by another process");
         }
     }
 
@@ -47,7 +50,7 @@
     public List<String> list() {
         try (Stream<Path> paths = Files.list(folder)) {
             return paths.map(p -> p.getFileName().toString())
-                    .filter(n -> !n.equals("lock"))
+                    .filter(n -> !n.equals(LOCK_FILE))
                     .sorted()
                     .toList();
         } catch (final IOException ex) {
@@ -76,8 +79,8 @@
     @Override
     public void syncFolder() {
         // why: a new or renamed name is lost with power unless its folder is synced too
-        try (FileChannel ch = FileChannel.open(folder, READ)) {
-            ch.force(true);
+        try (FileChannel channel = FileChannel.open(folder, READ)) {
+            channel.force(true);
         } catch (final IOException ex) {
             throw new UncheckedIOException(ex);
         }
@@ -87,24 +90,24 @@
     public void close() {
         try {
             lock.release();
-            lockCh.close();
+            lockChannel.close();
         } catch (final IOException ex) {
             throw new UncheckedIOException(ex);
         }
     }
 
     private static final class ChannelFile implements DiskFile {
-        private final FileChannel ch;
+        private final FileChannel channel;
         private long end = -1;
 
-        ChannelFile(final FileChannel ch) {
-            this.ch = ch;
+        ChannelFile(final FileChannel channel) {
+            this.channel = channel;
         }
 
         @Override
         public long size() {
             try {
-                return ch.size();
+                return channel.size();
             } catch (final IOException ex) {
                 throw new UncheckedIOException(ex);
             }
@@ -113,10 +116,10 @@
         @Override
         public void append(final byte[] bytes, final int off, final int len) {
             try {
-                final ByteBuffer buf = ByteBuffer.wrap(bytes, off, len);
-                end = end < 0 ? ch.size() : end;
-                while (buf.hasRemaining()) {
-                    end += ch.write(buf, end);
+                final ByteBuffer buffer = ByteBuffer.wrap(bytes, off, len);
+                end = end < 0 ? channel.size() : end;
+                while (buffer.hasRemaining()) {
+                    end += channel.write(buffer, end);
                 }
             } catch (final IOException ex) {
                 throw DiskFullException.ofWrite(ex);
@@ -126,10 +129,10 @@
         @Override
         public byte[] readAll() {
             try {
-                final ByteBuffer buf = ByteBuffer.allocate((int) ch.size());
-                while (buf.hasRemaining() && ch.read(buf, buf.position()) >= 0) {}
+                final ByteBuffer buffer = ByteBuffer.allocate((int) channel.size());
+                while (buffer.hasRemaining() && channel.read(buffer, buffer.position()) >= 0) {}
 
-                return buf.array();
+                return buffer.array();
             } catch (final IOException ex) {
                 throw new UncheckedIOException(ex);
             }
@@ -138,7 +141,7 @@
         @Override
         public void sync() {
             try {
-                ch.force(false);
+                channel.force(false);
             } catch (final IOException ex) {
                 throw new UncheckedIOException(ex);
             }
@@ -147,7 +150,7 @@
         @Override
         public void truncate(final long size) {
             try {
-                ch.truncate(size);
+                channel.truncate(size);
                 end = size;
             } catch (final IOException ex) {
                 throw new UncheckedIOException(ex);
@@ -157,7 +160,7 @@
         @Override
         public void close() {
             try {
-                ch.close();
+                channel.close();
             } catch (final IOException ex) {
                 throw new UncheckedIOException(ex);
             }
--- a/transport/src/main/java/brookpath/transport/http/CommonResource.java
+++ b/transport/src/main/java/brookpath/transport/http/CommonResource.java
@@ -10,12 +10,11 @@
 import jakarta.ws.rs.core.Response;
 import java.util.concurrent.CompletionStage;
 
-/** What every process tells: whether it is ready, and what it sees. */
+/** The readiness and the status of any process. */
 @Path("/v1")
 @Produces(APPLICATION_JSON)
 public final class CommonResource {
     private final RequestDispatcher dispatcher;
-
     private final SettingsReport settings;
 
     @Inject
@@ -27,14 +26,14 @@
     @GET
     @Path("/ready")
     public CompletionStage<Response> ready() {
-        return dispatcher.ask(NodeRequest.ReadinessProbe::new);
+        return dispatcher.submit(NodeRequest.ReadinessProbe::new);
     }
 
     @GET
     @Path("/status")
     public CompletionStage<Response> status() {
         // why: the settings file is the process's, not its state's, so the two are put together here
-        return dispatcher.ask(
+        return dispatcher.submit(
                 NodeRequest.Status::new,
                 r -> new brookpath.coordination.message.Response(
                         r.status(),
--- a/transport/src/main/java/brookpath/transport/http/OperatorResource.java
+++ b/transport/src/main/java/brookpath/transport/http/OperatorResource.java
@@ -18,7 +18,9 @@
 import java.io.InputStream;
 import java.util.concurrent.CompletionStage;
 
-/** What operators ask of any controller. docs/operators/operator-interface.md shows it with examples. */
+/**
+ * The interface for operators, the same on any controller. docs/operators/operator-interface.md shows it with examples.
+ */
 @Path("/v1")
 @Produces(APPLICATION_JSON)
 public final class OperatorResource {
@@ -77,6 +79,6 @@
     }
 
     private CompletionStage<Response> operate(final String kind, final byte[] body) {
-        return dispatcher.ask(id -> new NodeRequest.Operate(id, kind, body));
+        return dispatcher.submit(id -> new NodeRequest.Operate(id, kind, body));
     }
 }
--- a/transport/src/main/java/brookpath/transport/http/PlatformPoster.java
+++ b/transport/src/main/java/brookpath/transport/http/PlatformPoster.java
@@ -15,34 +15,34 @@
 
 /** Posts usage reports to the platform over HTTP/1.1, each under its idempotency key. */
 public final class PlatformPoster implements Host.Poster {
-    private final Duration deadline;
+    private final Duration timeout;
     private final HttpClient http;
     private volatile URI uri;
 
     /** @param url empty where there is no platform to tell: totals can be read from a controller */
-    public PlatformPoster(final String url, final long deadlineMs) {
+    public PlatformPoster(final String url, final long timeoutMs) {
         url(url);
-        deadline = Duration.ofMillis(deadlineMs);
+        timeout = Duration.ofMillis(timeoutMs);
         http = HttpClient.newBuilder()
                 .version(HttpClient.Version.HTTP_1_1)
-                .connectTimeout(deadline)
+                .connectTimeout(timeout)
                 .build();
     }
 
-    /** From now on reports go there. */
+    /** From now on reports go there; empty for nowhere. */
     public void url(final String url) {
         uri = url.isEmpty() ? null : URI.create(url);
     }
 
     @Override
     public CompletableFuture<PostOutcome> accept(final Action.Post post) {
-        final URI to = uri;
-        if (to == null) {
+        final URI target = uri;
+        if (target == null) {
             return CompletableFuture.completedFuture(PostOutcome.ACCEPTED);
         }
         return http.sendAsync(
-                        HttpRequest.newBuilder(to)
-                                .timeout(deadline)
+                        HttpRequest.newBuilder(target)
+                                .timeout(timeout)
                                 .header("Content-Type", "application/json")
                                 .header("Idempotency-Key", post.key())
                                 .POST(HttpRequest.BodyPublishers.ofString(post.json()))
--- a/transport/src/main/java/brookpath/transport/http/RequestDispatcher.java
+++ b/transport/src/main/java/brookpath/transport/http/RequestDispatcher.java
@@ -14,13 +14,15 @@
 import java.util.function.LongFunction;
 import java.util.function.UnaryOperator;
 
-/** Hands callers' requests to the state thread, and its responses back to HTTP. */
+/** Brings callers' requests to the state thread, and its responses back to HTTP on threads of its own. Thread-safe. */
 public final class RequestDispatcher {
+    private static final int MILLIS_PER_SECOND = 1_000;
+
     private final Host host;
     private final ExecutorService traffic = Executors.newCachedThreadPool(run -> {
-        final Thread th = new Thread(run, "traffic");
-        th.setDaemon(true);
-        return th;
+        final Thread thread = new Thread(run, "traffic");
+        thread.setDaemon(true);
+        return thread;
     });
 
     public RequestDispatcher(final Host host) {
@@ -35,35 +37,37 @@
         return traffic;
     }
 
-    CompletionStage<jakarta.ws.rs.core.Response> ask(final LongFunction<NodeRequest> request) {
-        return ask(request, r -> r);
+    /** @param request made for the id that it is given */
+    CompletionStage<jakarta.ws.rs.core.Response> submit(final LongFunction<NodeRequest> request) {
+        return submit(request, response -> response);
     }
 
-    CompletionStage<jakarta.ws.rs.core.Response> ask(
-            final LongFunction<NodeRequest> request, final UnaryOperator<Response> then) {
+    CompletionStage<jakarta.ws.rs.core.Response> submit(
+            final LongFunction<NodeRequest> request, final UnaryOperator<Response> transform) {
         final long id = host.nextRequestId();
         // why: the state thread must not write to a caller's socket
-        return host.submit(id, request.apply(id)).thenApplyAsync(r -> http(then.apply(r)), traffic);
+        return host.submit(id, request.apply(id))
+                .thenApplyAsync(response -> toHttp(transform.apply(response)), traffic);
     }
 
-    static CompletionStage<jakarta.ws.rs.core.Response> now(final Response r) {
-        return CompletableFuture.completedFuture(http(r));
+    static CompletionStage<jakarta.ws.rs.core.Response> completed(final Response response) {
+        return CompletableFuture.completedFuture(toHttp(response));
     }
 
-    static jakarta.ws.rs.core.Response http(final Response r) {
-        final var rb = jakarta.ws.rs.core.Response.status(r.status())
+    static jakarta.ws.rs.core.Response toHttp(final Response response) {
+        final var builder = jakarta.ws.rs.core.Response.status(response.status())
                 .type(APPLICATION_JSON)
-                .entity(r.json() + "\n");
-        if (r.retryAfterMs() > 0) {
+                .entity(response.json() + "\n");
+        if (response.retryAfterMs() > 0) {
             // why: the header counts whole seconds only; the finer figure stands beside it
-            rb.header("Retry-After", (r.retryAfterMs() + 999) / 1000)
-                    .header("Brookpath-Retry-After-Ms", r.retryAfterMs());
+            builder.header("Retry-After", (response.retryAfterMs() + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND)
+                    .header("Brookpath-Retry-After-Ms", response.retryAfterMs());
         }
-        return rb.build();
+        return builder.build();
     }
 
-    /** Null where the body is longer. */
-    static byte[] body(final InputStream in, final int max) throws IOException {
+    /** Null where the body is longer than so many bytes. */
+    static byte[] readBody(final InputStream in, final int max) throws IOException {
         final byte[] bytes = in.readNBytes(max + 1);
         return bytes.length > max ? null : bytes;
     }
--- a/transport/src/main/java/brookpath/transport/http/SettingsReport.java
+++ b/transport/src/main/java/brookpath/transport/http/SettingsReport.java
@@ -1,6 +1,7 @@
 package brookpath.transport.http;
 
-/** What a process says of its settings file on its status page. */
+/** The state of the settings file, for the status page. */
 public interface SettingsReport {
+    /** A JSON value. */
     String json();
 }
