--- a/coordination/src/main/java/brookpath/coordination/configuration/ChangeOutcomes.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/ChangeOutcomes.java
@@ -58,26 +58,29 @@
     }
 
     void save(final PackedBuffer buffer) {
-        buffer.num(outcomes.size());
-        outcomes.forEach((key, o) ->
-                buffer.num(key.high).num(key.low).num(o.index).num(o.checksum).num(o.version));
+        buffer.putLong(outcomes.size());
+        outcomes.forEach((key, o) -> buffer.putLong(key.high)
+                .putLong(key.low)
+                .putLong(o.index)
+                .putLong(o.checksum)
+                .putLong(o.version));
     }
 
     void load(final PackedBuffer in) {
-        for (long n = in.num(); n > 0; n--) {
-            add(new ChangeKey(in.num(), in.num()), new Outcome(in.num(), in.num(), in.num()));
+        for (long n = in.getLong(); n > 0; n--) {
+            add(new ChangeKey(in.getLong(), in.getLong()), new Outcome(in.getLong(), in.getLong(), in.getLong()));
         }
     }
 
     /** Loads the format of earlier releases, which kept refusals and their findings as well. */
     void loadWithRefusals(final PackedBuffer in, final long count) {
         for (long n = count; n > 0; n--) {
-            final long index = in.num();
-            final String changeId = in.str();
-            final long checksum = in.num();
-            final long status = in.num();
-            final long version = in.num();
-            in.bytes();
+            final long index = in.getLong();
+            final String changeId = in.getString();
+            final long checksum = in.getLong();
+            final long status = in.getLong();
+            final long version = in.getLong();
+            in.getBytes();
             if (status == TOOK_EFFECT) {
                 add(changeId, new Outcome(index, checksum, version));
             }
--- a/coordination/src/main/java/brookpath/coordination/configuration/ClusterMetadata.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/ClusterMetadata.java
@@ -66,7 +66,11 @@
         }
 
         private void buffer(final PackedBuffer buffer) {
-            buffer.num(node).str(zone).str(address).str(name).num(machine);
+            buffer.putLong(node)
+                    .putString(zone)
+                    .putString(address)
+                    .putString(name)
+                    .putLong(machine);
         }
     }
 
@@ -125,17 +129,17 @@
 
     public byte[] save() {
         final PackedBuffer buffer =
-                PackedBuffer.writer().num(FORMAT).num(version).num(nodes.size());
+                PackedBuffer.writer().putLong(FORMAT).putLong(version).putLong(nodes.size());
         nodes.forEach(n -> n.buffer(buffer));
-        buffer.num(groups.size());
+        buffer.putLong(groups.size());
         for (final GroupInfo g : groups) {
-            g.membership.buffer(buffer.num(g.id).num(g.founded ? 1 : 0));
+            g.membership.buffer(buffer.putLong(g.id).putLong(g.founded ? 1 : 0));
         }
-        buffer.num(retiring.size());
-        retiring.forEach(buffer::num);
-        buffer.num(controllers.size());
+        buffer.putLong(retiring.size());
+        retiring.forEach(buffer::putLong);
+        buffer.putLong(controllers.size());
         controllers.forEach(n -> n.buffer(buffer));
-        return control.buffer(buffer).done();
+        return control.buffer(buffer).toByteArray();
     }
 
     public static ClusterMetadata load(final byte[] saved) {
@@ -143,21 +147,21 @@
             return NONE;
         }
         final PackedBuffer in = PackedBuffer.reader(saved);
-        final long first = in.num();
+        final long first = in.getLong();
         if (first < FORMAT) {
             throw new IllegalStateException("the cluster metadata has format " + -first
                     + ", and this program reads up to " + -FORMAT + ": it is of a newer version");
         }
         final boolean machines = first == FORMAT;
-        final long version = machines ? in.num() : first;
+        final long version = machines ? in.getLong() : first;
         final List<NodeInfo> nodes = infos(in, machines);
         final List<GroupInfo> groups = new ArrayList<>();
-        for (long n = in.num(); n > 0; n--) {
-            groups.add(new GroupInfo((int) in.num(), in.num() == 1, Membership.load(in)));
+        for (long n = in.getLong(); n > 0; n--) {
+            groups.add(new GroupInfo((int) in.getLong(), in.getLong() == 1, Membership.load(in)));
         }
         final List<Integer> retiring = new ArrayList<>();
-        for (long n = in.num(); n > 0; n--) {
-            retiring.add((int) in.num());
+        for (long n = in.getLong(); n > 0; n--) {
+            retiring.add((int) in.getLong());
         }
         return new ClusterMetadata(
                 version, nodes, List.copyOf(groups), List.copyOf(retiring), infos(in, machines), Membership.load(in));
@@ -165,9 +169,13 @@
 
     private static List<NodeInfo> infos(final PackedBuffer in, final boolean machines) {
         final List<NodeInfo> nodes = new ArrayList<>();
-        for (long n = in.num(); n > 0; n--) {
+        for (long n = in.getLong(); n > 0; n--) {
             nodes.add(new NodeInfo(
-                    (int) in.num(), in.str(), in.str(), in.str(), machines ? in.num() : NodeInfo.UNKNOWN_MACHINE));
+                    (int) in.getLong(),
+                    in.getString(),
+                    in.getString(),
+                    in.getString(),
+                    machines ? in.getLong() : NodeInfo.UNKNOWN_MACHINE));
         }
         return List.copyOf(nodes);
     }
--- a/coordination/src/main/java/brookpath/coordination/configuration/ControlState.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/ControlState.java
@@ -78,45 +78,46 @@
     private static byte[] configurationBody(
             final int kind, final String changeId, final long sum, final long version, final byte[] content) {
         return PackedBuffer.writer()
-                .num(kind)
-                .str(changeId)
-                .num(sum)
-                .num(version)
-                .bytes(content)
-                .done();
+                .putLong(kind)
+                .putString(changeId)
+                .putLong(sum)
+                .putLong(version)
+                .putBytes(content)
+                .toByteArray();
     }
 
     public static byte[] metadataBody(final ClusterMetadata metadata) {
-        return PackedBuffer.writer().num(METADATA).bytes(metadata.save()).done();
+        return PackedBuffer.writer().putLong(METADATA).putBytes(metadata.save()).toByteArray();
     }
 
     /** @param upTo per group, through which of its windows it is counted from now on */
     public static byte[] usageBody(final long window, final List<Used> used, final Map<Integer, Long> upTo) {
-        final PackedBuffer buffer = PackedBuffer.writer().num(USAGE);
+        final PackedBuffer buffer = PackedBuffer.writer().putLong(USAGE);
         packWindow(buffer, new Window(0, window, used));
-        buffer.num(upTo.size());
-        upTo.forEach((g, w) -> buffer.num(g).num(w));
-        return buffer.done();
+        buffer.putLong(upTo.size());
+        upTo.forEach((g, w) -> buffer.putLong(g).putLong(w));
+        return buffer.toByteArray();
     }
 
     public static byte[] deliveredBody(final long window, final boolean delivered) {
         return PackedBuffer.writer()
-                .num(DELIVERED)
-                .num(window)
-                .num(delivered ? 1 : 0)
-                .done();
+                .putLong(DELIVERED)
+                .putLong(window)
+                .putLong(delivered ? 1 : 0)
+                .toByteArray();
     }
 
     private static void packWindow(final PackedBuffer buffer, final Window w) {
-        buffer.num(w.window).num(w.used.size());
-        w.used.forEach(u -> buffer.str(u.tenant).num(u.publishes).num(u.bytes).num(u.late ? 1 : 0));
+        buffer.putLong(w.window).putLong(w.used.size());
+        w.used.forEach(u ->
+                buffer.putString(u.tenant).putLong(u.publishes).putLong(u.bytes).putLong(u.late ? 1 : 0));
     }
 
     private static Window unpackWindow(final long index, final PackedBuffer in) {
-        final long window = in.num();
+        final long window = in.getLong();
         final List<Used> used = new ArrayList<>();
-        for (long n = in.num(); n > 0; n--) {
-            used.add(new Used(in.str(), in.num(), in.num(), in.num() == 1));
+        for (long n = in.getLong(); n > 0; n--) {
+            used.add(new Used(in.getString(), in.getLong(), in.getLong(), in.getLong() == 1));
         }
         return new Window(index, window, List.copyOf(used));
     }
@@ -166,13 +167,13 @@
             return;
         }
         final PackedBuffer in = PackedBuffer.reader(logRecord.body());
-        final int kind = (int) in.num();
+        final int kind = (int) in.getLong();
         switch (kind) {
             case CONFIGURATION, CONFIGURATION_DELTA -> {
-                final String changeId = in.str();
-                final long sum = in.num();
-                final long version = in.num();
-                final byte[] content = in.bytes();
+                final String changeId = in.getString();
+                final long sum = in.getLong();
+                final long version = in.getLong();
+                final byte[] content = in.getBytes();
                 addConfiguration(
                         logRecord.index(),
                         version,
@@ -183,17 +184,17 @@
                 // why: a refusal follows from the document and from what was committed before it
             }
             case METADATA -> {
-                final ClusterMetadata metadata = ClusterMetadata.load(in.bytes());
+                final ClusterMetadata metadata = ClusterMetadata.load(in.getBytes());
                 metadatas.add(logRecord.index(), metadata);
                 retirements.apply(logRecord.index(), metadata);
             }
             case USAGE -> {
                 addWindow(unpackWindow(logRecord.index(), in));
-                for (long n = in.num(); n > 0; n--) {
-                    included.put((int) in.num(), in.num());
+                for (long n = in.getLong(); n > 0; n--) {
+                    included.put((int) in.getLong(), in.getLong());
                 }
             }
-            case DELIVERED -> settle(in.num(), in.num() == 1);
+            case DELIVERED -> settle(in.getLong(), in.getLong() == 1);
             default -> throw new IllegalStateException("unknown control record at " + logRecord.index());
         }
     }
@@ -259,48 +260,50 @@
     @Override
     public byte[] save() {
         final PackedBuffer buffer =
-                PackedBuffer.writer().num(configurations.all().size());
+                PackedBuffer.writer().putLong(configurations.all().size());
         configurations
                 .all()
-                .forEach(s -> buffer.num(s.index())
-                        .num(s.value().version())
-                        .bytes(s.value().doc()));
-        buffer.num(metadatas.all().size());
-        metadatas.all().forEach(r -> buffer.num(r.index()).bytes(r.value().save()));
-        buffer.num(windows.size());
-        windows.values().forEach(w -> packWindow(buffer.num(w.index), w));
-        buffer.num(settled.size());
-        settled.forEach((w, told) -> buffer.num(w).num(told ? 1 : 0));
-        buffer.num(included.size());
-        included.forEach((g, w) -> buffer.num(g).num(w));
-        outcomes.save(buffer.num(COMPACT_OUTCOMES));
+                .forEach(s -> buffer.putLong(s.index())
+                        .putLong(s.value().version())
+                        .putBytes(s.value().doc()));
+        buffer.putLong(metadatas.all().size());
+        metadatas
+                .all()
+                .forEach(r -> buffer.putLong(r.index()).putBytes(r.value().save()));
+        buffer.putLong(windows.size());
+        windows.values().forEach(w -> packWindow(buffer.putLong(w.index), w));
+        buffer.putLong(settled.size());
+        settled.forEach((w, told) -> buffer.putLong(w).putLong(told ? 1 : 0));
+        buffer.putLong(included.size());
+        included.forEach((g, w) -> buffer.putLong(g).putLong(w));
+        outcomes.save(buffer.putLong(COMPACT_OUTCOMES));
         retirements.save(buffer);
-        return buffer.done();
+        return buffer.toByteArray();
     }
 
     @Override
     public void load(final byte[] saved) {
         final PackedBuffer in = PackedBuffer.reader(saved);
-        for (long n = in.num(); n > 0; n--) {
-            addConfiguration(in.num(), in.num(), in.bytes());
+        for (long n = in.getLong(); n > 0; n--) {
+            addConfiguration(in.getLong(), in.getLong(), in.getBytes());
         }
-        for (long n = in.num(); n > 0; n--) {
-            metadatas.add(in.num(), ClusterMetadata.load(in.bytes()));
+        for (long n = in.getLong(); n > 0; n--) {
+            metadatas.add(in.getLong(), ClusterMetadata.load(in.getBytes()));
         }
-        for (long n = in.num(); n > 0; n--) {
-            addWindow(unpackWindow(in.num(), in));
+        for (long n = in.getLong(); n > 0; n--) {
+            addWindow(unpackWindow(in.getLong(), in));
         }
-        for (long n = in.num(); n > 0; n--) {
-            settle(in.num(), in.num() == 1);
+        for (long n = in.getLong(); n > 0; n--) {
+            settle(in.getLong(), in.getLong() == 1);
         }
-        for (long n = in.num(); n > 0; n--) {
-            included.put((int) in.num(), in.num());
+        for (long n = in.getLong(); n > 0; n--) {
+            included.put((int) in.getLong(), in.getLong());
         }
         loadOrders(in);
     }
 
     private void loadOrders(final PackedBuffer in) {
-        final long format = in.num();
+        final long format = in.getLong();
         if (format == COMPACT_OUTCOMES) {
             outcomes.load(in);
             retirements.load(in);
--- a/coordination/src/main/java/brookpath/coordination/configuration/Retirements.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/Retirements.java
@@ -56,13 +56,13 @@
     }
 
     void save(final PackedBuffer buffer) {
-        buffer.num(retirements.size());
-        retirements.forEach(r -> buffer.num(r.index).num(r.node).str(r.name));
+        buffer.putLong(retirements.size());
+        retirements.forEach(r -> buffer.putLong(r.index).putLong(r.node).putString(r.name));
     }
 
     void load(final PackedBuffer in) {
-        for (long n = in.num(); n > 0; n--) {
-            retirements.add(new Retirement(in.num(), (int) in.num(), in.str()));
+        for (long n = in.getLong(); n > 0; n--) {
+            retirements.add(new Retirement(in.getLong(), (int) in.getLong(), in.getString()));
         }
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/group/GroupEntryKind.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupEntryKind.java
@@ -38,6 +38,6 @@
 
     /** Begins an entry of this kind; the caller adds the fields. */
     PackedBuffer entry(final int group) {
-        return PackedBuffer.writer().num(group).num(code);
+        return PackedBuffer.writer().putLong(group).putLong(code);
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
@@ -305,26 +305,26 @@
     // ---- set-up and recovery
 
     public void replay(final PackedBuffer in, final long now) {
-        final long code = in.num();
+        final long code = in.getLong();
         final GroupEntryKind kind = GroupEntryKind.ofCode(code);
         if (kind == null) {
             throw new IllegalStateException("group " + id + ": unknown entry kind " + code);
         }
         switch (kind) {
             case RECORD -> {
-                final LogRecord logRecord = LogRecord.wrap(in.bytes(), now);
+                final LogRecord logRecord = LogRecord.wrap(in.getBytes(), now);
                 log.replay(logRecord);
                 voteStore.replayRecordOf(logRecord.term());
             }
             case TRUNCATE -> {
                 dropTransfers();
-                log.replayTruncate(in.num());
+                log.replayTruncate(in.getLong());
             }
-            case VOTE -> voteStore.replay(in.num(), (int) in.num());
-            case INITIALISED -> recovery.replay(in.num() == 1);
+            case VOTE -> voteStore.replay(in.getLong(), (int) in.getLong());
+            case INITIALISED -> recovery.replay(in.getLong() == 1);
             case SNAPSHOT -> {
                 dropTransfers();
-                log.replaySnapshot(in.bytes(), now);
+                log.replaySnapshot(in.getBytes(), now);
             }
         }
         log.recovered();
@@ -337,7 +337,7 @@
         if (recovery.isInitialised()) {
             entries.add(recovery.entry());
         }
-        entries.add(GroupEntryKind.SNAPSHOT.entry(id).bytes(log.snapshot()).done());
+        entries.add(GroupEntryKind.SNAPSHOT.entry(id).putBytes(log.snapshot()).toByteArray());
         return entries;
     }
 
@@ -728,7 +728,7 @@
         if (m.endIndex() == log.syncedIndex()
                 && m.endTerm() == log.syncedTerm()
                 && membership.outranks(self, from)
-                && m.goes() < DEFERENCE
+                && m.attempts() < DEFERENCE
                 && !m.manual()
                 && mayStand(now)) {
             nextGo = now;
@@ -1170,7 +1170,7 @@
      * is served.
      */
     public boolean whole(final long index) {
-        if (logRecord(index).whole()) {
+        if (logRecord(index).isIntact()) {
             return true;
         }
         if (!lost()) {
--- a/coordination/src/main/java/brookpath/coordination/group/LogSweep.java
+++ b/coordination/src/main/java/brookpath/coordination/group/LogSweep.java
@@ -18,7 +18,7 @@
     long nextDamaged() {
         for (int checked = 0; checked < RECORDS_AT_ONCE && position < log.size(); checked++) {
             final long index = log.baseIndex() + 1 + position++;
-            if (!log.logRecord(index).whole()) {
+            if (!log.logRecord(index).isIntact()) {
                 return index;
             }
         }
--- a/coordination/src/main/java/brookpath/coordination/group/Membership.java
+++ b/coordination/src/main/java/brookpath/coordination/group/Membership.java
@@ -9,26 +9,26 @@
     public static final Membership NONE = new Membership(0, List.of(), List.of());
 
     public byte[] save() {
-        return buffer(PackedBuffer.writer()).done();
+        return buffer(PackedBuffer.writer()).toByteArray();
     }
 
     public PackedBuffer buffer(final PackedBuffer buffer) {
-        buffer.num(version);
+        buffer.putLong(version);
         for (final List<Member> list : List.of(voters, learners)) {
-            buffer.num(list.size());
-            list.forEach(m -> buffer.num(m.node()).num(m.weight()).str(m.zone()));
+            buffer.putLong(list.size());
+            list.forEach(m -> buffer.putLong(m.node()).putLong(m.weight()).putString(m.zone()));
         }
         return buffer;
     }
 
     public static Membership load(final PackedBuffer in) {
-        return new Membership((int) in.num(), list(in), list(in));
+        return new Membership((int) in.getLong(), list(in), list(in));
     }
 
     private static List<Member> list(final PackedBuffer in) {
         final List<Member> list = new ArrayList<>();
-        for (long n = in.num(); n > 0; n--) {
-            list.add(new Member((int) in.num(), (int) in.num(), in.str()));
+        for (long n = in.getLong(); n > 0; n--) {
+            list.add(new Member((int) in.getLong(), (int) in.getLong(), in.getString()));
         }
         return List.copyOf(list);
     }
--- a/coordination/src/main/java/brookpath/coordination/group/MoveOrder.java
+++ b/coordination/src/main/java/brookpath/coordination/group/MoveOrder.java
@@ -11,18 +11,24 @@
 public record MoveOrder(int group, int groupVersion, int from, int to, String zone, boolean repair) {
     public byte[] save() {
         return PackedBuffer.writer()
-                .num(group)
-                .num(groupVersion)
-                .num(from)
-                .num(to)
-                .str(zone)
-                .num(repair ? 1 : 0)
-                .done();
+                .putLong(group)
+                .putLong(groupVersion)
+                .putLong(from)
+                .putLong(to)
+                .putString(zone)
+                .putLong(repair ? 1 : 0)
+                .toByteArray();
     }
 
     public static MoveOrder load(final byte[] saved) {
         final PackedBuffer in = PackedBuffer.reader(saved);
-        return new MoveOrder((int) in.num(), (int) in.num(), (int) in.num(), (int) in.num(), in.str(), in.num() == 1);
+        return new MoveOrder(
+                (int) in.getLong(),
+                (int) in.getLong(),
+                (int) in.getLong(),
+                (int) in.getLong(),
+                in.getString(),
+                in.getLong() == 1);
     }
 
     /** Whether the other order asks for the same move, if perhaps as of another membership. */
--- a/coordination/src/main/java/brookpath/coordination/group/RaftLog.java
+++ b/coordination/src/main/java/brookpath/coordination/group/RaftLog.java
@@ -147,7 +147,7 @@
     void append(final LogRecord logRecord) {
         replay(logRecord);
         final long write = out.write(
-                GroupEntryKind.RECORD.entry(group).bytes(logRecord.bytes()).done());
+                GroupEntryKind.RECORD.entry(group).putBytes(logRecord.bytes()).toByteArray());
         addUnsynced(write, logRecord.index(), logRecord.bytes().length, logRecord.learnedAt());
     }
 
@@ -171,7 +171,7 @@
     }
 
     private static long digest(final long before, final LogRecord logRecord) {
-        final long mixed = (before ^ logRecord.madeSum() ^ logRecord.index() << 32) * DIGEST_FACTOR;
+        final long mixed = (before ^ logRecord.storedChecksum() ^ logRecord.index() << 32) * DIGEST_FACTOR;
         return mixed ^ mixed >>> 31;
     }
 
@@ -222,7 +222,7 @@
     /** Drops all records after the index and writes that. */
     void truncate(final long index) {
         replayTruncate(index);
-        out.write(GroupEntryKind.TRUNCATE.entry(group).num(index).done());
+        out.write(GroupEntryKind.TRUNCATE.entry(group).putLong(index).toByteArray());
     }
 
     /** Drops all records after the index, which is on disk already. */
@@ -303,16 +303,16 @@
     /** The whole log, its base as a state. */
     byte[] snapshot() {
         final PackedBuffer buffer = PackedBuffer.writer()
-                .num(baseIndex)
-                .num(baseTerm)
-                .num(baseDigest)
-                .bytes(base.save())
-                .num(records.size());
-        records.forEach(r -> buffer.bytes(r.bytes()));
+                .putLong(baseIndex)
+                .putLong(baseTerm)
+                .putLong(baseDigest)
+                .putBytes(base.save())
+                .putLong(records.size());
+        records.forEach(r -> buffer.putBytes(r.bytes()));
         if (baseMembership != null) {
-            buffer.bytes(baseMembership.save());
+            buffer.putBytes(baseMembership.save());
         }
-        return buffer.done();
+        return buffer.toByteArray();
     }
 
     /** Takes a snapshot in place of all that is here and writes it; nothing is synced but its base. */
@@ -321,8 +321,8 @@
         syncedIndex = baseIndex;
         unsynced.clear();
         unsyncedBytes = 0;
-        final long write =
-                out.write(GroupEntryKind.SNAPSHOT.entry(group).bytes(snapshot).done());
+        final long write = out.write(
+                GroupEntryKind.SNAPSHOT.entry(group).putBytes(snapshot).toByteArray());
         addUnsynced(write, endIndex(), snapshot.length, now);
     }
 
@@ -332,18 +332,18 @@
         records.clear();
         digests.clear();
         bytes = 0;
-        baseIndex = in.num();
-        baseTerm = in.num();
-        baseDigest = in.num();
-        final byte[] saved = in.bytes();
+        baseIndex = in.getLong();
+        baseTerm = in.getLong();
+        baseDigest = in.getLong();
+        final byte[] saved = in.getBytes();
         base = states.get();
         base.load(saved);
         live = states.get();
         live.load(saved);
-        for (long left = in.num(); left > 0; left--) {
-            replay(LogRecord.wrap(in.bytes(), now));
+        for (long left = in.getLong(); left > 0; left--) {
+            replay(LogRecord.wrap(in.getBytes(), now));
         }
-        baseMembership = in.more() ? Membership.load(PackedBuffer.reader(in.bytes())) : null;
+        baseMembership = in.hasRemaining() ? Membership.load(PackedBuffer.reader(in.getBytes())) : null;
         membershipChanged.run();
         commit(baseIndex);
         base.committed(baseIndex);
--- a/coordination/src/main/java/brookpath/coordination/group/ReplicaRecovery.java
+++ b/coordination/src/main/java/brookpath/coordination/group/ReplicaRecovery.java
@@ -69,7 +69,7 @@
     }
 
     private byte[] entry(final boolean lost) {
-        return GroupEntryKind.INITIALISED.entry(group).num(lost ? 1 : 0).done();
+        return GroupEntryKind.INITIALISED.entry(group).putLong(lost ? 1 : 0).toByteArray();
     }
 
     /** A record was found damaged. */
--- a/coordination/src/main/java/brookpath/coordination/group/VoteStore.java
+++ b/coordination/src/main/java/brookpath/coordination/group/VoteStore.java
@@ -72,6 +72,6 @@
 
     /** The entry that restores term and vote. */
     byte[] entry() {
-        return GroupEntryKind.VOTE.entry(group).num(term).num(votedFor).done();
+        return GroupEntryKind.VOTE.entry(group).putLong(term).putLong(votedFor).toByteArray();
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/heartbeat/HeartbeatMonitor.java
+++ b/coordination/src/main/java/brookpath/coordination/heartbeat/HeartbeatMonitor.java
@@ -136,7 +136,7 @@
             // why: who is what is all that an answer must tell, for positions come with this member's own heartbeats;
             // where
             // that is as it was, a few bytes say so
-            final boolean same = heartbeat.known() == HeartbeatEntry.digest(answer);
+            final boolean same = heartbeat.knownDigest() == HeartbeatEntry.digest(answer);
             out.send(from, new Heartbeat(true, heartbeat.id(), heartbeat.stamp(), 0, same, same ? List.of() : answer));
             return news;
         }
@@ -163,7 +163,7 @@
     private static boolean learn(final Peer peer, final Heartbeat heartbeat, final long now) {
         peer.heardAt = now;
         final long before = peer.known;
-        if (!heartbeat.same()) {
+        if (!heartbeat.entriesOmitted()) {
             peer.entries = byGroup(heartbeat.entries());
             peer.known = HeartbeatEntry.digest(heartbeat.entries());
         }
--- a/coordination/src/main/java/brookpath/coordination/message/PeerMessage.java
+++ b/coordination/src/main/java/brookpath/coordination/message/PeerMessage.java
@@ -7,10 +7,11 @@
 public sealed interface PeerMessage {
     /** One heartbeat per pair of processes, with an entry per group; its reply carries the replier's entries. */
     /**
-     * @param known what the sender has of the receiver's entries ({@link HeartbeatEntry#digest})
-     * @param same in a reply: the entries are left out, for what matters of them is what the asker has
+     * @param knownDigest what the sender has of the receiver's entries ({@link HeartbeatEntry#digest})
+     * @param entriesOmitted in a reply: the entries are left out, for what matters of them is what the asker has
      */
-    record Heartbeat(boolean reply, long id, long stamp, long known, boolean same, List<HeartbeatEntry> entries)
+    record Heartbeat(
+            boolean reply, long id, long stamp, long knownDigest, boolean entriesOmitted, List<HeartbeatEntry> entries)
             implements PeerMessage {}
 
     /** The state of one group at the sender: its role, term, sync state and the ends of its log. */
@@ -52,11 +53,18 @@
 
     /** A candidate's request for a vote, with the end of its log. */
     record VoteRequest(
-            int group, int groupVersion, long term, long endIndex, long endTerm, int weight, int goes, boolean manual)
+            int group,
+            int groupVersion,
+            long term,
+            long endIndex,
+            long endTerm,
+            int weight,
+            int attempts,
+            boolean manual)
             implements PeerMessage {}
 
     /** A vote, or why it was refused. */
-    record VoteReply(int group, long term, boolean granted, long termSeen, String why) implements PeerMessage {}
+    record VoteReply(int group, long term, boolean granted, long termSeen, String reason) implements PeerMessage {}
 
     /** The leader asks a follower that has its whole log to stand at once: a manual switchover. */
     record TimeoutNow(int group, long term) implements PeerMessage {}
@@ -163,8 +171,9 @@
             implements PeerMessage {}
 
     /** The end of a publish as the leader knows it; the position is set where it was committed. */
-    record PublishReply(long requestId, int outcome, long position, int leaderHint, long term, String why)
+    record PublishReply(long requestId, int outcome, long position, int leaderHint, long term, String reason)
             implements PeerMessage {
+
         public static final int ACCEPTED = 0;
         public static final int NOT_LEADER = 1;
         public static final int REFUSED_FOR_GOOD = 2;
@@ -175,12 +184,18 @@
     /**
      * A gateway reads committed records of some topics after a position each; tail asks for the present position alone.
      *
-     * @param hold answered when there is something, or after a while; then all topics are read from one position
+     * @param longPoll answered when there is something, or after a while; then all topics are read from one position
      * @param at that position
      * @param edition of the topics of a held fetch: told once, and not again while they are the same
      */
     record Fetch(
-            long requestId, int group, boolean tail, boolean hold, long at, long edition, List<TopicPosition> topics)
+            long requestId,
+            int group,
+            boolean tail,
+            boolean longPoll,
+            long at,
+            long edition,
+            List<TopicPosition> topics)
             implements PeerMessage {}
 
     /** A topic and the position after which its records are wanted. */
--- a/coordination/src/main/java/brookpath/coordination/node/ControllerNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/ControllerNode.java
@@ -162,7 +162,7 @@
     @Override
     public void replay(final byte[] entry, final Time time) {
         final PackedBuffer in = PackedBuffer.reader(entry);
-        in.num();
+        in.getLong();
         group.replay(in, time.mono());
     }
 
@@ -193,8 +193,8 @@
     @Override
     protected void onDamage(final Time time) {
         final PackedBuffer buffer = PackedBuffer.writer();
-        group.checkpoint().forEach(buffer::bytes);
-        out.roll(buffer.done());
+        group.checkpoint().forEach(buffer::putBytes);
+        out.roll(buffer.toByteArray());
     }
 
     @Override
--- a/coordination/src/main/java/brookpath/coordination/node/GatewayNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/GatewayNode.java
@@ -47,7 +47,6 @@
     /** A gateway only watches, so its heartbeats are rarer: changes of masterships are told to it at once besides. */
     private static final int HEARTBEAT_PERIODS = 4;
 
-
     private final String zone;
     private final ConfigurationClient client;
     private final PublishForwarder forwarder;
--- a/coordination/src/main/java/brookpath/coordination/node/StorageNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/StorageNode.java
@@ -220,9 +220,9 @@
     }
 
     private void transferLeadership(final PackedBuffer body, final long now) {
-        final GroupMachine group = groups.get((int) body.num());
+        final GroupMachine group = groups.get((int) body.getLong());
         if (group != null) {
-            final int successor = (int) body.num();
+            final int successor = (int) body.getLong();
             group.handOver(successor, now);
         }
     }
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlRequestHandler.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlRequestHandler.java
@@ -123,7 +123,7 @@
 
     /** Asks a group's members for a manual switchover; nothing is recorded, and it may be asked again. */
     private Response handover(final ControlRequest request) {
-        final int id = (int) PackedBuffer.reader(request.body()).num();
+        final int id = (int) PackedBuffer.reader(request.body()).getLong();
         final List<GroupInfo> groups = view.metadata().groups();
         if (id < 0 || id >= groups.size()) {
             return new Response(ResponseStatus.NOT_FOUND, 0, "{\"outcome\":\"no such group\"}");
@@ -135,11 +135,12 @@
     }
 
     private void takeUsage(final int from, final ControlRequest request) {
-        final int id = (int) PackedBuffer.reader(request.body()).num();
+        final int id = (int) PackedBuffer.reader(request.body()).getLong();
         if (view.metadata().node(from) != null) {
             moves.mastered(id, from);
         }
-        final byte[] included = PackedBuffer.writer().num(usage.tell(request)).done();
+        final byte[] included =
+                PackedBuffer.writer().putLong(usage.tell(request)).toByteArray();
         out.send(from, new ControlReply(request.requestId(), ResponseStatus.OK.code(), 0, included));
     }
 
--- a/coordination/src/main/java/brookpath/coordination/node/control/GroupMoves.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/GroupMoves.java
@@ -85,7 +85,8 @@
         leaders.remove(s.group());
         out.note("group " + s.group() + ": asks node " + s.from() + " to hand over to node " + s.to()
                 + ", which ranks first");
-        final byte[] body = PackedBuffer.writer().num(s.group()).num(s.to()).done();
+        final byte[] body =
+                PackedBuffer.writer().putLong(s.group()).putLong(s.to()).toByteArray();
         out.send(s.from(), new ControlRequest(0, "handover", body));
     }
 
--- a/coordination/src/main/java/brookpath/coordination/node/control/MetadataKeeper.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/MetadataKeeper.java
@@ -119,7 +119,7 @@
 
     /** A group's leader tells that its group has been founded. */
     public void founded(final ControlRequest op, final Time time) {
-        final int id = (int) PackedBuffer.reader(op.body()).num();
+        final int id = (int) PackedBuffer.reader(op.body()).getLong();
         final ClusterMetadata metadata = view.newestMetadata();
         for (final GroupInfo g : metadata.groups()) {
             if (g.id() == id && !g.founded()) {
@@ -131,7 +131,7 @@
     /** A group's leader tells the membership that its log has committed. */
     public void members(final ControlRequest op, final Time time) {
         final PackedBuffer in = PackedBuffer.reader(op.body());
-        final int id = (int) in.num();
+        final int id = (int) in.getLong();
         final Membership membership = Membership.load(in);
         final ClusterMetadata metadata = view.newestMetadata();
         if (id < 0
--- a/coordination/src/main/java/brookpath/coordination/node/control/PollRegistry.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/PollRegistry.java
@@ -292,9 +292,9 @@
                         && now - p.heardAt <= 2 * timing.configurationHold())
                 .map(p -> p.last)
                 .toList();
-        final PackedBuffer buffer = PackedBuffer.writer().num(gateways.size());
-        gateways.forEach(m -> buffer.num(m.node()).str(m.zone()).str(m.address()));
-        return buffer.done();
+        final PackedBuffer buffer = PackedBuffer.writer().putLong(gateways.size());
+        gateways.forEach(m -> buffer.putLong(m.node()).putString(m.zone()).putString(m.address()));
+        return buffer.toByteArray();
     }
 
     /** The zone of each process that polled, added to those given. */
--- a/coordination/src/main/java/brookpath/coordination/node/control/RetireOrders.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/RetireOrders.java
@@ -70,8 +70,8 @@
     /** Empties a machine given by its number, or keeps it after all. */
     public void retire(final int from, final ControlRequest op, final Time time) {
         final PackedBuffer in = PackedBuffer.reader(op.body());
-        final Target target = new ByNumber((int) in.num());
-        take(from, op, RequestKind.RETIRE, target, in.num() == 1, time);
+        final Target target = new ByNumber((int) in.getLong());
+        take(from, op, RequestKind.RETIRE, target, in.getLong() == 1, time);
     }
 
     /** Empties a machine given by its name. */
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/GatewayAddresses.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/GatewayAddresses.java
@@ -58,10 +58,10 @@
         final List<String> near = new ArrayList<>();
         final List<String> all = new ArrayList<>();
         final PackedBuffer in = PackedBuffer.reader(body);
-        for (long left = in.num(); left > 0; left--) {
-            final int node = (int) in.num();
-            final boolean sameZone = in.str().equals(zone);
-            final String address = in.str();
+        for (long left = in.getLong(); left > 0; left--) {
+            final int node = (int) in.getLong();
+            final boolean sameZone = in.getString().equals(zone);
+            final String address = in.getString();
             if (node == self || address.isEmpty()) {
                 continue;
             }
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/PublishForwarder.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/PublishForwarder.java
@@ -30,7 +30,6 @@
     /** The most publishes that are under way at a time. */
     private static final int MAX_PUBLISHES = 4_096;
 
-
     private final TimingBounds timing;
     private final LongFunction<RouteFinder> routes;
     private final LongSupplier ids;
@@ -182,12 +181,13 @@
             // an earlier attempt may lie in a log, and its sequence may only have been forgotten
             unsettled(
                     publish.request(),
-                    "node " + from + " said " + reply.why() + ", after an attempt whose end is unknown");
+                    "node " + from + " said " + reply.reason() + ", after an attempt whose end is unknown");
             return;
         }
-        note(publish.request(), "node " + from + " said " + reply.why());
+        note(publish.request(), "node " + from + " said " + reply.reason());
         out.respond(
-                publish.request().requestId(), Refusals.refused(ResponseStatus.CONFLICT, 0, "sequence", reply.why()));
+                publish.request().requestId(),
+                Refusals.refused(ResponseStatus.CONFLICT, 0, "sequence", reply.reason()));
     }
 
     private void notTaken(
@@ -200,7 +200,7 @@
             // a late reply to an attempt that was given up since
             return;
         }
-        publish.failed(reply.why());
+        publish.failed(reply.reason());
         if (reply.outcome() == PublishReply.UNSETTLED) {
             publish.markUncertain();
         }
--- a/coordination/src/main/java/brookpath/coordination/node/storage/FetchHandler.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/FetchHandler.java
@@ -37,11 +37,11 @@
             replyWithoutRecords(gateway, fetch, FetchReply.NOT_HERE, 0);
             return;
         }
-        if (fetch.hold() && !interests.update(gateway, fetch)) {
+        if (fetch.longPoll() && !interests.update(gateway, fetch)) {
             replyWithoutRecords(gateway, fetch, FetchReply.UNTOLD, 0);
             return;
         }
-        final long deadline = fetch.hold() ? NEVER : AT_ONCE;
+        final long deadline = fetch.longPoll() ? NEVER : AT_ONCE;
         if (!serve(gateway, fetch, group, deadline, now)) {
             pending.add(gateway, fetch, now);
         }
@@ -65,7 +65,7 @@
             replyWithoutRecords(gateway, fetch, FetchReply.OK, group.committed());
             return true;
         }
-        final FetchScan scan = fetch.hold()
+        final FetchScan scan = fetch.longPoll()
                 ? FetchScan.ofLongPoll(group, interests.topics(group.id(), gateway), fetch.at())
                 : FetchScan.ofPositions(group, fetch);
         scan.run();
--- a/coordination/src/main/java/brookpath/coordination/node/storage/GroupStateReporter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/GroupStateReporter.java
@@ -42,7 +42,7 @@
                 && group.mayAct(now)
                 && foundedReportTimes.isDue(group.id(), timing.down(), now)) {
             foundedReportTimes.sent(group.id(), now);
-            send("founded", PackedBuffer.writer().num(group.id()));
+            send("founded", PackedBuffer.writer().putLong(group.id()));
         }
     }
 
@@ -58,10 +58,10 @@
             return;
         }
         reportedMemberships.put(group.id(), new ReportedMembership(version, now));
-        send("members", group.membership().buffer(PackedBuffer.writer().num(group.id())));
+        send("members", group.membership().buffer(PackedBuffer.writer().putLong(group.id())));
     }
 
     private void send(final String kind, final PackedBuffer body) {
-        out.send(client.controlLeader(), new ControlRequest(NO_REPLY, kind, body.done()));
+        out.send(client.controlLeader(), new ControlRequest(NO_REPLY, kind, body.toByteArray()));
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/storage/TopicGroups.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/TopicGroups.java
@@ -50,7 +50,7 @@
 
     /** Whether the log entry, which begins with a group and a kind, says that the group was dropped. */
     public static boolean isDropped(final byte[] entry) {
-        return PackedBuffer.reader(entry).skip(Long.BYTES).num() == DROPPED;
+        return PackedBuffer.reader(entry).skipBytes(Long.BYTES).getLong() == DROPPED;
     }
 
     /** The state that follows from the group's log up to its newest record. */
@@ -81,7 +81,7 @@
     /** Replays one entry of the log before the first event. */
     public void replay(final byte[] entry, final long now) {
         final PackedBuffer in = PackedBuffer.reader(entry);
-        final int id = (int) in.num();
+        final int id = (int) in.getLong();
         if (isDropped(entry)) {
             groups.remove(id);
         } else {
@@ -119,15 +119,15 @@
 
     private void drop(final GroupInfo info) {
         groups.remove(info.id());
-        out.write(PackedBuffer.writer().num(info.id()).num(DROPPED).done());
+        out.write(PackedBuffer.writer().putLong(info.id()).putLong(DROPPED).toByteArray());
         out.note("group " + info.id() + ": left, in group version " + info.version());
     }
 
     /** Begins a new log segment with a snapshot of all groups. */
     public void rollLog() {
         final PackedBuffer buffer = PackedBuffer.writer();
-        groups.values().forEach(group -> group.checkpoint().forEach(buffer::bytes));
-        out.roll(buffer.done());
+        groups.values().forEach(group -> group.checkpoint().forEach(buffer::putBytes));
+        out.roll(buffer.toByteArray());
     }
 
     /** The state of each group, for the heartbeats. */
--- a/coordination/src/main/java/brookpath/coordination/node/storage/UsageWindowReporter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/UsageWindowReporter.java
@@ -42,7 +42,7 @@
         }
         final long ended = (client.wall(time) - timing.heartbeat()) / timing.windowMs() - 1;
         if (TopicGroups.stateOf(group).closed(Long.MAX_VALUE) < ended && group.mayAct(time.mono())) {
-            final byte[] body = PackedBuffer.writer().num(ended).done();
+            final byte[] body = PackedBuffer.writer().putLong(ended).toByteArray();
             group.append(LogRecord.CLOSE, body, time.mono(), client.wall(time));
         }
     }
@@ -65,13 +65,16 @@
 
     private static byte[] encode(
             final int group, final long acknowledged, final long closed, final List<TopicState.Count> counts) {
-        final PackedBuffer buffer =
-                PackedBuffer.writer().num(group).num(acknowledged).num(closed).num(counts.size());
-        counts.forEach(count -> buffer.num(count.window())
-                .str(count.tenant())
-                .num(count.publishes())
-                .num(count.bytes()));
-        return buffer.done();
+        final PackedBuffer buffer = PackedBuffer.writer()
+                .putLong(group)
+                .putLong(acknowledged)
+                .putLong(closed)
+                .putLong(counts.size());
+        counts.forEach(count -> buffer.putLong(count.window())
+                .putString(count.tenant())
+                .putLong(count.publishes())
+                .putLong(count.bytes()));
+        return buffer.toByteArray();
     }
 
     /** The control leader's reply: the newest window of the group that its log has. */
@@ -79,7 +82,7 @@
         if (reply.status() == OK.code()) {
             acknowledgedWindow.put(
                     groupOf(reply.requestId()),
-                    PackedBuffer.reader(reply.body()).num());
+                    PackedBuffer.reader(reply.body()).getLong());
         }
     }
 
--- a/coordination/src/main/java/brookpath/coordination/node/usage/UsageReporter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/usage/UsageReporter.java
@@ -85,14 +85,14 @@
      */
     public long tell(final ControlRequest op) {
         final PackedBuffer in = PackedBuffer.reader(op.body());
-        final int id = (int) in.num();
-        final long after = in.num();
-        final long closed = in.num();
+        final int id = (int) in.getLong();
+        final long after = in.getLong();
+        final long closed = in.getLong();
         final long included = view.state().included(id);
         if (after <= included) {
             final List<TopicState.Count> counts = new ArrayList<>();
-            for (long n = in.num(); n > 0; n--) {
-                counts.add(new TopicState.Count(in.num(), in.str(), in.num(), in.num()));
+            for (long n = in.getLong(); n > 0; n--) {
+                counts.add(new TopicState.Count(in.getLong(), in.getString(), in.getLong(), in.getLong()));
             }
             told.put(id, new Told(closed, counts));
         }
--- a/coordination/src/main/java/brookpath/coordination/topic/SenderSequences.java
+++ b/coordination/src/main/java/brookpath/coordination/topic/SenderSequences.java
@@ -88,26 +88,26 @@
     }
 
     void save(final PackedBuffer buffer) {
-        buffer.num(topics.size());
+        buffer.putLong(topics.size());
         topics.forEach((name, topic) -> {
-            buffer.str(name).num(topic.trimmedThrough).num(topic.senders.size());
+            buffer.putString(name).putLong(topic.trimmedThrough).putLong(topic.senders.size());
             topic.senders.forEach((senderName, sender) -> save(buffer, senderName, sender));
         });
     }
 
     private static void save(final PackedBuffer buffer, final String name, final Sender sender) {
-        buffer.str(name).num(sender.lastSeq).num(sender.lastStamp).num(sender.recent.size());
-        sender.recent.forEach(appended -> buffer.num(appended.seq).num(appended.position));
+        buffer.putString(name).putLong(sender.lastSeq).putLong(sender.lastStamp).putLong(sender.recent.size());
+        sender.recent.forEach(appended -> buffer.putLong(appended.seq).putLong(appended.position));
     }
 
     void load(final PackedBuffer in) {
         topics.clear();
         senderCount = 0;
-        for (long left = in.num(); left > 0; left--) {
+        for (long left = in.getLong(); left > 0; left--) {
             final Topic topic = new Topic();
-            topics.put(in.str(), topic);
-            topic.trimmedThrough = in.num();
-            for (long senders = in.num(); senders > 0; senders--) {
+            topics.put(in.getString(), topic);
+            topic.trimmedThrough = in.getLong();
+            for (long senders = in.getLong(); senders > 0; senders--) {
                 loadSender(in, topic);
             }
         }
@@ -115,13 +115,13 @@
 
     private void loadSender(final PackedBuffer in, final Topic topic) {
         final Sender sender = new Sender();
-        topic.senders.put(in.str(), sender);
-        sender.lastSeq = in.num();
-        sender.lastStamp = in.num();
+        topic.senders.put(in.getString(), sender);
+        sender.lastSeq = in.getLong();
+        sender.lastStamp = in.getLong();
         senderCount++;
-        for (long left = in.num(); left > 0; left--) {
-            final long seq = in.num();
-            final long position = in.num();
+        for (long left = in.getLong(); left > 0; left--) {
+            final long seq = in.getLong();
+            final long position = in.getLong();
             sender.recent.add(new Appended(seq, position));
         }
     }
--- a/coordination/src/main/java/brookpath/coordination/topic/TopicState.java
+++ b/coordination/src/main/java/brookpath/coordination/topic/TopicState.java
@@ -69,7 +69,7 @@
     @Override
     public void apply(final LogRecord logRecord) {
         if (logRecord.kind() == LogRecord.CLOSE) {
-            usage.close(PackedBuffer.reader(logRecord.body()).num(), logRecord.index());
+            usage.close(PackedBuffer.reader(logRecord.body()).getLong(), logRecord.index());
             // decided by the log alone, so that each member forgets the same senders at the same position
             senders.forget(logRecord.stamp() - FORGET_MS);
         } else if (logRecord.kind() == LogRecord.PUBLISH) {
@@ -96,7 +96,7 @@
         final PackedBuffer buffer = PackedBuffer.writer();
         senders.save(buffer);
         usage.save(buffer);
-        return buffer.done();
+        return buffer.toByteArray();
     }
 
     @Override
--- a/coordination/src/main/java/brookpath/coordination/topic/UsageWindows.java
+++ b/coordination/src/main/java/brookpath/coordination/topic/UsageWindows.java
@@ -77,31 +77,31 @@
     }
 
     void save(final PackedBuffer buffer) {
-        buffer.num(byWindow.size());
+        buffer.putLong(byWindow.size());
         byWindow.forEach((window, byTenant) -> {
-            buffer.num(window).num(byTenant.size());
-            byTenant.forEach(
-                    (tenant, usage) -> buffer.str(tenant).num(usage.publishes).num(usage.bytes));
+            buffer.putLong(window).putLong(byTenant.size());
+            byTenant.forEach((tenant, usage) ->
+                    buffer.putString(tenant).putLong(usage.publishes).putLong(usage.bytes));
         });
-        buffer.num(closedAt.size());
-        closedAt.forEach((window, position) -> buffer.num(window).num(position));
+        buffer.putLong(closedAt.size());
+        closedAt.forEach((window, position) -> buffer.putLong(window).putLong(position));
     }
 
     void load(final PackedBuffer in) {
         byWindow.clear();
         closedAt.clear();
-        for (long windows = in.num(); windows > 0; windows--) {
-            final long window = in.num();
-            for (long tenants = in.num(); tenants > 0; tenants--) {
-                final String tenant = in.str();
-                final long publishes = in.num();
-                final long bytes = in.num();
+        for (long windows = in.getLong(); windows > 0; windows--) {
+            final long window = in.getLong();
+            for (long tenants = in.getLong(); tenants > 0; tenants--) {
+                final String tenant = in.getString();
+                final long publishes = in.getLong();
+                final long bytes = in.getLong();
                 add(window, tenant, new Usage(publishes, bytes));
             }
         }
-        for (long closings = in.num(); closings > 0; closings--) {
-            final long window = in.num();
-            final long position = in.num();
+        for (long closings = in.getLong(); closings > 0; closings--) {
+            final long window = in.getLong();
+            final long position = in.getLong();
             closedAt.put(window, position);
         }
     }
--- a/protocol/src/main/java/brookpath/protocol/frame/ElectionFrameCodec.java
+++ b/protocol/src/main/java/brookpath/protocol/frame/ElectionFrameCodec.java
@@ -25,7 +25,7 @@
                 .endIndex(request.endIndex())
                 .endTerm(request.endTerm())
                 .weight(request.weight())
-                .attempts(request.goes())
+                .attempts(request.attempts())
                 .manual(flag(request.manual()))
                 .encodedLength();
     }
@@ -51,7 +51,7 @@
                 .term(reply.term())
                 .granted(flag(reply.granted()))
                 .termSeen(reply.termSeen());
-        final byte[] reason = utf8(reply.why());
+        final byte[] reason = utf8(reply.reason());
         return frame.putReason(reason, 0, reason.length).encodedLength();
     }
 
--- a/protocol/src/main/java/brookpath/protocol/frame/HeartbeatFrameCodec.java
+++ b/protocol/src/main/java/brookpath/protocol/frame/HeartbeatFrameCodec.java
@@ -19,8 +19,8 @@
                 .reply(flag(heartbeat.reply()))
                 .id(heartbeat.id())
                 .stamp(heartbeat.stamp())
-                .known(heartbeat.known())
-                .same(flag(heartbeat.same()));
+                .known(heartbeat.knownDigest())
+                .same(flag(heartbeat.entriesOmitted()));
         final HeartbeatFrameEncoder.EntriesEncoder entries =
                 frame.entriesCount(heartbeat.entries().size());
         for (final PeerMessage.HeartbeatEntry entry : heartbeat.entries()) {
--- a/protocol/src/main/java/brookpath/protocol/frame/TopicFrameCodec.java
+++ b/protocol/src/main/java/brookpath/protocol/frame/TopicFrameCodec.java
@@ -54,7 +54,7 @@
     }
 
     static int encode(final PeerMessage.PublishReply reply, final FrameWriter writer) {
-        final byte[] reason = utf8(reply.why());
+        final byte[] reason = utf8(reply.reason());
         return new PublishReplyFrameEncoder()
                 .wrapAndApplyHeader(writer.buffer(), 0, writer.header())
                 .requestId(reply.requestId())
@@ -84,7 +84,7 @@
                 .requestId(request.requestId())
                 .group(request.group())
                 .tail(flag(request.tail()))
-                .hold(flag(request.hold()))
+                .hold(flag(request.longPoll()))
                 .at(request.at())
                 .edition(request.edition());
         final FetchFrameEncoder.TopicsEncoder topics =
--- a/state/src/main/java/brookpath/state/record/LogRecord.java
+++ b/state/src/main/java/brookpath/state/record/LogRecord.java
@@ -47,7 +47,7 @@
             throw new IllegalArgumentException("record of " + bytes.length + " bytes");
         }
         final LogRecord logRecord = new LogRecord(bytes, learnedAt);
-        if (!logRecord.whole()) {
+        if (!logRecord.isIntact()) {
             throw new IllegalArgumentException("record " + logRecord.index() + " does not fit its checksum");
         }
         if (logRecord.kind() == PUBLISH) {
@@ -88,12 +88,12 @@
     }
 
     /** Whether these are still the bytes that the leader made. */
-    public boolean whole() {
+    public boolean isIntact() {
         return buf.getInt(SUM) == sum();
     }
 
     /** The checksum as it was made. */
-    public int madeSum() {
+    public int storedChecksum() {
         return buf.getInt(SUM);
     }
 
--- a/state/src/main/java/brookpath/state/record/PackedBuffer.java
+++ b/state/src/main/java/brookpath/state/record/PackedBuffer.java
@@ -5,71 +5,83 @@
 import org.agrona.ExpandableArrayBuffer;
 import org.agrona.concurrent.UnsafeBuffer;
 
-/** Writes and reads fields one after another over a buffer, for what is kept on disk. */
+/**
+ * Writes fields one after another into a buffer, and reads them back in the same order: 64-bit integers, and byte
+ * strings behind their length in 32 bits, all in the byte order of the machine (little endian on all that are
+ * supported). This is the layout of what is kept on disk. Not thread-safe.
+ */
 public final class PackedBuffer {
+    private static final int INITIAL_CAPACITY_BYTES = 256;
+
     private final ExpandableArrayBuffer out;
     private final UnsafeBuffer in;
-    private int pos;
+    private int position;
 
     private PackedBuffer(final ExpandableArrayBuffer out, final UnsafeBuffer in) {
         this.out = out;
         this.in = in;
     }
 
+    /** An empty buffer to write to. */
     public static PackedBuffer writer() {
-        return new PackedBuffer(new ExpandableArrayBuffer(256), null);
+        return new PackedBuffer(new ExpandableArrayBuffer(INITIAL_CAPACITY_BYTES), null);
     }
 
+    /** A buffer to read from; reads beyond its end throw {@link IndexOutOfBoundsException}. */
     public static PackedBuffer reader(final byte[] bytes) {
         return new PackedBuffer(null, new UnsafeBuffer(bytes));
     }
 
-    public PackedBuffer num(final long v) {
-        out.putLong(pos, v);
-        pos += 8;
+    public PackedBuffer putLong(final long value) {
+        out.putLong(position, value);
+        position += Long.BYTES;
         return this;
     }
 
-    public PackedBuffer bytes(final byte[] v) {
-        out.putInt(pos, v.length);
-        out.putBytes(pos + 4, v);
-        pos += 4 + v.length;
+    public PackedBuffer putBytes(final byte[] value) {
+        out.putInt(position, value.length);
+        out.putBytes(position + Integer.BYTES, value);
+        position += Integer.BYTES + value.length;
         return this;
     }
 
-    public PackedBuffer str(final String v) {
-        return bytes(v.getBytes(UTF_8));
+    /** Writes a string as its UTF-8 bytes. */
+    public PackedBuffer putString(final String value) {
+        return putBytes(value.getBytes(UTF_8));
     }
 
-    public byte[] done() {
-        final byte[] v = new byte[pos];
-        out.getBytes(0, v);
-        return v;
+    /** What was written so far. */
+    public byte[] toByteArray() {
+        final byte[] bytes = new byte[position];
+        out.getBytes(0, bytes);
+        return bytes;
     }
 
-    public long num() {
-        final long v = in.getLong(pos);
-        pos += 8;
-        return v;
+    public long getLong() {
+        final long value = in.getLong(position);
+        position += Long.BYTES;
+        return value;
     }
 
-    public byte[] bytes() {
-        final byte[] v = new byte[in.getInt(pos)];
-        in.getBytes(pos + 4, v);
-        pos += 4 + v.length;
-        return v;
+    public byte[] getBytes() {
+        final byte[] value = new byte[in.getInt(position)];
+        in.getBytes(position + Integer.BYTES, value);
+        position += Integer.BYTES + value.length;
+        return value;
     }
 
-    public String str() {
-        return new String(bytes(), UTF_8);
+    public String getString() {
+        return new String(getBytes(), UTF_8);
     }
 
-    public PackedBuffer skip(final int bytes) {
-        pos += bytes;
+    /** Moves on without reading. */
+    public PackedBuffer skipBytes(final int count) {
+        position += count;
         return this;
     }
 
-    public boolean more() {
-        return pos < in.capacity();
+    /** Whether there is something left to read. */
+    public boolean hasRemaining() {
+        return position < in.capacity();
     }
 }
--- a/state/src/main/java/brookpath/state/wal/LogRecovery.java
+++ b/state/src/main/java/brookpath/state/wal/LogRecovery.java
@@ -153,8 +153,8 @@
         final List<byte[]> all = new ArrayList<>();
         if (snapshot != null) {
             final PackedBuffer packed = PackedBuffer.reader(snapshot);
-            while (packed.more()) {
-                all.add(packed.bytes());
+            while (packed.hasRemaining()) {
+                all.add(packed.getBytes());
             }
         }
         all.addAll(entries);
--- a/testing/src/main/java/brookpath/testing/model/DigestState.java
+++ b/testing/src/main/java/brookpath/testing/model/DigestState.java
@@ -15,7 +15,7 @@
 
     @Override
     public void apply(final LogRecord logRecord) {
-        digest = digest * 31 + logRecord.madeSum();
+        digest = digest * 31 + logRecord.storedChecksum();
     }
 
     @Override
@@ -25,12 +25,12 @@
 
     @Override
     public byte[] save() {
-        return PackedBuffer.writer().num(digest).done();
+        return PackedBuffer.writer().putLong(digest).toByteArray();
     }
 
     @Override
     public void load(final byte[] saved) {
-        digest = PackedBuffer.reader(saved).num();
+        digest = PackedBuffer.reader(saved).getLong();
     }
 
     @Override
--- a/testing/src/main/java/brookpath/testing/model/ModelMember.java
+++ b/testing/src/main/java/brookpath/testing/model/ModelMember.java
@@ -99,7 +99,7 @@
     private void replay(final GroupMachine machine, final int count, final long now) {
         for (final byte[] entry : entries.subList(0, count)) {
             final PackedBuffer in = PackedBuffer.reader(entry);
-            in.num();
+            in.getLong();
             machine.replay(in, now);
         }
     }
--- a/testing/src/main/java/brookpath/testing/model/StateHash.java
+++ b/testing/src/main/java/brookpath/testing/model/StateHash.java
@@ -63,7 +63,7 @@
             mix(constant.name().hashCode());
         } else if (value instanceof LogRecord logRecord) {
             mix(logRecord.index());
-            mix(logRecord.madeSum());
+            mix(logRecord.storedChecksum());
         } else {
             addContainer(value);
         }
--- a/testing/src/main/java/brookpath/testing/sim/CrashPoint.java
+++ b/testing/src/main/java/brookpath/testing/sim/CrashPoint.java
@@ -36,16 +36,17 @@
     /** The point that is reached with this write's append (APPEND) or its sync (the others), null for none. */
     static CrashPoint ofWrite(final byte[] entry) {
         final PackedBuffer in = PackedBuffer.reader(entry);
-        in.num();
-        if (in.num() != GROUP_RECORD) {
+        in.getLong();
+        if (in.getLong() != GROUP_RECORD) {
             return null;
         }
-        final LogRecord logRecord = LogRecord.wrap(in.bytes(), 0);
+        final LogRecord logRecord = LogRecord.wrap(in.getBytes(), 0);
         return switch (logRecord.kind()) {
             case LogRecord.PUBLISH -> SYNC;
             case LogRecord.CLOSE -> CLOSE;
             case LogRecord.MEMBERS -> MEMBERS;
-            case LogRecord.CONTROL -> PackedBuffer.reader(logRecord.body()).num() == ControlState.USAGE ? USAGE : null;
+            case LogRecord.CONTROL ->
+                PackedBuffer.reader(logRecord.body()).getLong() == ControlState.USAGE ? USAGE : null;
             default -> null;
         };
     }
--- a/testing/src/main/java/brookpath/testing/sim/DayFaults.java
+++ b/testing/src/main/java/brookpath/testing/sim/DayFaults.java
@@ -229,20 +229,20 @@
     private void retireForAWhile(final long span) {
         final int node = any(world.storages).id;
         world.callers.operators.operate(
-                "retire", PackedBuffer.writer().num(node).num(1).done());
+                "retire", PackedBuffer.writer().putLong(node).putLong(1).toByteArray());
         world.at(
                 world.now() + 3 * span,
                 () -> world.callers.operators.operate(
-                        "retire", PackedBuffer.writer().num(node).num(0).done()));
+                        "retire", PackedBuffer.writer().putLong(node).putLong(0).toByteArray()));
     }
 
     private void switchover() {
         world.callers.operators.operate(
                 "handover",
                 PackedBuffer.writer()
-                        .num(world.random.nextInt(world.groups))
-                        .num(any(world.storages).id)
-                        .done());
+                        .putLong(world.random.nextInt(world.groups))
+                        .putLong(any(world.storages).id)
+                        .toByteArray());
     }
 
     private void drainForAWhile(final long span) {
--- a/testing/src/main/java/brookpath/testing/sim/GroupFuzz.java
+++ b/testing/src/main/java/brookpath/testing/sim/GroupFuzz.java
@@ -97,7 +97,7 @@
             unsynced.clear();
             for (final byte[] entry : disk) {
                 final PackedBuffer in = PackedBuffer.reader(entry);
-                in.num();
+                in.getLong();
                 g.replay(in, now);
             }
             final boolean founder = Membership.find(members, id) != null;
--- a/testing/src/test/java/brookpath/testing/ControlStateTest.java
+++ b/testing/src/test/java/brookpath/testing/ControlStateTest.java
@@ -65,29 +65,34 @@
         state.apply(record(
                 2,
                 PackedBuffer.writer()
-                        .num(REFUSAL_OF_EARLIER_RELEASES)
-                        .str("refused")
-                        .num(78)
-                        .num(422)
-                        .num(1)
-                        .str("[]")
-                        .done()));
+                        .putLong(REFUSAL_OF_EARLIER_RELEASES)
+                        .putString("refused")
+                        .putLong(78)
+                        .putLong(422)
+                        .putLong(1)
+                        .putString("[]")
+                        .toByteArray()));
         assertNull(state.outcomes().of("refused"));
         assertNotNull(state.outcomes().of("taken"));
     }
 
     @Test
     public void theSavedFormOfAnEarlierReleaseIsRead() {
-        final PackedBuffer buffer = PackedBuffer.writer().num(0);
+        final PackedBuffer buffer = PackedBuffer.writer().putLong(0);
         final ClusterMetadata metadata = new ClusterMetadata(
                 3, List.of(leaving, staying), List.of(), List.of(leaving.node()), List.of(), Membership.NONE);
-        buffer.num(1).num(5).bytes(metadata.save());
-        buffer.num(0).num(0).num(0);
-        buffer.num(2);
-        buffer.num(3).str("refused").num(78).num(409).num(1).str("");
-        buffer.num(4).str("taken").num(77).num(200).num(2).str("");
+        buffer.putLong(1).putLong(5).putBytes(metadata.save());
+        buffer.putLong(0).putLong(0).putLong(0);
+        buffer.putLong(2);
+        buffer.putLong(3)
+                .putString("refused")
+                .putLong(78)
+                .putLong(409)
+                .putLong(1)
+                .putString("");
+        buffer.putLong(4).putString("taken").putLong(77).putLong(200).putLong(2).putString("");
         final ControlState state = new ControlState();
-        state.load(buffer.done());
+        state.load(buffer.toByteArray());
         assertNull(state.outcomes().of("refused"));
         assertEquals(state.outcomes().of("taken"), new Outcome(4, 77, 2));
         assertNotNull(state.retirements().named("storage-11", 5));
--- a/testing/src/test/java/brookpath/testing/DataFolderCheckTest.java
+++ b/testing/src/test/java/brookpath/testing/DataFolderCheckTest.java
@@ -48,10 +48,10 @@
                         LogRecord.publishBody(i + 1, 2, "t", "s/a", "ana", texts[i]),
                         0);
                 writeAheadLog.append(PackedBuffer.writer()
-                        .num(3)
-                        .num(1)
-                        .bytes(logRecord.bytes())
-                        .done());
+                        .putLong(3)
+                        .putLong(1)
+                        .putBytes(logRecord.bytes())
+                        .toByteArray());
             }
             writeAheadLog.sync();
         }
--- a/testing/src/test/java/brookpath/testing/MachineIdentityTest.java
+++ b/testing/src/test/java/brookpath/testing/MachineIdentityTest.java
@@ -88,12 +88,17 @@
 
     @Test
     public void metadataOfTheFirstFormatIsReadWithoutIdentities() {
-        final PackedBuffer old =
-                PackedBuffer.writer().num(5).num(1).num(11).str("a").str("x:1").str("one");
-        MEMBERS.buffer(old.num(1).num(0).num(1));
-        old.num(1).num(11);
-        old.num(1).num(1).str("a").str("y:1").str("two");
-        final ClusterMetadata read = ClusterMetadata.load(MEMBERS.buffer(old).done());
+        final PackedBuffer old = PackedBuffer.writer()
+                .putLong(5)
+                .putLong(1)
+                .putLong(11)
+                .putString("a")
+                .putString("x:1")
+                .putString("one");
+        MEMBERS.buffer(old.putLong(1).putLong(0).putLong(1));
+        old.putLong(1).putLong(11);
+        old.putLong(1).putLong(1).putString("a").putString("y:1").putString("two");
+        final ClusterMetadata read = ClusterMetadata.load(MEMBERS.buffer(old).toByteArray());
         assertEquals(read.version(), 5);
         assertEquals(read.nodes(), List.of(new NodeInfo(11, "a", "x:1", "one")));
         assertEquals(read.controllers(), List.of(new NodeInfo(1, "a", "y:1", "two")));
@@ -103,7 +108,8 @@
 
     @Test
     public void metadataOfANewerFormatIsRefused() {
-        final byte[] newer = PackedBuffer.writer().num(-3).num(5).num(0).done();
+        final byte[] newer =
+                PackedBuffer.writer().putLong(-3).putLong(5).putLong(0).toByteArray();
         assertThrows(IllegalStateException.class, () -> ClusterMetadata.load(newer));
     }
 
--- a/testing/src/test/java/brookpath/testing/sim/AddressReuseTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/AddressReuseTest.java
@@ -57,7 +57,8 @@
     private SimulatedProcess emptied(final long seed) {
         world = SimulatedCluster.serving(seed);
         final SimulatedProcess leaving = world.processes.get(world.storages.get(0));
-        final byte[] order = PackedBuffer.writer().num(leaving.id).num(1).done();
+        final byte[] order =
+                PackedBuffer.writer().putLong(leaving.id).putLong(1).toByteArray();
         assertEquals(operate("retire", order).status(), ACCEPTED);
         for (int i = 0;
                 i < 300 && (groupsOf(leaving.id) > 0 || metadata().retiring().isEmpty());
--- a/testing/src/test/java/brookpath/testing/sim/CallIdsTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/CallIdsTest.java
@@ -61,8 +61,12 @@
     public void addressesThatAFormerLifeAskedForAreNotTaken() {
         final SimulatedProcess process = SimulatedCluster.serving(81).processes.get(31);
         final GatewayNode gateway = (GatewayNode) process.node;
-        final byte[] elsewhere =
-                PackedBuffer.writer().num(1).num(32).str("a").str("gone:1").done();
+        final byte[] elsewhere = PackedBuffer.writer()
+                .putLong(1)
+                .putLong(32)
+                .putString("a")
+                .putString("gone:1")
+                .toByteArray();
         final ControlRequest question = gateway.request(new NodeRequest.Drain(1, true), process.time()).stream()
                 .filter(a -> a instanceof Action.Send s && s.message() instanceof ControlRequest)
                 .map(a -> (ControlRequest) ((Action.Send) a).message())
--- a/testing/src/test/java/brookpath/testing/sim/ClusterScenario.java
+++ b/testing/src/test/java/brookpath/testing/sim/ClusterScenario.java
@@ -84,7 +84,7 @@
                 .orElseThrow();
         sendOperatorRequest(
                 "retire",
-                PackedBuffer.writer().num(spare).num(1).done(),
+                PackedBuffer.writer().putLong(spare).putLong(1).toByteArray(),
                 r -> assertEquals(r.status(), 202, r.toString()));
         for (int i = 0; i < 300 && replicasOn(cluster.processes.get(spare)) > 0; i++) {
             cluster.run(cluster.now() + 100);
--- a/testing/src/test/java/brookpath/testing/sim/ControlMembershipTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ControlMembershipTest.java
@@ -229,10 +229,10 @@
     private static void stoodInVain(final SimulatedProcess p, final long term) {
         group(p).replay(
                         PackedBuffer.reader(PackedBuffer.writer()
-                                .num(WRITTEN_VOTE)
-                                .num(term)
-                                .num(p.id)
-                                .done()),
+                                .putLong(WRITTEN_VOTE)
+                                .putLong(term)
+                                .putLong(p.id)
+                                .toByteArray()),
                         p.mono());
     }
 
--- a/testing/src/test/java/brookpath/testing/sim/ControlScene.java
+++ b/testing/src/test/java/brookpath/testing/sim/ControlScene.java
@@ -116,7 +116,7 @@
     }
 
     Asked askRetire(final SimulatedProcess p, final int node) {
-        return ask(p, "retire", PackedBuffer.writer().num(node).num(1).done());
+        return ask(p, "retire", PackedBuffer.writer().putLong(node).putLong(1).toByteArray());
     }
 
     Asked askRetireNamed(final SimulatedProcess p, final String name) {
--- a/testing/src/test/java/brookpath/testing/sim/FullSyncTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/FullSyncTest.java
@@ -64,7 +64,7 @@
                 .findFirst()
                 .orElseThrow();
         world.callers.operators.operate(
-                "retire", PackedBuffer.writer().num(spare.id).num(1).done());
+                "retire", PackedBuffer.writer().putLong(spare.id).putLong(1).toByteArray());
         world.run(world.now() + 8_000);
     }
 
--- a/testing/src/test/java/brookpath/testing/sim/GroupRepairTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/GroupRepairTest.java
@@ -249,7 +249,9 @@
             world.callers.asked(
                     controlLeader(),
                     id -> new NodeRequest.Operate(
-                            id, "retire", PackedBuffer.writer().num(node).num(1).done()),
+                            id,
+                            "retire",
+                            PackedBuffer.writer().putLong(node).putLong(1).toByteArray()),
                     r -> got[0] = r);
             world.run(world.now() + 10);
         }
--- a/testing/src/test/java/brookpath/testing/sim/LeaderElectionScenariosTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/LeaderElectionScenariosTest.java
@@ -54,7 +54,7 @@
         for (int i = 0; i < 20 && actingLeader(g) != cluster.processes.get(to); i++) {
             sendOperatorRequest(
                     "handover",
-                    PackedBuffer.writer().num(g).num(to).done(),
+                    PackedBuffer.writer().putLong(g).putLong(to).toByteArray(),
                     r -> assertEquals(r.status(), 202, r.toString()));
         }
         assertEquals(actingLeader(g), cluster.processes.get(to));
@@ -74,7 +74,9 @@
         leader.run(p -> p.node.message(
                 1,
                 new PeerMessage.ControlRequest(
-                        0, "handover", PackedBuffer.writer().num(g).num(to.id).done()),
+                        0,
+                        "handover",
+                        PackedBuffer.writer().putLong(g).putLong(to.id).toByteArray()),
                 p.time()));
         assertTrue(
                 millisUntilOtherLeader(g, leader, 300) < 300, "the requested follower did not become leader at once");
--- a/testing/src/test/java/brookpath/testing/sim/PlacementScenariosTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/PlacementScenariosTest.java
@@ -23,7 +23,7 @@
             assertTrue(before > 0);
             sendOperatorRequest(
                     "retire",
-                    PackedBuffer.writer().num(leaving.id).num(1).done(),
+                    PackedBuffer.writer().putLong(leaving.id).putLong(1).toByteArray(),
                     r -> assertEquals(r.status(), 202, r.toString()));
             if (seed % 2 == 1) {
                 // why: a move must outlast a change of the control leader and of a group's leader
@@ -63,9 +63,9 @@
             sendOperatorRequest(
                     "retire",
                     PackedBuffer.writer()
-                            .num(firstMachineExcept(retired))
-                            .num(1)
-                            .done(),
+                            .putLong(firstMachineExcept(retired))
+                            .putLong(1)
+                            .toByteArray(),
                     r -> response[0] = r);
         }
         assertEquals(response[0].status(), 409, response[0].toString());
@@ -97,7 +97,7 @@
         cluster.storages.forEach(id -> cluster.net.cut(id, to.id));
         sendOperatorRequest(
                 "retire",
-                PackedBuffer.writer().num(leaving.id).num(1).done(),
+                PackedBuffer.writer().putLong(leaving.id).putLong(1).toByteArray(),
                 r -> assertEquals(r.status(), 202, r.toString()));
         cluster.run(cluster.now() + 3_000);
         boolean learns = false;
@@ -122,13 +122,13 @@
         final SimulatedProcess back = actingLeader(0);
         sendOperatorRequest(
                 "retire",
-                PackedBuffer.writer().num(back.id).num(1).done(),
+                PackedBuffer.writer().putLong(back.id).putLong(1).toByteArray(),
                 r -> assertEquals(r.status(), 202, r.toString()));
         cluster.run(cluster.now() + 8_000);
         assertEquals(replicasOn(back), 0);
         sendOperatorRequest(
                 "retire",
-                PackedBuffer.writer().num(back.id).num(0).done(),
+                PackedBuffer.writer().putLong(back.id).putLong(0).toByteArray(),
                 r -> assertEquals(r.status(), 202, r.toString()));
         for (int i = 0; i < 40; i++) {
             cluster.run(cluster.now() + 1_000);
--- a/testing/src/test/java/brookpath/testing/sim/ReplicaLossScenariosTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ReplicaLossScenariosTest.java
@@ -90,7 +90,7 @@
             cluster.run(cluster.now() + 4_000);
             assertFalse(m.lost(), m.why());
             for (long index = m.baseIndex() + 1; index <= m.committed(); index++) {
-                assertTrue(m.logRecord(index).whole(), "record " + index + " is still damaged");
+                assertTrue(m.logRecord(index).isIntact(), "record " + index + " is still damaged");
             }
             assertTrue(cluster.counted("full syncs") > 0
                     && cluster.notes().toString().contains("the copy is mended"));
--- a/tools/src/main/java/brookpath/tools/datafolder/DataFolderCheck.java
+++ b/tools/src/main/java/brookpath/tools/datafolder/DataFolderCheck.java
@@ -96,7 +96,7 @@
             groups.forEach((id, g) -> {
                 tell(out, id, g);
                 for (long index = g.baseIndex() + 1; index <= g.endIndex(); index++) {
-                    if (!g.logRecord(index).whole()) {
+                    if (!g.logRecord(index).isIntact()) {
                         findings.add("group " + id + ": record " + index + " does not fit its checksum");
                     }
                 }
@@ -155,7 +155,7 @@
             n++;
             try {
                 final PackedBuffer in = PackedBuffer.reader(entry);
-                final int id = (int) in.num();
+                final int id = (int) in.getLong();
                 if (TopicGroups.isDropped(entry)) {
                     groups.remove(id);
                     continue;
--- a/transport/src/main/java/brookpath/transport/http/OperatorResource.java
+++ b/transport/src/main/java/brookpath/transport/http/OperatorResource.java
@@ -56,14 +56,18 @@
     public CompletionStage<Response> retire(@PathParam("node") final int node, @QueryParam("on") final String on) {
         return operate(
                 "retire",
-                PackedBuffer.writer().num(node).num("false".equals(on) ? 0 : 1).done());
+                PackedBuffer.writer()
+                        .putLong(node)
+                        .putLong("false".equals(on) ? 0 : 1)
+                        .toByteArray());
     }
 
     /** Manual switchover of a group's leadership. */
     @POST
     @Path("/groups/{group}/master")
     public CompletionStage<Response> handover(@PathParam("group") final int group, @QueryParam("node") final int node) {
-        return operate("handover", PackedBuffer.writer().num(group).num(node).done());
+        return operate(
+                "handover", PackedBuffer.writer().putLong(group).putLong(node).toByteArray());
     }
 
     @GET
