--- a/coordination/src/main/java/brookpath/coordination/message/PeerMessage.java
+++ b/coordination/src/main/java/brookpath/coordination/message/PeerMessage.java
@@ -3,10 +3,32 @@
 import brookpath.state.record.LogRecord;
 import java.util.List;
 
-/** What the processes say to each other. Every message that acts for a leader carries its term and group version. */
+/**
+ * A message between two processes, grouped by concern. Every message that acts for a leader carries its term and group
+ * version. Immutable; byte arrays are shared and not written to.
+ */
 public sealed interface PeerMessage {
-    /** One heartbeat per pair of processes, with an entry per group; its reply carries the replier's entries. */
+    /** Votes, and the transfer of leadership. */
+    sealed interface ElectionMessage extends PeerMessage {}
+
+    /** The log, or a snapshot of it, on its way to a follower. */
+    sealed interface ReplicationMessage extends PeerMessage {}
+
+    /** Publishes of gateways, and their fetches of what was committed. */
+    sealed interface TopicMessage extends PeerMessage {}
+
+    /** The configuration and the cluster metadata on their way to every process. */
+    sealed interface ConfigurationMessage extends PeerMessage {}
+
+    /** Requests that the control leader decides on. */
+    sealed interface ControlMessage extends PeerMessage {}
+
+    /** Counts of listening sessions. */
+    sealed interface ListenerMessage extends PeerMessage {}
+
     /**
+     * One heartbeat per pair of processes, with an entry per group; its reply carries the replier's entries.
+     *
      * @param knownDigest what the sender has of the receiver's entries ({@link HeartbeatEntry#digest})
      * @param entriesOmitted in a reply: the entries are left out, for what matters of them is what the asker has
      */
@@ -44,7 +66,7 @@
             return d;
         }
 
-        /** The same member after it has voted in a later term, in which it leaders nothing yet. */
+        /** The same member after it has voted in a later term, in which it leads nothing yet. */
         public HeartbeatEntry raised(final long later) {
             return new HeartbeatEntry(
                     group, groupVersion, later, FOLLOWER, sync, startIndex, endIndex, endTerm, committed, 0, weight);
@@ -61,13 +83,13 @@
             int weight,
             int attempts,
             boolean manual)
-            implements PeerMessage {}
+            implements ElectionMessage {}
 
-    /** A vote, or why it was refused. */
-    record VoteReply(int group, long term, boolean granted, long termSeen, String reason) implements PeerMessage {}
+    /** A vote, or the reason of its refusal. */
+    record VoteReply(int group, long term, boolean granted, long termSeen, String reason) implements ElectionMessage {}
 
-    /** The leader asks a follower that has its whole log to stand at once: a manual switchover. */
-    record TimeoutNow(int group, long term) implements PeerMessage {}
+    /** The leader asks a follower that has its complete log to start an election at once: a leadership transfer. */
+    record TimeoutNow(int group, long term) implements ElectionMessage {}
 
     /**
      * A follower asks its source for the log; what it has synced is its copy's acknowledgement, and the chain tells
@@ -91,7 +113,7 @@
             long chain,
             long snapshotSum,
             long snapshotOffset)
-            implements PeerMessage {
+            implements ReplicationMessage {
         public static final long UNKNOWN = -1;
     }
 
@@ -119,8 +141,8 @@
             long snapshotSum,
             long snapshotTotal,
             long snapshotOffset)
-            implements PeerMessage {
-        /** A reply without an snapshot. */
+            implements ReplicationMessage {
+        /** A reply without a part of a larger snapshot. */
         public PullReply(
                 final int group,
                 final int groupVersion,
@@ -158,7 +180,9 @@
         public static final int ACTING_LEADER = 2;
     }
 
-    /** A gateway hands a caller's publish to the leader of the topic's group; jobId ties the reply to it. */
+    /**
+     * A gateway forwards a caller's publish to the leader of the topic's group; the request id ties the reply to it.
+     */
     record Publish(
             long requestId,
             int group,
@@ -168,11 +192,11 @@
             String topic,
             String sender,
             String text)
-            implements PeerMessage {}
+            implements TopicMessage {}
 
     /** The end of a publish as the leader knows it; the position is set where it was committed. */
     record PublishReply(long requestId, int outcome, long position, int leaderHint, long term, String reason)
-            implements PeerMessage {
+            implements TopicMessage {
 
         public static final int ACCEPTED = 0;
         public static final int NOT_LEADER = 1;
@@ -186,7 +210,7 @@
      *
      * @param longPoll answered when there is something, or after a while; then all topics are read from one position
      * @param at that position
-     * @param edition of the topics of a held fetch: told once, and not again while they are the same
+     * @param edition of the topics of a long-poll fetch: they are sent once, and not again while they are the same
      */
     record Fetch(
             long requestId,
@@ -196,17 +220,17 @@
             long at,
             long edition,
             List<TopicPosition> topics)
-            implements PeerMessage {}
+            implements TopicMessage {}
 
     /** A topic and the position after which its records are wanted. */
     record TopicPosition(String topic, long from) {}
 
     /** Committed records up to the position that was looked through, and the topics of which older records are gone. */
     record FetchReply(long requestId, int group, int status, long scannedTo, List<String> gone, List<LogRecord> records)
-            implements PeerMessage {
+            implements TopicMessage {
         public static final int OK = 0;
         public static final int NOT_HERE = 1;
-        /** The edition of the topics is not known here; they are to be told. */
+        /** The edition of the topics is not known here; they are to be sent. */
         public static final int UNTOLD = 2;
     }
 
@@ -227,7 +251,7 @@
             boolean relay,
             long wall,
             long machine)
-            implements PeerMessage {
+            implements ConfigurationMessage {
         public static final int GATEWAY = 1;
         public static final int STORAGE = 2;
         public static final int CONTROLLER = 3;
@@ -252,13 +276,13 @@
             byte[] metadata,
             int node,
             long wall)
-            implements PeerMessage {}
+            implements ConfigurationMessage {}
 
     /** An operator's or another process's request for the control leader. */
-    record ControlRequest(long requestId, String kind, byte[] body) implements PeerMessage {}
+    record ControlRequest(long requestId, String kind, byte[] body) implements ControlMessage {}
 
     /** The answer to an operation; the status is an HTTP status. */
-    record ControlReply(long requestId, int status, int retryAfterMs, byte[] body) implements PeerMessage {}
+    record ControlReply(long requestId, int status, int retryAfterMs, byte[] body) implements ControlMessage {}
 
     /**
      * How many sessions of a gateway listen to each topic of a group.
@@ -266,16 +290,16 @@
      * @param onto the edition that these counts change; 0 where they are all there are, the edition itself where
      *     nothing has changed
      */
-    record ListenerReport(int group, long edition, long onto, List<TopicCount> counts) implements PeerMessage {}
+    record ListenerReport(int group, long edition, long onto, List<TopicCount> counts) implements ListenerMessage {}
 
     /** A topic and how many sessions listen to it. */
     record TopicCount(String topic, int count) {}
 
     /** Asks a group's leader how many sessions listen to a topic. */
-    record ListenerCountRequest(long requestId, int group, String topic) implements PeerMessage {}
+    record ListenerCountRequest(long requestId, int group, String topic) implements ListenerMessage {}
 
     /** How many sessions listen to a topic. */
-    record ListenerCountReply(long requestId, int status, int count) implements PeerMessage {
+    record ListenerCountReply(long requestId, int status, int count) implements ListenerMessage {
         public static final int OK = 0;
         public static final int NOT_HERE = 1;
     }
--- a/testing/src/test/java/brookpath/testing/FrameCodecTest.java
+++ b/testing/src/test/java/brookpath/testing/FrameCodecTest.java
@@ -11,6 +11,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
+import java.util.stream.Stream;
 import org.testng.annotations.Test;
 
 /** Every message there and back, and what malformed frames do. */
@@ -56,11 +57,17 @@
     }
 
     private static List<Class<?>> messages() {
-        return Arrays.stream(PeerMessage.class.getPermittedSubclasses())
+        return messages(PeerMessage.class)
                 .sorted((a, b) -> a.getName().compareTo(b.getName()))
                 .toList();
     }
 
+    /** The permitted records of a sealed interface, also of those that extend it. */
+    private static Stream<Class<?>> messages(final Class<?> type) {
+        return Arrays.stream(type.getPermittedSubclasses())
+                .flatMap(kind -> kind.isInterface() ? messages(kind) : Stream.of(kind));
+    }
+
     private static Object make(final Class<?> type, final SplittableRandom random) throws Exception {
         final RecordComponent[] comps = type.getRecordComponents();
         final Object[] args = new Object[comps.length];
--- a/testing/src/test/java/brookpath/testing/StoredDataTest.java
+++ b/testing/src/test/java/brookpath/testing/StoredDataTest.java
@@ -171,9 +171,9 @@
 
     private static String vote(final List<byte[]> checkpoint) {
         for (final byte[] entry : checkpoint) {
-            final PackedBuffer in = PackedBuffer.reader(entry).skip(Long.BYTES);
-            if (in.num() == VOTE_ENTRY) {
-                return "vote in term " + in.num() + " for " + in.num();
+            final PackedBuffer in = PackedBuffer.reader(entry).skipBytes(Long.BYTES);
+            if (in.getLong() == VOTE_ENTRY) {
+                return "vote in term " + in.getLong() + " for " + in.getLong();
             }
         }
         return "no vote";
