--- a/coordination/src/main/java/brookpath/coordination/configuration/ChangeOutcomes.java
+++ b/coordination/src/main/java/brookpath/coordination/controllog/ChangeOutcomes.java
@@ -1,4 +1,4 @@
-package brookpath.coordination.configuration;
+package brookpath.coordination.controllog;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 
@@ -15,7 +15,8 @@
  */
 public final class ChangeOutcomes {
     private static final int KEPT = 4_096;
-    private static final int TOOK_EFFECT = 200;
+    /** The status by which the format of earlier releases marks a change that took effect. */
+    private static final int STORED_TOOK_EFFECT = 200;
 
     /**
      * A change that took effect.
@@ -59,11 +60,8 @@
 
     void save(final PackedBuffer buffer) {
         buffer.putLong(outcomes.size());
-        outcomes.forEach((key, o) -> buffer.putLong(key.high)
-                .putLong(key.low)
-                .putLong(o.index)
-                .putLong(o.checksum)
-                .putLong(o.version));
+        outcomes.forEach((key, o) ->
+                buffer.putLong(key.high).putLong(key.low).putLong(o.index).putLong(o.checksum).putLong(o.version));
     }
 
     void load(final PackedBuffer in) {
@@ -81,7 +79,7 @@
             final long status = in.getLong();
             final long version = in.getLong();
             in.getBytes();
-            if (status == TOOK_EFFECT) {
+            if (status == STORED_TOOK_EFFECT) {
                 add(changeId, new Outcome(index, checksum, version));
             }
         }
--- a/coordination/src/main/java/brookpath/coordination/message/PeerMessage.java
+++ b/coordination/src/main/java/brookpath/coordination/message/PeerMessage.java
@@ -34,7 +34,9 @@
      */
     record Heartbeat(
             boolean reply, long id, long stamp, long knownDigest, boolean entriesOmitted, List<HeartbeatEntry> entries)
-            implements PeerMessage {}
+            implements PeerMessage {
+
+}
 
     /** The state of one group at the sender: its role, term, sync state and the ends of its log. */
     record HeartbeatEntry(
@@ -83,10 +85,12 @@
             int weight,
             int attempts,
             boolean manual)
-            implements ElectionMessage {}
+            implements ElectionMessage {
+}
 
     /** A vote, or the reason of its refusal. */
-    record VoteReply(int group, long term, boolean granted, long termSeen, String reason) implements ElectionMessage {}
+    record VoteReply(int group, long term, boolean granted, long termSeen, String reason) implements ElectionMessage {
+}
 
     /** The leader asks a follower that has its complete log to start an election at once: a leadership transfer. */
     record TimeoutNow(int group, long term) implements ElectionMessage {}
@@ -198,6 +202,7 @@
     record PublishReply(long requestId, int outcome, long position, int leaderHint, long term, String reason)
             implements TopicMessage {
 
+
         public static final int ACCEPTED = 0;
         public static final int NOT_LEADER = 1;
         public static final int REFUSED_FOR_GOOD = 2;
@@ -220,7 +225,8 @@
             long at,
             long edition,
             List<TopicPosition> topics)
-            implements TopicMessage {}
+            implements TopicMessage {
+}
 
     /** A topic and the position after which its records are wanted. */
     record TopicPosition(String topic, long from) {}
--- a/coordination/src/main/java/brookpath/coordination/node/ControllerNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/ControllerNode.java
@@ -2,10 +2,8 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Action;
-import brookpath.coordination.configuration.ClusterMetadata;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
 import brookpath.coordination.configuration.ConfigurationClient;
-import brookpath.coordination.configuration.ControlState;
+import brookpath.coordination.controllog.ControlState;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Member;
 import brookpath.coordination.group.Membership;
@@ -17,13 +15,15 @@
 import brookpath.coordination.message.PeerMessage.HeartbeatEntry;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.message.ResponseStatus;
+import brookpath.coordination.metadata.ClusterMetadata;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.node.control.ControlLeader;
+import brookpath.coordination.node.control.ControlResponder;
 import brookpath.coordination.node.control.ControlStatus;
 import brookpath.coordination.node.control.ControlView;
 import brookpath.coordination.node.control.ForwardedPolls;
-import brookpath.coordination.node.control.Founding;
-import brookpath.coordination.node.control.RelayedRequests;
-import brookpath.coordination.node.control.Replies;
+import brookpath.coordination.node.control.ForwardedRequests;
+import brookpath.coordination.node.control.GroupBootstrap;
 import brookpath.state.record.PackedBuffer;
 import java.util.HashSet;
 import java.util.List;
@@ -38,7 +38,7 @@
 
     private static final int NO_REQUEST = 0;
 
-    private final Founding founding;
+    private final GroupBootstrap founding;
     /** Whom the settings name as the control group's founders; once the log tells of members, these count no more. */
     private final List<Member> founders;
 
@@ -47,8 +47,8 @@
 
     private final GroupMachine group;
     private final ControlView view;
-    private final Replies replies;
-    private final RelayedRequests relayed;
+    private final ControlResponder responder;
+    private final ForwardedRequests forwarded;
     private final ForwardedPolls forwardedPolls;
     private final ControlLeader leader;
     /** The log is rolled into a checkpoint beyond so many bytes. */
@@ -61,7 +61,7 @@
     public ControllerNode(
             final int self,
             final List<Member> founders,
-            final Founding founding,
+            final GroupBootstrap founding,
             final TimingBounds timing,
             final long seed,
             final long firstId,
@@ -78,7 +78,7 @@
     }
 
     /**
-     * @param info this controller as others are told of it
+     * @param info this controller as others see it
      * @param founders the control group's members at its founding; empty where the settings do not tell
      * @param seeds controllers that may be asked, members or not
      */
@@ -86,7 +86,7 @@
             final NodeInfo info,
             final List<Member> founders,
             final List<Integer> seeds,
-            final Founding founding,
+            final GroupBootstrap founding,
             final TimingBounds timing,
             final long seed,
             final long firstId,
@@ -99,10 +99,10 @@
         group = new GroupMachine(
                 CONTROL, self, timing, founding.toleratedLosses(), seed, ControlState::new, promises, out);
         view = new ControlView(group);
-        replies = new Replies(self, timing, out);
-        relayed = new RelayedRequests(timing, replies, this::nextId, out);
+        responder = new ControlResponder(self, timing, out);
+        forwarded = new ForwardedRequests(timing, responder, this::nextId, out);
         forwardedPolls = new ForwardedPolls(group, out);
-        leader = new ControlLeader(info, group, view, founding, timing, replies, this::nextId, out);
+        leader = new ControlLeader(info, group, view, founding, timing, responder, this::nextId, out);
         client = new ConfigurationClient(info, ConfigurationPoll.CONTROLLER, seeds, firstId, timing, out);
     }
 
@@ -120,13 +120,13 @@
         if (found) {
             group.found();
         }
-        // why: one that no founder and no log names is no member; it carries requests and polls, and a membership that
+        // One that no founder and no log names is no member; it forwards requests and polls, and a membership that
         // names it may come later
         if (founders.stream().anyMatch(m -> m.node() == self)
                 || group.membership().holds(self)) {
             group.configure(founders, 1, true, time.mono());
         }
-        // why: all that the settings name may be gone by now, but the log names others
+        // All that the settings name may be gone by now, but the log names others
         client.suggest(view.newestMetadata().controllers());
         return out.drain();
     }
@@ -148,7 +148,7 @@
     }
 
     /**
-     * Whom requests are carried to, 0 for nobody. A member of the control group knows by the heartbeats that it has
+     * Whom requests are forwarded to, 0 for nobody. A member of the control group knows by the heartbeats that it has
      * lost its leader, and says so at once, where a lease from a poll would have it wait for one that it cannot reach.
      */
     private int leaderForRequests(final long now) {
@@ -184,7 +184,7 @@
         if (group.mayAct(now)) {
             leader.tick(time);
         }
-        relayed.tick(now);
+        forwarded.tick(now);
         if (out.bytesSinceRoll() > rollBytes) {
             onDamage(time);
         }
@@ -211,12 +211,12 @@
         } else if (message instanceof ConfigurationReply reply) {
             onConfigurationReply(reply, time);
         } else if (message instanceof ControlRequest request) {
-            // why: a request is forwarded once at most, so that no two controllers send it to and fro
-            if (isPeer(from) || group.mayAct(now) || !relayed.carry(from, request, leaderForRequests(now), now)) {
+            // A request is forwarded once at most, so that no two controllers send it to and fro
+            if (isPeer(from) || group.mayAct(now) || !forwarded.forward(from, request, leaderForRequests(now), now)) {
                 leader.onRequest(from, request, time);
             }
         } else if (message instanceof ControlReply reply) {
-            relayed.onReply(from, reply, now);
+            forwarded.onReply(from, reply, now);
         } else {
             group.on(from, message, now);
             leader.afterEvent(table, time);
@@ -260,7 +260,7 @@
             }
             forwardedPolls.onUnsent(poll);
         } else if (message instanceof ControlRequest request) {
-            relayed.unsent(request);
+            forwarded.unsent(request);
         }
     }
 
@@ -271,20 +271,20 @@
         if (isPeer(node)) {
             forwardedPolls.onSessionLost();
         }
-        relayed.sessionLost(node);
+        forwarded.sessionLost(node);
     }
 
     @Override
     public long restMs(final Time time) {
-        final boolean busy = retreat != NO_REQUEST || leader.hasPendingRequests() || !relayed.isEmpty();
-        // why: one that is no member of the control group has nothing under way but what it carries
+        final boolean busy = retreat != NO_REQUEST || leader.hasPendingRequests() || !forwarded.isEmpty();
+        // One that is no member of the control group has nothing in flight but what it forwards
         return !busy && (group.calm() || !group.membership().holds(self)) ? timing.heartbeat() / 2 : timing.tick();
     }
 
     @Override
     protected void onRequest(final NodeRequest request, final Time time) {
         final long now = time.mono();
-        if (request instanceof NodeRequest.Adopt adopt) {
+        if (request instanceof NodeRequest.UpdateSettings adopt) {
             rollBytes = adopt.rollBytes();
         } else if (request instanceof NodeRequest.Posted posted) {
             leader.onPosted(posted, time);
@@ -293,7 +293,7 @@
         } else if (request instanceof NodeRequest.ReadinessProbe probe) {
             final boolean ready = group.mayAct(now) || controlLeader(now) != 0;
             out.respond(probe.requestId(), ReadinessProbe.response(ready, false));
-        } else if (request instanceof NodeRequest.Retreat shutdown) {
+        } else if (request instanceof NodeRequest.GracefulShutdown shutdown) {
             retreat = shutdown.requestId();
         } else if (request instanceof NodeRequest.Operate operate) {
             onOperate(operate, time);
@@ -305,8 +305,8 @@
         final ControlRequest request = new ControlRequest(operate.requestId(), operate.kind(), operate.body());
         if (group.mayAct(now)) {
             leader.onRequest(self, request, time);
-        } else if (!relayed.carry(self, request, leaderForRequests(now), now)) {
-            out.respond(operate.requestId(), replies.unavailable("the control group has no master just now"));
+        } else if (!forwarded.forward(self, request, leaderForRequests(now), now)) {
+            out.respond(operate.requestId(), responder.unavailable("the control group has no master just now"));
         }
     }
 
--- a/coordination/src/main/java/brookpath/coordination/node/GatewayStatus.java
+++ b/coordination/src/main/java/brookpath/coordination/node/GatewayStatus.java
@@ -2,9 +2,9 @@
 
 import static brookpath.coordination.message.ResponseStatus.OK;
 
-import brookpath.coordination.configuration.ClusterMetadata;
 import brookpath.coordination.configuration.ConfigurationClient;
 import brookpath.coordination.heartbeat.HeartbeatTable;
+import brookpath.coordination.metadata.ClusterMetadata;
 import brookpath.coordination.route.Route;
 import brookpath.coordination.route.RouteFinder;
 import jakarta.json.Json;
--- a/coordination/src/main/java/brookpath/coordination/node/StorageNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/StorageNode.java
@@ -3,7 +3,6 @@
 import static brookpath.coordination.message.ResponseStatus.OK;
 
 import brookpath.coordination.TimingBounds;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
 import brookpath.coordination.configuration.ConfigurationClient;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.MembershipDriver;
@@ -24,6 +23,7 @@
 import brookpath.coordination.message.PeerMessage.VoteReply;
 import brookpath.coordination.message.PeerMessage.VoteRequest;
 import brookpath.coordination.message.Response;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.node.storage.FetchHandler;
 import brookpath.coordination.node.storage.GracefulShutdown;
 import brookpath.coordination.node.storage.GroupStateReporter;
@@ -276,9 +276,9 @@
 
     @Override
     protected void onRequest(final NodeRequest nodeRequest, final Time time) {
-        if (nodeRequest instanceof NodeRequest.Adopt request) {
+        if (nodeRequest instanceof NodeRequest.UpdateSettings request) {
             rollBytes = request.rollBytes();
-        } else if (nodeRequest instanceof NodeRequest.Retreat request) {
+        } else if (nodeRequest instanceof NodeRequest.GracefulShutdown request) {
             shutdown.begin(request.requestId());
         } else if (nodeRequest instanceof NodeRequest.Status request) {
             out.respond(request.requestId(), new Response(OK, 0, statusJson(time)));
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlMembers.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlGroupMembership.java
@@ -1,7 +1,6 @@
 package brookpath.coordination.node.control;
 
 import brookpath.coordination.TimingBounds;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Member;
 import brookpath.coordination.group.Membership;
@@ -9,6 +8,7 @@
 import brookpath.coordination.group.MembershipPlan.Candidate;
 import brookpath.coordination.group.MembershipPlan.Limits;
 import brookpath.coordination.heartbeat.HeartbeatTable;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -19,7 +19,7 @@
  * Keeps the control group's membership up: watches who answers, and as the acting leader appends the steps that
  * {@link MembershipPlan} names.
  */
-public final class ControlMembers {
+public final class ControlGroupMembership {
     /** When a member was first watched, and when it last failed to answer. */
     private static final class Watched {
         final long since;
@@ -37,11 +37,11 @@
     private final long steadyMs;
     private final TreeMap<Integer, Watched> watched = new TreeMap<>();
 
-    public ControlMembers(
+    public ControlGroupMembership(
             final int self, final GroupMachine group, final TimingBounds timing, final int toleratedLosses) {
         this.self = self;
         this.group = group;
-        // why: the machine that replaces a dead one may itself be lost soon; timing.md has the arithmetic
+        // The machine that replaces a dead one may itself be lost soon; timing.md has the arithmetic
         limits = new Limits(Limits.votersFor(toleratedLosses), timing.changeMs() * 4 / 5, timing.recoverMs());
         steadyMs = 2 * timing.recoverMs();
     }
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlView.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlView.java
@@ -1,9 +1,9 @@
 package brookpath.coordination.node.control;
 
-import brookpath.coordination.configuration.ClusterMetadata;
-import brookpath.coordination.configuration.ControlState;
 import brookpath.coordination.configuration.StoredConfiguration;
+import brookpath.coordination.controllog.ControlState;
 import brookpath.coordination.group.GroupMachine;
+import brookpath.coordination.metadata.ClusterMetadata;
 
 /** What follows from the control log, as a member of the control group sees it. */
 public final class ControlView {
@@ -45,6 +45,6 @@
 
     /** Whether so much waits for its copies that nothing more is to be appended. */
     public boolean backlogged() {
-        return group.diskBacklogged() || uncommitted() >= ChangeOrders.MAX_UNCOMMITTED;
+        return group.diskBacklogged() || uncommitted() >= ConfigurationChangeHandler.MAX_UNCOMMITTED;
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/storage/GroupStateReporter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/GroupStateReporter.java
@@ -2,10 +2,10 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
 import brookpath.coordination.configuration.ConfigurationClient;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.message.PeerMessage.ControlRequest;
+import brookpath.coordination.metadata.ClusterMetadata.GroupInfo;
 import brookpath.state.record.PackedBuffer;
 import java.util.TreeMap;
 
--- a/programs/src/main/java/brookpath/programs/settings/SettingsReader.java
+++ b/programs/src/main/java/brookpath/programs/settings/SettingsReader.java
@@ -2,7 +2,7 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.configuration.Finding;
-import brookpath.coordination.node.control.Founding;
+import brookpath.coordination.node.control.GroupBootstrap;
 import brookpath.programs.Program;
 import brookpath.programs.Role;
 import jakarta.json.Json;
@@ -231,7 +231,7 @@
         return timing;
     }
 
-    private Founding founding() {
+    private GroupBootstrap founding() {
         final JsonObject founding = source.section(SettingsKeys.FOUNDING, SettingsKeys.FOUNDING_KEYS);
         final int groups = (int) source.number(SettingsKeys.GROUPS, founding);
         final int replicas = (int) source.number(SettingsKeys.REPLICAS, founding);
@@ -241,7 +241,7 @@
             source.rejectAt(
                     storageNodesSetting.place(), storageNodes + " machines cannot hold " + replicas + " replicas");
         }
-        return new Founding(groups, replicas, storageNodes, (int) source.number(SettingsKeys.TOLERATED_LOSSES));
+        return new GroupBootstrap(groups, replicas, storageNodes, (int) source.number(SettingsKeys.TOLERATED_LOSSES));
     }
 
     private String platformUrl() {
--- a/testing/src/test/java/brookpath/testing/sim/CallIdsTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/CallIdsTest.java
@@ -7,12 +7,12 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Action;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
 import brookpath.coordination.heartbeat.HeartbeatTable;
 import brookpath.coordination.message.PeerMessage.ConfigurationPoll;
 import brookpath.coordination.message.PeerMessage.ConfigurationReply;
 import brookpath.coordination.message.PeerMessage.ControlReply;
 import brookpath.coordination.message.PeerMessage.ControlRequest;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.node.GatewayNode;
 import brookpath.coordination.node.Node.Time;
 import brookpath.coordination.node.NodeRequest;
@@ -81,8 +81,8 @@
 
     private static String sentOn(final GatewayNode gateway, final SimulatedProcess process) {
         return gateway.request(new NodeRequest.Open(7, "key-members"), process.time()).stream()
-                .filter(a -> a instanceof Action.Move)
-                .map(a -> ((Action.Move) a).address())
+                .filter(a -> a instanceof Action.MoveSession)
+                .map(a -> ((Action.MoveSession) a).address())
                 .findFirst()
                 .orElseThrow();
     }
--- a/transport/src/main/java/brookpath/transport/http/StreamedSession.java
+++ b/transport/src/main/java/brookpath/transport/http/StreamedSession.java
@@ -12,16 +12,15 @@
 import java.util.concurrent.ArrayBlockingQueue;
 import java.util.concurrent.BlockingQueue;
 
-/** The bounded queue of one listening session, and the loop that writes it out on a traffic thread. */
+/** One listening session's bounded queue, and the loop that writes it out. */
 final class StreamedSession implements Host.Sink, StreamingOutput {
-    private static final int QUEUE_CAPACITY = 1024;
+    private static final int QUEUE = 1024;
     private static final long POLL_MS = 200;
-    private static final long LEASE_POLL_MS = 20;
 
     private final Host host;
     private final long sessionId;
-    private final BlockingQueue<byte[]> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
-    private volatile String closeReason;
+    private final BlockingQueue<byte[]> queue = new ArrayBlockingQueue<>(QUEUE);
+    private volatile String closedWhy;
 
     StreamedSession(final Host host, final long sessionId) {
         this.host = host;
@@ -29,28 +28,28 @@
     }
 
     @Override
-    public boolean offer(final Action.ToSession action) {
-        return queue.offer(((Action.Deliver) action).line());
+    public boolean offer(final Action.ToSession what) {
+        return queue.offer(((Action.DeliverLine) what).line());
     }
 
     @Override
-    public void close(final String reason) {
-        closeReason = reason;
+    public void close(final String why) {
+        closedWhy = why;
     }
 
     @Override
     public void write(final OutputStream os) throws IOException {
         try {
-            while (closeReason == null) {
+            while (closedWhy == null) {
                 final byte[] line = queue.poll(POLL_MS, MILLISECONDS);
                 if (line == null) {
                     continue;
                 }
-                // why: asked line by line; after a long pause of the process a caller may have lost its permission
-                while (!host.mayDeliver() && closeReason == null) {
-                    MILLISECONDS.sleep(LEASE_POLL_MS);
+                // why: asked line by line; after a long sleep the key may have been taken away, so nothing may go out
+                while (!host.mayDeliver() && closedWhy == null) {
+                    MILLISECONDS.sleep(POLL_MS / 10);
                 }
-                if (closeReason == null) {
+                if (closedWhy == null) {
                     os.write(line);
                     if (queue.isEmpty()) {
                         os.flush();
@@ -59,7 +58,7 @@
             }
             os.write((Json.createObjectBuilder()
                                     .add("type", "closed")
-                                    .add("why", closeReason)
+                                    .add("why", closedWhy)
                                     .build() + "\n")
                     .getBytes(UTF_8));
             os.flush();
