--- a/coordination/src/main/java/brookpath/coordination/controllog/ChangeOutcomes.java
+++ b/coordination/src/main/java/brookpath/coordination/controllog/ChangeOutcomes.java
@@ -60,8 +60,11 @@
 
     void save(final PackedBuffer buffer) {
         buffer.putLong(outcomes.size());
-        outcomes.forEach((key, o) ->
-                buffer.putLong(key.high).putLong(key.low).putLong(o.index).putLong(o.checksum).putLong(o.version));
+        outcomes.forEach((key, o) -> buffer.putLong(key.high)
+                .putLong(key.low)
+                .putLong(o.index)
+                .putLong(o.checksum)
+                .putLong(o.version));
     }
 
     void load(final PackedBuffer in) {
--- a/coordination/src/main/java/brookpath/coordination/controllog/ControlState.java
+++ b/coordination/src/main/java/brookpath/coordination/controllog/ControlState.java
@@ -117,7 +117,8 @@
 
     private static void packWindow(final PackedBuffer buffer, final Window w) {
         buffer.putLong(w.window).putLong(w.used.size());
-        w.used.forEach(u -> buffer.putString(u.tenant).putLong(u.publishes).putLong(u.bytes).putLong(u.late ? 1 : 0));
+        w.used.forEach(u ->
+                buffer.putString(u.tenant).putLong(u.publishes).putLong(u.bytes).putLong(u.late ? 1 : 0));
     }
 
     private static Window unpackWindow(final long index, final PackedBuffer in) {
@@ -276,7 +277,9 @@
                         .putLong(s.value().version())
                         .putBytes(s.value().doc()));
         buffer.putLong(metadatas.all().size());
-        metadatas.all().forEach(r -> buffer.putLong(r.index()).putBytes(r.value().save()));
+        metadatas
+                .all()
+                .forEach(r -> buffer.putLong(r.index()).putBytes(r.value().save()));
         buffer.putLong(windows.size());
         windows.values().forEach(w -> packWindow(buffer.putLong(w.index), w));
         buffer.putLong(deliveries.size());
--- a/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
@@ -279,8 +279,10 @@
         if (machine.recovery.isInitialised()) {
             entries.add(machine.recovery.entry());
         }
-        entries.add(
-                GroupEntryKind.SNAPSHOT.entry(id).putBytes(machine.log.snapshot()).toByteArray());
+        entries.add(GroupEntryKind.SNAPSHOT
+                .entry(id)
+                .putBytes(machine.log.snapshot())
+                .toByteArray());
         return entries;
     }
 
--- a/coordination/src/main/java/brookpath/coordination/node/control/ConfigurationLeaseGranter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ConfigurationLeaseGranter.java
@@ -275,7 +275,8 @@
                 .map(p -> p.last)
                 .toList();
         final PackedBuffer buffer = PackedBuffer.writer().putLong(gateways.size());
-        gateways.forEach(poll -> buffer.putLong(poll.node()).putString(poll.zone()).putString(poll.address()));
+        gateways.forEach(
+                poll -> buffer.putLong(poll.node()).putString(poll.zone()).putString(poll.address()));
         return buffer.toByteArray();
     }
 
--- a/coordination/src/main/java/brookpath/coordination/node/control/GroupMoveDriver.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/GroupMoveDriver.java
@@ -88,7 +88,8 @@
         leaders.remove(s.group());
         out.note("group " + s.group() + ": asks node " + s.from() + " to hand over to node " + s.to()
                 + ", which ranks first");
-        final byte[] body = PackedBuffer.writer().putLong(s.group()).putLong(s.to()).toByteArray();
+        final byte[] body =
+                PackedBuffer.writer().putLong(s.group()).putLong(s.to()).toByteArray();
         out.send(s.from(), ControlRequestKind.HANDOVER.request(NO_REPLY, body));
     }
 
--- a/state/src/main/java/brookpath/state/record/LogRecord.java
+++ b/state/src/main/java/brookpath/state/record/LogRecord.java
@@ -186,4 +186,12 @@
         buf.getBytes(pos + 4, v);
         return new String(v, UTF_8);
     }
+    // Former names of methods above, until their last callers have moved.
+    public boolean whole() {
+        return isIntact();
+    }
+
+    public int madeSum() {
+        return storedChecksum();
+    }
 }
--- a/state/src/main/java/brookpath/state/record/PackedBuffer.java
+++ b/state/src/main/java/brookpath/state/record/PackedBuffer.java
@@ -84,4 +84,40 @@
     public boolean hasRemaining() {
         return position < in.capacity();
     }
+    // Former names of methods above, until their last callers have moved.
+    public PackedBuffer num(final long v) {
+        return putLong(v);
+    }
+
+    public PackedBuffer bytes(final byte[] v) {
+        return putBytes(v);
+    }
+
+    public PackedBuffer str(final String v) {
+        return putString(v);
+    }
+
+    public byte[] done() {
+        return toByteArray();
+    }
+
+    public long num() {
+        return getLong();
+    }
+
+    public byte[] bytes() {
+        return getBytes();
+    }
+
+    public String str() {
+        return getString();
+    }
+
+    public PackedBuffer skip(final int n) {
+        return skipBytes(n);
+    }
+
+    public boolean more() {
+        return hasRemaining();
+    }
 }
--- a/testing/src/test/java/brookpath/testing/sim/GroupRepairScene.java
+++ b/testing/src/test/java/brookpath/testing/sim/GroupRepairScene.java
@@ -179,7 +179,9 @@
             world.callers.asked(
                     controlLeader(),
                     id -> new NodeRequest.Operate(
-                            id, "retire", PackedBuffer.writer().putLong(node).putLong(1).toByteArray()),
+                            id,
+                            "retire",
+                            PackedBuffer.writer().putLong(node).putLong(1).toByteArray()),
                     r -> got[0] = r);
             run(10);
         }
--- a/transport/src/main/java/brookpath/transport/http/StreamedSession.java
+++ b/transport/src/main/java/brookpath/transport/http/StreamedSession.java
@@ -12,15 +12,16 @@
 import java.util.concurrent.ArrayBlockingQueue;
 import java.util.concurrent.BlockingQueue;
 
-/** One listening session's bounded queue, and the loop that writes it out. */
+/** The bounded queue of one listening session, and the loop that writes it out on a traffic thread. */
 final class StreamedSession implements Host.Sink, StreamingOutput {
-    private static final int QUEUE = 1024;
+    private static final int QUEUE_CAPACITY = 1024;
     private static final long POLL_MS = 200;
+    private static final long LEASE_POLL_MS = 20;
 
     private final Host host;
     private final long sessionId;
-    private final BlockingQueue<byte[]> queue = new ArrayBlockingQueue<>(QUEUE);
-    private volatile String closedWhy;
+    private final BlockingQueue<byte[]> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
+    private volatile String closeReason;
 
     StreamedSession(final Host host, final long sessionId) {
         this.host = host;
@@ -33,23 +34,23 @@
     }
 
     @Override
-    public void close(final String why) {
-        closedWhy = why;
+    public void close(final String reason) {
+        closeReason = reason;
     }
 
     @Override
     public void write(final OutputStream os) throws IOException {
         try {
-            while (closedWhy == null) {
+            while (closeReason == null) {
                 final byte[] line = queue.poll(POLL_MS, MILLISECONDS);
                 if (line == null) {
                     continue;
                 }
                 // why: asked line by line; after a long sleep the key may have been taken away, so nothing may go out
-                while (!host.mayDeliver() && closedWhy == null) {
-                    MILLISECONDS.sleep(POLL_MS / 10);
+                while (!host.mayDeliver() && closeReason == null) {
+                    MILLISECONDS.sleep(LEASE_POLL_MS);
                 }
-                if (closedWhy == null) {
+                if (closeReason == null) {
                     os.write(line);
                     if (queue.isEmpty()) {
                         os.flush();
@@ -58,7 +59,7 @@
             }
             os.write((Json.createObjectBuilder()
                                     .add("type", "closed")
-                                    .add("why", closedWhy)
+                                    .add("why", closeReason)
                                     .build() + "\n")
                     .getBytes(UTF_8));
             os.flush();
