--- a/coordination/src/main/java/brookpath/coordination/message/PeerMessage.java
+++ b/coordination/src/main/java/brookpath/coordination/message/PeerMessage.java
@@ -34,17 +34,7 @@
      */
     record Heartbeat(
             boolean reply, long id, long stamp, long knownDigest, boolean entriesOmitted, List<HeartbeatEntry> entries)
-            implements PeerMessage {
-        // Former names of methods above, until their last callers have moved.
-        public boolean same() {
-            return entriesOmitted();
-        }
-
-        // Former names of methods above, until their last callers have moved.
-        public long known() {
-            return knownDigest();
-        }
-    }
+            implements PeerMessage {}
 
     /** The state of one group at the sender: its role, term, sync state and the ends of its log. */
     record HeartbeatEntry(
@@ -93,20 +83,10 @@
             int weight,
             int attempts,
             boolean manual)
-            implements ElectionMessage {
-        // Former names of methods above, until their last callers have moved.
-        public int goes() {
-            return attempts();
-        }
-    }
+            implements ElectionMessage {}
 
     /** A vote, or the reason of its refusal. */
-    record VoteReply(int group, long term, boolean granted, long termSeen, String reason) implements ElectionMessage {
-        // Former names of methods above, until their last callers have moved.
-        public String why() {
-            return reason();
-        }
-    }
+    record VoteReply(int group, long term, boolean granted, long termSeen, String reason) implements ElectionMessage {}
 
     /** The leader asks a follower that has its complete log to start an election at once: a leadership transfer. */
     record TimeoutNow(int group, long term) implements ElectionMessage {}
@@ -217,10 +197,6 @@
     /** The end of a publish as the leader knows it; the position is set where it was committed. */
     record PublishReply(long requestId, int outcome, long position, int leaderHint, long term, String reason)
             implements TopicMessage {
-        // Former names of methods above, until their last callers have moved.
-        public String why() {
-            return reason();
-        }
 
         public static final int ACCEPTED = 0;
         public static final int NOT_LEADER = 1;
@@ -244,12 +220,7 @@
             long at,
             long edition,
             List<TopicPosition> topics)
-            implements TopicMessage {
-        // Former names of methods above, until their last callers have moved.
-        public boolean hold() {
-            return longPoll();
-        }
-    }
+            implements TopicMessage {}
 
     /** A topic and the position after which its records are wanted. */
     record TopicPosition(String topic, long from) {}
