--- a/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
@@ -253,21 +253,21 @@
      * @throws IllegalStateException where its kind is not known or a record does not follow
      */
     public void replay(final PackedBuffer in, final long now) {
-        final long code = in.num();
+        final long code = in.getLong();
         final GroupEntryKind kind = GroupEntryKind.ofCode(code);
         if (kind == null) {
             throw new IllegalStateException("group " + id + ": unknown entry kind " + code);
         }
         switch (kind) {
             case RECORD -> {
-                final LogRecord logRecord = LogRecord.wrap(in.bytes(), now);
+                final LogRecord logRecord = LogRecord.wrap(in.getBytes(), now);
                 machine.log.replay(logRecord);
                 machine.voteStore.replayRecordOf(logRecord.term());
             }
-            case TRUNCATE -> machine.log.replayTruncate(in.num());
-            case VOTE -> machine.voteStore.replay(in.num(), (int) in.num());
-            case INITIALISED -> machine.recovery.replay(in.num() == 1);
-            case SNAPSHOT -> machine.log.replaySnapshot(in.bytes(), now);
+            case TRUNCATE -> machine.log.replayTruncate(in.getLong());
+            case VOTE -> machine.voteStore.replay(in.getLong(), (int) in.getLong());
+            case INITIALISED -> machine.recovery.replay(in.getLong() == 1);
+            case SNAPSHOT -> machine.log.replaySnapshot(in.getBytes(), now);
         }
         machine.log.recovered();
     }
@@ -279,8 +279,10 @@
         if (machine.recovery.isInitialised()) {
             entries.add(machine.recovery.entry());
         }
-        entries.add(
-                GroupEntryKind.SNAPSHOT.entry(id).bytes(machine.log.snapshot()).done());
+        entries.add(GroupEntryKind.SNAPSHOT
+                .entry(id)
+                .putBytes(machine.log.snapshot())
+                .toByteArray());
         return entries;
     }
 
--- a/coordination/src/main/java/brookpath/coordination/group/GroupStateMachine.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupStateMachine.java
@@ -377,7 +377,7 @@
      * is served.
      */
     boolean isIntact(final long index) {
-        if (log.logRecord(index).whole()) {
+        if (log.logRecord(index).isIntact()) {
             return true;
         }
         if (!recovery.isLost()) {
--- a/coordination/src/main/java/brookpath/coordination/group/LeaderElection.java
+++ b/coordination/src/main/java/brookpath/coordination/group/LeaderElection.java
@@ -285,7 +285,7 @@
         }
         if (endsAsOwnLog(request.endIndex(), request.endTerm())
                 && membership.outranks(self, candidate)
-                && request.goes() < DEFERRING_ATTEMPTS
+                && request.attempts() < DEFERRING_ATTEMPTS
                 && !request.manual()
                 && mayStand(now)) {
             nextAttempt = now;
--- a/coordination/src/main/java/brookpath/coordination/node/control/ClusterMetadataUpdater.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ClusterMetadataUpdater.java
@@ -126,7 +126,7 @@
 
     /** A group's leader tells that its group has been founded. */
     public void onGroupFounded(final ControlRequest request, final Time time) {
-        final int id = (int) PackedBuffer.reader(request.body()).num();
+        final int id = (int) PackedBuffer.reader(request.body()).getLong();
         final ClusterMetadata metadata = view.newestMetadata();
         for (final GroupInfo g : metadata.groups()) {
             if (g.id() == id && !g.founded()) {
@@ -138,7 +138,7 @@
     /** A group's leader tells the membership that its log has committed. */
     public void onMembershipCommitted(final ControlRequest request, final Time time) {
         final PackedBuffer in = PackedBuffer.reader(request.body());
-        final int id = (int) in.num();
+        final int id = (int) in.getLong();
         final Membership membership = Membership.load(in);
         final ClusterMetadata metadata = view.newestMetadata();
         if (id < 0
--- a/coordination/src/main/java/brookpath/coordination/node/control/ConfigurationLeaseGranter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ConfigurationLeaseGranter.java
@@ -274,9 +274,10 @@
                         && now - p.heardAt <= 2 * timing.configurationHold())
                 .map(p -> p.last)
                 .toList();
-        final PackedBuffer buffer = PackedBuffer.writer().num(gateways.size());
-        gateways.forEach(poll -> buffer.num(poll.node()).str(poll.zone()).str(poll.address()));
-        return buffer.done();
+        final PackedBuffer buffer = PackedBuffer.writer().putLong(gateways.size());
+        gateways.forEach(
+                poll -> buffer.putLong(poll.node()).putString(poll.zone()).putString(poll.address()));
+        return buffer.toByteArray();
     }
 
     /** The zone of each process that polled, added to those given. */
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlRequestHandler.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlRequestHandler.java
@@ -131,7 +131,7 @@
 
     /** Asks a group's members for a manual switchover; nothing is recorded, and it may be asked again. */
     private Response handover(final ControlRequest request) {
-        final int id = (int) PackedBuffer.reader(request.body()).num();
+        final int id = (int) PackedBuffer.reader(request.body()).getLong();
         final List<GroupInfo> groups = view.metadata().groups();
         if (id < 0 || id >= groups.size()) {
             return new Response(ResponseStatus.NOT_FOUND, 0, "{\"outcome\":\"no such group\"}");
@@ -144,12 +144,12 @@
     }
 
     private void takeUsage(final int from, final ControlRequest request) {
-        final int id = (int) PackedBuffer.reader(request.body()).num();
+        final int id = (int) PackedBuffer.reader(request.body()).getLong();
         if (view.metadata().node(from) != null) {
             moves.onLeaderReported(id, from);
         }
         final byte[] included =
-                PackedBuffer.writer().num(usage.takeClosedWindows(request)).done();
+                PackedBuffer.writer().putLong(usage.takeClosedWindows(request)).toByteArray();
         out.send(from, new ControlReply(request.requestId(), ResponseStatus.OK.code(), 0, included));
     }
 
--- a/coordination/src/main/java/brookpath/coordination/node/control/StorageRetirementHandler.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/StorageRetirementHandler.java
@@ -74,8 +74,8 @@
     /** Empties a machine given by its number, or keeps it after all. */
     public void retire(final int from, final ControlRequest request, final Time time) {
         final PackedBuffer in = PackedBuffer.reader(request.body());
-        final Target target = new ByNumber((int) in.num());
-        take(from, request, ControlRequestKind.RETIRE, target, in.num() == 1, time);
+        final Target target = new ByNumber((int) in.getLong());
+        take(from, request, ControlRequestKind.RETIRE, target, in.getLong() == 1, time);
     }
 
     /** Empties a machine given by its name. */
--- a/coordination/src/main/java/brookpath/coordination/node/storage/GroupStateReporter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/GroupStateReporter.java
@@ -42,7 +42,7 @@
                 && group.mayAct(now)
                 && foundedReportTimes.isDue(group.id(), timing.down(), now)) {
             foundedReportTimes.sent(group.id(), now);
-            send(ControlRequestKind.FOUNDED, PackedBuffer.writer().num(group.id()));
+            send(ControlRequestKind.FOUNDED, PackedBuffer.writer().putLong(group.id()));
         }
     }
 
@@ -60,10 +60,10 @@
         reportedMemberships.put(group.id(), new ReportedMembership(version, now));
         send(
                 ControlRequestKind.MEMBERS,
-                group.membership().buffer(PackedBuffer.writer().num(group.id())));
+                group.membership().buffer(PackedBuffer.writer().putLong(group.id())));
     }
 
     private void send(final ControlRequestKind kind, final PackedBuffer body) {
-        out.send(client.controlLeader(), kind.request(NO_REPLY, body.done()));
+        out.send(client.controlLeader(), kind.request(NO_REPLY, body.toByteArray()));
     }
 }
--- a/testing/src/main/java/brookpath/testing/fuzz/FuzzMember.java
+++ b/testing/src/main/java/brookpath/testing/fuzz/FuzzMember.java
@@ -96,7 +96,7 @@
     private void recover(final boolean first) {
         for (final byte[] entry : disk.synced()) {
             final PackedBuffer in = PackedBuffer.reader(entry);
-            in.num();
+            in.getLong();
             group.replay(in, context.now());
         }
         final boolean founder = Membership.find(context.founders, id) != null;
--- a/testing/src/main/java/brookpath/testing/sim/DayFaults.java
+++ b/testing/src/main/java/brookpath/testing/sim/DayFaults.java
@@ -229,20 +229,20 @@
     private void retireForAWhile(final long durationMs) {
         final int node = randomProcess(cluster.storages).id;
         cluster.callers.operators.operate(
-                "retire", PackedBuffer.writer().num(node).num(1).done());
+                "retire", PackedBuffer.writer().putLong(node).putLong(1).toByteArray());
         cluster.at(
                 cluster.now() + 3 * durationMs,
                 () -> cluster.callers.operators.operate(
-                        "retire", PackedBuffer.writer().num(node).num(0).done()));
+                        "retire", PackedBuffer.writer().putLong(node).putLong(0).toByteArray()));
     }
 
     private void switchover() {
         cluster.callers.operators.operate(
                 "handover",
                 PackedBuffer.writer()
-                        .num(cluster.random.nextInt(cluster.groups))
-                        .num(randomProcess(cluster.storages).id)
-                        .done());
+                        .putLong(cluster.random.nextInt(cluster.groups))
+                        .putLong(randomProcess(cluster.storages).id)
+                        .toByteArray());
     }
 
     private void drainForAWhile(final long durationMs) {
--- a/testing/src/test/java/brookpath/coordination/group/CountingState.java
+++ b/testing/src/test/java/brookpath/coordination/group/CountingState.java
@@ -33,12 +33,12 @@
 
     @Override
     public byte[] save() {
-        return PackedBuffer.writer().num(applied).done();
+        return PackedBuffer.writer().putLong(applied).toByteArray();
     }
 
     @Override
     public void load(final byte[] saved) {
-        applied = PackedBuffer.reader(saved).num();
+        applied = PackedBuffer.reader(saved).getLong();
     }
 
     @Override
--- a/testing/src/test/java/brookpath/coordination/group/VoteStoreTest.java
+++ b/testing/src/test/java/brookpath/coordination/group/VoteStoreTest.java
@@ -56,10 +56,10 @@
         final VoteStore store = store();
         store.vote(3, 7);
         final PackedBuffer entry = PackedBuffer.reader(store.entry());
-        assertEquals(entry.num(), GROUP);
-        assertEquals(GroupEntryKind.ofCode(entry.num()), GroupEntryKind.VOTE);
+        assertEquals(entry.getLong(), GROUP);
+        assertEquals(GroupEntryKind.ofCode(entry.getLong()), GroupEntryKind.VOTE);
         final VoteStore restarted = new VoteStore(GROUP, new Actions());
-        restarted.replay(entry.num(), (int) entry.num());
+        restarted.replay(entry.getLong(), (int) entry.getLong());
         assertEquals(restarted.term(), 3);
         assertFalse(restarted.mayVote(3, 8));
         assertTrue(restarted.mayVote(3, 7));
--- a/testing/src/test/java/brookpath/testing/sim/FullSyncTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/FullSyncTest.java
@@ -64,7 +64,7 @@
                 .findFirst()
                 .orElseThrow();
         cluster.callers.operators.operate(
-                "retire", PackedBuffer.writer().num(spare.id).num(1).done());
+                "retire", PackedBuffer.writer().putLong(spare.id).putLong(1).toByteArray());
         cluster.run(cluster.now() + 8_000);
     }
 
--- a/testing/src/test/java/brookpath/testing/sim/GroupRepairScene.java
+++ b/testing/src/test/java/brookpath/testing/sim/GroupRepairScene.java
@@ -183,7 +183,7 @@
                     id -> new NodeRequest.Operate(
                             id,
                             ControlRequestKind.RETIRE,
-                            PackedBuffer.writer().num(node).num(1).done()),
+                            PackedBuffer.writer().putLong(node).putLong(1).toByteArray()),
                     r -> got[0] = r);
             run(10);
         }
--- a/tools/src/main/java/brookpath/tools/datafolder/DataFolderCheck.java
+++ b/tools/src/main/java/brookpath/tools/datafolder/DataFolderCheck.java
@@ -89,7 +89,7 @@
     private void checkGroup(final int id, final GroupMachine group, final List<String> findingsHere) {
         printGroup(id, group);
         for (long index = group.baseIndex() + 1; index <= group.endIndex(); index++) {
-            if (!group.logRecord(index).whole()) {
+            if (!group.logRecord(index).isIntact()) {
                 findingsHere.add("group " + id + ": record " + index + " does not fit its checksum");
             }
         }
--- a/tools/src/main/java/brookpath/tools/datafolder/StoredGroups.java
+++ b/tools/src/main/java/brookpath/tools/datafolder/StoredGroups.java
@@ -41,7 +41,7 @@
 
     private static void replayEntry(final byte[] entry, final TreeMap<Integer, GroupMachine> groups) {
         final PackedBuffer in = PackedBuffer.reader(entry);
-        final int id = (int) in.num();
+        final int id = (int) in.getLong();
         if (TopicGroups.isDropped(entry)) {
             groups.remove(id);
         } else {
--- a/transport/src/main/java/brookpath/transport/http/OperatorResource.java
+++ b/transport/src/main/java/brookpath/transport/http/OperatorResource.java
@@ -19,7 +19,9 @@
 import java.io.InputStream;
 import java.util.concurrent.CompletionStage;
 
-/** What operators ask of any controller. docs/operators/operator-interface.md shows it with examples. */
+/**
+ * The interface for operators, the same on any controller. docs/operators/operator-interface.md shows it with examples.
+ */
 @Path("/v1")
 @Produces(APPLICATION_JSON)
 public final class OperatorResource {
@@ -55,7 +57,10 @@
     public CompletionStage<Response> retire(@PathParam("node") final int node, @QueryParam("on") final String on) {
         return operate(
                 ControlRequestKind.RETIRE,
-                PackedBuffer.writer().num(node).num("false".equals(on) ? 0 : 1).done());
+                PackedBuffer.writer()
+                        .putLong(node)
+                        .putLong("false".equals(on) ? 0 : 1)
+                        .toByteArray());
     }
 
     /** Manual switchover of a group's leadership. */
@@ -64,7 +69,7 @@
     public CompletionStage<Response> handover(@PathParam("group") final int group, @QueryParam("node") final int node) {
         return operate(
                 ControlRequestKind.HANDOVER,
-                PackedBuffer.writer().num(group).num(node).done());
+                PackedBuffer.writer().putLong(group).putLong(node).toByteArray());
     }
 
     @GET
@@ -80,6 +85,6 @@
     }
 
     private CompletionStage<Response> operate(final ControlRequestKind kind, final byte[] body) {
-        return dispatcher.ask(id -> new NodeRequest.Operate(id, kind, body));
+        return dispatcher.submit(id -> new NodeRequest.Operate(id, kind, body));
     }
 }
