--- a/coordination/src/main/java/brookpath/coordination/configuration/ClusterMetadata.java
+++ b/coordination/src/main/java/brookpath/coordination/metadata/ClusterMetadata.java
@@ -1,4 +1,4 @@
-package brookpath.coordination.configuration;
+package brookpath.coordination.metadata;
 
 import brookpath.coordination.group.Member;
 import brookpath.coordination.group.Membership;
@@ -27,15 +27,15 @@
      */
     private static final long FORMAT = -2;
 
+    /** The cluster metadata before the first record. */
     public static final ClusterMetadata NONE = new ClusterMetadata(0, List.of(), List.of(), List.of());
 
     /**
-     * A process as others are told of it. Node numbers follow from addresses, which are used again; the machine's
-     * identity tells a machine from the one before it.
+     * A process as others see it. Node numbers follow from addresses, which are used again; the machine's identity
+     * tells a machine from the one before it.
      *
      * @param name what operators call the machine; may be empty
-     * @param machine the machine's identity, drawn at its first start; {@link #UNKNOWN_MACHINE} where nobody has told
-     *     it
+     * @param machine the machine's identity, drawn at its first start; {@link #UNKNOWN_MACHINE} where it is not known
      */
     public record NodeInfo(int node, String zone, String address, String name, long machine) {
         public static final long UNKNOWN_MACHINE = 0;
@@ -114,6 +114,7 @@
         return new ClusterMetadata(version + 1, nodes, groups, retiring, List.copyOf(newControllers), newControl);
     }
 
+    /** The storage node of this number, null for none. */
     public NodeInfo node(final int id) {
         for (final NodeInfo n : nodes) {
             if (n.node() == id) {
@@ -123,6 +124,7 @@
         return null;
     }
 
+    /** The form in which it is stored and sent. */
     public byte[] save() {
         final PackedBuffer buffer =
                 PackedBuffer.writer().num(FORMAT).num(version).num(nodes.size());
@@ -138,6 +140,11 @@
         return control.buffer(buffer).done();
     }
 
+    /**
+     * Reads what {@link #save} gave, also that of earlier formats.
+     *
+     * @throws IllegalStateException where the format is that of a newer version
+     */
     public static ClusterMetadata load(final byte[] saved) {
         if (saved.length == 0) {
             return NONE;
--- a/coordination/src/main/java/brookpath/coordination/node/GatewayNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/GatewayNode.java
@@ -3,7 +3,6 @@
 import static brookpath.coordination.message.ResponseStatus.OK;
 
 import brookpath.coordination.TimingBounds;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
 import brookpath.coordination.configuration.ConfigurationClient;
 import brookpath.coordination.message.PeerMessage;
 import brookpath.coordination.message.PeerMessage.ConfigurationPoll;
@@ -20,6 +19,7 @@
 import brookpath.coordination.message.PeerMessage.PublishReply;
 import brookpath.coordination.message.Response;
 import brookpath.coordination.message.ResponseStatus;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.node.gateway.GatewayAddresses;
 import brookpath.coordination.node.gateway.GatewayDrain;
 import brookpath.coordination.node.gateway.LeaseQueue;
@@ -47,7 +47,6 @@
     /** A gateway only watches, so its heartbeats are rarer: changes of masterships are told to it at once besides. */
     private static final int HEARTBEAT_PERIODS = 4;
 
-
     private final String zone;
     private final ConfigurationClient client;
     private final PublishForwarder forwarder;
@@ -260,7 +259,7 @@
                 drain.stop();
             }
             out.respond(request.requestId(), new Response(OK, 0, "{\"draining\":" + request.on() + "}"));
-        } else if (nodeRequest instanceof NodeRequest.Retreat request) {
+        } else if (nodeRequest instanceof NodeRequest.GracefulShutdown request) {
             drain.shutDown(request.requestId(), now);
         } else if (nodeRequest instanceof NodeRequest.Status request) {
             out.respond(request.requestId(), new Response(OK, 0, statusJson(time)));
@@ -286,7 +285,7 @@
             out.respond(request.requestId(), Refusals.refused(ResponseStatus.UNAUTHORIZED, 0, "key", "unknown key"));
         } else if (client.draining()) {
             refuseDraining(request.requestId());
-            out.move(request.requestId(), otherGateways.next());
+            out.moveSession(request.requestId(), otherGateways.next());
         } else {
             sessionRequests.open(request);
         }
@@ -326,8 +325,8 @@
         refuse(requestId, "draining", "this node drains; another takes new sessions");
     }
 
-    private void refuse(final long requestId, final String code, final String why) {
-        out.respond(requestId, Refusals.retryLater(timing, code, why));
+    private void refuse(final long requestId, final String code, final String reason) {
+        out.respond(requestId, Refusals.retryLater(timing, code, reason));
     }
 
     // ---- for the listener thread and the status page
--- a/coordination/src/main/java/brookpath/coordination/node/control/MetadataKeeper.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ClusterMetadataUpdater.java
@@ -1,15 +1,15 @@
 package brookpath.coordination.node.control;
 
 import brookpath.coordination.TimingBounds;
-import brookpath.coordination.configuration.ClusterMetadata;
-import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
-import brookpath.coordination.configuration.ControlState;
-import brookpath.coordination.configuration.Placement;
+import brookpath.coordination.controllog.ControlState;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Membership;
 import brookpath.coordination.message.PeerMessage.ControlRequest;
+import brookpath.coordination.metadata.ClusterMetadata;
+import brookpath.coordination.metadata.ClusterMetadata.GroupInfo;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.node.Node.Time;
+import brookpath.coordination.placement.Placement;
 import brookpath.state.record.LogRecord;
 import brookpath.state.record.PackedBuffer;
 import java.util.ArrayList;
@@ -19,34 +19,34 @@
  * Keeps the cluster metadata up, as a duty of the control leader: which machines there are, where the topic groups lie,
  * and who their members are. Each step is a record of the control log.
  */
-public final class MetadataKeeper {
+public final class ClusterMetadataUpdater {
     private final NodeInfo info;
     private final GroupMachine group;
     private final ControlView view;
-    private final PollRegistry polls;
-    private final Founding founding;
+    private final ConfigurationLeaseGranter leases;
+    private final GroupBootstrap bootstrap;
     private final TimingBounds timing;
 
-    /** @param info this controller as others are told of it */
-    public MetadataKeeper(
+    /** @param info this controller as others see it */
+    public ClusterMetadataUpdater(
             final NodeInfo info,
             final GroupMachine group,
             final ControlView view,
-            final PollRegistry polls,
-            final Founding founding,
+            final ConfigurationLeaseGranter leases,
+            final GroupBootstrap bootstrap,
             final TimingBounds timing) {
         this.info = info;
         this.group = group;
         this.view = view;
-        this.polls = polls;
-        this.founding = founding;
+        this.leases = leases;
+        this.bootstrap = bootstrap;
         this.timing = timing;
     }
 
     /** Appends what has changed: machines that came, moved or went, the control group's members, the first groups. */
     public void update(final Time time) {
         if (!group.tellsMembers()) {
-            // why: from here on the log says who the members are, also to one that comes back with other seeds than the
+            // From here on the log says who the members are, also to one that comes back with other seeds than the
             // founders
             final Membership present = group.membership();
             group.change(new Membership(present.version() + 1, present.voters(), List.of()), time.mono(), time.wall());
@@ -57,18 +57,18 @@
         final List<NodeInfo> controllers = new ArrayList<>(metadata.controllers());
         final List<Integer> retiring = new ArrayList<>(metadata.retiring());
         boolean changed = take(controllers, info, retiring);
-        for (final NodeInfo storage : polls.storages()) {
+        for (final NodeInfo storage : leases.storageNodes()) {
             changed |= take(nodes, storage, retiring);
         }
-        for (final NodeInfo controller : polls.controllers()) {
+        for (final NodeInfo controller : leases.controllers()) {
             changed |= take(controllers, controller, retiring);
         }
         changed |= group.membershipSettled()
                 && metadata.control().version() < group.membership().version();
         List<GroupInfo> groups = metadata.groups();
         if (groups.isEmpty() && mayFound(nodes.size(), time.mono())) {
-            groups =
-                    Placement.found(nodes, founding.groups() > 0 ? founding.groups() : nodes.size(), founding.copies());
+            groups = Placement.initial(
+                    nodes, bootstrap.groups() > 0 ? bootstrap.groups() : nodes.size(), bootstrap.replicas());
             changed = true;
         }
         if (changed) {
@@ -86,15 +86,15 @@
     }
 
     private boolean mayFound(final int storages, final long now) {
-        return storages >= founding.storages()
-                && (founding.groups() > 0 || now - polls.newcomerAt() >= timing.changeMs() / 2);
+        return storages >= bootstrap.storageNodes()
+                && (bootstrap.groups() > 0 || now - leases.newProcessSeenAt() >= timing.changeMs() / 2);
     }
 
     /** Not a member, and not heard for long: nobody needs to know of it any more. */
     private boolean isGone(final NodeInfo controller, final long now) {
         return controller.node() != info.node()
-                && now - polls.dutySince() > timing.recoverMs()
-                && !polls.nodes().contains(controller.node())
+                && now - leases.leadingSince() > timing.recoverMs()
+                && !leases.nodes().contains(controller.node())
                 && !group.membership().holds(controller.node());
     }
 
@@ -118,8 +118,8 @@
     }
 
     /** A group's leader tells that its group has been founded. */
-    public void founded(final ControlRequest op, final Time time) {
-        final int id = (int) PackedBuffer.reader(op.body()).num();
+    public void onGroupFounded(final ControlRequest request, final Time time) {
+        final int id = (int) PackedBuffer.reader(request.body()).num();
         final ClusterMetadata metadata = view.newestMetadata();
         for (final GroupInfo g : metadata.groups()) {
             if (g.id() == id && !g.founded()) {
@@ -129,8 +129,8 @@
     }
 
     /** A group's leader tells the membership that its log has committed. */
-    public void members(final ControlRequest op, final Time time) {
-        final PackedBuffer in = PackedBuffer.reader(op.body());
+    public void onMembershipCommitted(final ControlRequest request, final Time time) {
+        final PackedBuffer in = PackedBuffer.reader(request.body());
         final int id = (int) in.num();
         final Membership membership = Membership.load(in);
         final ClusterMetadata metadata = view.newestMetadata();
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlLeader.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlLeader.java
@@ -2,14 +2,14 @@
 
 import brookpath.coordination.TimingBounds;
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
 import brookpath.coordination.configuration.ConfigurationReader;
-import brookpath.coordination.configuration.FleetClock;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.group.Quorums;
 import brookpath.coordination.heartbeat.HeartbeatTable;
 import brookpath.coordination.message.PeerMessage.ConfigurationPoll;
 import brookpath.coordination.message.PeerMessage.ControlRequest;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
+import brookpath.coordination.metadata.FleetClock;
 import brookpath.coordination.node.Node.Time;
 import brookpath.coordination.node.NodeRequest;
 import brookpath.coordination.node.usage.UsageReporter;
@@ -29,50 +29,52 @@
     private final GroupMachine group;
     private final ControlView view;
     private final FleetClock clock = new FleetClock();
-    private final ControlMembers members;
-    private final PollRegistry polls;
-    private final MetadataKeeper metadataKeeper;
-    private final GroupMoves moves;
-    private final PendingAnswers pending;
+    private final ControlGroupMembership members;
+    private final ConfigurationLeaseGranter leases;
+    private final ChangeConfirmation confirmation;
+    private final ClusterMetadataUpdater metadataUpdater;
+    private final GroupMoveDriver moves;
+    private final PendingRequests pending;
     private final UsageReporter usage;
     private final ControlRequestHandler requests;
 
     /**
-     * @param info this controller as others are told of it
+     * @param info this controller as others see it
      * @param ids of usage reports, never the same twice
      */
     public ControlLeader(
             final NodeInfo info,
             final GroupMachine group,
             final ControlView view,
-            final Founding founding,
+            final GroupBootstrap bootstrap,
             final TimingBounds timing,
-            final Replies replies,
+            final ControlResponder responder,
             final LongSupplier ids,
             final Actions out) {
         self = info.node();
         this.group = group;
         this.view = view;
-        members = new ControlMembers(self, group, timing, founding.toleratedLosses());
-        polls = new PollRegistry(self, group, view, clock, timing, out);
-        metadataKeeper = new MetadataKeeper(info, group, view, polls, founding, timing);
-        moves = new GroupMoves(view, polls, founding.copies(), timing, out);
-        pending = new PendingAnswers(group, timing, replies, out);
+        members = new ControlGroupMembership(self, group, timing, bootstrap.toleratedLosses());
+        leases = new ConfigurationLeaseGranter(self, group, view, clock, timing, out);
+        metadataUpdater = new ClusterMetadataUpdater(info, group, view, leases, bootstrap, timing);
+        moves = new GroupMoveDriver(view, leases, bootstrap.replicas(), timing, out);
+        pending = new PendingRequests(group, timing, responder, out);
+        confirmation = new ChangeConfirmation(leases, timing);
         usage = new UsageReporter(self, group, view, clock, timing, ids, out);
         final ConfigurationReader.Limits limits = new ConfigurationReader.Limits(
-                founding.copies(), Quorums.floor(founding.copies(), founding.toleratedLosses()));
+                bootstrap.replicas(), Quorums.floor(bootstrap.replicas(), bootstrap.toleratedLosses()));
         requests = new ControlRequestHandler(
                 self,
                 group,
                 view,
-                new ChangeOrders(group, view, limits, polls, pending, replies),
-                new RetireOrders(group, view, polls, pending),
-                metadataKeeper,
+                new ConfigurationChangeHandler(group, view, limits, confirmation, pending, responder),
+                new StorageRetirementHandler(group, view, leases, pending),
+                metadataUpdater,
                 moves,
-                polls,
+                leases,
                 usage,
                 pending,
-                replies,
+                responder,
                 timing,
                 out);
     }
@@ -97,13 +99,13 @@
 
     private void act(final HeartbeatTable table, final Time time) {
         final long now = time.mono();
-        polls.onDuty(now);
+        leases.onLeading(now);
         if (group.tellsMembers()) {
-            members.advance(table, polls.observers(now), controllerZones(), now, time.wall());
+            members.advance(table, leases.observers(now), controllerZones(), now, time.wall());
         }
         clock.hear(self, time.wall(), now);
-        polls.answerHeld(now);
-        final Set<Integer> heard = new HashSet<>(polls.nodes());
+        leases.answerPending(now);
+        final Set<Integer> heard = new HashSet<>(leases.nodes());
         heard.add(self);
         clock.keep(heard);
         pending.step(time);
@@ -111,8 +113,9 @@
 
     /** Forgets what a successor learns anew, and ends the requests that are not answered yet. */
     private void stepDown() {
-        if (polls.isOnDuty()) {
-            polls.clear();
+        if (leases.isLeading()) {
+            leases.clear();
+            confirmation.clear();
             clock.clear();
             usage.clear();
             moves.clear();
@@ -129,18 +132,18 @@
     /** Does the periodic duties; only for a leader that may act. */
     public void tick(final Time time) {
         if (!view.backlogged()) {
-            metadataKeeper.update(time);
-            moves.drive(time.mono());
+            metadataUpdater.update(time);
+            moves.orderDue(time.mono());
         }
         usage.total(
                 view.metadata(), view.configuration().configuration().tenants().keySet(), time);
         usage.report(time);
     }
 
-    /** Takes a poll, and answers it now or once there is news; only for a leader that may act. */
+    /** Takes a poll, and answers it now or once there is an update; only for a leader that may act. */
     public void onPoll(final int from, final ConfigurationPoll poll, final Time time) {
         clock.hear(poll.node(), poll.wall(), time.mono());
-        polls.poll(from, poll, time.mono());
+        leases.onPoll(from, poll, time.mono());
         pending.step(time);
     }
 
@@ -161,6 +164,6 @@
 
     /** The zone of each process that polled, added to those given. */
     public void addZones(final Map<Integer, String> zones) {
-        polls.addZones(zones);
+        leases.addZones(zones);
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/storage/PendingPublishes.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/PendingPublishes.java
@@ -34,7 +34,7 @@
     }
 
     /**
-     * Replies to the gateway once enough replicas have the record.
+     * ControlResponder to the gateway once enough replicas have the record.
      *
      * @param index where the publish lies in the group's log
      */
@@ -45,7 +45,7 @@
             final long index,
             final int requiredReplicas,
             final long now) {
-        final long deadline = now + timing.settleDeadline();
+        final long deadline = now + timing.commitDeadline();
         byGroup.computeIfAbsent(group, id -> new ArrayList<>())
                 .add(new PendingPublish(gateway, requestId, index, requiredReplicas, deadline));
     }
--- a/coordination/src/main/java/brookpath/coordination/node/storage/TopicGroups.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/TopicGroups.java
@@ -1,11 +1,11 @@
 package brookpath.coordination.node.storage;
 
 import brookpath.coordination.action.Actions;
-import brookpath.coordination.configuration.ClusterMetadata;
-import brookpath.coordination.configuration.ClusterMetadata.GroupInfo;
 import brookpath.coordination.configuration.ConfigurationClient;
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.message.PeerMessage.HeartbeatEntry;
+import brookpath.coordination.metadata.ClusterMetadata;
+import brookpath.coordination.metadata.ClusterMetadata.GroupInfo;
 import brookpath.coordination.topic.TopicState;
 import brookpath.state.record.PackedBuffer;
 import java.util.ArrayList;
--- a/programs/src/main/java/brookpath/programs/boot/ProcessAssembly.java
+++ b/programs/src/main/java/brookpath/programs/boot/ProcessAssembly.java
@@ -1,9 +1,9 @@
 package brookpath.programs.boot;
 
 import brookpath.coordination.action.Action;
-import brookpath.coordination.configuration.ClusterMetadata;
-import brookpath.coordination.configuration.ClusterMetadata.NodeInfo;
 import brookpath.coordination.configuration.ConfigurationClient;
+import brookpath.coordination.metadata.ClusterMetadata;
+import brookpath.coordination.metadata.ClusterMetadata.NodeInfo;
 import brookpath.coordination.node.ControllerNode;
 import brookpath.coordination.node.GatewayNode;
 import brookpath.coordination.node.Node;
--- a/programs/src/main/java/brookpath/programs/settings/Settings.java
+++ b/programs/src/main/java/brookpath/programs/settings/Settings.java
@@ -1,7 +1,7 @@
 package brookpath.programs.settings;
 
 import brookpath.coordination.TimingBounds;
-import brookpath.coordination.node.control.Founding;
+import brookpath.coordination.node.control.GroupBootstrap;
 import brookpath.programs.Role;
 import java.util.Map;
 
@@ -29,7 +29,7 @@
         Map<Integer, String> seeds,
         String dataFolder,
         TimingBounds timing,
-        Founding founding,
+        GroupBootstrap founding,
         long segmentBytes,
         boolean foundsControlGroup,
         String platformUrl) {}
