--- a/coordination/src/main/java/brookpath/coordination/group/GroupStateMachine.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupStateMachine.java
@@ -88,8 +88,6 @@
         membershipChange = new MembershipChange(self, toleratedLosses, membership, log, lease, progress);
     }
 
-    // ---- set-up
-
     /** Takes the membership that the placement tells of. */
     void configure(final Membership placed, final boolean founded, final long now) {
         membership.place(placed);
@@ -104,8 +102,6 @@
         return roleState.isLeader() ? lease.mayAct(now) : fetcher.isInSync(now);
     }
 
-    // ---- events
-
     /** Takes the newest membership that the log or the placement tells of. */
     private void refreshMembership() {
         membership.refresh(log);
