--- a/testing/src/main/java/brookpath/testing/mutate/Mutants.java
+++ b/testing/src/main/java/brookpath/testing/mutate/Mutants.java
@@ -24,7 +24,29 @@
  * of one replication group, with the model as the check. Outside CI. Exits 1 where a mutant lived.
  */
 public final class Mutants {
-    private record Mutant(String name, String file, String find, String replace, String faults) {}
+    /** The rules that break what the product's processes do together. */
+    static final String TABLE = "mutants.txt";
+    /** The rules of one replication group. */
+    static final String MODEL_TABLE = "model-mutants.txt";
+
+    /** One rule to break: the text in a file of the coordination module, and what takes its place. */
+    record Mutant(String name, String file, String find, String replace, String faults) {
+        /** The source file in a checkout of the repository. */
+        Path source(final Path checkout) {
+            return checkout.resolve("coordination/src/main/java/brookpath/coordination")
+                    .resolve(file);
+        }
+
+        /** Where the text stands in the source; throws an IllegalStateException where it is not there. */
+        Matcher locate(final Path checkout) throws IOException {
+            final Path source = source(checkout);
+            final Matcher found = Pattern.compile(anyLayout(find)).matcher(Files.readString(source));
+            if (!found.find()) {
+                throw new IllegalStateException(name + ": its text is not in " + source);
+            }
+            return found;
+        }
+    }
 
     private static final String MODEL = "model";
     private static final int MOST_SHOWN = 110;
@@ -60,7 +82,7 @@
     public static void main(final String[] args) throws Exception {
         final String seeds = args.length > 0 ? args[0] : "24";
         final boolean model = seeds.equals(MODEL);
-        final List<Mutant> mutants = read(model ? "model-mutants.txt" : "mutants.txt", args.length < 2 ? "" : args[1]);
+        final List<Mutant> mutants = read(model ? MODEL_TABLE : TABLE, args.length < 2 ? "" : args[1]);
         // why: a check that is red without a mutant says nothing of mutants
         final Path work = Files.createTempDirectory("whole");
         final String classPath = System.getProperty("java.class.path");
@@ -85,7 +107,8 @@
         System.exit(lived == 0 ? 0 : 1);
     }
 
-    private static List<Mutant> read(final String file, final String part) throws IOException {
+    /** The mutants of a table whose line contains the given text. */
+    static List<Mutant> read(final String file, final String part) throws IOException {
         final List<Mutant> mutants = new ArrayList<>();
         try (InputStream in = Mutants.class.getResourceAsStream("/brookpath/testing/" + file)) {
             for (final String line : new String(in.readAllBytes(), UTF_8).split("\n")) {
@@ -133,12 +156,7 @@
     }
 
     private static String row(final Mutant m, final String seeds) throws IOException, InterruptedException {
-        final Path src = Path.of("coordination/src/main/java/brookpath/coordination", m.file);
-        final String code = Files.readString(src);
-        final Matcher found = Pattern.compile(anyLayout(m.find)).matcher(code);
-        if (!found.find()) {
-            throw new IllegalStateException(m.name + ": its text is not in " + src);
-        }
+        final Matcher found = m.locate(Path.of(""));
         final Path work = Files.createTempDirectory("mutant");
         final Path mutated = work.resolve("src").resolve(m.file);
         Files.createDirectories(mutated.getParent());
