--- a/coordination/src/main/java/brookpath/coordination/group/GroupStateMachine.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupStateMachine.java
@@ -328,7 +328,7 @@
         if (pull.term() > voteStore.term() && !learner) {
             voteStore.observe(pull.term());
             if (roleState.isLeader()) {
-                stepDown("sibling " + from + " is in epoch " + pull.term());
+                stepDown("peer " + from + " is in term " + pull.term());
             }
             return;
         }
