--- a/programs/src/main/java/brookpath/programs/boot/DataFolder.java
+++ b/programs/src/main/java/brookpath/programs/boot/DataFolder.java
@@ -35,7 +35,10 @@
         return new DataFolder(identity.number(), recovery.writeAheadLog(), recovery.replayed());
     }
 
-    /** A folder with no room at all is still empty, since a log that exists can be read; the start waits for room. */
+    /**
+     * On a full disk the start waits for space; only a folder without a log needs it, since an existing one can be
+     * read.
+     */
     private static <T> T retryWhileDiskIsFull(final long pauseMs, final Supplier<T> operation) {
         while (true) {
             try {
--- a/programs/src/main/java/brookpath/programs/boot/HttpServer.java
+++ b/programs/src/main/java/brookpath/programs/boot/HttpServer.java
@@ -18,8 +18,8 @@
 import org.eclipse.jetty.server.RequestLog;
 
 /**
- * The HTTP server of a process: Dropwizard, started from settings that are already read and checked, with its logs
- * going to tinylog alone.
+ * The HTTP server of a process: Dropwizard, started from settings that are already read and checked, which logs to
+ * tinylog only.
  */
 final class HttpServer extends Application<Configuration> {
     private static final int MAX_THREADS = 128;
@@ -38,7 +38,7 @@
 
     @Override
     protected void bootstrapLogging() {
-        // why: Dropwizard would set up logback here; SLF4J goes to tinylog instead
+        // why: Dropwizard would set up logback here; SLF4J is bound to tinylog instead
     }
 
     @Override
@@ -97,7 +97,7 @@
     private static final class NoLogging implements LoggingFactory {
         @Override
         public void configure(final MetricRegistry registry, final String name) {
-            // why: tinylog.properties says all there is to say
+            // why: tinylog.properties configures logging completely
         }
 
         @Override
--- a/programs/src/main/java/brookpath/programs/boot/ProcessAssembly.java
+++ b/programs/src/main/java/brookpath/programs/boot/ProcessAssembly.java
@@ -37,7 +37,7 @@
      * Opens the data folder, replays its log and prepares the process; nothing runs before {@link #start}.
      *
      * @param poster posts the usage reports
-     * @throws ProcessStartException where the data folder forbids what the plan says
+     * @throws ProcessStartException where the content of the data folder contradicts the plan
      */
     public static ProcessAssembly of(final ProcessPlan plan, final Host.Poster poster) {
         final Time now = SystemClock.now();
@@ -68,7 +68,7 @@
 
     private static Node createNode(final ProcessPlan plan, final NodeInfo self) {
         final List<Integer> seeds = List.copyOf(plan.seeds().keySet());
-        // why: requests of an earlier incarnation must not be taken for this one's
+        // why: requests of an earlier incarnation must not be confused with those of this one
         final long firstRequestId = RandomNumbers.firstId();
         final long randomSeed = System.nanoTime();
         return switch (plan.role()) {
--- a/programs/src/main/java/brookpath/programs/boot/ProcessLauncher.java
+++ b/programs/src/main/java/brookpath/programs/boot/ProcessLauncher.java
@@ -29,9 +29,9 @@
 
     private ProcessLauncher() {}
 
-    /** Starts a program, or does what its arguments ask for instead. */
+    /** Starts a program; where its arguments request help or a check of the settings, does only that. */
     public static void launch(final Program program, final String[] args) throws Exception {
-        // why: Dropwizard brings logback along; SLF4J is to go to tinylog before anything logs
+        // why: Dropwizard brings logback along; SLF4J must be bound to tinylog before anything logs
         System.setProperty("slf4j.provider", "org.tinylog.slf4j.TinylogSlf4jServiceProvider");
         final SettingsReader.Reading reading = SettingsReader.read(args, program);
         if (reading.helpOnly()) {
--- a/programs/src/main/java/brookpath/programs/boot/ProcessStartException.java
+++ b/programs/src/main/java/brookpath/programs/boot/ProcessStartException.java
@@ -1,6 +1,6 @@
 package brookpath.programs.boot;
 
-/** A process cannot start as it is told to; the message says why, for the operator. */
+/** A process cannot start with its settings; the message is the reason, for the operator. */
 public final class ProcessStartException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/programs/src/main/java/brookpath/programs/boot/package-info.java
+++ b/programs/src/main/java/brookpath/programs/boot/package-info.java
@@ -1,2 +1,7 @@
-/** Puts a process together from its settings, and starts it. */
+/**
+ * Assembles a process from its settings and starts it: {@link brookpath.programs.boot.ProcessPlan} is the input,
+ * {@link brookpath.programs.boot.ProcessAssembly} builds the node, data folder and sessions with peers, and
+ * {@link brookpath.programs.boot.ProcessLauncher} runs it behind the HTTP server. The start runs on the main thread;
+ * the threads that it starts belong to {@link brookpath.transport.loop.Host} and to the HTTP server.
+ */
 package brookpath.programs.boot;
--- a/programs/src/main/java/brookpath/programs/settings/Settings.java
+++ b/programs/src/main/java/brookpath/programs/settings/Settings.java
@@ -10,7 +10,7 @@
  *
  * @param node the process's number, unique in the cluster
  * @param peerAddress where peers reach the process; empty for a gateway without one
- * @param advertisedPeerAddress where peers are told to reach it, other than peerAddress behind a forwarded port
+ * @param advertisedPeerAddress the address that is sent to peers; differs from peerAddress behind a forwarded port
  * @param httpAddress where callers or operators reach it
  * @param seeds the controllers that are polled first: their addresses for peers by their numbers
  * @param dataFolder empty for a gateway without one
--- a/programs/src/main/java/brookpath/programs/settings/SettingsKeys.java
+++ b/programs/src/main/java/brookpath/programs/settings/SettingsKeys.java
@@ -5,8 +5,8 @@
 import java.util.Set;
 
 /**
- * The keys of the settings file and of the flags, with ranges and defaults. docs/operators/settings.md tells what each
- * means. Times are in milliseconds, sizes in bytes.
+ * The keys of the settings file and of the flags, with ranges and defaults. docs/operators/settings.md describes each.
+ * Times are in milliseconds, sizes in bytes.
  */
 final class SettingsKeys {
     static final String ZONE = "zone";
--- a/programs/src/main/java/brookpath/programs/settings/SettingsReader.java
+++ b/programs/src/main/java/brookpath/programs/settings/SettingsReader.java
@@ -35,10 +35,10 @@
     /**
      * What reading the flags and the file gave.
      *
-     * @param settings good where there are no findings; null where help was asked for, or the flags cannot be read
+     * @param settings valid where there are no findings; null where help was requested, or the flags cannot be read
      * @param findings what is wrong
      * @param warnings what works for now, but will not in the next release
-     * @param helpOnly whether only the help text is asked for
+     * @param helpOnly whether only the help text is requested
      * @param checkOnly whether the settings are only to be checked
      */
     public record Reading(
@@ -163,7 +163,7 @@
         return keys;
     }
 
-    /** A storage node's where the role is wrong, so that reading goes on with the stricter demands. */
+    /** The role; a storage node's where it is invalid, so that the rest is checked by the stricter rules. */
     private Role role() {
         if (program == Program.CONTROLLER) {
             return Role.CONTROLLER;
--- a/programs/src/main/java/brookpath/programs/settings/SettingsSource.java
+++ b/programs/src/main/java/brookpath/programs/settings/SettingsSource.java
@@ -14,7 +14,7 @@
 
 /**
  * The values that flags and settings file give, the flags first. What is wrong with a value is collected as a finding,
- * with its place, and reading goes on. Used by one thread.
+ * with its place, and reading continues. Used by one thread.
  */
 final class SettingsSource {
     private static final String FLAG_PREFIX = "--";
--- a/programs/src/main/java/brookpath/programs/settings/SettingsWatch.java
+++ b/programs/src/main/java/brookpath/programs/settings/SettingsWatch.java
@@ -17,9 +17,9 @@
 import org.tinylog.Logger;
 
 /**
- * Watches the settings file of a running process. A changed file is read and checked as at a start, and adopted as a
- * whole or rejected as a whole: where it is wrong in any way, or changes what cannot change in a running process, its
- * findings are reported and the process goes on with the settings that it has.
+ * Watches the settings file of a running process. A changed file is read and checked as at a start, and adopted
+ * completely or not at all: where it is wrong in any way, or changes what cannot change in a running process, its
+ * findings are reported and the process keeps its present settings.
  *
  * <p>One thread calls {@link #checkFile}; any thread may read.
  */
--- a/protocol/src/main/java/brookpath/protocol/frame/ElectionFrameCodec.java
+++ b/protocol/src/main/java/brookpath/protocol/frame/ElectionFrameCodec.java
@@ -12,7 +12,7 @@
 import brookpath.protocol.sbe.VoteRequestFrameDecoder;
 import brookpath.protocol.sbe.VoteRequestFrameEncoder;
 
-/** Votes, and the request to stand for election at once. */
+/** Vote requests and replies, and the request to start an election at once. */
 final class ElectionFrameCodec {
     private ElectionFrameCodec() {}
 
--- a/protocol/src/main/java/brookpath/protocol/frame/FrameCodec.java
+++ b/protocol/src/main/java/brookpath/protocol/frame/FrameCodec.java
@@ -30,7 +30,7 @@
     private final FrameWriter writer = new FrameWriter();
     private final FrameReader reader = new FrameReader();
 
-    /** The frame of a message, header included; the array is the caller's. */
+    /** Encodes a message as a frame, header included, into a new array. */
     public byte[] encode(final PeerMessage message) {
         return writer.copyFrame(encodeGroupMessage(message));
     }
--- a/protocol/src/main/java/brookpath/protocol/frame/FrameWriter.java
+++ b/protocol/src/main/java/brookpath/protocol/frame/FrameWriter.java
@@ -33,7 +33,7 @@
         final byte[] frame = new byte[MessageHeaderEncoder.ENCODED_LENGTH + bodyLength];
         buffer.getBytes(0, frame);
         if (buffer.capacity() > MAX_RETAINED_CAPACITY_BYTES) {
-            // why: one full sync must not hold its memory for ever
+            // why: the memory of one full sync must not stay allocated
             buffer = new ExpandableArrayBuffer(INITIAL_CAPACITY_BYTES);
         }
         return frame;
--- a/state/src/main/java/brookpath/state/disk/DiskFullException.java
+++ b/state/src/main/java/brookpath/state/disk/DiskFullException.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 /**
- * A write that failed for want of room. Nothing that was synced is touched by it, and the same write may succeed once
+ * A write that failed for lack of space. Nothing that was synced is touched by it, and the same write may succeed once
  * there is room again; a failed sync is never reported as this.
  */
 public final class DiskFullException extends UncheckedIOException {
@@ -14,6 +14,7 @@
     /** How operating systems word ENOSPC and EDQUOT; Java passes on no error number. */
     private static final List<String> WORDINGS = List.of("no space left", "disk quota exceeded", "not enough space");
 
+    /** @param cause the failed write as the operating system reported it */
     public DiskFullException(final IOException cause) {
         super(cause);
     }
--- a/state/src/main/java/brookpath/state/disk/MachineIdentity.java
+++ b/state/src/main/java/brookpath/state/disk/MachineIdentity.java
@@ -4,13 +4,13 @@
 import java.util.zip.CRC32C;
 
 /**
- * The number that tells a machine from another one at the same address. It is drawn at the machine's first start, and
- * kept in the data folder from before anything else is written there. A folder whose identity cannot be read counts as
- * that of a new machine: what its log holds stands on checksums of its own, and what others said of the old identity
- * (that it is to be emptied) is safer forgotten than taken over.
+ * The number that distinguishes a machine from another one at the same address. It is drawn at the machine's first
+ * start, and kept in the data folder from before anything else is written there. A folder whose identity cannot be read
+ * counts as that of a new machine: the entries of its log are verified by checksums of their own, and a state that
+ * others keep for the old identity (that it is being retired) is safer dropped than inherited.
  *
  * @param number never zero
- * @param finding what was wrong with the kept one, null for nothing
+ * @param finding why the stored identity was discarded; null where it was read, or there was none
  */
 public record MachineIdentity(long number, String finding) {
     private static final String FILE = "machine-id";
--- a/state/src/main/java/brookpath/state/record/Delta.java
+++ b/state/src/main/java/brookpath/state/record/Delta.java
@@ -9,7 +9,7 @@
 /**
  * The difference between two byte strings, as a list of copies from the base and of literal bytes. It names its base
  * and its result by length and CRC32C, so that it is applied to no other base and gives no other result. The difference
- * from an empty base is the whole.
+ * from an empty base contains the complete result.
  *
  * <p>Layout, little endian: base length (4), base checksum (4), result length (4), result checksum (4), then the
  * operations. Each begins with a variable-length number: {@code length << 1 | 1} for a copy, followed by the offset in
@@ -37,12 +37,15 @@
 
     private Delta() {}
 
-    /** The whole of a byte string, as a difference from an empty base. */
+    /** The complete byte string, encoded as a difference from an empty base. */
     public static byte[] whole(final byte[] result) {
         return between(EMPTY, result);
     }
 
-    /** What turns the base into the result. Linear in the sizes of both for documents that differ in a few places. */
+    /**
+     * The difference that turns the base into the result. Linear in the sizes of both for documents that differ in a
+     * few places.
+     */
     public static byte[] between(final byte[] base, final byte[] result) {
         final Writer writer = new Writer(result);
         final Long2LongHashMap blocks = blocksOf(base);
@@ -72,8 +75,9 @@
     }
 
     /**
-     * Where in the base the block stands that the result has here: where the last copy would go on, or anywhere, if
-     * only once. A block that repeats says nothing of the place, and a copy from the wrong one ends soon.
+     * The offset in the base of the block at this position of the result: where the last copy would continue, or else
+     * the only occurrence. A block that occurs several times does not identify its position, and a copy from the wrong
+     * one ends soon.
      */
     private static int find(
             final ByteBuffer base,
@@ -89,7 +93,7 @@
     }
 
     /**
-     * The result.
+     * Applies a difference to its base and returns the result.
      *
      * @throws MismatchException where the base is another one than the difference was made from, or the result would
      *     not be the one that it was made for
--- a/state/src/main/java/brookpath/state/record/LogRecord.java
+++ b/state/src/main/java/brookpath/state/record/LogRecord.java
@@ -10,8 +10,11 @@
  * checksum of all of it, and for a publish seq, ReplSize, tenant, topic, sender, text.
  */
 public final class LogRecord {
+    /** Kind of the empty record that a new leader appends first in its term. */
     public static final int OPEN = 1;
+    /** Kind of a published message; the fields behind the header are those of {@link #publishBody}. */
     public static final int PUBLISH = 2;
+    /** Kind of a change to the state of the control group. */
     public static final int CONTROL = 3;
     /** Closes a usage window of its group. */
     public static final int CLOSE = 4;
@@ -29,7 +32,7 @@
     private static final int TENANT = BODY + 12;
 
     private final UnsafeBuffer buf;
-    /** When this copy learned of the record, by its own monotonic clock; never on disk. */
+    /** See {@link #learnedAt()}; never on disk or on the wire. */
     private final long learnedAt;
 
     private LogRecord(final byte[] bytes, final long learnedAt) {
@@ -37,11 +40,20 @@
         this.learnedAt = learnedAt;
     }
 
+    /**
+     * A record over bytes that are trusted to be one, which are neither checked nor copied.
+     *
+     * @param learnedAt as {@link #learnedAt()} returns it
+     */
     public static LogRecord wrap(final byte[] bytes, final long learnedAt) {
         return new LogRecord(bytes, learnedAt);
     }
 
-    /** For bytes that come from outside: throws where they are no whole record. */
+    /**
+     * A record over bytes that come from outside.
+     *
+     * @throws IllegalArgumentException where they are not one complete record with a correct checksum
+     */
     public static LogRecord checked(final byte[] bytes, final long learnedAt) {
         if (bytes.length < BODY) {
             throw new IllegalArgumentException("record of " + bytes.length + " bytes");
@@ -63,6 +75,13 @@
         return logRecord;
     }
 
+    /**
+     * Encodes a new record, with its checksum.
+     *
+     * @param stamp wall time in milliseconds
+     * @param kind such as {@link #PUBLISH}
+     * @param learnedAt as {@link #learnedAt()} returns it
+     */
     public static LogRecord of(
             final long index,
             final long term,
@@ -87,16 +106,22 @@
         return (int) crc.getValue();
     }
 
-    /** Whether these are still the bytes that the leader made. */
+    /** Whether the bytes still match the checksum that the leader computed. */
     public boolean isIntact() {
         return buf.getInt(SUM) == sum();
     }
 
-    /** The checksum as it was made. */
+    /** The checksum that the leader computed, as stored in the record. */
     public int storedChecksum() {
         return buf.getInt(SUM);
     }
 
+    /**
+     * The body of a {@link #PUBLISH} record; texts are encoded as UTF-8.
+     *
+     * @param seq the sender's sequence number of the message
+     * @param repl how many replicas must have synced the record before the publish is acknowledged
+     */
     public static byte[] publishBody(
             final long seq,
             final int repl,
@@ -123,56 +148,69 @@
         return buf.byteArray();
     }
 
+    /** The position in the log of its group. */
     public long index() {
         return buf.getLong(INDEX);
     }
 
+    /** The term of the leader that appended the record. */
     public long term() {
         return buf.getLong(TERM);
     }
 
+    /** Wall time in milliseconds, assigned by the leader; never smaller than that of the record before. */
     public long stamp() {
         return buf.getLong(STAMP);
     }
 
+    /** What the record is, such as {@link #PUBLISH}. */
     public int kind() {
         return buf.getInt(KIND);
     }
 
+    /** When this replica appended, received or replayed the record, in milliseconds of its own monotonic clock. */
     public long learnedAt() {
         return learnedAt;
     }
 
+    /** The complete encoded record: the array itself, not a copy, so it must not be modified. */
     public byte[] bytes() {
         return buf.byteArray();
     }
 
+    /** A copy of the bytes behind the header. */
     public byte[] body() {
         final byte[] v = new byte[buf.capacity() - BODY];
         buf.getBytes(BODY, v);
         return v;
     }
 
+    /** The sender's sequence number of the message; only for a {@link #PUBLISH} record, as the accessors below. */
     public long seq() {
         return buf.getLong(SEQ);
     }
 
+    /** How many replicas must have synced the record before the publish is acknowledged. */
     public int repl() {
         return buf.getInt(REPL);
     }
 
+    /** The tenant that the message counts for. */
     public String tenant() {
         return str(TENANT);
     }
 
+    /** The topic of the message, with its space. */
     public String topic() {
         return str(skip(TENANT));
     }
 
+    /** The name of the sender, which {@link #seq()} belongs to. */
     public String sender() {
         return str(skip(skip(TENANT)));
     }
 
+    /** The text of the message. */
     public String text() {
         return str(skip(skip(skip(TENANT))));
     }
--- a/state/src/main/java/brookpath/state/record/PackedBuffer.java
+++ b/state/src/main/java/brookpath/state/record/PackedBuffer.java
@@ -32,12 +32,14 @@
         return new PackedBuffer(null, new UnsafeBuffer(bytes));
     }
 
+    /** Writes 8 bytes. */
     public PackedBuffer putLong(final long value) {
         out.putLong(position, value);
         position += Long.BYTES;
         return this;
     }
 
+    /** Writes the length in 4 bytes, then the bytes. */
     public PackedBuffer putBytes(final byte[] value) {
         out.putInt(position, value.length);
         out.putBytes(position + Integer.BYTES, value);
@@ -50,19 +52,21 @@
         return putBytes(value.getBytes(UTF_8));
     }
 
-    /** What was written so far. */
+    /** A copy of what was written so far. */
     public byte[] toByteArray() {
         final byte[] bytes = new byte[position];
         out.getBytes(0, bytes);
         return bytes;
     }
 
+    /** Reads what {@link #putLong} wrote; throws {@link IndexOutOfBoundsException} where less than 8 bytes are left. */
     public long getLong() {
         final long value = in.getLong(position);
         position += Long.BYTES;
         return value;
     }
 
+    /** Reads a copy of what {@link #putBytes} wrote. A negative length throws {@link NegativeArraySizeException}. */
     public byte[] getBytes() {
         final byte[] value = new byte[in.getInt(position)];
         in.getBytes(position + Integer.BYTES, value);
@@ -70,11 +74,12 @@
         return value;
     }
 
+    /** Reads what {@link #putString} wrote. */
     public String getString() {
         return new String(getBytes(), UTF_8);
     }
 
-    /** Moves on without reading. */
+    /** Skips this many bytes. */
     public PackedBuffer skipBytes(final int count) {
         position += count;
         return this;
--- a/state/src/main/java/brookpath/state/wal/EntryFormat.java
+++ b/state/src/main/java/brookpath/state/wal/EntryFormat.java
@@ -7,8 +7,8 @@
 
 /**
  * The layout of an entry in a file, little endian: length (4 bytes), checksum (4), how many bytes of the file were
- * synced when the entry was written (8), then the bytes themselves. An entry without bytes is a sync mark: it says only
- * how much was synced.
+ * synced when the entry was written (8), then the bytes themselves. An entry without bytes is a sync mark: it records
+ * only how much was synced.
  */
 final class EntryFormat {
     static final int HEADER_BYTES = 16;
@@ -37,7 +37,7 @@
     }
 
     /** The length in bytes of the complete entry at a position of a file, {@link #NO_ENTRY} where there is none. */
-    @SuppressWarnings("ByteBufferBackingArray") // why: the buffer wraps a whole file from its first byte
+    @SuppressWarnings("ByteBufferBackingArray") // why: the buffer wraps a complete file from its first byte
     static int lengthAt(final ByteBuffer file, final int position) {
         final int room = file.capacity() - position - HEADER_BYTES;
         if (room < 0) {
@@ -55,7 +55,7 @@
         return checksum == checksum(file.array(), position, length) ? length : NO_ENTRY;
     }
 
-    /** How many bytes of the file were synced when the entry at the position was written, as it says itself. */
+    /** How many bytes of the file were synced when the entry at the position was written, as the entry records it. */
     static long syncedAt(final ByteBuffer file, final int position) {
         return file.getLong(position + SYNCED_OFFSET);
     }
--- a/state/src/main/java/brookpath/state/wal/LogRecovery.java
+++ b/state/src/main/java/brookpath/state/wal/LogRecovery.java
@@ -56,7 +56,7 @@
         }
     }
 
-    /** Reads the newest snapshot and gives its number, which is that of the segment to go on with. */
+    /** Reads the newest snapshot and returns its number, which is that of the segment to append to. */
     private long readSnapshot() {
         if (snapshots.isEmpty()) {
             final long first = segments.isEmpty() ? 0 : segments.first();
--- a/state/src/main/java/brookpath/state/wal/SegmentScan.java
+++ b/state/src/main/java/brookpath/state/wal/SegmentScan.java
@@ -60,7 +60,7 @@
 
     /**
      * Writes after the last sync may be missing or torn one by one, so a hole with complete entries behind it is no
-     * damage unless one of those says that the hole had been synced.
+     * damage unless one of those records that the hole had been synced.
      */
     private static SegmentScan endingAt(
             final String name, final ByteBuffer file, final int hole, final List<byte[]> entries) {
@@ -69,7 +69,9 @@
                 : new SegmentScan(entries, hole, null);
     }
 
-    /** Whether a complete entry behind the position says that this position had been synced before it was written. */
+    /**
+     * Whether a complete entry behind the position records that the position was synced before that entry was written.
+     */
     private static boolean provenSynced(final ByteBuffer file, final int hole) {
         for (int position = hole + 1; position <= file.capacity() - EntryFormat.HEADER_BYTES; position++) {
             if (EntryFormat.syncedAt(file, position) > hole
--- a/state/src/main/java/brookpath/state/wal/WriteAheadLog.java
+++ b/state/src/main/java/brookpath/state/wal/WriteAheadLog.java
@@ -96,7 +96,7 @@
     }
 
     /**
-     * Only what was appended before this counts; a mark follows, so that a later look can tell damage from a torn tail.
+     * Makes durable what was appended before. A mark follows, so that recovery can distinguish damage from a torn tail.
      */
     public void sync() {
         if (size > synced) {
@@ -105,7 +105,7 @@
             try {
                 put(SYNC_MARK);
             } catch (final DiskFullException ex) {
-                // why: the sync counts without its mark; the next entry says as well how much was synced
+                // why: the sync is valid without its mark; the next entry records as well how much was synced
                 return;
             }
         }
@@ -130,9 +130,9 @@
     }
 
     /**
-     * Starts a new segment whose beginning is the given snapshot; everything older can go. Throws
+     * Starts a new segment that begins with the given snapshot, and deletes everything older. Throws
      * {@link DiskFullException} where there is no room for the snapshot beside what is there; the present segment then
-     * goes on.
+     * stays in use.
      */
     public void roll(final byte[] snapshot) {
         final long next = segment + 1;
@@ -146,7 +146,9 @@
         deleteBefore(next);
     }
 
-    /** Everything that needs room: the snapshot, under its name at last, and the empty segment that follows it. */
+    /**
+     * Everything that needs space: the snapshot, renamed once it is complete, and the empty segment that follows it.
+     */
     private DiskFile prepare(final long next, final byte[] snapshot) {
         final String temporaryName = LogFiles.temporarySnapshot(next);
         DiskFile temporary = null;
@@ -157,7 +159,7 @@
             final byte[] framed = EntryFormat.encode(snapshot, 0);
             temporary.append(framed, 0, framed.length);
             temporary.sync();
-            // why: once the snapshot has its name a start goes by it, so the segment after it must be there before
+            // why: once the snapshot has its name recovery relies on it, so the segment after it must exist before
             nextFile = disk.open(LogFiles.segment(next));
             nextFile.truncate(0);
             disk.rename(temporaryName, LogFiles.snapshot(next));
--- a/tools/src/main/java/brookpath/tools/explain/Explain.java
+++ b/tools/src/main/java/brookpath/tools/explain/Explain.java
@@ -14,7 +14,7 @@
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.Options;
 
-/** Explains why a publish, a subscription or a change went, or would go, where it went. */
+/** Explains why a publish, a subscription or a change was, or would be, routed where it was. */
 public final class Explain {
     private static final String TOOL = "explain";
     private static final String TOPIC = "topic";
@@ -105,7 +105,7 @@
         return client.missing().isEmpty() ? CommandLineTool.OK : CommandLineTool.INCOMPLETE;
     }
 
-    /** Asks one process for its part; returns the topic's group where its page shows it. */
+    /** Queries one process for its part; returns the topic's group where its page shows it. */
     private int explainProcess(final String address, final CommandLine line, final int group)
             throws InterruptedException {
         final JsonObject status = client.get(address, "/v1/status", "");
--- a/tools/src/main/java/brookpath/tools/plan/DrainPlan.java
+++ b/tools/src/main/java/brookpath/tools/plan/DrainPlan.java
@@ -41,7 +41,7 @@
                         : "they find in their zone " + zone + ": " + inZone + ", elsewhere: " + elsewhere);
     }
 
-    /** Null where no such gateway is heard. */
+    /** The zone of a gateway; null where the page shows no gateway of that number. */
     private String zoneOfGateway(final int node) {
         for (final JsonObject process : pages.processes()) {
             if (isGateway(process) && process.getInt("node") == node) {
--- a/tools/src/main/java/brookpath/tools/plan/PlanReport.java
+++ b/tools/src/main/java/brookpath/tools/plan/PlanReport.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What a plan comes to: its steps, printed as they are found, and the reasons why it would be refused. */
+/** The result of a plan: its steps, printed as they are found, and the reasons why it would be refused. */
 final class PlanReport {
     private final PrintStream out;
     private final List<Finding> objections = new ArrayList<>();
--- a/tools/src/main/java/brookpath/tools/plan/RetirementPlan.java
+++ b/tools/src/main/java/brookpath/tools/plan/RetirementPlan.java
@@ -11,7 +11,7 @@
 /** Which groups would move where, were a storage node retired. */
 final class RetirementPlan {
     private static final int MAX_STEPS = 10_000;
-    /** Without steady machines nothing moves for the mere balance, which is not what was asked. */
+    /** No steady machines: nothing is then moved merely for balance, which is no part of the retirement. */
     private static final Set<Integer> NO_STEADY_NODES = Set.of();
 
     private final PlanReport report;
--- a/transport/src/main/java/brookpath/transport/http/CommonResource.java
+++ b/transport/src/main/java/brookpath/transport/http/CommonResource.java
@@ -17,18 +17,21 @@
     private final RequestDispatcher dispatcher;
     private final SettingsReport settings;
 
+    /** @param settings shown on the status page */
     @Inject
     public CommonResource(final RequestDispatcher dispatcher, final SettingsReport settings) {
         this.dispatcher = dispatcher;
         this.settings = settings;
     }
 
+    /** 200 where this process can serve now, else 503; for load balancers and probes. */
     @GET
     @Path("/ready")
     public CompletionStage<Response> ready() {
         return dispatcher.submit(NodeRequest.ReadinessProbe::new);
     }
 
+    /** The status page: state of the node, of its groups or sessions, and of its settings file. */
     @GET
     @Path("/status")
     public CompletionStage<Response> status() {
@@ -41,7 +44,10 @@
                         r.json().substring(0, r.json().length() - 1) + ",\"settings\":" + settings.json() + "}"));
     }
 
-    /** Counters of the wire; they belong to the process rather than to its state. */
+    /**
+     * Counters of the sessions with peers, and lengths of the queues. Read without the state thread, so it responds
+     * even when that is busy.
+     */
     @GET
     @Path("/wire")
     public Response wire() {
--- a/transport/src/main/java/brookpath/transport/http/GatewayResource.java
+++ b/transport/src/main/java/brookpath/transport/http/GatewayResource.java
@@ -32,11 +32,16 @@
 
     private final RequestDispatcher dispatcher;
 
+    /** @param dispatcher submits the requests to the node */
     @Inject
     public GatewayResource(final RequestDispatcher dispatcher) {
         this.dispatcher = dispatcher;
     }
 
+    /**
+     * Publishes a message. 200 with its position once enough replicas have synced it, 503 where it was certainly not
+     * appended, 504 where that is unknown; a retry with the same sequence is appended at most once.
+     */
     @POST
     @Path("/topics/{space}/{topic}/messages")
     public CompletionStage<jakarta.ws.rs.core.Response> publish(
@@ -55,6 +60,12 @@
                 id, apiKey(authorization), space + "/" + topic, body.sender(), body.sequence(), body.message()));
     }
 
+    /**
+     * Opens a listening session: JSON lines until the session ends.
+     *
+     * @param topics 1 to 64 of them
+     * @param cursor where to resume; null for from now on. 410 where records after it are no longer retained
+     */
     @GET
     @Path("/stream")
     public CompletionStage<jakarta.ws.rs.core.Response> stream(
@@ -86,6 +97,11 @@
         }
     }
 
+    /**
+     * Counts the sessions that listen to a topic, on all gateways.
+     *
+     * @param session left out of the count; null for none
+     */
     @GET
     @Path("/topics/{space}/{topic}/listeners")
     public CompletionStage<jakarta.ws.rs.core.Response> listeners(
@@ -96,6 +112,7 @@
         return dispatcher.submit(id -> new NodeRequest.Count(id, apiKey(authorization), space + "/" + topic, session));
     }
 
+    /** Where a publish or a subscription on the topic would be routed now, and why; for diagnosis. */
     @GET
     @Path("/explain")
     public CompletionStage<jakarta.ws.rs.core.Response> explain(
@@ -103,6 +120,11 @@
         return dispatcher.submit(id -> new NodeRequest.Explain(id, apiKey(authorization), topic == null ? "" : topic));
     }
 
+    /**
+     * Starts to drain this gateway: it is no longer ready and refuses new sessions with 503.
+     *
+     * @param on {@code false} to end the drain; anything else, or null, starts it
+     */
     @POST
     @Path("/drain")
     public CompletionStage<jakarta.ws.rs.core.Response> drain(@QueryParam("on") final String on) {
--- a/transport/src/main/java/brookpath/transport/http/OperatorResource.java
+++ b/transport/src/main/java/brookpath/transport/http/OperatorResource.java
@@ -27,31 +27,42 @@
 public final class OperatorResource {
     private final RequestDispatcher dispatcher;
 
+    /** @param dispatcher submits the requests to the node, which forwards them to the control leader */
     @Inject
     public OperatorResource(final RequestDispatcher dispatcher) {
         this.dispatcher = dispatcher;
     }
 
+    /**
+     * Submits a configuration change. 200 once it is in force everywhere, 409 where its base is not the present
+     * version, 504 where the outcome is unknown: the same document may be sent again.
+     */
     @POST
     @Path("/changes")
     public CompletionStage<Response> change(final InputStream in) throws IOException {
-        // why: one byte more than allowed is enough for the leader to say that it is too large
+        // why: one byte more than allowed is enough for the leader to reject it as too large
         return operate(ControlRequestKind.CHANGE, in.readNBytes(ConfigurationReader.MAX_BYTES + 1));
     }
 
+    /**
+     * What became of a change: 200 confirmed, 202 while it spreads, 404 where no such change was accepted.
+     *
+     * @param id the change ID of the submitted document
+     */
     @GET
     @Path("/changes/{id}")
     public CompletionStage<Response> outcome(@PathParam("id") final String id) {
         return operate(ControlRequestKind.OUTCOME, id.getBytes(UTF_8));
     }
 
+    /** The newest committed configuration: its version and its document. */
     @GET
     @Path("/spec")
     public CompletionStage<Response> configuration() {
         return operate(ControlRequestKind.CONFIGURATION, new byte[0]);
     }
 
-    /** Empties a storage machine ({@code on=false}: no longer). */
+    /** Retires a storage machine: its replicas are moved to others. {@code on=false} cancels that. */
     @POST
     @Path("/storages/{node}/retire")
     public CompletionStage<Response> retire(@PathParam("node") final int node, @QueryParam("on") final String on) {
@@ -63,7 +74,7 @@
                         .toByteArray());
     }
 
-    /** Manual switchover of a group's leadership. */
+    /** Transfers a group's leadership to the given node by hand; attempted while that node has every record. */
     @POST
     @Path("/groups/{group}/master")
     public CompletionStage<Response> handover(@PathParam("group") final int group, @QueryParam("node") final int node) {
@@ -72,12 +83,14 @@
                 PackedBuffer.writer().putLong(group).putLong(node).toByteArray());
     }
 
+    /** The totals of the usage windows by tenant, and whether each was reported to the platform. */
     @GET
     @Path("/usage")
     public CompletionStage<Response> usage() {
         return operate(ControlRequestKind.WINDOWS, new byte[0]);
     }
 
+    /** The processes of the data plane that follow the control leader: role, zone, versions, remaining lease. */
     @GET
     @Path("/nodes")
     public CompletionStage<Response> nodes() {
--- a/transport/src/main/java/brookpath/transport/http/PlatformPoster.java
+++ b/transport/src/main/java/brookpath/transport/http/PlatformPoster.java
@@ -19,7 +19,10 @@
     private final HttpClient http;
     private volatile URI uri;
 
-    /** @param url empty where there is no platform to tell: totals can be read from a controller */
+    /**
+     * @param url where reports are posted; empty for nowhere, since totals can also be read from a controller
+     * @param timeoutMs for connecting, and for the complete exchange
+     */
     public PlatformPoster(final String url, final long timeoutMs) {
         url(url);
         timeout = Duration.ofMillis(timeoutMs);
@@ -29,7 +32,7 @@
                 .build();
     }
 
-    /** From now on reports go there; empty for nowhere. */
+    /** Changes where reports are posted from now on; empty for nowhere. Any thread may call it. */
     public void url(final String url) {
         uri = url.isEmpty() ? null : URI.create(url);
     }
@@ -52,7 +55,7 @@
                 .exceptionally(ex -> unanswered(ex));
     }
 
-    /** The client opens a connection for a call where it keeps none, so only a failed opening is certain. */
+    /** Only a failed connect proves that nothing was sent; any later failure leaves the outcome unknown. */
     private static PostOutcome unanswered(final Throwable ex) {
         final Throwable cause = ex instanceof CompletionException ? ex.getCause() : ex;
         return cause instanceof ConnectException || cause instanceof HttpConnectTimeoutException
--- a/transport/src/main/java/brookpath/transport/http/RequestDispatcher.java
+++ b/transport/src/main/java/brookpath/transport/http/RequestDispatcher.java
@@ -14,7 +14,9 @@
 import java.util.function.LongFunction;
 import java.util.function.UnaryOperator;
 
-/** Brings callers' requests to the state thread, and its responses back to HTTP on threads of its own. Thread-safe. */
+/**
+ * Submits callers' requests to the state thread and completes the HTTP responses on threads of its own. Thread-safe.
+ */
 public final class RequestDispatcher {
     private static final int MILLIS_PER_SECOND = 1_000;
 
@@ -25,6 +27,7 @@
         return thread;
     });
 
+    /** @param host runs the node that decides on the requests */
     public RequestDispatcher(final Host host) {
         this.host = host;
     }
@@ -37,7 +40,7 @@
         return traffic;
     }
 
-    /** @param request made for the id that it is given */
+    /** @param request builds the request for the ID that was assigned to it */
     CompletionStage<jakarta.ws.rs.core.Response> submit(final LongFunction<NodeRequest> request) {
         return submit(request, response -> response);
     }
@@ -59,14 +62,14 @@
                 .type(APPLICATION_JSON)
                 .entity(response.json() + "\n");
         if (response.retryAfterMs() > 0) {
-            // why: the header counts whole seconds only; the finer figure stands beside it
+            // why: the header counts whole seconds only; a second header has the milliseconds
             builder.header("Retry-After", (response.retryAfterMs() + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND)
                     .header("Brookpath-Retry-After-Ms", response.retryAfterMs());
         }
         return builder.build();
     }
 
-    /** Null where the body is longer than so many bytes. */
+    /** Reads the body; null where it is longer than {@code max} bytes. */
     static byte[] readBody(final InputStream in, final int max) throws IOException {
         final byte[] bytes = in.readNBytes(max + 1);
         return bytes.length > max ? null : bytes;
--- a/transport/src/main/java/brookpath/transport/http/StreamedSession.java
+++ b/transport/src/main/java/brookpath/transport/http/StreamedSession.java
@@ -46,7 +46,8 @@
                 if (line == null) {
                     continue;
                 }
-                // why: asked line by line; after a long sleep the key may have been taken away, so nothing may go out
+                // why: checked for each line: after a long pause of the process the key may have been revoked, so
+                // nothing may be sent
                 while (!host.mayDeliver() && closeReason == null) {
                     MILLISECONDS.sleep(LEASE_POLL_MS);
                 }
--- a/transport/src/main/java/brookpath/transport/identity/RandomNumbers.java
+++ b/transport/src/main/java/brookpath/transport/identity/RandomNumbers.java
@@ -28,7 +28,7 @@
 
     /**
      * Where a process's counter of IDs begins: the IDs of two incarnations do not meet. Positive, and with as much room
-     * above it as it was drawn from, so that the IDs rise for ever.
+     * above it as it was drawn from, so that the IDs never wrap around.
      */
     public static long firstId() {
         return draw() >>> 2;
--- a/transport/src/main/java/brookpath/transport/log/RingWriter.java
+++ b/transport/src/main/java/brookpath/transport/log/RingWriter.java
@@ -14,24 +14,30 @@
 import org.tinylog.core.LogEntryValue;
 import org.tinylog.writers.Writer;
 
-/** tinylog's writer here: a ring in memory, written out when something goes wrong, and little else. */
+/** tinylog's writer: keeps the last lines in memory and writes them out when an error is logged. Thread-safe. */
 public final class RingWriter implements Writer {
     private static final int LINES = 4096;
-    /** For looking closely at a trial: each line is written out at once as well. */
+    /** For debugging: each line is also written to standard error at once. */
     private static final boolean ECHO = Boolean.getBoolean("brookpath.echo");
 
     private static final ArrayDeque<String> RING = new ArrayDeque<>();
     private static volatile Path file;
 
+    /**
+     * Called by tinylog, which finds the writer by its name in tinylog.properties.
+     *
+     * @param properties those of the writer in that file; none is read
+     */
     public RingWriter(final Map<String, String> properties) {
         // why: tinylog makes the writer by name; the file is known only once the settings are read
     }
 
-    /** Where the ring goes when something goes wrong; null for standard error. */
+    /** Sets the file that the ring is appended to when an error is logged; null for standard error. */
     public static void to(final Path path) {
         file = path;
     }
 
+    /** A copy of the lines in the ring, oldest first; those written out before are not among them. */
     public static synchronized Collection<String> lines() {
         return java.util.List.copyOf(RING);
     }
@@ -98,7 +104,7 @@
 
     @Override
     public void flush() {
-        // why: what is in the ring is not meant for a file until something goes wrong
+        // why: the ring is written out only when an error is logged
     }
 
     @Override
--- a/transport/src/main/java/brookpath/transport/loop/DiskLoop.java
+++ b/transport/src/main/java/brookpath/transport/loop/DiskLoop.java
@@ -13,13 +13,13 @@
 import org.tinylog.Logger;
 
 /**
- * The disk thread, which owns the write-ahead log: writes what waits as one batch, syncs it, and reports the number up
- * to which everything is synced. Now and then it reads the log back to find damage.
+ * The disk thread, which owns the write-ahead log: writes what is queued as one batch, syncs it, and reports the number
+ * up to which everything is synced. Periodically it reads the log back to find damage.
  */
 final class DiskLoop implements Runnable {
     /** Periods of recovery between two scrubs of the log. */
     private static final int RECOVERIES_PER_SCRUB = 5;
-    /** How often an idle loop looks around, and a refused snapshot is tried again, in a period of recovery. */
+    /** How often an idle loop checks its timers, and a refused snapshot is retried, in a period of recovery. */
     private static final int RETRIES_PER_RECOVERY = 4;
 
     private final WriteAheadLog writeAheadLog;
@@ -54,7 +54,7 @@
         writes.add(write);
     }
 
-    /** How many actions wait to be written. */
+    /** How many actions are queued. Any thread. */
     int waiting() {
         return writes.size();
     }
@@ -79,7 +79,7 @@
 
     private void scrubIfDue(final long nowMs) {
         if (nowMs >= nextScrubMs) {
-            // why: what went bad on the disk is to be found while the copy in memory is still there
+            // why: damage on the disk is to be found while the state in memory can still replace it
             nextScrubMs = nowMs + scrubPeriodMs;
             if (!writeAheadLog.isIntact()) {
                 events.add(Node::damaged);
@@ -94,7 +94,7 @@
         }
     }
 
-    /** @param first the action that was taken already, null for none */
+    /** @param first the action that was already taken from the queue; null for none */
     private void writeBatch(final Action first, final long nowMs) throws InterruptedException {
         batch.clear();
         if (first != null) {
--- a/transport/src/main/java/brookpath/transport/loop/DiskWriter.java
+++ b/transport/src/main/java/brookpath/transport/loop/DiskWriter.java
@@ -7,9 +7,9 @@
 import java.util.Collection;
 
 /**
- * Brings the writes of a node to its write-ahead log, in order. What the disk has no room for waits and is written
- * again; a snapshot that there is no room for is left out, since the segment before it still holds everything. Not safe
- * for several threads.
+ * Appends the writes of a node to its write-ahead log, in order. What the disk has no space for stays queued and is
+ * retried; a snapshot that there is no space for is skipped, since the segment before it still has everything. Not
+ * thread-safe.
  */
 public final class DiskWriter {
     private final WriteAheadLog writeAheadLog;
@@ -17,15 +17,17 @@
     private long written;
     private boolean snapshotRefused;
 
+    /** @param writeAheadLog used by no one else from now on */
     public DiskWriter(final WriteAheadLog writeAheadLog) {
         this.writeAheadLog = writeAheadLog;
     }
 
+    /** Queues actions ({@link Action.Write} or {@link Action.Roll}) behind those before; nothing is written yet. */
     public void add(final Collection<Action> writes) {
         waiting.addAll(writes);
     }
 
-    /** Writes as much as there is room for; false where the rest has to wait for room. */
+    /** Writes as much as there is space for; false where the rest stays queued because the disk is full. */
     public boolean write() {
         while (!waiting.isEmpty()) {
             try {
@@ -38,7 +40,7 @@
         return true;
     }
 
-    /** Writes one action and gives its number. */
+    /** Writes one action and returns its number. */
     private long write(final Action action) {
         if (action instanceof Action.Write w) {
             writeAheadLog.append(w.entry());
@@ -59,7 +61,7 @@
         }
     }
 
-    /** Syncs what was written, and gives the number up to which everything is synced. */
+    /** Syncs what was written; returns the number up to which everything is synced. */
     public long sync() {
         writeAheadLog.sync();
         return written;
@@ -70,7 +72,7 @@
         return written;
     }
 
-    /** Whether there was no room for a snapshot since this was last asked. */
+    /** Whether a snapshot was skipped for lack of space since the last call. */
     public boolean takeSnapshotRefused() {
         final boolean refused = snapshotRefused;
         snapshotRefused = false;
--- a/transport/src/main/java/brookpath/transport/loop/EventQueue.java
+++ b/transport/src/main/java/brookpath/transport/loop/EventQueue.java
@@ -10,18 +10,18 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.atomic.AtomicBoolean;
 
-/** What waits for the state thread. Any thread adds; the state thread alone takes. */
+/** The queue of events for the state thread. Any thread adds; the state thread alone polls. */
 final class EventQueue {
     /** Something that happened to the node, and the actions that result. */
     interface Event {
         List<Action> apply(Node node, Time time);
     }
 
-    /** Beyond this many waiting events no caller's request is taken. */
+    /** Beyond this many queued events callers' requests are refused. */
     private static final int MAX_EVENTS = 8_192;
-    /** Beyond this many waiting events a peer's session ends. */
+    /** Beyond this many queued events a peer's session is closed. */
     private static final int MAX_PEER_EVENTS = 4 * MAX_EVENTS;
-    /** Asks for a tick of the node; it is in the queue at most once. */
+    /** Requests a tick of the node; queued at most once. */
     private static final Event TICK = (node, time) -> List.of();
 
     private final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
@@ -43,8 +43,8 @@
         return waitMs <= 0 ? events.poll() : events.poll(waitMs, MILLISECONDS);
     }
 
-    /** Whether the event asks for a tick; a later request is queued again from here on. */
-    @SuppressWarnings("ReferenceEquality") // why: TICK is one object that stands for itself
+    /** Whether the event requests a tick; from here on a later request is queued again. */
+    @SuppressWarnings("ReferenceEquality") // why: TICK is a sentinel, compared by identity
     boolean takeTick(final Event event) {
         if (event != TICK) {
             return false;
--- a/transport/src/main/java/brookpath/transport/loop/HeartbeatLoop.java
+++ b/transport/src/main/java/brookpath/transport/loop/HeartbeatLoop.java
@@ -17,15 +17,15 @@
 import java.util.concurrent.LinkedBlockingQueue;
 
 /**
- * The replication listener thread: sends heartbeats in rounds, answers those of others, and keeps the table of what was
- * heard. Other threads hand it heartbeats, entries and peers, and read the table.
+ * The replication listener thread: sends heartbeats in rounds, answers those of others, and owns the table of what was
+ * received. Other threads pass it heartbeats, entries and peers, and read the table.
  */
 final class HeartbeatLoop implements Runnable {
     private static final int MAX_WAITING_HEARTBEATS = 1_024;
 
     private record ReceivedHeartbeat(int from, PeerMessage.Heartbeat heartbeat) {}
 
-    /** Nothing was received, but a round of heartbeats is wanted. */
+    /** Wakes the thread for a requested round though nothing was received. */
     private static final ReceivedHeartbeat WAKE_UP = new ReceivedHeartbeat(0, null);
 
     private final Node node;
@@ -53,24 +53,24 @@
 
     // ---- from other threads
 
-    /** What was heard last of every process. */
+    /** What was last received from every process: an immutable snapshot. */
     HeartbeatTable table() {
         return table;
     }
 
-    /** From here on heartbeats go to these nodes. */
+    /** Sets the nodes that heartbeats are sent to from now on. */
     void peers(final Set<Integer> newPeers) {
         if (!newPeers.equals(peers)) {
             peers = newPeers;
         }
     }
 
-    /** From here on heartbeats carry these entries. */
+    /** Sets the entries that heartbeats carry from now on. */
     void publish(final List<PeerMessage.HeartbeatEntry> entries) {
         status.publish(entries);
     }
 
-    /** Has a round of heartbeats sent without waiting for its period. */
+    /** Requests a round of heartbeats without waiting for its period. */
     void requestHeartbeat() {
         if (status.wish()) {
             inbox.add(WAKE_UP);
@@ -79,13 +79,13 @@
 
     void receive(final int from, final PeerMessage.Heartbeat heartbeat) {
         if (inbox.size() > MAX_WAITING_HEARTBEATS) {
-            // why: an old heartbeat says nothing that a newer one does not
+            // why: a newer heartbeat supersedes an older one
             inbox.poll();
         }
         inbox.add(new ReceivedHeartbeat(from, heartbeat));
     }
 
-    /** How many heartbeats wait to be looked at. */
+    /** How many received heartbeats are queued. */
     int waiting() {
         return inbox.size();
     }
@@ -115,8 +115,8 @@
         }
     }
 
-    /** Looks at what was received and sends what is due; true where the state thread should look at the table. */
-    @SuppressWarnings("ReferenceEquality") // why: WAKE_UP is one object that stands for itself
+    /** Processes what was received and sends what is due; true where the state thread should read the table. */
+    @SuppressWarnings("ReferenceEquality") // why: WAKE_UP is a sentinel, compared by identity
     private boolean round(
             final HeartbeatMonitor monitor, final ReceivedHeartbeat received, final long nowMs, final Actions out) {
         final boolean heartbeatRequested = status.takeWish();
@@ -124,7 +124,7 @@
         boolean changed = false;
         if (received != null && received != WAKE_UP) {
             changed = monitor.onHeartbeat(received.from, received.heartbeat, nowMs, out);
-            // why: the state thread must see a heartbeat before its sender is told that it was heard
+            // why: the state thread must see a heartbeat before its sender gets the acknowledgement
             table = monitor.table();
         }
         changed |= monitor.tick(nowMs, out);
--- a/transport/src/main/java/brookpath/transport/loop/Host.java
+++ b/transport/src/main/java/brookpath/transport/loop/Host.java
@@ -22,14 +22,15 @@
  * methods but {@link #start} are for any thread; none of them waits.
  */
 public final class Host implements Wire.Inbox, AutoCloseable {
-    /** Sends a usage report to the platform; nothing waits for it. */
+    /** Sends a usage report to the platform. */
     public interface Poster {
+        /** Called on the state thread, so it must not block; a failure of the future counts as an unknown outcome. */
         CompletableFuture<PostOutcome> accept(Action.Post post);
     }
 
     /** The traffic side of a listening session. */
     public interface Sink {
-        /** False when its queue is full: the session is ended, its cursors good. */
+        /** False when its queue is full: the session is then ended, and its cursors stay valid. */
         boolean offer(Action.ToSession action);
 
         /** Ends the session; the reason is for the caller to read. */
@@ -47,7 +48,7 @@
     private final StateLoop state;
 
     /**
-     * @param self the identity of this process, as peers are told it
+     * @param self the identity of this process, as it is sent to peers
      * @param writeAheadLog null where the machine has no disk
      * @param addresses whom the node wants sessions with: addresses by node
      * @param leaseUntil until when lines may be delivered, in milliseconds of the monotonic clock
@@ -90,18 +91,24 @@
         return WireReport.json(wire, state.zones());
     }
 
-    /** What waits just now, and how many requests were refused for it, as JSON. */
+    /**
+     * The lengths of the queues, and how many requests were refused since the start because they were full, as JSON.
+     */
     public String queuesJson() {
         return "{\"events\":" + events.size() + ",\"jobs\":" + requests.size() + ",\"writes\":"
                 + (disk == null ? 0 : disk.waiting()) + ",\"beats\":" + heartbeats.waiting() + ",\"sessions\":"
                 + sinks.size() + ",\"refusedBusy\":" + requests.refused() + "}";
     }
 
+    /** The sessions with peers, to listen on and to share their event loops. */
     public Wire wire() {
         return wire;
     }
 
-    /** Asked right before each line goes out, so that a process that slept past its lease delivers nothing. */
+    /**
+     * Whether the lease still permits delivery. Checked right before each line is sent, so that a process that was
+     * paused beyond its lease delivers nothing.
+     */
     public boolean mayDeliver() {
         return state.mayDeliver();
     }
@@ -113,10 +120,10 @@
         return requests.nextId();
     }
 
-    /** Has the node decide on a request; completes at once with a refusal where too much waits already. */
+    /** Submits a request to the node; completes at once with a 503 refusal where the queues are full. */
     public CompletableFuture<Response> submit(final long requestId, final NodeRequest request) {
         if (events.refusesRequests() || requests.full()) {
-            // why: refused here nothing has begun, so it is certain and costs the state thread nothing
+            // why: a refusal here is certain, since nothing has begun, and costs the state thread nothing
             sinks.remove(requestId);
             return requests.refuse(timing.retryAfterMs());
         }
@@ -125,7 +132,7 @@
         return response;
     }
 
-    /** A request that nobody waits for. */
+    /** Submits a request that nobody waits for. */
     public void submitWithoutReply(final NodeRequest request) {
         events.add((node, time) -> node.request(request, time));
     }
@@ -149,8 +156,8 @@
         if (message instanceof PeerMessage.Heartbeat heartbeat) {
             heartbeats.receive(from, heartbeat);
         } else if (events.refusesPeers()) {
-            // why: what is lost with the session is asked again or unsettled, as with any broken session; what is
-            // merely dropped would be waited for
+            // why: what is lost with the session is retried or reported as unsettled, as with any broken session; for
+            // what is merely dropped the sender would wait
             wire.closeSessions(from);
         } else {
             events.add((node, time) -> node.message(from, message, time));
@@ -159,7 +166,7 @@
 
     @Override
     public void sessionUp(final int node) {
-        // why: whoever was away is heard at once, and hears at once, rather than with the next period
+        // why: a node that returns exchanges heartbeats at once rather than after the next period
         heartbeats.requestHeartbeat();
     }
 
--- a/transport/src/main/java/brookpath/transport/loop/LoopThreads.java
+++ b/transport/src/main/java/brookpath/transport/loop/LoopThreads.java
@@ -6,10 +6,10 @@
 
 /**
  * The threads of a host: named, started here, and interrupted and joined at its end. A thread that fails ends the
- * process by way of the given handler.
+ * process through the given handler.
  */
 final class LoopThreads {
-    /** How long the end of the threads is waited for, all of them together; an fsync may take longer. */
+    /** How long to wait for all threads together to end, in milliseconds; an fsync may take longer. */
     private static final long JOIN_TIMEOUT_MS = 500;
 
     private final Runnable fatal;
@@ -44,13 +44,13 @@
         return closed;
     }
 
-    /** Tells all threads to end. */
+    /** Interrupts all threads, so that they end. */
     void interrupt() {
         closed = true;
         threads.forEach(Thread::interrupt);
     }
 
-    /** Waits for the threads to end, but not for ever, and not for the calling thread. */
+    /** Waits for the threads to end, with a time limit; the calling thread is left out. */
     void join() {
         final long deadlineMs = SystemClock.monotonicMs() + JOIN_TIMEOUT_MS;
         try {
--- a/transport/src/main/java/brookpath/transport/loop/PendingRequests.java
+++ b/transport/src/main/java/brookpath/transport/loop/PendingRequests.java
@@ -18,7 +18,7 @@
     private final AtomicLong ids;
     private final LongAdder refused = new LongAdder();
 
-    /** @param firstId an id that no former incarnation of this process has given out, nor any after it */
+    /** @param firstId above it lie IDs that no earlier or later incarnation of this process uses */
     PendingRequests(final long firstId) {
         ids = new AtomicLong(firstId);
     }
@@ -37,7 +37,7 @@
         return response;
     }
 
-    /** The response to a request for which there is no room: nothing of it has begun. */
+    /** The response to a request that is refused because too many are pending: nothing of it has begun. */
     CompletableFuture<Response> refuse(final int retryAfterMs) {
         refused.increment();
         return CompletableFuture.completedFuture(new Response(SERVICE_UNAVAILABLE, retryAfterMs, BUSY));
@@ -56,7 +56,7 @@
         return responses.size();
     }
 
-    /** How many requests were refused for want of room since the process began. */
+    /** How many requests were refused by {@link #refuse} since the process started. */
     long refused() {
         return refused.sum();
     }
--- a/transport/src/main/java/brookpath/transport/loop/SessionSinks.java
+++ b/transport/src/main/java/brookpath/transport/loop/SessionSinks.java
@@ -23,7 +23,7 @@
         }
     }
 
-    /** False where the session could not take it and was closed. */
+    /** False where the queue of the session was full and the session was closed. */
     boolean deliver(final Action.ToSession action) {
         final Host.Sink sink = sinks.get(action.sessionId());
         if (sink == null || sink.offer(action)) {
--- a/transport/src/main/java/brookpath/transport/loop/StateLoop.java
+++ b/transport/src/main/java/brookpath/transport/loop/StateLoop.java
@@ -86,7 +86,7 @@
         final Time time = SystemClock.now();
         final boolean tickRequested = events.takeTick(event);
         if (tickRequested || time.mono() >= nextTickMs) {
-            // why: the table that a vote looks at is the newest there is
+            // why: a vote must be decided on the newest table there is
             execute(node.tick(time, newest));
             updateConnections();
             nextTickMs = time.mono() + node.restMs(time);
@@ -97,7 +97,7 @@
         }
     }
 
-    /** Whom the node wants sessions with and heartbeats of; looked at with each tick, not with each event. */
+    /** Updates the nodes to have sessions and heartbeats with; at each tick rather than each event, to save work. */
     private void updateConnections() {
         final long nowMs = SystemClock.monotonicMs();
         if (nowMs >= nextZonesMs) {
--- a/transport/src/main/java/brookpath/transport/wire/Peer.java
+++ b/transport/src/main/java/brookpath/transport/wire/Peer.java
@@ -6,7 +6,7 @@
 
 /**
  * The sessions with one node, all of them with the same incarnation of it. Its monitor orders what comes from the node:
- * once a newer incarnation is heard, nothing of an older one is delivered.
+ * once a newer incarnation has connected, nothing of an older one is delivered.
  */
 final class Peer {
     private long incarnation;
@@ -38,7 +38,7 @@
         }
     }
 
-    /** Delivers something of an incarnation; false where a newer one has been heard since. */
+    /** Delivers a message of an incarnation; false where another one has connected since. */
     synchronized boolean deliver(final long ofIncarnation, final Runnable delivery) {
         if (incarnation != ofIncarnation) {
             return false;
@@ -47,7 +47,7 @@
         return true;
     }
 
-    /** A session ended; false where it was with an incarnation that is gone. */
+    /** A session ended; false where it was with an incarnation that has been replaced. */
     synchronized boolean end(final long ofIncarnation, final Channel channel) {
         if (dialled == channel) {
             dialled = null;
--- a/transport/src/main/java/brookpath/transport/wire/Wire.java
+++ b/transport/src/main/java/brookpath/transport/wire/Wire.java
@@ -35,7 +35,7 @@
  * here blocks but {@link #listen}.
  */
 public final class Wire implements AutoCloseable {
-    /** What arrives here. Called on Netty's threads, in order for each node. */
+    /** Receives what arrives from peers. Called on Netty's threads, in order for each node. */
     public interface Inbox {
         /** A message from a node whose identity is known. */
         void frame(int from, PeerMessage message);
@@ -47,7 +47,7 @@
         void sessionUp(int node);
     }
 
-    /** A session with this many bytes unsent takes no more; one large frame may still go on top. */
+    /** A session with this many bytes unsent accepts no more; one large frame may still exceed it. */
     private static final int HIGH_WATER_MARK_BYTES = 4 << 20;
     /** A machine without power sends nothing, not even a reset; probes find that out where nothing is sent. */
     private static final ChannelOption<Integer> KEEP_ALIVE_IDLE_S =
@@ -69,7 +69,7 @@
     private final Inbox inbox;
     private final long redialMs;
     private final long deadPeerMs;
-    /** When something was first sent to a node, in monotonic milliseconds, since it was last heard. */
+    /** When something was first sent to a node since something last came from it, in monotonic milliseconds. */
     private final Map<Integer, Long> unansweredSinceMs = new ConcurrentHashMap<>();
 
     private final MultiThreadIoEventLoopGroup loops;
@@ -84,7 +84,7 @@
     private Channel server;
 
     /**
-     * @param self the identity that is told to peers
+     * @param self the identity that is sent to peers
      * @param redialMs about how long after a session ended another is tried
      * @param deadPeerMs the sessions with a node from which nothing came for so long though something was sent are
      *     ended: it may have lost power
@@ -103,7 +103,7 @@
         this.redialMs = redialMs;
     }
 
-    /** Accepts sessions from here on; gives the port. */
+    /** Accepts sessions from now on; blocks until the socket is bound and returns its port. */
     public int listen(final String host, final int port) throws InterruptedException {
         server = new ServerBootstrap()
                 .group(loops)
@@ -120,27 +120,27 @@
         return ((InetSocketAddress) server.localAddress()).getPort();
     }
 
-    /** The threads that carry the traffic, for whoever else serves here. */
+    /** The event loops that carry the traffic, to be shared by other servers of this process. */
     public EventLoopGroup loops() {
         return loops;
     }
 
-    /** Sessions that were ended for a frame that could not be decoded. */
+    /** How many sessions were closed because of a frame that could not be decoded. */
     public long malformed() {
         return malformed.sum();
     }
 
-    /** Sessions that were given up because another node answered than the one that was meant. */
+    /** How many sessions were closed because another node answered than the one that was dialled. */
     public long wrongNodes() {
         return wrongNodes.sum();
     }
 
-    /** Bytes sent so far, per peer. */
+    /** Bytes sent since the start by node number; a live view. */
     public Map<Integer, LongAdder> bytesOut() {
         return bytesOut;
     }
 
-    /** Bytes received so far, per peer. */
+    /** Bytes received since the start by node number; a live view. */
     public Map<Integer, LongAdder> bytesIn() {
         return bytesIn;
     }
@@ -197,7 +197,10 @@
         }
     }
 
-    /** False where there is certainly no session to send it on. */
+    /**
+     * Sends a message without blocking; false where it was certainly not sent: no session, or one that is congested or
+     * dead.
+     */
     public boolean send(final int node, final PeerMessage message) {
         final Peer peer = peers.get(node);
         final Channel channel = peer == null ? null : peer.channel();
@@ -205,8 +208,8 @@
             return false;
         }
         if (isDead(node)) {
-            // why: by node, not by session: of the two sessions that two nodes may have, one may carry all that goes
-            // one way
+            // why: by node, not by session: of the two sessions that two nodes may have, one may carry all traffic of
+            // one direction
             unansweredSinceMs.remove(node);
             closeSessions(node);
             return false;
