--- a/coordination/src/main/java/brookpath/coordination/TimingBounds.java
+++ b/coordination/src/main/java/brookpath/coordination/TimingBounds.java
@@ -1,7 +1,8 @@
 package brookpath.coordination;
 
 /**
- * All periods, as ratios of the bounds that the users set. docs/design/timing.md has the arithmetic.
+ * All periods and deadlines, in milliseconds, as ratios of the bounds that the users set. Immutable.
+ * docs/design/timing.md has the arithmetic.
  *
  * @param deliverMs never deliver later than this
  * @param recoverMs never mostly down for longer than this
@@ -12,142 +13,154 @@
  *     there leaseMs after its confirmation at the latest
  */
 public record TimingBounds(long deliverMs, long recoverMs, long changeMs, long windowMs, long leaseMs) {
+    /** The bounds where the settings give none. */
     public static final TimingBounds DEFAULT = new TimingBounds(2_000, 12_000, 3_000, 10_000);
 
+    /** Bounds with a configuration lease of four fifths of {@code changeMs}. */
     public TimingBounds(final long deliverMs, final long recoverMs, final long changeMs, final long windowMs) {
         this(deliverMs, recoverMs, changeMs, windowMs, changeMs * 4 / 5);
     }
 
-    /** The heartbeat's period. */
+    /** The period of heartbeats between members of groups. */
     public long heartbeat() {
         return deliverMs / 8;
     }
 
-    /** Two replies missed in a row. */
+    /** The detection time: a peer that has missed two replies in a row is down. */
     public long down() {
         return 2 * heartbeat();
     }
 
-    /** A leader may act this long after a heartbeat was sent that a majority answered. */
+    /**
+     * How long a leader may act after it sent a heartbeat that a majority answered. Shorter than {@link #down}, for
+     * which an answer binds the voter.
+     */
     public long lease() {
         return down() * 4 / 5;
     }
 
+    /** One heartbeat period. A pull for which there is nothing new stays pending without this limit. */
     public long pullHold() {
         return heartbeat();
     }
 
-    /** A pull that was not answered goes again; what breaks a session says so sooner. */
+    /** A pull that was not answered within this is sent again; a lost session is reported sooner. */
     public long pullDeadline() {
         return 4 * heartbeat();
     }
 
-    /** A candidate waits this long for votes. */
+    /** How long a candidate waits for votes before its attempt has failed. */
     public long goDeadline() {
         return heartbeat();
     }
 
-    /** A publish that is not confirmed within this is unsettled. */
+    /** A publish that is not confirmed within this is answered as unsettled: it may or may not be committed later. */
     public long commitDeadline() {
         return deliverMs / 2;
     }
 
-    /** How long a gateway tries to bring a publish to its group's leader. */
+    /** How long a gateway tries to forward a publish to the leader of its group. */
     public long forwardDeadline() {
         return deliverMs * 5 / 8;
     }
 
-    /** The pause before a leader that took nothing is asked again. */
+    /** The pause before a publish is sent again after a leader did not accept it. */
     public long forwardRetryDelay() {
         return heartbeat() / 6;
     }
 
-    /** A storage machine answers a gateway's held fetch after this, with or without records. */
+    /** A storage node answers a gateway's pending long-poll fetch after this, with or without records. */
     public long longPollTimeout() {
         return 2 * heartbeat();
     }
 
-    /** A gateway says so often who listens, though it is as before. */
+    /** How often a gateway reports its listener counts, also where they have not changed. */
     public long listenerReportInterval() {
         return recoverMs / 8;
     }
 
-    /** Listeners of a gateway that says no more lapse after this. */
+    /** Listener counts of a gateway that has stopped reporting expire after this. */
     public long listenerExpiry() {
         return recoverMs / 3;
     }
 
+    /** How long a process may serve on its configuration after the control leader has last confirmed it. */
     public long configurationLease() {
         return leaseMs;
     }
 
-    /** How long a change's confirmation waits for processes that have not said that they have it. */
+    /** How long the confirmation of a change waits for processes that have not acknowledged it. */
     public long confirmWait() {
         return leaseMs <= changeMs ? leaseMs : changeMs / 4;
     }
 
+    /** How long the control leader keeps a configuration poll pending before it answers without news. */
     public long configurationHold() {
         return configurationLease() / 4;
     }
 
+    /** A configuration poll that is not answered within this is considered lost, and is sent again. */
     public long configurationDeadline() {
         return configurationLease() / 3;
     }
 
     /**
-     * A storage machine that the control leader has not heard for this long is taken for gone, and its copies are made
-     * elsewhere. A live one polls about once in half of it.
+     * A storage node that the control leader has not heard from for this long is considered lost, and its replicas are
+     * rebuilt elsewhere. A live one polls about once in half of it.
      */
     public long goneAfter() {
         return 2 * configurationHold();
     }
 
     /**
-     * The same while an empty storage machine is at hand: a poll's hold, and the time in which heartbeats find it down.
+     * The bound in place of {@link #goneAfter} while an empty storage node is available: the time for which a poll
+     * stays pending, plus the detection time.
      */
     public long replacedAfter() {
         return configurationHold() + down();
     }
 
+    /** A listening session to which nothing was sent for this long gets a keep-alive line. */
     public long keepAlive() {
         return recoverMs / 4;
     }
 
-    /** Timers come at least this often. */
+    /** The period of timer events while a process has work in progress. */
     public long tick() {
         return heartbeat() / 10;
     }
 
-    /** History is kept this much longer than the space asks. */
+    /** How much longer history is kept than the space's keeping time, for clients that return after an outage. */
     public long keepMargin() {
         return recoverMs;
     }
 
-    /** An order that has no answer after this has an unknown end. */
+    /** A change request that has no answer from the control leader after this has an unknown outcome. */
     public long opDeadline() {
         return changeMs * 3 / 2;
     }
 
-    /** A read that has no answer after this is given up; a later answer is dropped. */
+    /** A read that has no answer from the control leader after this has failed; a later answer is dropped. */
     public long readDeadline() {
         return changeMs / 2;
     }
 
-    /** A window's total waits this long after its end for groups that could not close it. */
+    /** How long the total of a usage window waits after the window's end for groups that could not close it. */
     public long straggle() {
         return recoverMs / 3;
     }
 
-    /** The pause before a write that found the disk full is tried again. */
+    /** The pause before a write that found the disk full is retried. */
     public long diskPause() {
         return heartbeat();
     }
 
-    /** A member whose disk has taken nothing for this long is not fit to lead. */
+    /** A member whose disk has completed no write for this long does not stand, and transfers its leadership. */
     public long diskPatience() {
         return deliverMs * 3 / 4;
     }
 
+    /** The delay that a refusal suggests to the caller before it retries. */
     public int retryAfterMs() {
         return (int) (2 * heartbeat());
     }
--- a/coordination/src/main/java/brookpath/coordination/action/Action.java
+++ b/coordination/src/main/java/brookpath/coordination/action/Action.java
@@ -4,46 +4,48 @@
 import brookpath.coordination.message.Response;
 import brookpath.state.record.LogRecord;
 
-/** What a machine wants done; the executor obeys. */
+/** An effect that a decision asks for, carried out by the executor of the process. */
 public sealed interface Action {
     /** Sends a message to another process. */
     record Send(int node, PeerMessage message) implements Action {}
 
-    /** One entry for the log; the executor says later up to which number all is synced. */
+    /** Appends an entry to the write-ahead log; the executor reports later up to which number all writes are synced. */
     record Write(long number, byte[] entry) implements Action {}
 
-    /** A new segment that begins with this snapshot of everything written so far. */
+    /** Begins a new segment with this snapshot, which stands for everything written so far. */
     record Roll(long number, byte[] snapshot) implements Action {}
 
-    /** A full round of heartbeats is wanted now. */
+    /** Requests a full round of heartbeats without waiting for the period. */
     record HeartbeatNow() implements Action {}
 
     /** The final response to a caller's request. */
     record Respond(long requestId, Response response) implements Action {}
 
-    /** What goes to the traffic side of a listening session. */
+    /** An action on the connection of a listening session. */
     sealed interface ToSession extends Action {
+        /** The id of the session at this gateway. */
         long sessionId();
     }
 
-    /** A line for a session whose topics are listened to as a whole. */
+    /** Delivers a line to a session that has one cursor over all its topics. */
     record DeliverLine(long sessionId, byte[] line) implements ToSession {}
 
     /**
-     * A record for a session that joins and leaves topics one by one; its cursor is {@code Cursor.one} of its index.
+     * Delivers a record to a session that joins and leaves topics one by one; its cursor is {@code Cursor.one} of its
+     * index.
      */
     record DeliverRecord(long sessionId, LogRecord logRecord) implements ToSession {}
 
-    /** A topic that a session had joined is no longer listened to, and why. */
+    /** Notifies a session that a topic it had joined is no longer listened to, and why. */
     record TopicEnded(long sessionId, String topic, Response reason) implements ToSession {}
 
-    /** The session is to go on elsewhere; the address may be empty. */
+    /** Asks a session to reconnect at another gateway; the address is empty where none is known. */
     record MoveSession(long sessionId, String address) implements ToSession {}
 
     /** Ends a caller's session. */
     record CloseSession(long sessionId, String reason) implements ToSession {}
 
-    /** A post to the platform under an idempotency key; what became of it comes back as a request. */
+    /** Posts a document to the platform under an idempotency key; the outcome comes back as a request. */
     record Post(long requestId, String key, String json) implements Action {}
 
     /** A line for the log ring; an error has the ring written out. */
--- a/coordination/src/main/java/brookpath/coordination/action/Actions.java
+++ b/coordination/src/main/java/brookpath/coordination/action/Actions.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * Collects, in their order, the actions that follow from one event, and numbers what is written to the log. One
- * instance belongs to one process and is used by its state thread alone.
+ * Collects, in their order, the actions that follow from one event, and numbers what is written to the log. Not
+ * thread-safe: an instance belongs to the one thread that drains it.
  */
 public final class Actions {
     private List<Action> collected = new ArrayList<>();
@@ -67,12 +67,12 @@
         collected.add(new Action.DeliverRecord(sessionId, logRecord));
     }
 
-    /** Tells a session that it no longer listens to a topic, and why. */
+    /** Notifies a session that it no longer listens to a topic, and why. */
     public void topicEnded(final long sessionId, final String topic, final Response reason) {
         collected.add(new Action.TopicEnded(sessionId, topic, reason));
     }
 
-    /** Asks a session to go on at another gateway; the address is empty where none is known. */
+    /** Asks a session to reconnect at another gateway; the address is empty where none is known. */
     public void moveSession(final long sessionId, final String address) {
         collected.add(new Action.MoveSession(sessionId, address));
     }
@@ -97,7 +97,7 @@
         collected.add(new Action.Note(Action.Severity.ERROR, text));
     }
 
-    /** Gives the actions collected since the last call to the executor. */
+    /** Returns the actions collected since the last call, in their order. */
     public List<Action> drain() {
         final List<Action> drained = collected;
         collected = new ArrayList<>();
--- a/coordination/src/main/java/brookpath/coordination/group/DeferredMessages.java
+++ b/coordination/src/main/java/brookpath/coordination/group/DeferredMessages.java
@@ -3,7 +3,7 @@
 import brookpath.coordination.message.PeerMessage;
 import java.util.ArrayDeque;
 
-/** Messages that go out only once a write is synced, in the order of their writes. */
+/** Messages that are sent only once a write is synced, in the order of their writes. */
 final class DeferredMessages {
     /**
      * A message and the write that it waits for.
--- a/coordination/src/main/java/brookpath/coordination/group/GroupEntryKind.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupEntryKind.java
@@ -13,9 +13,9 @@
     TRUNCATE(2),
     /** The current term and the vote given in it, 0 for none. */
     VOTE(3),
-    /** The replica has begun; 1 where it has lost its log and has to be rebuilt, else 0. */
+    /** The replica is initialised; 1 where it has lost its log and has to be rebuilt, else 0. */
     INITIALISED(4),
-    /** A whole snapshot of the group's log, in place of all that was before. */
+    /** A complete snapshot of the group's log, which replaces everything before it. */
     SNAPSHOT(5);
 
     private static final GroupEntryKind[] KINDS = values();
--- a/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
@@ -20,11 +20,15 @@
  * thread.
  */
 public final class GroupMachine {
+    /** The codes of {@link GroupRole}. */
     public static final int FOLLOWER = HeartbeatEntry.FOLLOWER;
+
     public static final int CANDIDATE = HeartbeatEntry.CANDIDATE;
     public static final int LEADER = HeartbeatEntry.LEADER;
 
+    /** The codes of {@link SyncState}. */
     public static final int SYNC_PEER = 0;
+
     public static final int SYNC_CATCH_UP = 1;
     public static final int SYNC_LOST = 2;
 
@@ -34,6 +38,8 @@
     private final GroupStateMachine machine;
 
     /**
+     * A follower with an empty log; {@link #replay} restores what is on disk, {@link #configure} sets the members.
+     *
      * @param toleratedLosses how many replicas may be lost at once without the loss of a committed record
      * @param seed of the random back-off between elections
      */
@@ -69,7 +75,7 @@
         return machine.voteStore.term();
     }
 
-    /** Up to where the log is known to be committed. */
+    /** The highest index that is known to be committed. */
     public long committed() {
         return machine.log.committedIndex();
     }
@@ -84,12 +90,12 @@
         return machine.log.baseIndex();
     }
 
-    /** Up to where this member's own disk has synced the log. */
+    /** The highest index that this member's own disk has synced. */
     public long syncedIndex() {
         return machine.log.syncedIndex();
     }
 
-    /** Where this leader opened its term, 0 while it has none. */
+    /** The index at which this leader opened its term, 0 while it leads nothing. */
     public long openIndex() {
         return machine.roleState.openIndex();
     }
@@ -109,7 +115,7 @@
         return machine.membership.current();
     }
 
-    /** Whether the log itself tells who the members are, rather than whoever founded the group. */
+    /** Whether the log itself holds a membership, so that the members need not be given from outside. */
     public boolean tellsMembers() {
         return machine.log.baseMembership() != null || machine.log.newestMembershipRecord() != null;
     }
@@ -119,22 +125,25 @@
         return machine.membershipChange.isSettled();
     }
 
-    /** How far a learner's replica is known to be synced. */
+    /** The index up to which a learner's replica is known to be synced; -1 where nothing is known. */
     public long learnt(final int node) {
         return machine.progress.ofLearner(node);
     }
 
-    /** How far a voter's replica is known to be synced, as the leader counts it; -1 where nothing is known. */
+    /**
+     * The index up to which a voter's replica is known to be synced, as the leader counts it; -1 where nothing is
+     * known.
+     */
     public long copySynced(final int node) {
         return machine.progress.ofVoter(node);
     }
 
-    /** Where the newest membership stands in the log; 0 where the log tells none. */
+    /** The index of the newest membership record; 0 where the log keeps none. */
     public long membershipIndex() {
         return machine.membership.index();
     }
 
-    /** Nothing is under way that a timer would have to drive on. */
+    /** Whether nothing is in progress that needs timer events, so that they may come less often. */
     public boolean calm() {
         return machine.roleState.isLeader()
                 ? machine.roleState.openIndex() > 0 && machine.log.committedIndex() == endIndex()
@@ -166,7 +175,7 @@
         return machine.roleState.leader();
     }
 
-    /** The record at an index after the base. */
+    /** The record at an index after the base, up to the end of the log. */
     public LogRecord logRecord(final long index) {
         return machine.log.logRecord(index);
     }
@@ -176,7 +185,7 @@
         return floor(members().size());
     }
 
-    /** How many replicas a committed record has at least, in a group of so many voters. */
+    /** How many replicas a committed record has at least, in a group with this number of voters. */
     public int floor(final int voters) {
         return Quorums.floor(voters, toleratedLosses);
     }
@@ -196,17 +205,20 @@
         return 1 + machine.peers.active(members(), now);
     }
 
-    /** May this member act as the leader just now? Asked again immediately before each response. */
+    /**
+     * Whether this member may act as the leader now: it holds the lease and has committed a record of its term. To be
+     * checked again immediately before each response.
+     */
     public boolean mayAct(final long now) {
         return machine.lease.mayAct(now);
     }
 
-    /** Has a follower the committed position of a leader that it hears? */
+    /** Whether a follower has all that the leader which it hears has committed; for a leader, {@link #mayAct}. */
     public boolean inSync(final long now) {
         return machine.isInSync(now);
     }
 
-    /** What this member tells of the group in its heartbeats. */
+    /** The group's entry in this member's heartbeats. */
     public HeartbeatEntry entry(final long now) {
         final SyncState sync = machine.recovery.isDiskLost()
                 ? SyncState.LOST
@@ -225,7 +237,7 @@
                 machine.membership.weight(self));
     }
 
-    /** What kept this member from standing when it last looked, empty for nothing. */
+    /** Why this member did not stand for election at its last check, empty for no obstacle. */
     public String obstacle() {
         return machine.election.obstacle();
     }
@@ -235,7 +247,7 @@
         return machine.lease.majoritySince(since);
     }
 
-    /** Whether so much waits for this member's own disk that nothing more is to be appended. */
+    /** Whether so many bytes wait for this member's own disk that nothing more is to be appended. */
     public boolean diskBacklogged() {
         return machine.log.syncBacklogged();
     }
@@ -248,9 +260,9 @@
     // ---- set-up and recovery
 
     /**
-     * Takes an entry from the disk, at the start; the group's id was read from it.
+     * Restores the group from an entry on disk, at the start; the caller has read the group's id from it.
      *
-     * @throws IllegalStateException where its kind is not known or a record does not follow
+     * @throws IllegalStateException where its kind is unknown or a record does not follow the last one
      */
     public void replay(final PackedBuffer in, final long now) {
         final long code = in.getLong();
@@ -286,25 +298,23 @@
         return entries;
     }
 
-    /** The control group's explicit founding: an empty member that knows it is new, not robbed of its disk. */
+    /** Founds the control group explicitly: this empty member is new, and has not lost its disk. */
     public void found() {
         machine.recovery.initialise(false);
     }
 
-    /**
-     * Since when the process runs that this member is part of: the promises that a former one gave were given before.
-     */
+    /** Sets when this process started, by the steady clock; promises of an earlier run were made before that. */
     public void bornAt(final long mono) {
         machine.election.startedAt(mono);
     }
 
-    /** The same with voters alone. */
+    /** Sets the membership as of the placement, with voters alone. */
     public void configure(final List<Member> newMembers, final int version, final boolean isFounded, final long now) {
         configure(new Membership(version, newMembers, List.of()), isFounded, now);
     }
 
     /**
-     * Takes the membership that the placement tells of.
+     * Sets the membership as of the placement; one in the log counts unless it is older.
      *
      * @param isFounded whether the group was founded before, so that an empty disk is a lost one
      */
@@ -314,52 +324,55 @@
 
     // ---- events
 
-    /** A timer: takes the newest heartbeat table, and does what is due. */
+    /** Handles a timer event: takes the newest heartbeat table, and does what is due. */
     public void tick(final long now, final HeartbeatTable table) {
         machine.tick(now, table);
     }
 
-    /** All writes up to this number are synced. */
+    /** Handles the executor's report that all writes up to this number are synced. */
     public void synced(final long number, final long now) {
         machine.synced(number, now);
     }
 
-    /** A message of another member. */
+    /** Handles a message of another node; one that does not concern this member is dropped. */
     public void on(final int from, final PeerMessage message, final long now) {
         machine.on(from, message, now);
     }
 
-    /** What was asked of the node may never have arrived. */
+    /** The session to the node is lost; a pull that was sent to it is not waited for any longer. */
     public void sessionLost(final int node) {
         machine.fetcher.sessionLost(node);
     }
 
-    /** Appends a record as the leader, and returns its index; the caller has asked {@link #mayAct}. */
+    /** Appends a record as the leader, and returns its index; the caller has checked {@link #mayAct}. */
     public long append(final int kind, final byte[] body, final long now, final long wall) {
         return machine.append(kind, body, now, wall);
     }
 
-    /** One step of a membership change, as a record. False, and nothing is done, where it would not be safe now. */
+    /** Appends one step of a membership change as a record. False, and nothing is done, where it is not safe now. */
     public boolean change(final Membership next, final long now, final long wall) {
         return machine.change(next, now, wall);
     }
 
     /**
-     * This member is about to leave: it stands no more, and transfers what it leads to whoever has everything. True
-     * once it leads nothing.
+     * Prepares this member to leave: it no longer stands, and transfers its leadership to a voter with the complete
+     * log. True once it leads nothing.
      */
     public boolean retreat(final long now) {
         return machine.transfer.withdraw(now);
     }
 
-    /** Manual switchover: asks a follower that has everything to stand, and does not act until that has been tried. */
+    /**
+     * Manual switchover: asks a voter with the complete log to stand, and does not act until that has been tried.
+     * False, and nothing is done, where that is not possible.
+     */
     public boolean handOver(final int to, final long now) {
         return machine.transfer.to(to, now);
     }
 
     /**
-     * Whether the record is as it was made. Where not, this replica does not count and is rebuilt from another, and
-     * nothing of it is served.
+     * Whether the record is undamaged. Where not, this replica does not count and is repaired from another, and nothing
+     * of it is served.
      */
     public boolean whole(final long index) {
         return machine.isIntact(index);
--- a/coordination/src/main/java/brookpath/coordination/group/GroupMembership.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupMembership.java
@@ -26,12 +26,12 @@
         this.self = self;
     }
 
-    /** Takes the membership that the placement tells of; {@link #refresh} decides whether it counts. */
+    /** Sets the membership as of the placement; {@link #refresh} decides whether it counts. */
     void place(final Membership newPlaced) {
         placed = newPlaced;
     }
 
-    /** Takes the newest membership that the log or the placement tells of. */
+    /** Adopts the newest membership of the log or the placement. */
     void refresh(final RaftLog log) {
         current = log.baseMembership() != null ? log.baseMembership() : placed;
         index = 0;
@@ -40,7 +40,7 @@
             current = Membership.load(PackedBuffer.reader(newest.body()));
             index = newest.index();
         }
-        // why: a placement tells of committed memberships only, so a newer one stands over a log that is behind
+        // why: a placement holds committed memberships only, so a newer one takes precedence over a log that is behind
         if (placed.version() > current.version()) {
             current = placed;
             index = 0;
@@ -52,7 +52,7 @@
         return current;
     }
 
-    /** Where that membership stands in the log, 0 where it is not a kept record. */
+    /** The index of that membership's record, 0 where the log does not keep it. */
     long index() {
         return index;
     }
@@ -87,14 +87,14 @@
         return isVoter(self);
     }
 
-    /** Whether the node copies the log without a vote. */
+    /** Whether the node replicates the log without a vote. */
     boolean isLearner(final int node) {
         return Membership.find(current.learners(), node) != null;
     }
 
     /**
-     * Whether a message counts here. This membership may be older or newer than the sender's: whoever asks for a vote
-     * is judged by its term and log alone, and counts the answer by its own membership; a leader is obeyed by its term.
+     * Whether a message is handled here. This membership may be older or newer than the sender's: a candidate is judged
+     * by its term and log alone, and counts the vote by its own membership; a leader is followed by its term.
      */
     boolean concerns(final int from, final PeerMessage message) {
         if (message instanceof PullReply) {
--- a/coordination/src/main/java/brookpath/coordination/group/GroupRole.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupRole.java
@@ -2,10 +2,13 @@
 
 import brookpath.coordination.message.PeerMessage.HeartbeatEntry;
 
-/** A member's role in its group; the code goes out with each heartbeat. */
+/** A member's role in its group; the code is sent with each heartbeat. */
 public enum GroupRole {
+    /** Pulls the log; knows a leader or waits for one. */
     FOLLOWER(HeartbeatEntry.FOLLOWER),
+    /** Has asked for votes in a new term. */
     CANDIDATE(HeartbeatEntry.CANDIDATE),
+    /** Has won its term; acts only while it holds the lease. */
     LEADER(HeartbeatEntry.LEADER);
 
     private final int code;
--- a/coordination/src/main/java/brookpath/coordination/group/GroupStateMachine.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupStateMachine.java
@@ -88,7 +88,7 @@
         membershipChange = new MembershipChange(self, toleratedLosses, membership, log, lease, progress);
     }
 
-    /** Takes the membership that the placement tells of. */
+    /** Sets the membership as of the placement. */
     void configure(final Membership placed, final boolean founded, final long now) {
         membership.place(placed);
         refreshMembership();
@@ -97,12 +97,12 @@
         recovery.initialise(founded);
     }
 
-    /** Whether a leader may act, or a follower has all that a leader has committed which it hears. */
+    /** Whether a leader may act, or a follower has all that the leader which it hears has committed. */
     boolean isInSync(final long now) {
         return roleState.isLeader() ? lease.mayAct(now) : fetcher.isInSync(now);
     }
 
-    /** Takes the newest membership that the log or the placement tells of. */
+    /** Adopts the newest membership of the log or the placement. */
     private void refreshMembership() {
         membership.refresh(log);
         // why: the record that removes a member must not end at that member, which could then neither stand nor help
@@ -110,7 +110,7 @@
         appender.dropPendingOfOthers();
     }
 
-    /** One step of a membership change, as a record. False, and nothing is done, where it would not be safe now. */
+    /** Appends one step of a membership change as a record. False, and nothing is done, where it is not safe now. */
     boolean change(final Membership next, final long now, final long wall) {
         if (!membershipChange.isAllowed(next, now)) {
             return false;
@@ -123,7 +123,7 @@
         return true;
     }
 
-    /** A timer: takes the newest heartbeat table, and does what is due. */
+    /** Handles a timer event: takes the newest heartbeat table, and does what is due. */
     void tick(final long now, final HeartbeatTable table) {
         peers.update(table);
         if (!membership.selfIsVoter()) {
@@ -155,7 +155,7 @@
         }
     }
 
-    /** Steps down where another may lead by now, else commits what may be committed. */
+    /** Steps down where another may lead by now, else commits what can be committed. */
     private void leadOn(final long now) {
         if (voteStore.highestTermSeen() > voteStore.term()) {
             stepDown("epoch " + voteStore.highestTermSeen() + " seen");
@@ -167,7 +167,7 @@
         }
     }
 
-    /** Takes the leader that the heartbeats tell of; a leader without its lease hears none. */
+    /** Adopts the leader that the heartbeats report; a leader without its lease has none. */
     private void hearLeader(final long now) {
         final int heard = roleState.isLeader() ? ownLeadership(now) : liveLeader(now);
         if (heard == roleState.leader()) {
@@ -177,7 +177,7 @@
         if (roleState.hearsOtherLeader()) {
             election.onLeaderHeard();
         } else {
-            // why: the others wait to stand until nobody tells of a live leader, so they are told at once
+            // why: the others do not stand while anybody reports a live leader, so they are notified at once
             out.heartbeatNow();
         }
         fetcher.cancel();
@@ -187,7 +187,7 @@
         return lease.held(now) ? self : PeerView.NOBODY;
     }
 
-    /** A learner copies the log; who is no member does nothing and hears no leader through this group. */
+    /** A learner replicates the log; a node that is no member does nothing and follows no leader. */
     private void followOnly(final long now) {
         if (roleState.isLeader()) {
             stepDown("is no voter any more");
@@ -202,7 +202,7 @@
         }
     }
 
-    /** All writes up to this number are synced. */
+    /** Handles the report that all writes up to this number are synced. */
     void synced(final long number, final long now) {
         log.synced(number);
         for (DeferredMessages.Deferred next = deferredMessages.poll(number);
@@ -225,7 +225,7 @@
         }
     }
 
-    /** A message of another member. */
+    /** Handles a message of another node. */
     void on(final int from, final PeerMessage message, final long now) {
         if (!membership.concerns(from, message)) {
             return;
@@ -251,7 +251,7 @@
         }
     }
 
-    /** Appends a record as the leader; the caller has asked {@link LeaderLease#mayAct}. */
+    /** Appends a record as the leader; the caller has checked {@link LeaderLease#mayAct}. */
     long append(final int kind, final byte[] body, final long now, final long wall) {
         final LogRecord logRecord =
                 LogRecord.of(log.endIndex() + 1, voteStore.term(), Math.max(log.lastStamp(), wall), kind, body, now);
@@ -287,7 +287,7 @@
         }
     }
 
-    /** Begins a leadership that was won. */
+    /** Begins the leadership after a won election. */
     private void lead(final long now) {
         election.win(now);
         fetcher.dropReceived();
@@ -311,9 +311,9 @@
         out.heartbeatNow();
     }
 
-    /** The leader as the heartbeats tell it, 0 for none. */
+    /** The leader that the heartbeats report, 0 for none. */
     private int liveLeader(final long now) {
-        // why: a learner may have raised its term before it was removed, when nobody who counted heard of it
+        // why: a learner may have raised its term before it was removed, when no voter took note of it
         return peers.leader(membership.selfIsVoter() ? voteStore.term() : log.endTerm(), now);
     }
 
@@ -357,8 +357,8 @@
                 progress.committable(membership.floor(toleratedLosses), roleState.openIndex(), voteStore.term());
         if (index > log.committedIndex()) {
             if (log.committedIndex() < roleState.openIndex()) {
-                // why: whoever only watches learns at once that it may be read from, and not with its own next
-                // heartbeat
+                // why: a process that only watches is notified at once that reads are served here, not with its own
+                // next heartbeat
                 out.heartbeatNow();
             }
             log.commit(index);
@@ -369,8 +369,8 @@
     // ---- repair
 
     /**
-     * Whether the record is as it was made. Where not, this copy is out and is mended from another, and nothing of it
-     * is served.
+     * Whether the record is undamaged. Where not, this replica does not count and is repaired from another, and nothing
+     * of it is served.
      */
     boolean isIntact(final long index) {
         if (log.logRecord(index).isIntact()) {
@@ -387,7 +387,7 @@
         return false;
     }
 
-    /** Finds damage that no read has met. */
+    /** Finds damaged records that no read has met. */
     private void sweepLog() {
         final long damagedIndex = sweep.nextDamaged();
         if (damagedIndex != LogSweep.NONE) {
--- a/coordination/src/main/java/brookpath/coordination/group/LeaderElection.java
+++ b/coordination/src/main/java/brookpath/coordination/group/LeaderElection.java
@@ -9,10 +9,10 @@
 import java.util.TreeSet;
 
 /**
- * The election of a group's leader: when this member stands, whom it votes for, and when it has won. A member stands
- * only where no leader is heard and no other that answers has a newer log; among equal logs the lower ranks defer to
- * the higher ones for a few attempts. Times are of the steady clock, in milliseconds. Not thread-safe: the group's
- * state thread owns it.
+ * The election of a group's leader: when this member stands, which candidate it votes for, and when it has won. A
+ * member stands only where no leader is heard and no other that answers has a newer log; among equal logs the lower
+ * ranks defer to the higher ones for a few attempts. Times are of the steady clock, in milliseconds. Not thread-safe:
+ * the group's state thread owns it.
  */
 final class LeaderElection {
     /** After so many failed attempts nobody defers to a higher rank any more. */
@@ -75,7 +75,7 @@
         this.random = random;
     }
 
-    /** When the process started: what a former one promised was promised before. */
+    /** Sets when the process started; promises of an earlier run were made before that. */
     void startedAt(final long now) {
         startedAt = now;
     }
@@ -88,16 +88,16 @@
         if (startedAt == NEVER) {
             startedAt = now;
         }
-        // why: whoever has voted in a term is bound by no leader of an earlier one, also after a restart
+        // why: a member that has voted in a term is bound by no leader of an earlier one, also after a restart
         promises.raise(group, voteStore.term(), self, true, now);
     }
 
-    /** This member is about to leave and stands no more. */
+    /** This member is about to leave and no longer stands. */
     void withdraw() {
         withdrawn = true;
     }
 
-    /** What kept this member from standing when it last looked, empty for nothing. */
+    /** Why this member did not stand for election at its last check, empty for no obstacle. */
     String obstacle() {
         return obstacle;
     }
@@ -109,7 +109,10 @@
         failedAttempts = 0;
     }
 
-    /** Ends a candidacy whose time has run out; the next one waits for a random time that grows with each. */
+    /**
+     * Ends a candidacy whose time has run out; the next one starts after a random back-off that grows with each
+     * attempt.
+     */
     void expire(final long now) {
         if (roleState.isCandidate() && now >= attemptEndsAt) {
             failedAttempts++;
@@ -124,7 +127,7 @@
         return (long) (timing.goDeadline() * (MIN_BACKOFF + random.nextDouble() * attempts));
     }
 
-    /** Stands where that is due and nothing keeps this member from it. */
+    /** Stands where that is due and there is no obstacle. */
     void standIfDue(final long now) {
         if (now >= nextAttempt && mayStand(now)) {
             stand(now, false);
@@ -132,7 +135,7 @@
     }
 
     /**
-     * Asks for votes in a new term.
+     * Requests votes in a new term, once this member's own vote is synced.
      *
      * @param manual the leader itself has asked this member to take over
      */
@@ -167,7 +170,7 @@
         return obstacle.isEmpty();
     }
 
-    /** What of its own keeps this member from standing, empty for nothing. */
+    /** The obstacle in this member's own state, empty for none. */
     private String ownObstacle(final long now) {
         if (recovery.isLost() || !recovery.isInitialised()) {
             return "its copy is being rebuilt";
@@ -184,7 +187,7 @@
         return "";
     }
 
-    /** What the other voters tell that keeps this member from standing, empty for nothing. */
+    /** The obstacle in what the other voters report, empty for none. */
     private String peerObstacle(final long now) {
         int answering = 1;
         int better = 0;
@@ -199,8 +202,8 @@
             if (entry.leaderHeard() != PeerView.NOBODY && entry.leaderHeard() != self) {
                 return "node " + voter.node() + " hears master " + entry.leaderHeard();
             }
-            // why: one that is heard but does not answer is down; waiting for its longer log would wait for ever, and
-            // the voters' own logs decide anyway
+            // why: one that is heard but does not answer is down; waiting for its longer log might never end, and the
+            // voters' own logs decide anyway
             if (!peers.up(voter.node())) {
                 continue;
             }
@@ -218,7 +221,9 @@
         return better > 0 && defers(better, now) ? "gives a higher rank a head start" : "";
     }
 
-    /** Whether the lower rank still gives the higher ones a head start; by ranks all know who is to win. */
+    /**
+     * Whether the lower rank still gives the higher ones a head start; by their ranks all know which one should win.
+     */
     private boolean defers(final int better, final long now) {
         if (failedAttempts >= DEFERRING_ATTEMPTS) {
             return false;
@@ -237,14 +242,17 @@
         return now - startedAt <= timing.down();
     }
 
-    /** How long the oldest write that this member waits for has been under way, in milliseconds. */
+    /** How long the oldest write that this member waits for has been pending, in milliseconds. */
     long diskLag(final long now) {
         return Math.max(log.syncLag(now), deferredMessages.lag(now));
     }
 
     // ---- voting
 
-    /** Why this member does not vote for the candidate, null where it is free to. */
+    /**
+     * Why this member does not vote for the candidate, null where it may. Where null, the term is raised for the
+     * promises.
+     */
     String refusal(final int candidate, final VoteRequest request, final long now) {
         final String own = refusalByState(candidate, request, now);
         if (own != null) {
@@ -294,9 +302,7 @@
         return null;
     }
 
-    /**
-     * Votes for the candidate, which {@link #refusal} has nothing against; the reply waits until the vote is synced.
-     */
+    /** Votes for the candidate, which {@link #refusal} has accepted; the reply waits until the vote is synced. */
     void grant(final int candidate, final long term, final long now) {
         // why: a vote that is forgotten after a crash could be given twice
         final long write = voteStore.vote(term, candidate);
@@ -317,14 +323,14 @@
         return votes.size() >= votesNeeded();
     }
 
-    /** Leads the group from here on, and opens its term with the next record of the log. */
+    /** Makes this member the leader; its term opens with the next record of the log. */
     void win(final long now) {
         final String reason = "won epoch " + voteStore.term() + " with votes of " + votes;
         roleState.becomeLeader(log.endIndex() + 1, reason, now);
         failedAttempts = 0;
     }
 
-    /** A majority; all where the group is being founded. */
+    /** A majority; all voters where the group is being founded. */
     private int votesNeeded() {
         return founded ? membership.majority() : membership.voters().size();
     }
--- a/coordination/src/main/java/brookpath/coordination/group/LeaderLease.java
+++ b/coordination/src/main/java/brookpath/coordination/group/LeaderLease.java
@@ -7,8 +7,8 @@
 
 /**
  * The lease under which a leader acts: a majority has answered a heartbeat of this leadership that was sent within the
- * lease, and whoever answered helps nobody else into the leadership for longer than that. Times are of the steady
- * clock, in milliseconds. Not thread-safe: the group's state thread owns it.
+ * lease, and each voter that answered votes for no other candidate for longer than that. Times are of the steady clock,
+ * in milliseconds. Not thread-safe: the group's state thread owns it.
  */
 final class LeaderLease {
     private static final long NEVER = Long.MIN_VALUE;
@@ -111,13 +111,13 @@
         return peers.up(node) && now - peers.row(node).answeredSentAt() <= 2 * timing.down();
     }
 
-    /** Another member is asked to take over; the lease must not be used until that has been tried. */
+    /** Another member is asked to take over; this leader does not act until that has been tried. */
     void transfer(final long now) {
         // why: the voters will not wait for this lease to end
         transferringUntil = now + timing.down() + timing.goDeadline();
     }
 
-    /** Whether another member was asked to take over and may still do so. */
+    /** Whether another member was asked to take over, and may still do so. */
     boolean transferring(final long now) {
         return now < transferringUntil;
     }
--- a/coordination/src/main/java/brookpath/coordination/group/LeadershipTransfer.java
+++ b/coordination/src/main/java/brookpath/coordination/group/LeadershipTransfer.java
@@ -5,8 +5,8 @@
 import brookpath.coordination.message.PeerMessage.TimeoutNow;
 
 /**
- * Transfers the leadership to a follower that has the whole log: on an operator's order, where the leader is about to
- * leave, and where its disk takes nothing. Not thread-safe: the group's state thread owns it.
+ * Transfers the leadership to a voter that has the complete log: on an operator's order, where the leader is about to
+ * leave, and where its disk completes no writes. Not thread-safe: the group's state thread owns it.
  */
 final class LeadershipTransfer {
     private final int group;
@@ -50,7 +50,7 @@
     }
 
     /**
-     * Asks a voter that has the whole log to stand; this leader does not act until that has been tried.
+     * Asks a voter that has the complete log to stand; this leader does not act until that has been tried.
      *
      * @return false, and nothing is done, where this member may not act as the leader or the voter lacks records
      */
@@ -67,7 +67,7 @@
         return true;
     }
 
-    /** Transfers to the first voter that can take over, unless a transfer is under way. */
+    /** Transfers to the first voter that can take over, unless a transfer is in progress. */
     private void toAny(final long now) {
         if (lease.transferring(now)) {
             return;
@@ -79,7 +79,7 @@
         }
     }
 
-    /** This member is about to leave: it stands no more, and transfers what it leads. True once it leads nothing. */
+    /** This member is about to leave: it no longer stands, and transfers its leadership. True once it leads nothing. */
     boolean withdraw(final long now) {
         election.withdraw();
         if (roleState.isLeader()) {
@@ -88,9 +88,9 @@
         return !roleState.isLeader();
     }
 
-    /** A leader whose disk takes nothing transfers to a follower that has everything, if there is one. */
+    /** A leader whose disk completes no writes transfers to a voter with the complete log, if there is one. */
     void transferIfDiskStalls(final long now) {
-        // why: without a majority among the others none of them can win, and this one had better go on
+        // why: without a majority among the others none of them can win, and this leader should continue
         final boolean othersCanElect = peers.active(membership.voters(), now) >= membership.majority();
         if (election.diskLag(now) > timing.diskPatience() && othersCanElect) {
             toAny(now);
--- a/coordination/src/main/java/brookpath/coordination/group/LogAppender.java
+++ b/coordination/src/main/java/brookpath/coordination/group/LogAppender.java
@@ -11,12 +11,15 @@
 import java.util.function.LongPredicate;
 
 /**
- * The sending side of log replication: answers the pulls of other members with records, with a place before which the
- * logs agree, or with a snapshot. A pull that nothing is to be told about stays pending until there is. Not
+ * The sending side of log replication: answers the pulls of other members with records, with an earlier index to try
+ * where the logs differ, or with a snapshot. A pull for which there is nothing new stays pending until there is. Not
  * thread-safe: the group's state thread owns it.
  */
 final class LogAppender {
-    /** So many bytes of records go in one reply: a slow link must not keep the heartbeats behind it for long. */
+    /**
+     * The most bytes of records in one reply, but for the last record: a slow link must not keep the heartbeats behind
+     * it for long.
+     */
     private static final int REPLY_BYTES = 64 << 10;
 
     private static final byte[] NO_SNAPSHOT = {};
@@ -35,7 +38,7 @@
     private final TreeMap<Integer, Pull> pending = new TreeMap<>();
     private long nextTrim = Long.MIN_VALUE;
 
-    /** @param intact whether the record at an index is as it was made; where not, nothing of this log is served */
+    /** @param intact whether the record at an index is undamaged; where not, nothing of this log is served */
     LogAppender(
             final int group,
             final TimingBounds timing,
@@ -62,14 +65,15 @@
 
     // ---- what a pull acknowledges
 
-    /** Whether the puller's log differs from this one though index and term of its end are alike. */
+    /** Whether the puller's log differs from this one though both have the same term at the index of its end. */
     boolean differs(final Pull pull) {
         return !pull.lost() && endsInThisLog(pull) && log.digestAt(pull.syncedIndex()) != pull.chain();
     }
 
-    /** Replaces the whole log of a member whose log differs from this leader's. */
+    /** Replaces the complete log of a member whose log differs from this leader's. */
     void replaceLog(final int node, final Pull pull, final long now) {
-        // why: the same (term, index) must mean the same log; where it does not, the replica is none and is sent whole
+        // why: the same (term, index) must mean the same log; where it does not, the replica does not count and the
+        // complete log is sent
         progress.forget(node);
         pending.remove(node);
         out.note("group " + group + ": the copy of node " + node + " differs at or before " + pull.syncedIndex()
@@ -77,7 +81,7 @@
         sendSnapshot(node, pull, standing(now), now);
     }
 
-    /** Takes what a pull tells this leader of the puller's replica; true where a voter's replica may have grown. */
+    /** Records what a pull acknowledges of the puller's replica; true where a voter's replica may have grown. */
     boolean acknowledge(final int node, final Pull pull) {
         if (!membership.isVoter(node)) {
             acknowledgeLearner(node, pull);
@@ -99,7 +103,7 @@
     }
 
     private void acknowledgeLearner(final int node, final Pull pull) {
-        // why: a learner's replica is looked at to see when it may vote, and counts for nothing until then; one that
+        // why: a learner's replica is tracked to see when it may vote, and counts for nothing until then; one that
         // stood in vain in a later term, before it was removed, may not vote in this one
         progress.forgetVoter(node);
         final boolean mayVote = !pull.lost() && pull.term() <= voteStore.term();
@@ -120,22 +124,22 @@
         }
     }
 
-    /** Answers those pending pulls that there is something to tell about by now. */
+    /** Answers the pending pulls for which there is something new. */
     void answerPending(final long now) {
         pending.entrySet().removeIf(entry -> reply(entry.getKey(), entry.getValue(), now));
     }
 
-    /** Forgets the pending pulls of all that are no members any more. */
+    /** Forgets the pending pulls of nodes that are no longer members. */
     void dropPendingOfOthers() {
         pending.keySet().removeIf(node -> !membership.holds(node));
     }
 
-    /** Forgets all pending pulls; whoever sent them asks again. */
+    /** Forgets all pending pulls; their senders retry. */
     void dropPending() {
         pending.clear();
     }
 
-    /** False where there is nothing to tell. */
+    /** Answers a pull; false where there is nothing new. */
     private boolean reply(final int node, final Pull pull, final long now) {
         final long previous = pull.nextIndex() - 1;
         final SourceStanding standing = standing(now);
@@ -186,7 +190,8 @@
 
     /** Whether the puller does not know yet up to where the log is committed. */
     private boolean tellsCommitted(final Pull pull, final SourceStanding standing) {
-        // why: a member that rebuilds its replica has to hear from an acting leader how far, also where nothing follows
+        // why: a member that rebuilds its replica has to learn the committed index from an acting leader, also where no
+        // records follow
         return pull.committed() == Pull.UNKNOWN
                 ? standing == SourceStanding.ACTING_LEADER
                 : pull.committed() < log.committedIndex();
@@ -217,7 +222,7 @@
 
     // ---- snapshots
 
-    /** Sends the next part of this log's snapshot, which is built for the first who asks and kept for the others. */
+    /** Sends the next part of this log's snapshot, which is built for the first receiver and kept for the others. */
     private void sendSnapshot(final int node, final Pull pull, final SourceStanding standing, final long now) {
         if (!snapshotSender.serves(pull.snapshotSum(), Math.min(pull.syncedIndex(), log.endIndex()))) {
             if (!isWholeLogIntact()) {
@@ -254,12 +259,15 @@
         return true;
     }
 
-    /** The log is replaced or truncated, so the snapshot that is held is not of it any more. */
+    /** The log is replaced or truncated, so the snapshot that is kept is no longer of it. */
     void dropSnapshot() {
         snapshotSender.drop();
     }
 
-    /** Trims the log once a heartbeat's period, as far as whoever takes the snapshot can go on from there. */
+    /**
+     * Trims the log once a heartbeat period, but not beyond the end of a snapshot that is kept: its receivers continue
+     * from there.
+     */
     void trimIfDue(final long now) {
         if (now < nextTrim) {
             return;
--- a/coordination/src/main/java/brookpath/coordination/group/LogFetcher.java
+++ b/coordination/src/main/java/brookpath/coordination/group/LogFetcher.java
@@ -8,9 +8,9 @@
 import brookpath.state.record.LogRecord;
 
 /**
- * The receiving side of log replication: pulls the log from the leader, or from a follower that hears it, takes what is
- * sent, and knows whether this follower is in sync. Replies of older terms and older memberships are refused. Times are
- * of the steady clock, in milliseconds. Not thread-safe: the group's state thread owns it.
+ * The receiving side of log replication: pulls the log from the leader, or from a follower that hears it, appends what
+ * is sent, and knows whether this follower is in sync. Replies of older terms and older memberships are rejected. Times
+ * are of the steady clock, in milliseconds. Not thread-safe: the group's state thread owns it.
  */
 final class LogFetcher {
     private static final long WHOLE_LOG = -1;
@@ -66,9 +66,9 @@
 
     // ---- whether this follower is in sync
 
-    /** Whether this follower has all that a leader has committed which it hears. */
+    /** Whether this follower has all that the leader which it hears has committed. */
     boolean isInSync(final long now) {
-        // why: a follower that hears its leader but is not heard gets no more of the log, and would not know
+        // why: a follower that hears its leader but is not heard gets no more of the log, and would not notice
         return inSync
                 && !recovery.isLost()
                 && roleState.leader() != PeerView.NOBODY
@@ -76,12 +76,12 @@
                 && now - behindSince <= timing.down();
     }
 
-    /** This follower is not known to be in sync any more. */
+    /** This follower is no longer known to be in sync. */
     void outOfSync() {
         inSync = false;
     }
 
-    /** Notes since when the leader has told of more committed records than are here. */
+    /** Notes since when the leader has reported a higher committed index than the one here. */
     void watchLeader(final long now) {
         final HeartbeatEntry entry = peers.entry(roleState.leader(), now);
         if (entry == null || entry.committed() <= log.committedIndex()) {
@@ -93,24 +93,24 @@
 
     // ---- pulling
 
-    /** The pull that is under way, if any, is not waited for. */
+    /** Stops waiting for the pull in flight, if there is one. */
     void cancel() {
         pulling = false;
     }
 
-    /** The session to the node is lost, and so may be what was asked of it. */
+    /** The session to the node is lost, and so may be the pull that was sent to it. */
     void sessionLost(final int node) {
         if (source == node) {
             cancel();
         }
     }
 
-    /** Whether the whole log is to be replaced by a snapshot. */
+    /** Whether the complete log is to be replaced by a snapshot. */
     boolean isSnapshotWanted() {
         return snapshotWanted;
     }
 
-    /** The log here is damaged: nothing but a snapshot mends it. */
+    /** The log here is damaged: only a snapshot repairs it. */
     void replaceLog() {
         dropReceived();
         snapshotWanted = true;
@@ -122,7 +122,7 @@
         snapshotReceiver.reset();
     }
 
-    /** Asks for what follows this log, unless that was asked already. */
+    /** Sends a pull for what follows this log, unless one is in flight. */
     void pull(final long now) {
         if (roleState.isLeader() || membership.voters().isEmpty() || log.hasUnsynced()) {
             return;
@@ -179,17 +179,17 @@
     /**
      * Takes a reply to a pull.
      *
-     * @return true where the log may have changed, so that what waits for it may go on
+     * @return true where the log may have changed, so that what waits for it may proceed
      */
     boolean onReply(final int from, final PullReply reply, final long now) {
-        // why: the fence: whoever acts for an older term or an older group is not obeyed, however late it wakes
+        // why: fencing: a sender that acts for an older term or an older membership is ignored, however late its reply
         if (isOlderTerm(reply) || isOlderGroup(reply) || roleState.isLeader() || from != source) {
             return false;
         }
         enterTerm(reply.term());
         pulling = false;
         final PullReplyKind kind = PullReplyKind.ofCode(reply.kind());
-        // why: a late reply speaks of a log that may have grown since; cutting by it would take back acknowledged
+        // why: a late reply refers to a log that may have grown since; truncating by it would remove acknowledged
         // records
         if (kind != PullReplyKind.RECORDS && !isOfThisLog(reply)) {
             pull(now);
@@ -204,7 +204,7 @@
 
     /**
      * Whether the reply is older than a membership that its sender must know: one that is committed, or that was made
-     * in this term. A record of an earlier leader that was never committed says nothing of this one.
+     * in this term. A membership record of an earlier leader that was never committed need not be known to this one.
      */
     private boolean isOlderGroup(final PullReply reply) {
         return reply.term() == voteStore.term()
@@ -227,7 +227,7 @@
                 : reply.askedIndex() == log.endIndex() && reply.askedTerm() == log.endTerm();
     }
 
-    /** Follows the reply; false where it is refused and nothing was changed. */
+    /** Applies the reply; false where it is rejected and nothing was changed. */
     private boolean take(final PullReplyKind kind, final int from, final PullReply reply, final long now) {
         return switch (kind) {
             case SNAPSHOT -> takeSnapshotPart(from, reply, now);
@@ -254,7 +254,8 @@
     }
 
     private boolean mayTakeFollowersLog() {
-        // why: a follower's log may lack what this member's counted for; whoever is mended takes the leader's
+        // why: a follower's log may lack records for which this replica was counted; a damaged replica is repaired from
+        // the leader
         if (recovery.isDamaged()) {
             return false;
         }
@@ -281,7 +282,7 @@
         return true;
     }
 
-    /** No snapshot under way, in or out, is of the log as it is from here on. */
+    /** Drops the snapshots in transfer, in and out: they are not of the log as it is from here on. */
     private void dropTransfers() {
         appender.dropSnapshot();
         dropReceived();
@@ -294,7 +295,7 @@
 
     private boolean takeRecords(final PullReply reply, final long now) {
         dropReceived();
-        // why: a late reply may belong to a log that was cut since; what came after the cut must not be called
+        // why: a late reply may belong to a log that was truncated since; what was appended afterwards must not become
         // committed by it
         if (reply.askedIndex() < log.baseIndex()
                 || reply.askedIndex() > log.endIndex()
@@ -316,7 +317,7 @@
         return true;
     }
 
-    /** This log is the source's up to the index. */
+    /** This log equals the source's up to the index. */
     private void onMatched(final long matchedIndex, final PullReply reply, final long now) {
         final boolean complete = matchedIndex >= reply.committed();
         log.commit(Math.min(reply.committed(), matchedIndex));
--- a/coordination/src/main/java/brookpath/coordination/group/LogSweep.java
+++ b/coordination/src/main/java/brookpath/coordination/group/LogSweep.java
@@ -1,6 +1,6 @@
 package brookpath.coordination.group;
 
-/** Checks a few records of a log at a time, round and round, to find damage that no read has met. */
+/** Checks a few records of a log at a time, in a cycle, to find damaged records that no read has met. */
 final class LogSweep {
     /** No record is damaged. */
     static final long NONE = 0;
--- a/coordination/src/main/java/brookpath/coordination/group/Membership.java
+++ b/coordination/src/main/java/brookpath/coordination/group/Membership.java
@@ -4,14 +4,17 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The members of a group in one of its versions. Learners copy the log, but neither vote nor count. Immutable. */
+/** The members of a group in one of its versions. Learners replicate the log, but neither vote nor count. Immutable. */
 public record Membership(int version, List<Member> voters, List<Member> learners) {
+    /** No members, in version 0: before a group is configured. */
     public static final Membership NONE = new Membership(0, List.of(), List.of());
 
+    /** The membership as bytes, for a log record or a snapshot. */
     public byte[] save() {
         return buffer(PackedBuffer.writer()).toByteArray();
     }
 
+    /** Appends the membership to the buffer, and returns the buffer. */
     public PackedBuffer buffer(final PackedBuffer buffer) {
         buffer.putLong(version);
         for (final List<Member> list : List.of(voters, learners)) {
@@ -21,6 +24,7 @@
         return buffer;
     }
 
+    /** Reads a membership that {@link #buffer} has written. */
     public static Membership load(final PackedBuffer in) {
         return new Membership((int) in.getLong(), list(in), list(in));
     }
@@ -33,16 +37,17 @@
         return List.copyOf(list);
     }
 
+    /** The node's member in the list, null where it has none. */
     public static Member find(final List<Member> list, final int node) {
         return list.stream().filter(m -> m.node() == node).findFirst().orElse(null);
     }
 
-    /** Those of the first list that the second lacks. */
+    /** The members of the first list that the second lacks. */
     public static List<Member> missing(final List<Member> list, final List<Member> from) {
         return list.stream().filter(m -> find(from, m.node()) == null).toList();
     }
 
-    /** The next version, with a learner more. */
+    /** The next version, with this learner in addition. */
     public Membership withLearner(final Member m) {
         return new Membership(version + 1, voters, with(learners, m));
     }
@@ -62,6 +67,7 @@
         return new Membership(version + 1, without(voters, node), learners);
     }
 
+    /** Whether the node is a voter or a learner. */
     public boolean holds(final int node) {
         return find(voters, node) != null || find(learners, node) != null;
     }
@@ -78,7 +84,7 @@
 
     /**
      * The next single step on the way from one node to another, or null where nothing is left to do. A learner that
-     * leaves is simply let go.
+     * leaves is removed at once.
      */
     public Membership step(final int from, final Member to) {
         if (find(learners, from) != null) {
@@ -94,8 +100,8 @@
     }
 
     /**
-     * The next single step on the way from a node that is gone to another, or null where nothing is left to do. The one
-     * that is gone leaves before the learner becomes a voter, so that no majority ever counts on the learner being up.
+     * The next single step on the way from a lost node to another, or null where nothing is left to do. The lost one
+     * leaves before the learner becomes a voter, so that no majority ever counts on the learner being up.
      *
      * @param from 0 where a voter is missing and nobody leaves
      */
--- a/coordination/src/main/java/brookpath/coordination/group/MembershipDriver.java
+++ b/coordination/src/main/java/brookpath/coordination/group/MembershipDriver.java
@@ -6,15 +6,16 @@
 import java.util.TreeMap;
 
 /**
- * Carries out the control leader's orders on the groups that this node leaders: one membership record at a time, the
- * next one as soon as the one before is committed. Takes (event, now); it has no clock and no I/O.
+ * Carries out the control leader's orders on the groups that this node leads: one membership record at a time, the next
+ * one as soon as the one before is committed. Takes (event, now); it has no clock and no I/O. Not thread-safe: the
+ * state thread owns it.
  */
 public final class MembershipDriver {
-    /** An order that is not repeated within so many heartbeats is dropped. */
+    /** An order that is not repeated within so many heartbeat periods is dropped. */
     private static final int ORDER_LASTS_HEARTBEATS = 6;
-    /** So many extra heartbeats in a period at most, while a learner's first answer is waited for. */
+    /** The most extra heartbeats in a period while a learner's first answer is awaited. */
     private static final int EXTRA_HEARTBEATS = 8;
-    /** The rank of a copy that takes nobody's place. */
+    /** The rank of a replica that replaces no other. */
     private static final int SPARE_WEIGHT = 30;
 
     /**
@@ -27,6 +28,7 @@
     private final TreeMap<Integer, Running> running = new TreeMap<>();
     private long nextHeartbeat = Long.MIN_VALUE;
 
+    /** Starts without orders; {@code self} is this node's number. */
     public MembershipDriver(final int self, final TimingBounds timing) {
         this.self = self;
         this.timing = timing;
@@ -117,7 +119,7 @@
         return voters.stream().filter(m -> group.follows(m.node(), now)).count();
     }
 
-    /** A learner becomes a voter once it has all that is committed; with a voter too many, all must work besides. */
+    /** A learner becomes a voter once it has all that is committed and, except in a repair, all new voters answer. */
     private static boolean mayPromote(
             final GroupMachine group, final Membership next, final MoveOrder order, final long now) {
         final boolean ready = ready(group, order.to(), now);
@@ -131,9 +133,9 @@
     }
 
     /**
-     * A voter may go once every committed record is on enough of those that stay. One that still works goes only once
-     * all of these work and have synced the present membership, for until then its copy may be needed; one that is gone
-     * goes only once its successor has everything.
+     * A voter may be removed once every committed record is on enough of those that stay. One that is up is removed
+     * only once all of these answer and have synced the present membership, for until then its replica may be needed;
+     * where its successor is still a learner, only once that has all that is committed.
      */
     private static boolean mayRemove(
             final GroupMachine group,
--- a/coordination/src/main/java/brookpath/coordination/group/MembershipPlan.java
+++ b/coordination/src/main/java/brookpath/coordination/group/MembershipPlan.java
@@ -15,7 +15,7 @@
  * reasons.
  */
 public final class MembershipPlan {
-    /** Fewer voters than this outlive no loss, so none is removed without a replacement. */
+    /** Fewer voters than this tolerate no loss, so none is removed without a replacement. */
     private static final int MIN_VOTERS = 3;
 
     private static final int WEIGHT = 50;
@@ -24,7 +24,7 @@
      * A process that could be a member, as the leader sees it.
      *
      * @param quietMs how long nothing has been heard of it
-     * @param synced it answers, and its copy holds all that is committed
+     * @param synced it answers, and its replica holds all that is committed
      * @param steady it has answered for long without a break
      */
     public record Candidate(int node, String zone, long quietMs, boolean synced, boolean steady) {}
@@ -37,7 +37,7 @@
      * @param forgetAfterMs a learner that is quiet for longer is dropped
      */
     public record Limits(int voters, long replaceAfterMs, long forgetAfterMs) {
-        /** As many voters as outlive the losses that are tolerated, three at least. */
+        /** The number of voters that tolerates so many losses, three at least. */
         public static int votersFor(final int toleratedLosses) {
             return Math.max(MIN_VOTERS, 2 * toleratedLosses + 1);
         }
@@ -109,7 +109,10 @@
                 .orElse(null);
     }
 
-    /** Whom the group can do without best: a dead voter, else the newest that shares its zone, else the newest. */
+    /**
+     * The voter to remove from a group with too many: a dead one, else the newest that shares its zone, else the
+     * newest.
+     */
     private int surplusVoter() {
         if (quietVoter() != null) {
             return quietVoter().node();
@@ -126,7 +129,7 @@
         return voters().stream().filter(c -> c.zone().equals(zone)).count();
     }
 
-    /** The learner to make a voter: one that is synced, in a zone with the fewest voters that live. */
+    /** The learner to make a voter: one that is synced, in a zone with the fewest live voters; null for none. */
     private Member bestLearner() {
         final Map<String, Long> living = voters().stream()
                 .filter(c -> c.quietMs() <= limits.replaceAfterMs())
@@ -143,7 +146,10 @@
         return new Member(candidate.node(), WEIGHT, candidate.zone());
     }
 
-    /** All that are heard copy the log, and those that are gone for long do no more; null where nothing changes. */
+    /**
+     * Adds all nodes that are heard as learners and drops learners that have been silent for long; null where nothing
+     * changes.
+     */
     private Membership changedLearners() {
         final List<Member> learners = new ArrayList<>();
         for (final Member learner : present.learners()) {
@@ -162,7 +168,7 @@
     }
 
     /**
-     * Where all are well and two voters share a zone, a learner of a further zone joins; one of the two then leaves.
+     * Where all voters are healthy and two share a zone, a learner of another zone joins; one of the two then leaves.
      */
     private Membership spread() {
         final Set<String> zones = new HashSet<>();
--- a/coordination/src/main/java/brookpath/coordination/group/MoveOrder.java
+++ b/coordination/src/main/java/brookpath/coordination/group/MoveOrder.java
@@ -3,12 +3,13 @@
 import brookpath.state.record.PackedBuffer;
 
 /**
- * The control leader's order to a group's leader: a copy moves from one node to another.
+ * The control leader's order to a group's leader: a replica moves from one node to another.
  *
  * @param groupVersion the membership that the order was made for; it is void on any other
- * @param repair the leaving node is taken for gone, so the order is void while the group's leader hears it
+ * @param repair the leaving node is considered lost, so the order is void while the group's leader hears it
  */
 public record MoveOrder(int group, int groupVersion, int from, int to, String zone, boolean repair) {
+    /** The order as bytes, for the body of a control request. */
     public byte[] save() {
         return PackedBuffer.writer()
                 .putLong(group)
@@ -20,6 +21,7 @@
                 .toByteArray();
     }
 
+    /** Reads an order that {@link #save} has returned. */
     public static MoveOrder load(final byte[] saved) {
         final PackedBuffer in = PackedBuffer.reader(saved);
         return new MoveOrder(
--- a/coordination/src/main/java/brookpath/coordination/group/PeerView.java
+++ b/coordination/src/main/java/brookpath/coordination/group/PeerView.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * What the heartbeats tell of one group's other members. Entries that are older than two heartbeats count for nothing.
- * Not thread-safe: the group's state thread owns it; the table itself is an immutable snapshot.
+ * What the heartbeats report of one group's other members. Entries that are older than two heartbeats count for
+ * nothing. Not thread-safe: the group's state thread owns it; the table itself is an immutable snapshot.
  */
 final class PeerView {
     /** No node. */
@@ -26,7 +26,7 @@
         table = newTable;
     }
 
-    /** What the node last told of this group, null where that is too old or where the node is this member. */
+    /** What the node last reported of this group, null where that is too old or where the node is this member. */
     HeartbeatEntry entry(final int node, final long now) {
         return node == self ? null : table.fresh(node, group, now);
     }
@@ -57,12 +57,13 @@
     }
 
     /**
-     * The node that says to lead the group in the highest term that is not below the given one, else {@link #NOBODY}.
+     * The node that reports to lead the group in the highest term that is not below the given one, else
+     * {@link #NOBODY}.
      */
     int leader(final long lowestTerm, final long now) {
         int leader = NOBODY;
         long best = lowestTerm;
-        // why: a membership here that was never committed may leave out whoever leads the group by now
+        // why: a membership here that was never committed may lack the node that leads the group by now
         for (final HeartbeatTable.Row row : table.rows()) {
             final HeartbeatEntry entry = entry(row.node(), now);
             if (entry != null && entry.role() == GroupRole.LEADER.code() && entry.term() >= best) {
--- a/coordination/src/main/java/brookpath/coordination/group/PullReplyKind.java
+++ b/coordination/src/main/java/brookpath/coordination/group/PullReplyKind.java
@@ -6,9 +6,9 @@
 enum PullReplyKind {
     /** The records that follow, perhaps none. */
     RECORDS(PullReply.RECORDS),
-    /** The logs differ before the place that was asked for, and another place to try. */
+    /** The logs differ before the requested index; the reply names an earlier one to try. */
     MISMATCH(PullReply.MISMATCH),
-    /** A part of a snapshot of the whole log. */
+    /** A part of a snapshot of the complete log. */
     SNAPSHOT(PullReply.FULL);
 
     private static final PullReplyKind[] KINDS = values();
@@ -19,11 +19,12 @@
         this.code = code;
     }
 
+    /** The number on the wire. */
     int code() {
         return code;
     }
 
-    /** The kind with this code; one that is not known is taken for records, which are checked one by one. */
+    /** The kind with this code; {@link #RECORDS} where it is unknown, since records are checked one by one. */
     static PullReplyKind ofCode(final int code) {
         for (final PullReplyKind kind : KINDS) {
             if (kind.code == code) {
--- a/coordination/src/main/java/brookpath/coordination/group/Quorums.java
+++ b/coordination/src/main/java/brookpath/coordination/group/Quorums.java
@@ -4,6 +4,7 @@
 public final class Quorums {
     private Quorums() {}
 
+    /** The smallest number of members that is more than half. */
     public static int majority(final int members) {
         return members / 2 + 1;
     }
@@ -17,7 +18,10 @@
         return Math.min(members, Math.max(toleratedLosses + 1, majority(members)));
     }
 
-    /** ReplSize as the source has it: -1 all active members, 0 all members, else that many; never under the floor. */
+    /**
+     * How many replicas have to be synced before a publish is answered, by the space's write concern: -1 for all active
+     * members, 0 for all members, else that many; never fewer than the floor.
+     */
     public static int resolve(final int replSize, final int members, final int active, final int floor) {
         return Math.max(floor, replSize == -1 ? active : replSize == 0 ? members : replSize);
     }
--- a/coordination/src/main/java/brookpath/coordination/group/RaftLog.java
+++ b/coordination/src/main/java/brookpath/coordination/group/RaftLog.java
@@ -8,15 +8,14 @@
 import java.util.function.Supplier;
 
 /**
- * One member's copy of a group's replicated log: the records after a base, the state that follows from them, and how
- * far they are synced and committed. Indexes are consecutive and begin at 1; the base stands for all records that were
- * trimmed.
+ * One member's replica of a group's log: the records after a base, the state that follows from them, and how far they
+ * are synced and committed. Indexes are consecutive and begin at 1; the base stands for all records that were trimmed.
  *
  * <p>Invariants: {@code baseIndex <= committedIndex}; a record that is committed is never truncated; equal digests at
  * an index mean equal logs up to there. Not thread-safe: the group's state thread owns it.
  */
 final class RaftLog {
-    /** Beyond so many bytes that the member's own disk has not synced, a leader takes nothing more. */
+    /** Beyond so many bytes that the member's own disk has not synced, a leader accepts nothing more. */
     private static final int MAX_UNSYNCED_BYTES = 1 << 20;
 
     /** The log is trimmed in steps of so many records or bytes, so that the list is not shifted for each record. */
@@ -75,12 +74,12 @@
         return baseIndex + records.size();
     }
 
-    /** Up to where this member's own disk has synced the log. */
+    /** The highest index that this member's own disk has synced. */
     long syncedIndex() {
         return syncedIndex;
     }
 
-    /** Up to where the log is known to be committed. */
+    /** The highest index that is known to be committed. */
     long committedIndex() {
         return committedIndex;
     }
@@ -189,22 +188,22 @@
         }
     }
 
-    /** All that was replayed is on disk. */
+    /** Marks all that was replayed as synced, since it was read from disk. */
     void recovered() {
         syncedIndex = endIndex();
     }
 
-    /** Whether writes of this log are under way. */
+    /** Whether writes of this log are pending. */
     boolean hasUnsynced() {
         return !unsynced.isEmpty();
     }
 
-    /** How long the oldest write of this log has been under way, in milliseconds; 0 for none. */
+    /** How long the oldest write of this log has been pending, in milliseconds; 0 for none. */
     long syncLag(final long now) {
         return unsynced.isEmpty() ? 0 : now - unsynced.peek().since;
     }
 
-    /** Whether so much waits for this member's own disk that nothing more is to be appended. */
+    /** Whether so many bytes wait for this member's own disk that nothing more is to be appended. */
     boolean syncBacklogged() {
         return unsyncedBytes > MAX_UNSYNCED_BYTES;
     }
@@ -241,7 +240,7 @@
     }
 
     /**
-     * Moves the base over the records that the state keeps no more, where that is worth a step.
+     * Moves the base over the records that the state no longer keeps, where there are enough of them.
      *
      * @param limit records after this index stay; those that are not synced and committed stay anyway
      */
@@ -300,7 +299,7 @@
 
     // ---- snapshots
 
-    /** The whole log, its base as a state. */
+    /** The complete log as bytes: the state at the base, and the records after it. */
     byte[] snapshot() {
         final PackedBuffer buffer = PackedBuffer.writer()
                 .putLong(baseIndex)
@@ -315,7 +314,7 @@
         return buffer.toByteArray();
     }
 
-    /** Takes a snapshot in place of all that is here and writes it; nothing is synced but its base. */
+    /** Replaces the complete log by a snapshot and writes it; nothing but its base counts as synced yet. */
     void install(final byte[] snapshot, final long now) {
         replaySnapshot(snapshot, now);
         syncedIndex = baseIndex;
@@ -326,7 +325,7 @@
         addUnsynced(write, endIndex(), snapshot.length, now);
     }
 
-    /** Takes a snapshot that is on disk in place of all that is here. */
+    /** Replaces the complete log by a snapshot that is on disk already. */
     void replaySnapshot(final byte[] snapshot, final long now) {
         final PackedBuffer in = PackedBuffer.reader(snapshot);
         records.clear();
--- a/coordination/src/main/java/brookpath/coordination/group/ReplicaProgress.java
+++ b/coordination/src/main/java/brookpath/coordination/group/ReplicaProgress.java
@@ -51,7 +51,7 @@
         voters.remove(node);
     }
 
-    /** The node's replica is none. */
+    /** The node's replica does not count, neither as a voter's nor as a learner's. */
     void forget(final int node) {
         voters.remove(node);
         learners.remove(node);
@@ -89,10 +89,11 @@
     }
 
     /**
-     * Up to where the leader of the term may commit the log, which is the committed index where nothing more may be.
+     * The index up to which the leader of the term may commit the log; the committed index where it may not commit
+     * more.
      *
      * @param needed how many voters must have synced it
-     * @param openIndex where the leader opened its term
+     * @param openIndex the index at which the leader opened its term
      */
     long committable(final int needed, final long openIndex, final long term) {
         final long index = syncedByAtLeast(needed);
--- a/coordination/src/main/java/brookpath/coordination/group/ReplicaRecovery.java
+++ b/coordination/src/main/java/brookpath/coordination/group/ReplicaRecovery.java
@@ -4,9 +4,9 @@
 
 /**
  * Whether this member's replica counts. A replica is lost where its disk was found empty though the group was founded:
- * it must not vote until it is rebuilt, for it does not know its former votes. A replica is damaged where a record is
- * not as it was made: what was voted and how far the log goes is still known, so the member may vote. Not thread-safe:
- * the group's state thread owns it.
+ * it must not vote until it is rebuilt, for it does not know its former votes. A replica is damaged where the content
+ * of a record is: the vote and the end of the log are still known, so the member may vote. Not thread-safe: the group's
+ * state thread owns it.
  */
 final class ReplicaRecovery {
     private static final long UNKNOWN = -1;
@@ -20,7 +20,7 @@
     private boolean damaged;
     /** Up to where the log has to be synced for the replica to count again. */
     private long target = UNKNOWN;
-    /** The write that says that this replica is rebuilt, until it is synced. */
+    /** The write that records that this replica is rebuilt, until it is synced. */
     private long rebuiltWrite = NO_WRITE;
 
     ReplicaRecovery(final int group, final RaftLog log, final Actions out) {
@@ -39,7 +39,7 @@
         return diskLost;
     }
 
-    /** Whether a record is not as it was made. */
+    /** Whether a record was found damaged. */
     boolean isDamaged() {
         return damaged;
     }
@@ -49,7 +49,7 @@
         return diskLost || damaged;
     }
 
-    /** Takes what is on disk. */
+    /** Restores what is on disk. */
     void replay(final boolean lost) {
         initialised = true;
         diskLost = lost;
@@ -78,7 +78,7 @@
         target = UNKNOWN;
     }
 
-    /** Whether an acting leader has yet to say how far the log has to go. */
+    /** Whether the index that the log has to reach is still to be learnt from an acting leader. */
     boolean needsTarget() {
         return isLost() && target == UNKNOWN;
     }
@@ -91,22 +91,21 @@
     /**
      * All writes up to this number are synced.
      *
-     * @param snapshotWanted a whole snapshot is still to come
+     * @param snapshotWanted a complete snapshot is still to come
      * @return why the replica counts again, null where nothing has changed
      */
     String synced(final long number, final boolean snapshotWanted) {
         String reason = null;
         if (damaged && !diskLost && !snapshotWanted && !log.hasUnsynced()) {
-            // why: it has forgotten no vote, so the leader's log, whole and synced, makes its replica as good as that
-            // of
-            // any other follower
+            // why: it has forgotten no vote, so the leader's log, complete and synced, makes its replica as good as
+            // that of any other follower
             damaged = false;
             reason = "copy mended up to " + log.syncedIndex();
         }
         if (isLost() && reachedTarget() && rebuiltWrite == NO_WRITE) {
             rebuiltWrite = out.write(entry(false));
         }
-        // why: whoever hears that this replica counts must find it counting after a crash, too
+        // why: once others are notified that this replica counts, it must count after a crash, too
         if (rebuiltWrite > NO_WRITE && number >= rebuiltWrite) {
             rebuiltWrite = NO_WRITE;
             diskLost = false;
--- a/coordination/src/main/java/brookpath/coordination/group/RoleState.java
+++ b/coordination/src/main/java/brookpath/coordination/group/RoleState.java
@@ -1,8 +1,8 @@
 package brookpath.coordination.group;
 
 /**
- * The one owner of a member's role in its group: follower, candidate or leader, and whom it takes for the leader. Each
- * transition says why it happened. Not thread-safe: the group's state thread owns it.
+ * The one owner of a member's role in its group: follower, candidate or leader, and which member it sees as the leader.
+ * Each transition records its reason. Not thread-safe: the group's state thread owns it.
  */
 final class RoleState {
     private final int self;
@@ -33,7 +33,8 @@
     }
 
     /**
-     * The leader as this member sees it; {@link PeerView#NOBODY} where it hears none, and while its own lease is out.
+     * The leader as this member sees it; {@link PeerView#NOBODY} where it hears none, and while its own lease has run
+     * out.
      */
     int leader() {
         return leader;
@@ -54,17 +55,17 @@
         return leaderSince;
     }
 
-    /** Why the last thing of note happened to this member, for its status page. */
+    /** The reason of the last transition or other notable event, for the status page. */
     String reason() {
         return reason;
     }
 
-    /** Something of note happened that is no transition. */
+    /** Records a notable event that is no transition. */
     void explain(final String newReason) {
         reason = newReason;
     }
 
-    /** Whom the heartbeats tell to lead the group. */
+    /** Sets the leader that the heartbeats report. */
     void hear(final int newLeader) {
         leader = newLeader;
     }
@@ -74,7 +75,7 @@
         role = GroupRole.FOLLOWER;
     }
 
-    /** Asks for votes. */
+    /** Becomes a candidate, which requests votes. */
     void becomeCandidate(final String newReason) {
         role = GroupRole.CANDIDATE;
         reason = newReason;
@@ -89,7 +90,7 @@
         reason = newReason;
     }
 
-    /** Leads no more. */
+    /** No longer leads. */
     void stepDown(final String newReason) {
         role = GroupRole.FOLLOWER;
         openIndex = 0;
--- a/coordination/src/main/java/brookpath/coordination/group/SnapshotReceiver.java
+++ b/coordination/src/main/java/brookpath/coordination/group/SnapshotReceiver.java
@@ -6,24 +6,24 @@
 
 /**
  * The receiving side of a full sync: collects the parts of one snapshot. It survives a lost session and a change of the
- * source; parts of another snapshot make it begin again.
+ * source; a part of another snapshot restarts it.
  */
 final class SnapshotReceiver {
     private long sum;
     private long total;
     private ByteArrayOutputStream received = new ByteArrayOutputStream();
 
-    /** The snapshot that is under way, 0 for none. */
+    /** The checksum of the snapshot in transfer, 0 for none. */
     long sum() {
         return sum;
     }
 
-    /** How much of it is here. */
+    /** How many of its bytes have been received. */
     long offset() {
         return received.size();
     }
 
-    /** Takes one part; gives the whole snapshot once it is complete, else null. */
+    /** Takes one part; returns the snapshot once it is complete and its checksum fits, else null. */
     byte[] take(final PullReply part) {
         if (part.snapshotSum() != sum || part.snapshotTotal() != total) {
             reset();
@@ -43,6 +43,7 @@
         return whole ? snapshot : null;
     }
 
+    /** Drops the parts that were received. */
     void reset() {
         sum = 0;
         total = 0;
--- a/coordination/src/main/java/brookpath/coordination/group/SourceStanding.java
+++ b/coordination/src/main/java/brookpath/coordination/group/SourceStanding.java
@@ -2,8 +2,9 @@
 
 import brookpath.coordination.message.PeerMessage.PullReply;
 
-/** As what a member answers a pull; the code is on the wire. */
+/** The standing of the member that answers a pull; the code is on the wire. */
 enum SourceStanding {
+    /** A follower that is in sync. */
     FOLLOWER(PullReply.FOLLOWER),
     /** A leader that may not know all that was committed before its term. */
     LEADER(PullReply.LEADER),
@@ -16,11 +17,12 @@
         this.code = code;
     }
 
+    /** The number on the wire. */
     int code() {
         return code;
     }
 
-    /** Whether the reply was sent as this. */
+    /** Whether the reply was sent with this standing. */
     boolean is(final PullReply reply) {
         return reply.standing() == code;
     }
--- a/coordination/src/main/java/brookpath/coordination/group/SyncState.java
+++ b/coordination/src/main/java/brookpath/coordination/group/SyncState.java
@@ -1,6 +1,6 @@
 package brookpath.coordination.group;
 
-/** How a member's replica stands; the code goes out with each heartbeat. */
+/** The state of a member's replica; the code is sent with each heartbeat. */
 public enum SyncState {
     /** It has all that its leader has committed. */
     IN_SYNC(0),
--- a/coordination/src/main/java/brookpath/coordination/group/VoteStore.java
+++ b/coordination/src/main/java/brookpath/coordination/group/VoteStore.java
@@ -3,9 +3,9 @@
 import brookpath.coordination.action.Actions;
 
 /**
- * The current term and the vote given in it. Each change is written before anything may be answered on its strength:
- * the caller sends its message only once the returned write is synced, since a vote that is forgotten in a crash could
- * be given twice. Not thread-safe: the group's state thread owns it.
+ * The current term and the vote given in it. Each change is written before any message may depend on it: the caller
+ * sends its message only once the returned write is synced, since a vote that is forgotten in a crash could be given
+ * twice. Not thread-safe: the group's state thread owns it.
  */
 final class VoteStore {
     private static final int NOBODY = 0;
@@ -31,7 +31,7 @@
         return Math.max(term, highestTermSeen);
     }
 
-    /** Another member is in this term. */
+    /** Takes note of the term of another member. */
     void observe(final long otherTerm) {
         highestTermSeen = Math.max(highestTermSeen, otherTerm);
     }
@@ -44,7 +44,7 @@
     /**
      * Enters the term and votes in it.
      *
-     * @return the number of the write that has to be synced before the vote may be told
+     * @return the number of the write that has to be synced before the vote may be sent
      */
     long vote(final long newTerm, final int candidate) {
         replay(newTerm, candidate);
@@ -56,7 +56,7 @@
         vote(newTerm, NOBODY);
     }
 
-    /** Takes a term and a vote that are on disk. */
+    /** Restores a term and a vote that are on disk. */
     void replay(final long newTerm, final int candidate) {
         term = newTerm;
         votedFor = candidate;
--- a/coordination/src/main/java/brookpath/coordination/group/package-info.java
+++ b/coordination/src/main/java/brookpath/coordination/group/package-info.java
@@ -5,6 +5,8 @@
  * in ReplicaProgress, the lease in LeaderLease, changes of members in MembershipChange, MembershipPlan and
  * MembershipDriver. RoleState owns the role and GroupStateMachine its transitions.
  *
- * <p>All classes take (event, now) and add actions; none has a clock, I/O, threads or a random source of its own.
+ * <p>All classes take (event, now) and add actions; none has a clock, I/O, threads or a random source of its own. The
+ * state thread of the process owns the groups; messages and {@link brookpath.coordination.group.Membership} are
+ * immutable.
  */
 package brookpath.coordination.group;
--- a/coordination/src/main/java/brookpath/coordination/heartbeat/HeartbeatMonitor.java
+++ b/coordination/src/main/java/brookpath/coordination/heartbeat/HeartbeatMonitor.java
@@ -11,9 +11,12 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Sends and receives heartbeats. The replication listener thread owns it. */
+/**
+ * Sends and receives heartbeats, and makes the table of what they report. Times are of the steady clock, in
+ * milliseconds. Not thread-safe: the replication listener thread owns it.
+ */
 public final class HeartbeatMonitor {
-    /** So many heartbeats to a peer are remembered until they are answered. */
+    /** How many unanswered heartbeats to a peer are remembered. */
     private static final int MAX_OUTSTANDING = 8;
 
     /** A peer that has missed so many replies in a row is down. */
@@ -33,7 +36,7 @@
         Map<Integer, HeartbeatEntry> entries = Map.of();
     }
 
-    /** A visitor that has not asked for so many heartbeats is gone. */
+    /** A visitor that has sent nothing for so many heartbeat periods is forgotten. */
     private static final int VISIT_HEARTBEATS = 16;
 
     private static final int MAX_VISITORS = 4_096;
@@ -41,7 +44,7 @@
     private final TimingBounds timing;
     private final long period;
     private final HeartbeatPromises promises;
-    /** Who asks without being asked: until when it is told of changes at once. */
+    /** Nodes that send heartbeats without being peers: until when each is notified of changes at once. */
     private final TreeMap<Integer, Long> visitors = new TreeMap<>();
 
     private final TreeMap<Integer, Peer> peers = new TreeMap<>();
@@ -52,8 +55,8 @@
     private long nextRound = Long.MIN_VALUE / 2;
 
     /**
-     * @param period between two heartbeats: that of the timing bounds for members of groups; who only watches them is
-     *     told of changes besides and may ask less often
+     * @param period between two heartbeats: that of the timing bounds for members of groups; a process that only
+     *     watches them is notified of changes and may use a longer one
      */
     public HeartbeatMonitor(final TimingBounds timing, final long period, final HeartbeatPromises promises) {
         this.timing = timing;
@@ -61,13 +64,14 @@
         this.promises = promises;
     }
 
-    /** The peers to heartbeat with; others are replied to and forgotten. */
+    /** Sets the peers to exchange heartbeats with; other nodes are answered, but are not in the table. */
     public void peers(final Set<Integer> nodes) {
         peers.keySet().retainAll(nodes);
         nodes.forEach(n -> peers.computeIfAbsent(n, k -> new Peer()));
         publishTable();
     }
 
+    /** Sets the entries that the next heartbeats and answers carry. */
     public void own(final List<HeartbeatEntry> entries) {
         if (entries != own) {
             own = entries;
@@ -75,21 +79,22 @@
         }
     }
 
+    /** The newest table: immutable, so it may be passed to other threads. */
     public HeartbeatTable table() {
         return table;
     }
 
-    /** When the next periodic round is due. */
+    /** When the next periodic round is due, in milliseconds of the steady clock. */
     public long nextRound() {
         return nextRound;
     }
 
-    /** True where a peer has gone down, or is up again. */
+    /** Sends the periodic round where it is due. True where the number of peers that are up has changed with it. */
     public boolean tick(final long now, final Actions out) {
         return now >= nextRound && round(now, true, out);
     }
 
-    /** An extra round besides the period's; it counts no misses. */
+    /** Sends a round to peers and visitors without waiting for the period; it counts no misses. */
     public void heartbeatNow(final long now, final Actions out) {
         round(now, false, out);
     }
@@ -126,8 +131,8 @@
     }
 
     /**
-     * True where it says something that matters at once: who is what has changed, or a leader's heartbeat is answered,
-     * on which its lease stands.
+     * Handles a heartbeat, which it answers, or a reply to one. True where the state thread should see the table at
+     * once: a role, term or sync state has changed, a peer is up again, or a reply extends this leader's lease.
      */
     public boolean onHeartbeat(final int from, final Heartbeat heartbeat, final long now, final Actions out) {
         final Peer peer = peers.get(from);
@@ -146,8 +151,8 @@
         // why: the promise comes before the answer, for a vote given after the answer must know of it however late
         // the table is seen
         final List<HeartbeatEntry> answer = promises.answer(from, heartbeat, own, now);
-        // why: who is what is all that an answer must tell, for positions come with this member's own heartbeats; where
-        // that is as it was, a few bytes say so
+        // why: an answer has to carry roles, terms and sync states only, for positions come with this member's own
+        // heartbeats; where these are unchanged, the entries are omitted
         final boolean same = heartbeat.knownDigest() == HeartbeatEntry.digest(answer);
         out.send(from, new Heartbeat(true, heartbeat.id(), heartbeat.stamp(), 0, same, same ? List.of() : answer));
         return changed;
@@ -155,7 +160,7 @@
 
     private boolean onReply(final Peer peer, final Heartbeat heartbeat, final long now) {
         final Sent sent = peer == null ? null : peer.sent.get(heartbeat.id());
-        // why: a reply that took longer than the detection time says nothing about now
+        // why: a reply that took longer than the detection time says nothing about the present
         if (sent == null || now - sent.at > Math.max(timing.down(), 2 * period)) {
             return false;
         }
@@ -177,7 +182,7 @@
         return own.stream().anyMatch(entry -> entry.role() == HeartbeatEntry.LEADER);
     }
 
-    /** Takes the peer's entries; true where its roles, terms or sync states have changed. */
+    /** Stores the peer's entries; true where its roles, terms or sync states have changed. */
     private static boolean learn(final Peer peer, final Heartbeat heartbeat, final long now) {
         peer.heardAt = now;
         final long before = peer.known;
--- a/coordination/src/main/java/brookpath/coordination/heartbeat/HeartbeatPromises.java
+++ b/coordination/src/main/java/brookpath/coordination/heartbeat/HeartbeatPromises.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 
 /**
- * What answering a leader's heartbeat binds this member to: for the detection time it helps nobody else into that
- * leadership. The listener thread promises before the answer leaves, the state thread raises the term before it votes,
- * and each sees what the other did first; nothing else is shared by the two.
+ * The promises that a member makes by answering a leader's heartbeats: for the detection time it votes for no other
+ * candidate in that group. Thread-safe: the listener thread promises before it sends the answer, the state thread
+ * raises the term before it votes, and each sees what the other did first.
  */
 public final class HeartbeatPromises {
     private static final class Promise {
@@ -24,6 +24,11 @@
     /** How long an answer binds, in milliseconds. */
     private final long promiseMs;
 
+    /**
+     * Starts without promises.
+     *
+     * @param promiseMs how long an answer binds, in milliseconds
+     */
     public HeartbeatPromises(final long promiseMs) {
         this.promiseMs = promiseMs;
     }
@@ -33,8 +38,8 @@
     }
 
     /**
-     * The listener's part: promises to the leaders that the heartbeat tells of, and gives back the entries that the
-     * answer may carry.
+     * Listener thread: promises to the leaders that the heartbeat reports, and returns the entries that the answer may
+     * carry.
      */
     synchronized List<HeartbeatEntry> answer(
             final int from, final Heartbeat heartbeat, final List<HeartbeatEntry> own, final long now) {
@@ -46,7 +51,8 @@
                 promise.heartbeat = heartbeat.id();
                 promise.heardAt = now;
             } else if (promise.leader == from && heartbeat.id() > promise.heartbeat) {
-                // why: it says itself that it leads the group no more; an older heartbeat that came late says nothing
+                // why: the sender itself reports that it no longer leads the group; an older heartbeat that arrives
+                // late is ignored
                 promise.leader = 0;
             }
         }
@@ -58,11 +64,17 @@
         return list;
     }
 
-    /** The voter's part, right before it votes or stands: false where this member is still bound to another leader. */
+    /**
+     * State thread, right before it votes or stands: raises the group's term. False, and nothing is changed, where this
+     * member is still bound to another leader.
+     *
+     * @param manual the leader itself has asked the candidate to take over, so no promise stands against it
+     * @param now by the steady clock, in milliseconds
+     */
     public synchronized boolean raise(
             final int group, final long term, final int candidate, final boolean manual, final long now) {
         final Promise promise = of(group);
-        // why: in a manual switchover the old leader has said itself that it acts no more
+        // why: in a manual switchover the old leader itself has stopped acting
         if (!manual && promise.leader != 0 && promise.leader != candidate && now - promise.heardAt <= promiseMs) {
             return false;
         }
--- a/coordination/src/main/java/brookpath/coordination/heartbeat/HeartbeatTable.java
+++ b/coordination/src/main/java/brookpath/coordination/heartbeat/HeartbeatTable.java
@@ -5,15 +5,22 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The status-sharing table, as one immutable snapshot that is swapped whole. */
+/**
+ * What heartbeats have shown of each peer, as one immutable snapshot that is replaced as a unit. Any thread may read
+ * it.
+ */
 public final class HeartbeatTable {
+    /** A table without peers. */
     public static final HeartbeatTable EMPTY = new HeartbeatTable(new TreeMap<>(), 0);
 
     /**
-     * @param up not missing two replies in a row
-     * @param answeredSentAt when the newest answered heartbeat was sent
-     * @param answeredOwn the own entries that this heartbeat carried
-     * @param heardAt when anything was heard last
+     * One peer. Times are of this process's steady clock, in milliseconds.
+     *
+     * @param up whether it has not missed two replies in a row
+     * @param answeredSentAt when the newest heartbeat that it has answered was sent
+     * @param answeredOwn this process's entries in that heartbeat, by group
+     * @param heardAt when it was last heard
+     * @param entries its newest entries, by group, however old
      */
     public record Row(
             int node,
@@ -31,21 +38,25 @@
         this.staleAfter = staleAfter;
     }
 
+    /** The node's row, null where it is no peer. */
     public Row row(final int node) {
         return rows.get(node);
     }
 
+    /** The rows of all peers, by node number. */
     public Collection<Row> rows() {
         return rows.values();
     }
 
+    /** Whether the node is a peer that answers heartbeats. */
     public boolean up(final int node) {
         final Row row = rows.get(node);
         return row != null && row.up;
     }
 
     /**
-     * The node's entry for a group, or null where it is older than two heartbeats: such an entry counts for nothing.
+     * The node's entry for a group, or null where there is none or it is older than two heartbeats: such an entry
+     * counts for nothing.
      */
     public HeartbeatEntry fresh(final int node, final int group, final long now) {
         final Row row = rows.get(node);
--- a/coordination/src/main/java/brookpath/coordination/heartbeat/StatusHandoff.java
+++ b/coordination/src/main/java/brookpath/coordination/heartbeat/StatusHandoff.java
@@ -5,28 +5,28 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * Hands the state thread's newest entries, and its wish that they are told at once, to the replication listener thread.
- * The state thread publishes before it wishes; the listener takes the wish before it reads the entries. So a wish is
- * never spent on entries that are older than it.
+ * Passes the state thread's newest entries, and requests to send them at once, to the replication listener thread. The
+ * state thread publishes before it requests; the listener takes the request before it reads the entries. So a request
+ * is never served with entries that are older than it.
  */
 public final class StatusHandoff {
     private final AtomicBoolean wished = new AtomicBoolean();
     private volatile List<HeartbeatEntry> entries = List.of();
 
-    /** State thread: these are the entries from here on. */
+    /** State thread: replaces the entries that heartbeats carry. */
     public void publish(final List<HeartbeatEntry> newest) {
         entries = newest;
     }
 
     /**
-     * Any thread: a heartbeat is to go out without waiting for its period. True where no wish was pending, so that the
+     * Any thread: requests a heartbeat without waiting for the period. True where no request was pending, so that the
      * listener has to be woken.
      */
     public boolean wish() {
         return wished.compareAndSet(false, true);
     }
 
-    /** Listener thread, before {@link #entries()}: whether a heartbeat was wished for since it last asked. */
+    /** Listener thread, before {@link #entries()}: whether a heartbeat was requested since the last call. */
     public boolean takeWish() {
         return wished.compareAndSet(true, false);
     }
--- a/coordination/src/main/java/brookpath/coordination/message/ControlRequestKind.java
+++ b/coordination/src/main/java/brookpath/coordination/message/ControlRequestKind.java
@@ -4,25 +4,25 @@
 
 /** What an operator or another process may ask of the control leader, by its name on the wire. */
 public enum ControlRequestKind {
-    /** A configuration document. */
+    /** Submits a configuration document. */
     CHANGE("change", true),
     /** Empties a storage machine given by its number, or keeps it after all. */
     RETIRE("retire", true),
     /** Empties a storage machine given by its name. */
     RETIRE_NAMED("retireNamed", true),
-    /** Switches a group's leadership over by hand. */
+    /** Manual switchover of a group's leadership. */
     HANDOVER("handover", true),
-    /** Tells a topic group's members to move a replica; sent by the control leader, never to it. */
+    /** Orders a topic group's members to move a replica; sent by the control leader, never to it. */
     MOVE("move", true),
-    /** A topic group's leader says that its group is founded. */
+    /** A topic group's leader reports that its group is founded. */
     FOUNDED("founded", true),
-    /** A topic group's leader tells the membership that its log has committed. */
+    /** A topic group's leader reports the membership that its log has committed. */
     MEMBERS("members", true),
-    /** A topic group's leader tells the usage of its closed windows. */
+    /** A topic group's leader reports the usage of its closed windows. */
     USAGE("usage", true),
     /** Reads the newest committed configuration. */
     CONFIGURATION("spec", false),
-    /** Reads what became of a change. */
+    /** Reads the outcome of a change. */
     OUTCOME("outcome", false),
     /** Reads whether a retiring storage machine is empty. */
     RETIRED("retired", false),
@@ -32,7 +32,7 @@
     NODES("nodes", false),
     /** A gateway asks for the other gateways. */
     GATEWAYS("fronts", false),
-    /** Anything that this version does not know. */
+    /** A kind that this version does not know. */
     UNKNOWN("", false);
 
     private final String wireName;
@@ -43,12 +43,12 @@
         this.write = write;
     }
 
-    /** Whether it changes something, so that a lost answer leaves its end unknown. */
+    /** Whether it changes something, so that a lost answer leaves its outcome unknown. */
     public boolean isWrite() {
         return write;
     }
 
-    /** A request of this kind. */
+    /** A request of this kind; the format of the body depends on the kind. */
     public ControlRequest request(final long requestId, final byte[] body) {
         return new ControlRequest(requestId, wireName, body);
     }
--- a/coordination/src/main/java/brookpath/coordination/message/FetchStatus.java
+++ b/coordination/src/main/java/brookpath/coordination/message/FetchStatus.java
@@ -4,9 +4,9 @@
 public enum FetchStatus {
     /** Served. */
     OK(0),
-    /** This node cannot be read just now; another replica is to be asked. */
+    /** This node cannot serve reads now; another replica is to be asked. */
     NOT_HERE(1),
-    /** The version of the topics is not known here; the topics are to be sent. */
+    /** The edition of the topics is not known here; the topics have to be sent. */
     TOPICS_UNKNOWN(2);
 
     private static final FetchStatus[] VALUES = values();
@@ -22,7 +22,7 @@
         return code;
     }
 
-    /** The constant with this code; one that is not known is taken for a fetch to be sent elsewhere. */
+    /** The constant with this code; {@link #NOT_HERE} where it is unknown, so that the fetch is sent elsewhere. */
     public static FetchStatus ofCode(final int code) {
         for (final FetchStatus status : VALUES) {
             if (status.code == code) {
--- a/coordination/src/main/java/brookpath/coordination/message/ListenerCountStatus.java
+++ b/coordination/src/main/java/brookpath/coordination/message/ListenerCountStatus.java
@@ -20,7 +20,7 @@
         return code;
     }
 
-    /** The constant with this code; one that is not known is taken for a count that failed. */
+    /** The constant with this code; {@link #NOT_HERE} where it is unknown. */
     public static ListenerCountStatus ofCode(final int code) {
         for (final ListenerCountStatus status : VALUES) {
             if (status.code == code) {
--- a/coordination/src/main/java/brookpath/coordination/message/PeerMessage.java
+++ b/coordination/src/main/java/brookpath/coordination/message/PeerMessage.java
@@ -11,13 +11,13 @@
     /** Votes, and the transfer of leadership. */
     sealed interface ElectionMessage extends PeerMessage {}
 
-    /** The log, or a snapshot of it, on its way to a follower. */
+    /** Replication of the log, or of a snapshot of it, to a follower. */
     sealed interface ReplicationMessage extends PeerMessage {}
 
     /** Publishes of gateways, and their fetches of what was committed. */
     sealed interface TopicMessage extends PeerMessage {}
 
-    /** The configuration and the cluster metadata on their way to every process. */
+    /** Distribution of the configuration and the cluster metadata to all processes. */
     sealed interface ConfigurationMessage extends PeerMessage {}
 
     /** Requests that the control leader decides on. */
@@ -29,14 +29,20 @@
     /**
      * One heartbeat per pair of processes, with an entry per group; its reply carries the replier's entries.
      *
-     * @param knownDigest what the sender has of the receiver's entries ({@link HeartbeatEntry#digest})
-     * @param entriesOmitted in a reply: the entries are left out, for what matters of them is what the asker has
+     * @param stamp the sender's steady clock at the sending, in milliseconds; a reply returns it
+     * @param knownDigest of the receiver's entries as the sender has them ({@link HeartbeatEntry#digest})
+     * @param entriesOmitted in a reply: the entries are omitted, for what matters of them is known to the receiver
      */
     record Heartbeat(
             boolean reply, long id, long stamp, long knownDigest, boolean entriesOmitted, List<HeartbeatEntry> entries)
             implements PeerMessage {}
 
-    /** The state of one group at the sender: its role, term, sync state and the ends of its log. */
+    /**
+     * The state of one group at the sender: its role, term, sync state and the ends of its log.
+     *
+     * @param leaderHeard the leader as the sender sees it, 0 for none
+     * @param weight rank in elections
+     */
     record HeartbeatEntry(
             int group,
             int groupVersion,
@@ -53,7 +59,10 @@
         public static final int CANDIDATE = 1;
         public static final int LEADER = 2;
 
-        /** Who is what, in which term, without the positions: all that a process needs that holds no copy itself. */
+        /**
+         * A digest of roles, terms and sync states without log positions: all that a process needs that holds no
+         * replica.
+         */
         public static long digest(final List<HeartbeatEntry> entries) {
             long d = 17;
             for (final HeartbeatEntry e : entries) {
@@ -73,7 +82,12 @@
         }
     }
 
-    /** A candidate's request for a vote, with the end of its log. */
+    /**
+     * A candidate's request for a vote, with the end of its log.
+     *
+     * @param attempts how many attempts of the candidate have failed in a row
+     * @param manual the leader itself has asked the candidate to take over
+     */
     record VoteRequest(
             int group,
             int groupVersion,
@@ -85,18 +99,20 @@
             boolean manual)
             implements ElectionMessage {}
 
-    /** A vote, or the reason of its refusal. */
+    /** A vote, or the reason of its refusal, with the highest term that the voter has seen. */
     record VoteReply(int group, long term, boolean granted, long termSeen, String reason) implements ElectionMessage {}
 
     /** The leader asks a follower that has its complete log to start an election at once: a leadership transfer. */
     record TimeoutNow(int group, long term) implements ElectionMessage {}
 
     /**
-     * A follower asks its source for the log; what it has synced is its copy's acknowledgement, and the chain tells
-     * whether it is the same log.
+     * A follower requests the log from its source; what it has synced acknowledges its replica, and the chain digest
+     * shows whether it is the same log.
      *
-     * @param committed how far the sender knows the log to be committed; {@link #UNKNOWN} where it rebuilds its copy
-     *     and has to hear it from an acting leader
+     * @param nextIndex the first record that is requested; negative for a snapshot of the complete log
+     * @param committed how far the sender knows the log to be committed; {@link #UNKNOWN} where it rebuilds its replica
+     *     and has to learn it from an acting leader
+     * @param lost whether the sender's replica does not count
      * @param snapshotSum which snapshot of a full sync the follower has begun to collect, 0 for none
      * @param snapshotOffset how much of that snapshot it has
      */
@@ -114,12 +130,13 @@
             long snapshotSum,
             long snapshotOffset)
             implements ReplicationMessage {
+        /** The committed index is not known. */
         public static final long UNKNOWN = -1;
     }
 
     /**
-     * The asked index and term are the end of the log that the pull told of; only to that log do a cut and a full sync
-     * apply.
+     * The answer to a pull. The asked index and term are the end of the puller's log as of that pull; a truncation and
+     * a full sync apply to that log only.
      *
      * @param snapshot a part of the snapshot of a full sync, empty in other replies
      * @param snapshotSum which snapshot it is a part of
@@ -181,7 +198,7 @@
     }
 
     /**
-     * A gateway forwards a caller's publish to the leader of the topic's group; the request id ties the reply to it.
+     * A gateway forwards a caller's publish to the leader of the topic's group; the reply carries the same request id.
      */
     record Publish(
             long requestId,
@@ -194,16 +211,21 @@
             String text)
             implements TopicMessage {}
 
-    /** The end of a publish as the leader knows it; the position is set where it was committed. */
+    /**
+     * The outcome of a publish as the leader knows it; the position is set where it was committed.
+     *
+     * @param leaderHint the leader as the replying node sees it, 0 for none
+     */
     record PublishReply(long requestId, PublishOutcome outcome, long position, int leaderHint, long term, String reason)
             implements TopicMessage {}
 
     /**
-     * A gateway reads committed records of some topics after a position each; tail asks for the present position alone.
+     * A gateway reads committed records of some topics after a position each; {@code tail} requests the present
+     * position alone.
      *
-     * @param longPoll answered when there is something, or after a while; then all topics are read from one position
+     * @param longPoll answered when there is something, or after a timeout; all topics are read from one position
      * @param at that position
-     * @param edition of the topics of a long-poll fetch: they are sent once, and not again while they are the same
+     * @param edition of the topics of a long-poll fetch: they are sent once, and not again while they are unchanged
      */
     record Fetch(
             long requestId,
@@ -218,14 +240,19 @@
     /** A topic and the position after which its records are wanted. */
     record TopicPosition(String topic, long from) {}
 
-    /** Committed records up to the position that was looked through, and the topics of which older records are gone. */
+    /**
+     * Committed records up to the position that was scanned, and the topics of which older records are no longer kept.
+     */
     record FetchReply(
             long requestId, int group, FetchStatus status, long scannedTo, List<String> gone, List<LogRecord> records)
             implements TopicMessage {}
 
     /**
-     * A data-plane process asks with the versions that it has. The relay mark: the control leader that was named cannot
-     * be reached from here. The machine is the identity of the one that it runs on.
+     * A process requests news of the configuration and the cluster metadata, with the versions that it has.
+     *
+     * @param relay whether the control leader that was named cannot be reached from the sender
+     * @param wall the sender's wall clock in milliseconds
+     * @param machine the identity of the machine that the sender runs on
      */
     record ConfigurationPoll(
             long pollId,
@@ -247,10 +274,10 @@
     }
 
     /**
-     * For the node that polled, whoever carries it; wall is the fleet's clock, 0 while the control leader does not know
-     * it yet.
+     * The answer for the node that polled, directly or through a relay. {@code wall} is the fleet's clock in
+     * milliseconds, 0 while the control leader does not know it yet.
      *
-     * @param configuration the configuration as a difference from the version that the poll told of
+     * @param configuration the configuration as a difference from the version in the poll
      *     ({@link brookpath.state.record.Delta}), empty where that is the newest
      * @param metadata the cluster metadata in the same way
      */
@@ -276,8 +303,8 @@
     /**
      * How many sessions of a gateway listen to each topic of a group.
      *
-     * @param onto the edition that these counts change; 0 where they are all there are, the edition itself where
-     *     nothing has changed
+     * @param onto the edition that these counts change; 0 where they are complete, the edition itself where nothing has
+     *     changed
      */
     record ListenerReport(int group, long edition, long onto, List<TopicCount> counts) implements ListenerMessage {}
 
--- a/coordination/src/main/java/brookpath/coordination/message/PublishOutcome.java
+++ b/coordination/src/main/java/brookpath/coordination/message/PublishOutcome.java
@@ -1,6 +1,6 @@
 package brookpath.coordination.message;
 
-/** What became of a publish as the leader of its group knows it; the code is on the wire. */
+/** The outcome of a publish as the leader of its group knows it; the code is on the wire. */
 public enum PublishOutcome {
     /** Committed, at the position that the reply names. */
     ACCEPTED(0),
@@ -26,7 +26,7 @@
         return code;
     }
 
-    /** The constant with this code; one that is not known is taken for a publish to be retried. */
+    /** The constant with this code; {@link #BUSY} where it is unknown, so that the publish is retried. */
     public static PublishOutcome ofCode(final int code) {
         for (final PublishOutcome outcome : VALUES) {
             if (outcome.code == code) {
--- a/coordination/src/main/java/brookpath/coordination/message/Response.java
+++ b/coordination/src/main/java/brookpath/coordination/message/Response.java
@@ -6,24 +6,27 @@
  * @param status the code of a {@link ResponseStatus}, or one that a controller of a newer version has sent
  * @param retryAfterMs when the request may be sent again, in milliseconds from now; 0 says nothing about that
  * @param code a refusal's kind in one word, as in the JSON; empty elsewhere
- * @param expiry until when it may be given, and what is said after that; null where it stays true
+ * @param expiry until when it is valid, and what replaces it then; null where it does not expire
  */
 public record Response(int status, int retryAfterMs, String json, String code, Expiry expiry) {
     /**
-     * The end of a response's validity.
+     * The end of a response's validity, and the response that replaces it.
      *
      * @param at the first millisecond, by the process's monotonic clock, at which it is no longer valid
      */
     public record Expiry(long at, Response instead) {}
 
+    /** A response by its status code that does not expire. */
     public Response(final int status, final int retryAfterMs, final String json, final String code) {
         this(status, retryAfterMs, json, code, null);
     }
 
+    /** A refusal with its kind in one word. */
     public Response(final ResponseStatus status, final int retryAfterMs, final String json, final String code) {
         this(status.code(), retryAfterMs, json, code);
     }
 
+    /** A response without a refusal's kind. */
     public Response(final ResponseStatus status, final int retryAfterMs, final String json) {
         this(status.code(), retryAfterMs, json, "");
     }
@@ -33,7 +36,7 @@
         this(status, retryAfterMs, json, "");
     }
 
-    /** Whether this is the outcome. */
+    /** Whether the status is that of the outcome. */
     public boolean is(final ResponseStatus outcome) {
         return status == outcome.code();
     }
@@ -48,7 +51,10 @@
         return new Response(status, retryAfterMs, json, code, new Expiry(at, instead));
     }
 
-    /** What is to be said at this time of the process's monotonic clock: this, or what takes its place. */
+    /**
+     * The response to give at this time of the process's monotonic clock: this one, or its replacement once it has
+     * expired.
+     */
     public Response at(final long now) {
         return expiry != null && now >= expiry.at ? expiry.instead : this;
     }
--- a/coordination/src/main/java/brookpath/coordination/message/ResponseStatus.java
+++ b/coordination/src/main/java/brookpath/coordination/message/ResponseStatus.java
@@ -7,9 +7,9 @@
 public enum ResponseStatus {
     /** Done, or the answer to a question. */
     OK(200),
-    /** Taken and committed, but not complete yet. */
+    /** Accepted and committed, but not complete yet. */
     ACCEPTED(202),
-    /** Cannot be read. */
+    /** Cannot be parsed. */
     BAD_REQUEST(400),
     /** No key, or an unknown one. */
     UNAUTHORIZED(401),
@@ -23,11 +23,11 @@
     GONE(410),
     /** Larger than what is accepted. */
     TOO_LARGE(413),
-    /** Can be read, but its content is invalid. */
+    /** Can be parsed, but its content is invalid. */
     INVALID(422),
     /** Certainly not done; the same request may succeed later. */
     UNAVAILABLE(503),
-    /** Nobody knows whether it was done; it must be sent again as it was. */
+    /** Unknown whether it was done; the same request has to be sent again, unchanged. */
     UNSETTLED(504);
 
     private static final int SUCCESS_CLASS = 2;
