--- a/coordination/src/main/java/brookpath/coordination/node/ControllerNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/ControllerNode.java
@@ -31,7 +31,10 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** A machine of the control plane: a member of the control group, and its duties while it is the leader. */
+/**
+ * A controller: a member of the control group, or an observer of it that forwards requests and polls.
+ * {@link ControlLeader} has its duties while it leads.
+ */
 public final class ControllerNode extends Node {
     /** The control group's number; topic groups count from 0. */
     public static final int CONTROL = 1_000_000;
@@ -39,10 +42,10 @@
     private static final int NO_REQUEST = 0;
 
     private final GroupBootstrap founding;
-    /** Whom the settings name as the control group's founders; once the log tells of members, these count no more. */
+    /** The founding members of the control group by the settings; ignored once the log contains a membership. */
     private final List<Member> founders;
 
-    /** How a controller that is not the control leader hears of the cluster metadata, and the control leader of it. */
+    /** Polls the control leader while this controller is not the leader itself. */
     private final ConfigurationClient client;
 
     private final GroupMachine group;
@@ -51,13 +54,14 @@
     private final ForwardedRequests forwarded;
     private final ForwardedPolls forwardedPolls;
     private final ControlLeader leader;
-    /** The log is rolled into a checkpoint beyond so many bytes. */
+    /** The log size in bytes beyond which it is replaced by a checkpoint. */
     private long rollBytes;
 
     private long lastId;
-    /** The request that waits for this process's graceful shutdown, {@link #NO_REQUEST} for none. */
+    /** The request that is answered once the graceful shutdown is complete, {@link #NO_REQUEST} for none. */
     private long retreat = NO_REQUEST;
 
+    /** A controller without zone and address whose seeds are the founders; see the other constructor. */
     public ControllerNode(
             final int self,
             final List<Member> founders,
@@ -78,9 +82,13 @@
     }
 
     /**
-     * @param info this controller as others see it
-     * @param founders the control group's members at its founding; empty where the settings do not tell
-     * @param seeds controllers that may be asked, members or not
+     * @param info this controller's node number, zone and address as peers see them
+     * @param founders the control group's members at its founding; empty where the settings name none
+     * @param seeds controllers that may be polled, members or not
+     * @param seed for the random election timeouts
+     * @param firstId request IDs begin after it; it differs in each incarnation, so that no reply to a former one
+     *     matches
+     * @param rollBytes the log size in bytes beyond which it is replaced by a checkpoint
      */
     public ControllerNode(
             final NodeInfo info,
@@ -110,29 +118,32 @@
         return ++lastId;
     }
 
-    /** The control group as this controller takes part in it. */
+    /** This controller's replica of the control group. */
     public GroupMachine group() {
         return group;
     }
 
-    /** After replay: a first start that was asked for by the operator, or an ordinary one. */
+    /**
+     * Starts the controller after the replay. {@code found} is set only for the start by which the operator founds the
+     * control group.
+     */
     public List<Action> start(final boolean found, final Time time) {
         group.bornAt(bornAt);
         if (found) {
             group.found();
         }
-        // One that no founder and no log names is no member; it forwards requests and polls, and a membership that
-        // names it may come later
+        // A controller that neither the founders nor the log name is not a member: it forwards requests and polls, and
+        // may be added to the membership later
         if (founders.stream().anyMatch(m -> m.node() == self)
                 || group.membership().holds(self)) {
             group.configure(founders, 1, true, time.mono());
         }
-        // All that the settings name may be gone by now, but the log names others
+        // All controllers in the settings may have been replaced, but the log names their successors
         client.suggest(view.newestMetadata().controllers());
         return out.drain();
     }
 
-    /** The addresses of the other controllers, as far as they are known. */
+    /** The known addresses of the other controllers, by node number. */
     public Map<Integer, String> addresses() {
         final Map<Integer, String> map = new TreeMap<>();
         for (final ClusterMetadata r : List.of(view.newestMetadata(), client.metadata())) {
@@ -142,15 +153,15 @@
         return map;
     }
 
-    /** The control leader as this controller sees it, 0 for none. */
+    /** The node number of the control leader; 0 where none is known or this controller leads itself. */
     private int controlLeader(final long now) {
         final int heard = group.leaderHeard();
         return heard != 0 ? heard == self ? 0 : heard : client.leaderHeard(now);
     }
 
     /**
-     * Whom requests are forwarded to, 0 for nobody. A member of the control group knows by the heartbeats that it has
-     * lost its leader, and says so at once, where a lease from a poll would have it wait for one that it cannot reach.
+     * The controller that requests are forwarded to, 0 for none. A member of the control group detects a lost leader by
+     * the heartbeats and refuses at once; the lease from a poll would make it wait for a leader that it cannot reach.
      */
     private int leaderForRequests(final long now) {
         if (!group.membership().holds(self)) {
@@ -212,7 +223,7 @@
         } else if (message instanceof ConfigurationReply reply) {
             onConfigurationReply(reply, time);
         } else if (message instanceof ControlRequest request) {
-            // A request is forwarded once at most, so that no two controllers send it to and fro
+            // A request is forwarded at most once, so that two controllers cannot forward it to each other in a loop
             if (isPeer(from) || group.mayAct(now) || !forwarded.forward(from, request, leaderForRequests(now), now)) {
                 leader.onRequest(from, request, time);
             }
@@ -241,10 +252,7 @@
         }
     }
 
-    /**
-     * The cluster metadata may tell a newer membership than this controller's own log, if it has one: it joined, or
-     * left.
-     */
+    /** Adopts a newer control group membership from the cluster metadata, by which this controller joined or left. */
     private void join(final long now) {
         final Membership control = client.metadata().control();
         final boolean concerned = control.holds(self) || group.membership().holds(self);
@@ -278,7 +286,7 @@
     @Override
     public long restMs(final Time time) {
         final boolean busy = retreat != NO_REQUEST || leader.hasPendingRequests() || !forwarded.isEmpty();
-        // One that is no member of the control group has nothing in flight but what it forwards
+        // A controller outside the control group has nothing in flight but forwarded requests
         return !busy && (group.calm() || !group.membership().holds(self)) ? timing.heartbeat() / 2 : timing.tick();
     }
 
--- a/coordination/src/main/java/brookpath/coordination/node/Cursor.java
+++ b/coordination/src/main/java/brookpath/coordination/node/Cursor.java
@@ -6,16 +6,16 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Where a subscription stands, per topic. Opaque to the callers. */
+/** Encodes and decodes the read positions of a subscription, per topic. Callers treat the text as opaque. */
 public final class Cursor {
     private Cursor() {}
 
-    /** The cursor of a single topic: the place behind the record at the position. */
+    /** The cursor of a single topic, from which reading continues after the record at the position. */
     public static String one(final long position) {
         return "c" + Long.toString(position, Character.MAX_RADIX);
     }
 
-    /** The position that the cursor of a single topic names; -1 where the text is none. */
+    /** The position in the cursor of a single topic; -1 where the text is not such a cursor. */
     public static long readOne(final String text) {
         if (!text.matches("c[0-9a-z]{1,12}")) {
             return -1;
@@ -23,6 +23,7 @@
         return Long.parseLong(text.substring(1), Character.MAX_RADIX);
     }
 
+    /** The cursor of several topics: each topic with the position up to which the subscription has read it. */
     public static String write(final Map<String, Long> at) {
         final StringBuilder sb = new StringBuilder();
         at.forEach((topic, pos) ->
@@ -32,7 +33,7 @@
                 .encodeToString(sb.toString().getBytes(UTF_8));
     }
 
-    /** Null where the text is no cursor. */
+    /** The position of each topic in the cursor: empty for a null or empty text, null where the text is malformed. */
     static Map<String, Long> read(final String text) {
         final Map<String, Long> at = new TreeMap<>();
         if (text == null || text.isEmpty()) {
--- a/coordination/src/main/java/brookpath/coordination/node/GatewayNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/GatewayNode.java
@@ -44,7 +44,7 @@
     /** The longest message that a caller may publish, in UTF-8 bytes. */
     public static final int MAX_TEXT = 16_384;
 
-    /** A gateway only watches, so its heartbeats are rarer: changes of masterships are told to it at once besides. */
+    /** A gateway only observes, so its heartbeats are rarer: it is notified of leader changes at once besides. */
     private static final int HEARTBEAT_PERIODS = 4;
 
     private final String zone;
@@ -62,9 +62,10 @@
     private long nextListenerReport;
 
     /**
-     * @param info this process as others are told of it; its address is where callers reach it, and may be empty
-     * @param firstId the IDs of requests begin behind it, so that a reply meant for a former life of this process does
-     *     not match a request of this one
+     * @param info this process as peers see it; the address is where callers reach it, and may be empty
+     * @param seeds the controllers that are polled first
+     * @param firstId request IDs begin after it; it differs in each incarnation, so that no reply to a former one
+     *     matches
      */
     public GatewayNode(final NodeInfo info, final List<Integer> seeds, final TimingBounds timing, final long firstId) {
         super(info.node(), timing);
@@ -82,7 +83,7 @@
         status = new GatewayStatus(self, zone, client);
     }
 
-    /** The copy of the configuration and the cluster's metadata that this node works by. */
+    /** The client with this node's replicas of the configuration and the cluster metadata. */
     public ConfigurationClient client() {
         return client;
     }
@@ -300,7 +301,7 @@
         }
     }
 
-    /** Whether the caller's own session is among the listeners; one of another node is believed to be. */
+    /** Whether the caller's own session is among the listeners; a session of another node is assumed to be. */
     private boolean excludesCaller(final NodeRequest.Count request) {
         final String session = request.session();
         if (session == null || session.isEmpty()) {
@@ -313,7 +314,10 @@
         return subscriptions.listens(sessionId, request.topic());
     }
 
-    /** It is ready before it has anything to serve, and says so by a code for those who would rather wait. */
+    /**
+     * A gateway is ready before there is anything to serve; a code in the response tells so to probes that prefer to
+     * wait.
+     */
     private Response readiness(final long now) {
         final Response ready = ReadinessProbe.response(client.leased(now), client.draining());
         final boolean empty = client.configuration().version() == 0
--- a/coordination/src/main/java/brookpath/coordination/node/GatewayStatus.java
+++ b/coordination/src/main/java/brookpath/coordination/node/GatewayStatus.java
@@ -11,7 +11,7 @@
 import jakarta.json.JsonArrayBuilder;
 import jakarta.json.JsonObjectBuilder;
 
-/** The pages on which a gateway tells operators how it stands and why requests go where they go. */
+/** The pages for operators: the state of a gateway, and the explanation of a routing decision. */
 final class GatewayStatus {
 
     private final int self;
@@ -24,7 +24,7 @@
         this.client = client;
     }
 
-    /** Why a publish to, or a subscription of, the topic would go where it goes. */
+    /** Explains where a publish to, or a subscription of, the topic would be routed, and why. */
     String explain(
             final NodeRequest.Explain request, final RouteFinder routes, final HeartbeatTable table, final long now) {
         final Route route = routes.publish(request.key(), request.topic(), now);
@@ -54,8 +54,8 @@
     /**
      * The status page.
      *
-     * @param sessions how many callers' sessions there are
-     * @param publishes how many publishes are under way
+     * @param sessions the number of open sessions
+     * @param publishes the number of publishes in flight
      */
     String page(final RouteFinder routes, final int sessions, final int publishes, final long now) {
         final JsonArrayBuilder groups = Json.createArrayBuilder();
--- a/coordination/src/main/java/brookpath/coordination/node/GroupStatus.java
+++ b/coordination/src/main/java/brookpath/coordination/node/GroupStatus.java
@@ -8,7 +8,7 @@
 import jakarta.json.JsonArrayBuilder;
 import jakarta.json.JsonObject;
 
-/** Who leads a group, and why, as one member sees it. */
+/** The state of a group as one member sees it, as JSON for the status page: its leader, log positions and members. */
 final class GroupStatus {
     private static final String[] ROLES = {"slave", "candidate", "master"};
     private static final String[] SYNCS = {"peer", "catch-up", "lost"};
@@ -37,9 +37,9 @@
     }
 
     /**
-     * One member as the table shows it.
+     * One member as the heartbeat table shows it.
      *
-     * @param copies false where the process holds no copy, and is not told positions in each heartbeat
+     * @param copies false where the reporting process has no replica, so that heartbeats do not bring it log positions
      */
     static JsonObject row(
             final Member m, final HeartbeatTable table, final int group, final long now, final boolean copies) {
--- a/coordination/src/main/java/brookpath/coordination/node/Node.java
+++ b/coordination/src/main/java/brookpath/coordination/node/Node.java
@@ -14,8 +14,8 @@
 import java.util.Set;
 
 /**
- * One process as a state machine: each event comes with the time and gives back actions. The same code runs under the
- * simulator's time and under the state thread's.
+ * One process as a state machine: each event comes with the time and returns the actions to carry out, in order. Not
+ * thread-safe: all calls come from the state thread, or from the simulator, except where a method says otherwise.
  */
 public abstract class Node {
     private static final long UNKNOWN = Long.MIN_VALUE;
@@ -33,12 +33,15 @@
         promises = new HeartbeatPromises(timing.down());
     }
 
-    /** When this process began, where that is known: what its former life promised, it promised before. */
+    /**
+     * Sets when this process started, in monotonic milliseconds: every promise of its former incarnation was made
+     * before then.
+     */
     public final void bornAt(final long mono) {
         bornAt = mono;
     }
 
-    /** Shared with the listener thread, and safe to. */
+    /** The heartbeat promises of this process. Thread-safe: the heartbeat thread shares them. */
     public final HeartbeatPromises promises() {
         return promises;
     }
@@ -46,47 +49,51 @@
     /** Monotonic and wall time, in milliseconds. */
     public record Time(long mono, long wall) {}
 
+    /** Runs the timers that are due, and adopts the newest heartbeat table for this and the following events. */
     public final List<Action> tick(final Time time, final HeartbeatTable newTable) {
         table = newTable;
         onTick(time);
         return out.drain();
     }
 
+    /** Handles a message from the peer with the node number {@code from}; a message of no concern is ignored. */
     public final List<Action> message(final int from, final PeerMessage message, final Time time) {
         onMessage(from, message, time);
         return out.drain();
     }
 
+    /** The log entries up to this number are durable on this disk, so that what depends on them may continue. */
     public final List<Action> synced(final long number, final Time time) {
         onSynced(number, time);
         return out.drain();
     }
 
-    /** The message never left this process. */
+    /** The message was not sent, so that its receiver certainly has not seen it. */
     public final List<Action> unsent(final int to, final PeerMessage message, final Time time) {
         onUnsent(to, message, time);
         return out.drain();
     }
 
-    /** The session with a peer broke; what was under way on it may or may not have arrived. */
+    /** The connection to a peer broke; messages in flight on it may or may not have arrived. */
     public final List<Action> sessionLost(final int node, final Time time) {
         onSessionLost(node, time);
         return out.drain();
     }
 
-    /** The disk gives back something else than was written; what is in memory is whole and is written anew. */
+    /** The disk returned other bytes than were written; the state in memory is complete and is written again. */
     public final List<Action> damaged(final Time time) {
         out.note("the data folder reads back damaged; it is written anew");
         onDamage(time);
         return out.drain();
     }
 
-    /** There was no room for the last snapshot; another is tried. */
+    /** The last snapshot did not fit on the disk; another is attempted. */
     public final List<Action> snapshotRefused(final Time time) {
         onDamage(time);
         return out.drain();
     }
 
+    /** Handles a request of a caller or operator; the response is an action of this or a later event. */
     public final List<Action> request(final NodeRequest request, final Time time) {
         onRequest(request, time);
         return out.drain();
@@ -111,35 +118,38 @@
     }
 
     protected void onUnsent(final int to, final PeerMessage message, final Time time) {
-        // why: what is asked again by a timer needs no word of a lost message
+        // why: requests that a timer retries need no notification of a lost message
     }
 
     protected void onSessionLost(final int node, final Time time) {
         // why: as above
     }
 
-    /** Between two heartbeats to each peer. */
+    /** The interval between two heartbeats to each peer, in milliseconds. */
     public long heartbeatPeriod() {
         return timing.heartbeat();
     }
 
     /**
-     * How long this process may be left alone while nothing happens, in milliseconds: timers cost, and most of them
-     * would find nothing to do.
+     * How long the next tick may be delayed while no event comes, in milliseconds: ticks cost processor time, and most
+     * of them find nothing to do.
      */
     public long restMs(final Time time) {
         return timing.tick();
     }
 
-    /** Replays one entry of the log before the first event. */
+    /** Replays one entry of the local log; called for all entries in order, before the first event. */
     public abstract void replay(byte[] entry, Time time);
 
+    /** The state of each local replica for the heartbeats that this process sends; empty where it has no replica. */
     public abstract List<HeartbeatEntry> entries(Time time);
 
+    /** The node numbers that this process exchanges heartbeats with, itself excluded. */
     public abstract Set<Integer> heartbeatPeers();
 
+    /** The status page for operators, as a JSON object. */
     public abstract String statusJson(Time time);
 
-    /** The zones of the processes that this one knows, for counting what goes between zones. */
+    /** The zone of each known process by node number, for measuring the traffic between zones. */
     public abstract Map<Integer, String> zones();
 }
--- a/coordination/src/main/java/brookpath/coordination/node/NodeRequest.java
+++ b/coordination/src/main/java/brookpath/coordination/node/NodeRequest.java
@@ -6,23 +6,23 @@
 
 /** What a caller or an operator wants of a process. */
 public sealed interface NodeRequest {
-    /** A caller's message. */
+    /** Publishes a message of a caller. */
     record Publish(long requestId, String key, String topic, String sender, long seq, String text)
             implements NodeRequest {}
 
-    /** The request's ID is the session's. */
+    /** Opens a session on all its topics at once; the request's ID becomes the session's. */
     record Subscribe(long requestId, String key, List<String> topics, String cursor) implements NodeRequest {}
 
     /**
-     * A session that joins and leaves topics one by one, each with its own cursor; the request's ID is the session's.
-     * An empty key is none.
+     * A session that joins and leaves topics one by one, each with its own cursor; the request's ID becomes the
+     * session's. An empty key means no key.
      */
     record Open(long requestId, String key) implements NodeRequest {}
 
     /**
-     * The response's JSON is the cursor from which on the topic is listened to.
+     * Adds a topic to a session; the JSON of the response is the cursor that reading begins at.
      *
-     * @param cursor null for from now on
+     * @param cursor null to begin with the next record
      */
     record Join(long requestId, long sessionId, String topic, String cursor) implements NodeRequest {}
 
@@ -35,7 +35,7 @@
     /** Asks how many sessions listen to a topic; the named session is left out. */
     record Count(long requestId, String key, String topic, String session) implements NodeRequest {}
 
-    /** Why a publish or a subscription on this topic would go where it goes, just now. */
+    /** Asks where a publish or a subscription on this topic would be routed at present, and why. */
     record Explain(long requestId, String key, String topic) implements NodeRequest {}
 
     /** Asks whether this process takes callers. */
@@ -44,16 +44,18 @@
     /** Asks for the status page. */
     record Status(long requestId) implements NodeRequest {}
 
-    /** Starts or stops sending callers to other nodes. */
+    /** Starts or stops moving callers to other nodes. */
     record Drain(long requestId, boolean on) implements NodeRequest {}
 
-    /** The process is to end: whatever others can take over is handed over, and then there is a response. */
+    /**
+     * The process is to end: it transfers leaderships and sessions to other nodes, and responds once that is complete.
+     */
     record GracefulShutdown(long requestId) implements NodeRequest {}
 
-    /** What became of a post to the platform. */
+    /** The outcome of a post to the platform. */
     record Posted(long requestId, PostOutcome outcome) implements NodeRequest {}
 
-    /** Settings that were changed under the running process. Nobody waits for a response. */
+    /** Applies changed settings to the running process; there is no response. */
     record UpdateSettings(long rollBytes) implements NodeRequest {}
 
     /** An operator's request for the control leader. */
--- a/coordination/src/main/java/brookpath/coordination/node/ReadinessProbe.java
+++ b/coordination/src/main/java/brookpath/coordination/node/ReadinessProbe.java
@@ -3,7 +3,7 @@
 import brookpath.coordination.message.Response;
 import brookpath.coordination.message.ResponseStatus;
 
-/** Readiness, by which the platform picks healthy nodes. */
+/** The response to a readiness probe, by which the platform selects healthy nodes. */
 final class ReadinessProbe {
     private ReadinessProbe() {}
 
--- a/coordination/src/main/java/brookpath/coordination/node/StorageNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/StorageNode.java
@@ -41,14 +41,14 @@
 import java.util.Set;
 
 /**
- * A storage node of the data plane: a member of topic groups. It passes each event on to the part that it concerns (see
- * the package {@code storage}), and looks after each event on a group what that event has set free.
+ * A storage node of the data plane: a member of topic groups. It dispatches each event to the part that handles it (see
+ * the package {@code storage}), and after each event of a group completes what that event has made possible.
  */
 public final class StorageNode extends Node {
 
     private final int toleratedLosses;
     private final long seed;
-    /** The log begins a new segment once so many bytes were written to the present one. */
+    /** The size of a log segment in bytes beyond which a new one begins. */
     private long rollBytes;
 
     private final ConfigurationClient client;
@@ -64,12 +64,12 @@
     private final GracefulShutdown shutdown;
 
     /**
-     * @param info this process as others are told of it
-     * @param seeds the controllers that are asked first
+     * @param info this process's node number, zone and address as peers see them
+     * @param seeds the controllers that are polled first
      * @param toleratedLosses how many replicas of a group may be lost without the loss of a committed record
-     * @param seed spreads the elections of the groups
-     * @param firstId where the IDs of its polls begin, another place in each incarnation
-     * @param rollBytes after how many bytes the log begins a new segment
+     * @param seed for the random election timeouts of the groups
+     * @param firstId request IDs begin after it; it differs in each incarnation
+     * @param rollBytes the size of a log segment in bytes beyond which a new one begins
      */
     public StorageNode(
             final NodeInfo info,
@@ -110,12 +110,12 @@
         return group;
     }
 
-    /** The copy of the configuration and the cluster's metadata that this node works by. */
+    /** The client with this node's replicas of the configuration and the cluster metadata. */
     public ConfigurationClient client() {
         return client;
     }
 
-    /** The replica of a group; null where this machine has none. */
+    /** This node's replica of a group; null where it has none. */
     public GroupMachine group(final int id) {
         return groups.get(id);
     }
@@ -212,7 +212,7 @@
         }
     }
 
-    /** An order to move a replica; it is repeated until nothing is left to do. */
+    /** Carries out an order to move a replica; the control leader repeats it until the move is complete. */
     private void moveReplica(final MoveOrder order, final long now) {
         final GroupMachine group = groups.get(order.group());
         if (group != null) {
@@ -251,7 +251,7 @@
         }
     }
 
-    /** Does what a change of the group's commit index, role or membership has set free. */
+    /** Completes what a change of the group's commit index, role or membership has made possible. */
     private void onGroupChanged(final GroupMachine group, final long now) {
         pendingPublishes.resolve(group, now);
         fetches.servePending(group, now);
--- a/coordination/src/main/java/brookpath/coordination/node/StorageStatus.java
+++ b/coordination/src/main/java/brookpath/coordination/node/StorageStatus.java
@@ -7,7 +7,7 @@
 import jakarta.json.JsonArrayBuilder;
 import java.util.Collection;
 
-/** The page on which a storage node tells operators how it and its groups stand. */
+/** The status page of a storage node and its groups, for operators. */
 final class StorageStatus {
     private StorageStatus() {}
 
