--- a/coordination/src/main/java/brookpath/coordination/configuration/Configuration.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/Configuration.java
@@ -4,9 +4,9 @@
 import java.util.Set;
 
 /**
- * One whole confirmed document: spaces, keys and tenants together. Immutable.
+ * One version of the configuration: all spaces, keys and tenants. Immutable.
  *
- * @param topicsPerSession a session may listen to so many topics
+ * @param topicsPerSession the most topics that a session may listen to
  */
 public record Configuration(
         long version,
@@ -17,12 +17,13 @@
         Map<String, String> keys,
         int topicsPerSession,
         Prefixes prefixes) {
-    /** Among a tenant's spaces: every one there is. */
+    /** An entry in a tenant's spaces that stands for all spaces. */
     public static final String ALL = "*";
 
     /** The configuration before the first change. */
     public static final Configuration NONE = new Configuration(0, 0, "", Map.of(), Map.of(), Map.of(), 64);
 
+    /** Builds the prefix lookup from the spaces. */
     public Configuration(
             final long version,
             final long basedOn,
@@ -43,33 +44,35 @@
     }
 
     /**
-     * @param prefix topics whose names begin so lie in this space, unless a longer prefix fits
-     * @param one whether the space promises one order for all
+     * @param prefix topics whose names begin with it belong to this space, unless a longer prefix matches
+     * @param keepingMs how long history is kept, in milliseconds
+     * @param one whether the space guarantees one order over all its topics
      * @param open whether callers without a key may use it
-     * @param answerMs callers give up on a publish after this; 0 where they have not said
+     * @param answerMs how long callers wait for the response to a publish, in milliseconds; 0 where that is unknown
      */
     public record Space(
             String name, String prefix, long keepingMs, boolean one, int replSize, boolean open, long answerMs) {
+        /** A space that needs a key, whose prefix is its name and a slash. */
         public Space(final String name, final long keepingMs, final boolean one, final int replSize) {
             this(name, name + "/", keepingMs, one, replSize, false, 0);
         }
     }
 
-    /** A tenant and the spaces that its keys open. */
+    /** A tenant and the spaces that its keys give access to. */
     public record Tenant(String name, Set<String> spaces) {
-        /** Whether the tenant's keys open the space of this name. */
+        /** Whether the tenant's keys give access to the space of this name. */
         public boolean uses(final String space) {
             return spaces.contains(space) || spaces.contains(ALL);
         }
     }
 
-    /** The tenant that a key belongs to, null for none. */
+    /** The tenant that a key belongs to; null where the key is unknown. */
     public Tenant tenantOf(final String key) {
         final String name = keys.get(key);
         return name == null ? null : tenants.get(name);
     }
 
-    /** The space that a topic lies in, null for none. */
+    /** The space that a topic belongs to; null where no prefix matches. */
     public Space spaceOf(final String topic) {
         return prefixes.of(topic);
     }
--- a/coordination/src/main/java/brookpath/coordination/configuration/ConfigurationClient.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/ConfigurationClient.java
@@ -11,9 +11,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A data-plane process's side of the configuration: polls with the version that it has, and holds the lease on it. */
+/**
+ * Follows the configuration and the cluster metadata: polls the control leader with the versions that this process has,
+ * and holds the lease on the configuration. Used on the state thread only.
+ */
 public final class ConfigurationClient {
-    /** Told in place of a version, so that the answer brings the whole. */
+    /** Sent in place of a version, so that the reply carries the complete documents. */
     private static final int NOTHING_KNOWN = -1;
 
     private static final int NO_LEADER = 0;
@@ -21,7 +24,9 @@
     private final NodeInfo info;
     private final int self;
     private final int role;
-    /** Whom it may ask: those that the settings name, and those that the cluster metadata has named since. */
+    /**
+     * The controllers that may be polled: those of the settings, and those that the cluster metadata has named since.
+     */
     private List<Integer> controllers;
 
     private final TimingBounds timing;
@@ -29,12 +34,12 @@
 
     private Configuration configuration = Configuration.NONE;
     private ClusterMetadata metadata = ClusterMetadata.NONE;
-    /** Both as they came, for the differences that follow. */
+    /** The encoded documents as received, to which later deltas apply. */
     private byte[] configurationBytes = VersionUpdates.NO_NEWS;
 
     private byte[] metadataBytes = VersionUpdates.NO_NEWS;
     private boolean known;
-    /** A difference did not fit, so the next answer is to bring both whole. */
+    /** Whether a delta did not apply, so that the next reply must carry both documents in full. */
     private boolean wantsWhole;
 
     private long leaseUntil = Long.MIN_VALUE;
@@ -53,10 +58,10 @@
     private long clockAhead = Long.MIN_VALUE;
 
     /**
-     * @param info this process as others see it; peers reach a storage machine or a controller at its address, callers
-     *     a gateway
-     * @param firstId where the polls' IDs begin, another place in each life of the process: a reply that a third node
-     *     carries may outlive the one that asked, and must grant no lease to its successor
+     * @param info this process as peers see it; peers reach a storage node or a controller at its address, callers a
+     *     gateway
+     * @param firstId where the polls' IDs begin; it differs in each incarnation of the process: a reply that a third
+     *     node forwards may outlive the incarnation that polled, and must not grant a lease to the next one
      */
     public ConfigurationClient(
             final NodeInfo info,
@@ -86,17 +91,17 @@
         return metadata;
     }
 
-    /** The controller that is polled, 0 for none. */
+    /** The node number of the controller that is polled; 0 for none. */
     public int controlLeader() {
         return target;
     }
 
-    /** The control leader that has answered lately, 0 for none. */
+    /** The node number of the control leader that has replied lately; 0 for none. */
     public int leaderHeard(final long now) {
         return leased(now) && !relay ? target : 0;
     }
 
-    /** Tells the control leader with the next poll whether this process drains. */
+    /** Sets whether this process drains; the next poll notifies the control leader of it. */
     public void drain(final boolean on) {
         drain = on;
     }
@@ -106,27 +111,30 @@
         return drain;
     }
 
-    /** Nothing is served before a first answer that a majority backs, nor after the lease on it has run out. */
+    /**
+     * Whether this process holds the lease on the configuration. Without it, before the first reply or after its
+     * expiry, nothing is served.
+     */
     public boolean leased(final long now) {
         return known && now < leaseUntil;
     }
 
-    /** The end of the lease by this process's monotonic clock, in milliseconds. */
+    /** The end of the lease, in monotonic milliseconds of this process. */
     public long leaseUntil() {
         return known ? leaseUntil : Long.MIN_VALUE;
     }
 
-    /** Nothing is stamped by this machine's own clock, which may be the wrong one. */
+    /** Whether the fleet's clock is known; records are never stamped by this node's own clock, which may be wrong. */
     public boolean clockKnown() {
         return clockAhead != Long.MIN_VALUE;
     }
 
-    /** The fleet's clock as the control leader sent it. */
+    /** The fleet's time as the control leader sent it, in milliseconds since the epoch. */
     public long wall(final Time time) {
         return clockKnown() ? time.mono() + clockAhead : 0;
     }
 
-    /** Sends the next poll where it is due, and gives up one that is not answered in time. */
+    /** Sends the next poll if it is due, and abandons one without a timely reply. */
     public void tick(final Time time) {
         final long now = time.mono();
         if (polling && now - sentAt > timing.configurationDeadline()) {
@@ -139,10 +147,11 @@
     }
 
     /**
-     * The one that was asked cannot be reached. Another may reach it, so it is asked to carry the poll, for a while.
+     * The polled controller cannot be reached. Another one may reach it, so that polls are sent there to be forwarded
+     * for a while.
      */
     private void unreached(final long now) {
-        // Before a first answer nothing says that the one is unreachable rather than not up yet
+        // Before the first reply the controller may just not have started yet
         relay = known;
         relayUntil = now + 2 * timing.changeMs() * 4 / 5;
         nextSeed();
@@ -155,7 +164,7 @@
         }
     }
 
-    /** Further controllers that may be asked, from a log that may be old. */
+    /** Adds controllers that may be polled, from a log that may be outdated. */
     public void suggest(final List<ClusterMetadata.NodeInfo> more) {
         final List<Integer> all = new ArrayList<>(controllers);
         more.stream()
@@ -168,7 +177,7 @@
         }
     }
 
-    /** The reply that was forwarded brought the leader's address, so that the next poll can go there. */
+    /** A forwarded reply brought the leader's address, so that the next poll can be sent there directly. */
     private void askDirectly(final int leader) {
         if (leaderUnknown && controllers.contains(leader)) {
             relay = false;
@@ -184,7 +193,7 @@
                 known.add(b.node());
             }
         });
-        // Machines of the first days may be gone for good
+        // Controllers of the settings may have been removed since
         if (!metadata.controllers().isEmpty()) {
             known.removeIf(n -> n != target && metadata.controllers().stream().noneMatch(b -> b.node() == n));
         }
@@ -215,7 +224,8 @@
     }
 
     /**
-     * The poll never left, or the session that it went over broke: waiting for its deadline would only waste the lease.
+     * The poll was not sent, or its connection broke: polls again at once, since waiting for the deadline would only
+     * use up the lease.
      */
     public void unsent(final int to, final long now) {
         if (polling && to == target) {
@@ -225,7 +235,7 @@
         }
     }
 
-    /** True when the configuration or the cluster metadata is a newer one. */
+    /** Handles the reply to a poll; true where it brought a newer configuration or cluster metadata. */
     public boolean onReply(final ConfigurationReply reply, final Time time) {
         if (!polling || reply.pollId() != pollId) {
             return false;
@@ -236,7 +246,7 @@
             return false;
         }
         if (reply.configurationVersion() < configuration.version()) {
-            // A process that has shown a version never goes back, whoever says so
+            // A process that has served a version never returns to an older one
             out.error("spec went back from " + configuration.version() + " to " + reply.configurationVersion());
             return false;
         }
@@ -244,7 +254,7 @@
         try {
             changed = take(reply) || !known;
         } catch (final Delta.MismatchException ex) {
-            // No lease without the configuration that it is for; the whole fits whatever there is
+            // No lease without the configuration that it covers; the complete document needs no base
             out.note("asks for the whole configuration: " + ex.getMessage());
             wantsWhole = true;
             poll(time);
@@ -258,15 +268,15 @@
         return changed;
     }
 
-    /** The one that was asked does not lead: asks whom it names, else the next controller. */
+    /** The polled controller does not lead: polls the leader that it names, else the next controller. */
     private void followLeaderHint(final int hint, final long now) {
         final boolean usable = !relay && hint != NO_LEADER && hint != target;
         if (usable && controllers.contains(hint)) {
             target = hint;
             nextAt = now;
         } else if (usable) {
-            // A leader that no settings named is known by number only; whoever names it forwards the poll, and the
-            // cluster metadata tells the rest
+            // A leader outside the settings is known by number only; the controller that names it forwards the poll,
+            // and the cluster metadata brings its address
             relay = true;
             leaderUnknown = true;
             relayUntil = now + timing.configurationHold();
@@ -285,7 +295,10 @@
         }
     }
 
-    /** Takes what is newer in the reply; nothing of it where one part does not fit. True where there was something. */
+    /**
+     * Adopts the newer documents of the reply, or none where one delta does not apply. True where there was a newer
+     * one.
+     */
     private boolean take(final ConfigurationReply m) throws Delta.MismatchException {
         final boolean newConfiguration = m.configurationVersion() > configuration.version();
         final boolean newMetadata = m.metadataVersion() > metadata.version();
--- a/coordination/src/main/java/brookpath/coordination/configuration/ConfigurationReader.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/ConfigurationReader.java
@@ -21,10 +21,11 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Reads a change document and collects everything that is wrong with it. */
+/** Parses a change document and collects all findings on it. */
 public final class ConfigurationReader {
     /**
-     * The largest document. One record holds it, and one frame carries it; {@code Wire} lets as much wait for a peer.
+     * The largest document, in bytes. It must fit into one record and one frame; {@code Wire} queues as much for a
+     * peer.
      */
     public static final int MAX_BYTES = 4 << 20;
 
@@ -36,10 +37,12 @@
     private static final int MAX_REPLICAS = 7;
     private static final int MAX_TOPICS_PER_SESSION = 10_000;
 
-    /** What a space may ask of the groups. */
+    /** The limits on what a space may require of the groups. */
     public record Limits(int members, int floor) {}
 
-    /** What reading a document gave: whether it is JSON, the configuration if it could be read, and all findings. */
+    /**
+     * The result of reading a document: whether it is JSON, the configuration if it could be read, and all findings.
+     */
     public record Reading(boolean json, Configuration configuration, List<Finding> findings) {}
 
     private final Limits limits;
@@ -52,8 +55,8 @@
     /**
      * Reads a change document.
      *
-     * @param version the version that it gets where it names none
-     * @param present the configuration that it is to follow
+     * @param version the version that the configuration gets if the document names none
+     * @param present the configuration that the document is to replace
      */
     public static Reading read(final byte[] doc, final long version, final Limits limits, final Configuration present) {
         final ConfigurationReader rd = new ConfigurationReader(limits);
@@ -73,10 +76,7 @@
         return new Reading(true, configuration, rd.findings);
     }
 
-    /**
-     * The document without its annotation, which is for those who read it back and not for the processes that follow
-     * it.
-     */
+    /** The document without its annotation, which is for its readers and not for the processes that apply it. */
     public static byte[] lean(final byte[] doc) {
         try (JsonReader json = Json.createReader(new ByteArrayInputStream(doc))) {
             final JsonObject obj = json.readObject();
@@ -97,8 +97,8 @@
 
     private Configuration configuration(final JsonObject obj, final long version, final Configuration present) {
         only(obj, "", Set.of("version", "basedOn", "changeId", "spaces", "tenants", "topicsPerSession", "annotation"));
-        // Users who number their documents themselves need those numbers in basedOn, in the outcome and when they
-        // read it back
+        // Users who number their documents themselves need those numbers in basedOn, in the outcome and in the stored
+        // document
         final long numbered = num(obj, "", "version", present.version() + 1, Long.MAX_VALUE >> 1, version);
         final long basedOn = num(obj, "", "basedOn", 0, Long.MAX_VALUE, null);
         final String changeId = name(obj, "", "changeId", MAX_CHANGE_ID);
@@ -116,7 +116,7 @@
                         topicsPerSession);
     }
 
-    /** @param present the configuration that the document is to follow */
+    /** @param present the configuration that the document is to replace */
     private Map<String, Space> spaces(final JsonObject obj, final Configuration present) {
         final Map<String, Space> spaces = new LinkedHashMap<>();
         final Map<String, String> nameByPrefix = new LinkedHashMap<>();
--- a/coordination/src/main/java/brookpath/coordination/configuration/Finding.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/Finding.java
@@ -4,7 +4,7 @@
 import jakarta.json.JsonArrayBuilder;
 import java.util.List;
 
-/** Something wrong, and where. Findings are collected and reported together. */
+/** An error in a request, with the place as a JSON pointer. Findings are collected and reported together. */
 public record Finding(String place, String what) {
     @Override
     public String toString() {
@@ -16,7 +16,7 @@
         return array(findings).build().toString();
     }
 
-    /** For a place in a larger document. */
+    /** The same finding with its place below a prefix, as part of a larger document. */
     public static JsonArrayBuilder array(final List<Finding> findings) {
         final JsonArrayBuilder arr = Json.createArrayBuilder();
         findings.forEach(
--- a/coordination/src/main/java/brookpath/coordination/configuration/Prefixes.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/Prefixes.java
@@ -4,12 +4,12 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Spaces by the beginnings of their topics' names; the longest that fits wins. Immutable. */
+/** Looks up spaces by the prefixes of their topics' names; the longest match wins. Immutable. */
 final class Prefixes {
     static final Prefixes NONE = new Prefixes(java.util.List.of());
 
     private final Map<String, Configuration.Space> byPrefix = new HashMap<>();
-    /** Longest first, so that the first hit is the one that wins. */
+    /** Longest first, so that the first match is the longest. */
     private final int[] lengths;
 
     Prefixes(final Collection<Configuration.Space> spaces) {
--- a/coordination/src/main/java/brookpath/coordination/configuration/StoredConfiguration.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/StoredConfiguration.java
@@ -1,8 +1,8 @@
 package brookpath.coordination.configuration;
 
 /**
- * One version of the configuration as a record of the control log holds it. The document is parsed when it is first
- * asked for: most versions of a run of changes are never read before the next one takes their place.
+ * One version of the configuration as a record of the control log holds it. The document is parsed on first use: most
+ * versions of a series of changes are never read before the next one replaces them.
  */
 public final class StoredConfiguration {
     /** The version before the first change. */
@@ -43,12 +43,12 @@
         return version;
     }
 
-    /** The document as it was sent. */
+    /** The document as the operator sent it. */
     public byte[] doc() {
         return document;
     }
 
-    /** The document as the data plane gets it. */
+    /** The document as it is sent to the data plane, without its annotation. */
     public byte[] lean() {
         if (lean == null) {
             lean = ConfigurationReader.lean(document);
--- a/coordination/src/main/java/brookpath/coordination/configuration/VersionUpdates.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/VersionUpdates.java
@@ -6,15 +6,15 @@
 import java.util.TreeMap;
 
 /**
- * Brings the newest version of one document to followers: to one that has a version which was sent lately, as the
- * difference from that; to any other, whole. Holds the versions that this leader has sent, bounded in number and bytes;
- * nothing of it is replicated. Not thread-safe.
+ * Encodes the newest version of one document for followers: as a delta for a follower with a recently sent version, in
+ * full for any other. Keeps the versions that this leader has sent, bounded in number and bytes; nothing here is
+ * replicated. Not thread-safe.
  */
 public final class VersionUpdates {
-    /** What a follower gets that has the newest version already. */
+    /** The update for a follower that has the newest version already. */
     public static final byte[] NO_NEWS = new byte[0];
 
-    /** The version of a document that does not exist yet: nobody has it, so nothing is a difference from it. */
+    /** The version of a document that does not exist yet, which no delta can be based on. */
     private static final long NO_DOCUMENT = 0;
 
     private static final int KEPT_VERSIONS = 16;
@@ -26,7 +26,7 @@
 
     private long bytes;
 
-    /** The newest version, which is sent from now on; one that is known already changes nothing. */
+    /** Sets the newest version, which is sent from now on; a known version changes nothing. */
     public void newest(final long version, final byte[] document) {
         if (version == NO_DOCUMENT || documents.containsKey(version)) {
             return;
@@ -44,7 +44,7 @@
         return !documents.isEmpty() && documents.lastKey() == version;
     }
 
-    /** What turns the follower's version into the newest; {@link #NO_NEWS} where it has that or a later one. */
+    /** The update from the follower's version to the newest; {@link #NO_NEWS} where it has that or a later one. */
     public byte[] since(final long version) {
         return documents.isEmpty() || version >= documents.lastKey()
                 ? NO_NEWS
@@ -57,7 +57,7 @@
         return base == null ? Delta.whole(newest) : Delta.between(base, newest);
     }
 
-    /** Forgets what was sent, as one that is no longer the leader. */
+    /** Discards all versions when the leadership ends. */
     public void clear() {
         documents.clear();
         updates.clear();
--- a/coordination/src/main/java/brookpath/coordination/configuration/package-info.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/package-info.java
@@ -1,5 +1,8 @@
 /**
- * The configuration: the document that operators replace as a whole, its reader, the deltas between its versions, and
- * the client by which every process follows it and holds a lease on it.
+ * The configuration: {@link brookpath.coordination.configuration.Configuration} is one immutable version, which
+ * operators replace as a whole; {@link brookpath.coordination.configuration.ConfigurationReader} parses a document,
+ * {@link brookpath.coordination.configuration.VersionUpdates} encodes deltas between versions, and
+ * {@link brookpath.coordination.configuration.ConfigurationClient} owns a process's replica and its lease on it, on the
+ * state thread.
  */
 package brookpath.coordination.configuration;
--- a/coordination/src/main/java/brookpath/coordination/controllog/ChangeOutcomes.java
+++ b/coordination/src/main/java/brookpath/coordination/controllog/ChangeOutcomes.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 
 /**
- * What became of the newest changes that took effect, by the digest of their IDs. Refused documents leave nothing here,
- * so that no number of them pushes out a change that somebody may still send again.
+ * The outcomes of the newest changes that took effect, by the digest of their IDs. Refused documents are not kept, so
+ * that they cannot evict a change that its sender may still retry.
  */
 public final class ChangeOutcomes {
     private static final int KEPT = 4_096;
@@ -21,9 +21,9 @@
     /**
      * A change that took effect.
      *
-     * @param index its record in the control log
-     * @param checksum of its document
-     * @param version that it made
+     * @param index the index of its record in the control log
+     * @param checksum the checksum of its document
+     * @param version the configuration version that it created
      */
     public record Outcome(long index, long checksum, long version) {}
 
@@ -42,7 +42,7 @@
 
     private final Map<ChangeKey, Outcome> outcomes = new LinkedHashMap<>();
 
-    /** Null where no change of this ID took effect, or only one that is long past. */
+    /** The outcome of the change with this ID; null where none took effect, or only one too old to be kept. */
     public Outcome of(final String changeId) {
         return outcomes.get(ChangeKey.of(changeId));
     }
--- a/coordination/src/main/java/brookpath/coordination/controllog/CommittedVersions.java
+++ b/coordination/src/main/java/brookpath/coordination/controllog/CommittedVersions.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /**
- * The versions of one value by their log position: the newest committed one, however long it stays so, and all that
- * were appended after it. What is older than the newest committed one is dropped.
+ * The versions of one value by their log position: the newest committed one, and all that were appended after it.
+ * Versions older than the newest committed one are dropped.
  */
 final class CommittedVersions<T> {
-    /** A version and where its record lies. */
+    /** A version and the log position of its record. */
     record Version<T>(long index, T value) {}
 
     private final List<Version<T>> versions = new ArrayList<>();
@@ -17,7 +17,7 @@
         versions.add(new Version<>(index, value));
     }
 
-    /** Everything up to the position is committed. */
+    /** Marks everything up to the position as committed. */
     void accept(final long index) {
         int newestCommitted = 0;
         while (newestCommitted + 1 < versions.size() && versions.get(newestCommitted + 1).index <= index) {
@@ -36,7 +36,7 @@
         return absent;
     }
 
-    /** How many were appended after the position. */
+    /** The number of versions that were appended after the position. */
     int after(final long index) {
         return (int) versions.stream().filter(v -> v.index > index).count();
     }
--- a/coordination/src/main/java/brookpath/coordination/controllog/ControlState.java
+++ b/coordination/src/main/java/brookpath/coordination/controllog/ControlState.java
@@ -11,31 +11,34 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What follows from the control log: the configurations, the cluster metadata, and the outcome of each change. */
+/**
+ * The state derived from the control log: the configurations, the cluster metadata, the outcomes of changes, and the
+ * usage totals.
+ */
 public final class ControlState implements LogState {
     /** A configuration in full. */
     public static final int CONFIGURATION = 1;
-    /** Written by earlier releases; says nothing any more. */
+    /** Written by earlier releases; ignored. */
     private static final int REFUSAL = 2;
 
     /** The cluster metadata. */
     public static final int METADATA = 3;
     /** The usage of a window. */
     public static final int USAGE = 4;
-    /** That the platform has accepted a window's usage, or that it was given up. */
+    /** The platform has accepted a window's usage, or its report was abandoned. */
     public static final int DELIVERED = 5;
-    /** A configuration as its difference from the one in the record of a configuration before it. */
+    /** A configuration as a delta to the one in the preceding configuration record. */
     public static final int CONFIGURATION_DELTA = 6;
 
-    /** Totals that the platform has not accepted yet are kept for as many windows. */
+    /** The number of windows for which totals that the platform has not accepted are kept. */
     private static final int KEPT_WINDOWS = 360;
 
-    /** Totals that the platform has accepted are kept for as many windows, for those who ask what was reported. */
+    /** The number of windows for which accepted totals are kept, so that operators can read what was reported. */
     private static final int KEPT_DELIVERED_WINDOWS = 64;
 
-    /** So many committed records, and so many bytes of them, stay in memory for followers that lag. */
+    /** The number and the bytes of committed records that stay in memory for lagging followers. */
     private static final int KEPT_RECORDS = 256;
-    /** Stands where earlier formats of the saved state have the number of outcomes. */
+    /** A marker in place of the number of outcomes in earlier formats of the saved state. */
     private static final long COMPACT_OUTCOMES = -2;
 
     private static final int KEPT_BYTES = 1 << 20;
@@ -43,7 +46,7 @@
     /**
      * A tenant's part of a window's total.
      *
-     * @param late counts from earlier windows among it
+     * @param late the counts from earlier windows that it includes
      */
     public record Used(String tenant, long publishes, long bytes, boolean late) {}
 
@@ -65,9 +68,10 @@
     }
 
     /**
-     * A configuration as its difference from the newest one in the log, or in full where that is no longer.
+     * The body of a record with a configuration: a delta to the newest one in the log, or the document in full where
+     * that is no longer than the delta.
      *
-     * @param newest what {@link #configurationAt} gives for the end of the log that the record is appended to
+     * @param newest the result of {@link #configurationAt} for the end of the log that the record is appended to
      */
     public static byte[] configurationBody(
             final StoredConfiguration newest,
@@ -97,7 +101,7 @@
         return PackedBuffer.writer().putLong(METADATA).putBytes(metadata.save()).toByteArray();
     }
 
-    /** @param upTo per group, through which of its windows it is counted from now on */
+    /** @param upTo the newest window of each group that the totals include from now on */
     public static byte[] usageBody(final long window, final List<Used> used, final Map<Integer, Long> upTo) {
         final PackedBuffer buffer = PackedBuffer.writer().putLong(USAGE);
         packWindow(buffer, new Window(0, window, used));
@@ -106,7 +110,7 @@
         return buffer.toByteArray();
     }
 
-    /** The body of a record that says what became of a window's report. */
+    /** The body of a record with the outcome of a window's report. */
     public static byte[] deliveredBody(final long window, final boolean delivered) {
         return PackedBuffer.writer()
                 .putLong(DELIVERED)
@@ -144,12 +148,12 @@
         }
     }
 
-    /** The newest window that has a total, -1 for none. */
+    /** The newest window that has a total; -1 for none. */
     public long lastWindow() {
         return windows.isEmpty() ? -1 : windows.lastKey();
     }
 
-    /** Through which of its windows a group is counted, -1 for none. */
+    /** The newest window of a group that the totals include; -1 for none. */
     public long included(final int group) {
         return included.getOrDefault(group, -1L);
     }
@@ -166,7 +170,10 @@
         return windows.values();
     }
 
-    /** Null while it is on its way, false where it was given up. */
+    /**
+     * Whether the platform accepted the window's report; null while that is undecided, false where the report was
+     * abandoned.
+     */
     public Boolean deliveryOutcome(final long window) {
         return deliveries.get(window);
     }
@@ -191,7 +198,7 @@
                 outcomes.add(changeId, new ChangeOutcomes.Outcome(logRecord.index(), sum, version));
             }
             case REFUSAL -> {
-                // A refusal follows from the document and from what was committed before it
+                // A refusal is derived from the document and from the records committed before it
             }
             case METADATA -> {
                 final ClusterMetadata metadata = ClusterMetadata.load(in.getBytes());
@@ -209,12 +216,12 @@
         }
     }
 
-    /** The document that a record holds as its difference from the one in the log before it. */
+    /** The document of a record that holds a delta to the preceding one in the log. */
     private byte[] followingNewest(final LogRecord logRecord, final byte[] delta) {
         try {
             return Delta.apply(configurationAt(Long.MAX_VALUE).doc(), delta);
         } catch (final Delta.MismatchException ex) {
-            // The records before this one decide the base, and each stands on a checksum of its own
+            // The records before this one determine the base, and each has its own checksum
             throw new IllegalStateException(
                     "configuration record at " + logRecord.index() + ": " + ex.getMessage(), ex);
         }
@@ -240,30 +247,30 @@
         return metadatas.at(index, ClusterMetadata.NONE);
     }
 
-    /** How many configurations and cluster metadata were appended after the position. */
+    /** The number of configurations and cluster metadata that were appended after the position. */
     public int appendedAfter(final long index) {
         return configurations.after(index) + metadatas.after(index);
     }
 
-    /** What became of the newest changes. */
+    /** The outcomes of the newest changes. */
     public ChangeOutcomes outcomes() {
         return outcomes;
     }
 
-    /** The storage machines that were ordered to retire. */
+    /** The storage nodes that were ordered to retire. */
     public Retirements retirements() {
         return retirements;
     }
 
     @Override
     public void trimmed(final LogRecord logRecord) {
-        // Nothing is read back from the control log by position, so nothing needs to know what is gone
+        // The control log is not read by position, so that trimmed records need no bookkeeping
     }
 
     @Override
     public boolean keeps(final LogRecord logRecord, final long now, final int newerRecords, final long newerBytes) {
-        // By count and size, not by age: a snapshot serves whoever lags more, and a run of large changes must not
-        // fill the memory
+        // By count and size, not by age: a snapshot serves followers that lag more, and a series of large changes must
+        // not exhaust the memory
         return newerRecords < KEPT_RECORDS && newerBytes < KEPT_BYTES;
     }
 
--- a/coordination/src/main/java/brookpath/coordination/controllog/Retirements.java
+++ b/coordination/src/main/java/brookpath/coordination/controllog/Retirements.java
@@ -7,13 +7,13 @@
 import java.util.List;
 
 /**
- * The storage machines that were ordered to retire, also after the cluster metadata names them no more: an order that
- * is sent again after its answer was lost must be known. It follows from the records of the cluster metadata.
+ * The storage nodes that were ordered to retire, also after their removal from the cluster metadata: an order that is
+ * retried because its response was lost must be recognized. Derived from the cluster metadata records.
  */
 public final class Retirements {
     private static final int KEPT = 256;
 
-    /** @param index the record that took the order */
+    /** @param index the index of the record with the order */
     public record Retirement(long index, int node, String name) {
         private boolean isOf(final NodeInfo info) {
             return name.isEmpty()
@@ -24,14 +24,14 @@
 
     private final List<Retirement> retirements = new ArrayList<>();
 
-    /** The newest retirement of a machine of this name up to a position of the log, null for none. */
+    /** The newest retirement of a node of this name up to a position of the log; null for none. */
     public Retirement named(final String name, final long position) {
         return newest(retirements.stream()
                 .filter(r -> r.index <= position && r.name.equals(name))
                 .toList());
     }
 
-    /** The newest retirement of a machine of this number up to a position of the log, null for none. */
+    /** The newest retirement of a node of this number up to a position of the log; null for none. */
     public Retirement numbered(final int node, final long position) {
         return newest(retirements.stream()
                 .filter(r -> r.index <= position && r.node == node)
@@ -45,7 +45,7 @@
     void apply(final long index, final ClusterMetadata metadata) {
         for (final NodeInfo info : metadata.nodes()) {
             if (!metadata.retiring().contains(info.node())) {
-                // It was kept after all, or another machine bears the name now
+                // The retirement was cancelled, or another machine has the name now
                 retirements.removeIf(r -> r.isOf(info));
             } else if (retirements.stream().noneMatch(r -> r.isOf(info))) {
                 retirements.add(new Retirement(index, info.node(), info.name()));
--- a/coordination/src/main/java/brookpath/coordination/metadata/ClusterMetadata.java
+++ b/coordination/src/main/java/brookpath/coordination/metadata/ClusterMetadata.java
@@ -7,11 +7,12 @@
 import java.util.List;
 
 /**
- * Membership and placement: which storage nodes there are, and which of them hold which group. Immutable.
+ * The membership and placement of the cluster: its storage nodes, its controllers, and the members of each group.
+ * Immutable.
  *
- * @param nodes the storage machines
- * @param retiring nodes that are to be emptied
- * @param controllers the control plane's machines, members of the control group or not
+ * @param nodes the storage nodes
+ * @param retiring the storage nodes whose replicas are to be moved away
+ * @param controllers all controllers, members of the control group or not
  * @param control the control group's members
  */
 public record ClusterMetadata(
@@ -22,8 +23,8 @@
         List<NodeInfo> controllers,
         Membership control) {
     /**
-     * What a saved cluster metadata begins with. The first format began with the version, which is never negative; this
-     * one adds the machines' identities.
+     * The first number of saved cluster metadata. The first format began with the version, which is never negative;
+     * this one adds the machines' identities.
      */
     private static final long FORMAT = -2;
 
@@ -31,19 +32,21 @@
     public static final ClusterMetadata NONE = new ClusterMetadata(0, List.of(), List.of(), List.of());
 
     /**
-     * A process as others see it. Node numbers follow from addresses, which are used again; the machine's identity
-     * tells a machine from the one before it.
+     * A process as its peers see it. Node numbers are derived from addresses, which may be reused; the machine's
+     * identity distinguishes a machine from its predecessor at the same address.
      *
-     * @param name what operators call the machine; may be empty
+     * @param name the operators' name for the machine; may be empty
      * @param machine the machine's identity, drawn at its first start; {@link #UNKNOWN_MACHINE} where it is not known
      */
     public record NodeInfo(int node, String zone, String address, String name, long machine) {
         public static final long UNKNOWN_MACHINE = 0;
 
+        /** A process on a machine of unknown identity. */
         public NodeInfo(final int node, final String zone, final String address, final String name) {
             this(node, zone, address, name, UNKNOWN_MACHINE);
         }
 
+        /** A process without a name, on a machine of unknown identity. */
         public NodeInfo(final int node, final String zone, final String address) {
             this(node, zone, address, "");
         }
@@ -54,8 +57,8 @@
         }
 
         /**
-         * Whether the other one, of the same number, is certainly another machine. One that lost its disk has a new
-         * identity but keeps the name by which operators know it, and what was ordered of it.
+         * Whether this is certainly another machine than the other of the same number. A machine that lost its disk has
+         * a new identity but keeps its name, and with it the operators' orders.
          */
         public boolean replaces(final NodeInfo other) {
             return node == other.node
@@ -95,7 +98,7 @@
         }
     }
 
-    /** The next version, with this group in place of the one of its number. */
+    /** The next version, with this group in place of the one with its ID. */
     public ClusterMetadata with(final GroupInfo changed) {
         return with(
                 nodes,
@@ -103,7 +106,7 @@
                 retiring);
     }
 
-    /** The next version with these in place of its own; the control plane's part stays. */
+    /** The next version with these nodes, groups and retiring nodes; the control plane stays as it is. */
     public ClusterMetadata with(
             final List<NodeInfo> newNodes, final List<GroupInfo> newGroups, final List<Integer> newRetiring) {
         return new ClusterMetadata(
@@ -115,12 +118,12 @@
                 control);
     }
 
-    /** The next version with another control plane. */
+    /** The next version with these controllers and control group members. */
     public ClusterMetadata with(final List<NodeInfo> newControllers, final Membership newControl) {
         return new ClusterMetadata(version + 1, nodes, groups, retiring, List.copyOf(newControllers), newControl);
     }
 
-    /** The storage node of this number, null for none. */
+    /** The storage node of this number; null for none. */
     public NodeInfo node(final int id) {
         for (final NodeInfo n : nodes) {
             if (n.node() == id) {
@@ -147,9 +150,9 @@
     }
 
     /**
-     * Reads what {@link #save} gave, also that of earlier formats.
+     * Decodes the form of {@link #save}, also of earlier formats.
      *
-     * @throws IllegalStateException where the format is that of a newer version
+     * @throws IllegalStateException where the format is of a newer release
      */
     public static ClusterMetadata load(final byte[] saved) {
         if (saved.length == 0) {
--- a/coordination/src/main/java/brookpath/coordination/metadata/FleetClock.java
+++ b/coordination/src/main/java/brookpath/coordination/metadata/FleetClock.java
@@ -5,17 +5,17 @@
 import java.util.TreeMap;
 
 /**
- * The fleet's clock: the middle one of the clocks that the control leader hears. Windows are closed and totalled by it,
- * so that no single machine's wrong clock makes a report late or early.
+ * The fleet's clock: the median of the wall clocks that the control leader receives. Usage windows are closed and
+ * totalled by it, so that a single wrong clock cannot make a report late or early. Not thread-safe.
  */
 public final class FleetClock {
     private static final int ENOUGH = 3;
 
-    /** Per node, its wall clock less our monotonic one. */
+    /** The wall clock of each node minus this process's monotonic clock, in milliseconds. */
     private final TreeMap<Integer, Long> ahead = new TreeMap<>();
 
     /**
-     * Notes a node's clock.
+     * Records a node's clock.
      *
      * @param wall the node's wall clock, in milliseconds since the epoch
      * @param mono this process's monotonic clock at that moment, in milliseconds
@@ -24,22 +24,25 @@
         ahead.put(node, wall - mono);
     }
 
-    /** Forgets the clocks of all other nodes. */
+    /** Removes the clocks of all other nodes. */
     public void keep(final Set<Integer> nodes) {
         ahead.keySet().retainAll(nodes);
     }
 
-    /** Forgets all clocks. */
+    /** Removes all clocks. */
     public void clear() {
         ahead.clear();
     }
 
-    /** Whether enough clocks were heard that one wrong one cannot be the middle. */
+    /** Whether enough clocks are known that a single wrong one cannot be the median. */
     public boolean known() {
         return ahead.size() >= ENOUGH;
     }
 
-    /** The fleet's time at a moment of this process's monotonic clock, in milliseconds; only where it is known. */
+    /**
+     * The fleet's time at a moment of this process's monotonic clock, in milliseconds since the epoch; call only where
+     * it is {@link #known}.
+     */
     public long wall(final long mono) {
         final long[] sorted = ahead.values().stream().mapToLong(Long::longValue).toArray();
         Arrays.sort(sorted);
--- a/coordination/src/main/java/brookpath/coordination/node/control/ChangeConfirmation.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ChangeConfirmation.java
@@ -4,8 +4,8 @@
 import java.util.TreeMap;
 
 /**
- * Decides when a committed configuration may be confirmed: once no process can act on an older one any more. That is so
- * when each has taken it, or when the lease on what it had has run out. Not thread-safe.
+ * Decides when a committed configuration may be confirmed: once no process can act on an older one, because each has
+ * either adopted it or lost its lease on the older one. Not thread-safe.
  */
 final class ChangeConfirmation {
     private final ConfigurationLeaseGranter leases;
@@ -18,7 +18,7 @@
         this.timing = timing;
     }
 
-    /** Whether every live process has taken the committed version, or its lease on what was before has run out. */
+    /** Whether every live process has adopted the committed version, or its lease on an older one has expired. */
     boolean isAppliedEverywhere(final long version, final long now) {
         committedAt.putIfAbsent(version, now);
         final long leadingSince = leases.leadingSince();
@@ -26,18 +26,18 @@
         if (leadingSince < 0 || now - leadingSince <= timing.confirmWait()) {
             return false;
         }
-        // Who has not taken it by now cannot be reached, and its lease ends no later than leaseMs from here
+        // A process that has not adopted it by now cannot be reached, and its lease ends within leaseMs from here
         final boolean allLeasesEnded =
                 timing.leaseMs() > timing.changeMs() && now - committedAt.get(version) >= timing.confirmWait();
         return allLeasesEnded || leases.allHave(version, now);
     }
 
-    /** The version has been confirmed, so that nothing older needs to be. */
+    /** Records that the version has been confirmed, and with it all older ones. */
     void onConfirmed(final long version) {
         committedAt.headMap(version).clear();
     }
 
-    /** Forgets everything: a successor learns it anew. */
+    /** Discards all state when the leadership ends; a successor rebuilds its own. */
     void clear() {
         committedAt.clear();
     }
--- a/coordination/src/main/java/brookpath/coordination/node/control/ClusterMetadataUpdater.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ClusterMetadataUpdater.java
@@ -16,8 +16,8 @@
 import java.util.List;
 
 /**
- * Keeps the cluster metadata up, as a duty of the control leader: which machines there are, where the topic groups lie,
- * and who their members are. Each step is a record of the control log.
+ * Maintains the cluster metadata as a duty of the control leader: the nodes, the placement of the topic groups, and
+ * their members. Each step is a record of the control log.
  */
 public final class ClusterMetadataUpdater {
     private final NodeInfo info;
@@ -27,7 +27,7 @@
     private final GroupBootstrap bootstrap;
     private final TimingBounds timing;
 
-    /** @param info this controller as others see it */
+    /** @param info this controller as peers see it */
     public ClusterMetadataUpdater(
             final NodeInfo info,
             final GroupMachine group,
@@ -43,10 +43,13 @@
         this.timing = timing;
     }
 
-    /** Appends what has changed: machines that came, moved or went, the control group's members, the first groups. */
+    /**
+     * Appends what has changed: nodes that joined, moved or left, the control group's members, the founding of the
+     * groups.
+     */
     public void update(final Time time) {
         if (!group.tellsMembers()) {
-            // From here on the log says who the members are, also to one that comes back with other seeds than the
+            // From here on the log names the members, also for a controller that restarts with other seeds than the
             // founders
             final Membership present = group.membership();
             group.change(new Membership(present.version() + 1, present.voters(), List.of()), time.mono(), time.wall());
@@ -97,7 +100,7 @@
                 && (bootstrap.groups() > 0 || now - leases.newProcessSeenAt() >= timing.changeMs() / 2);
     }
 
-    /** Not a member, and not heard for long: nobody needs to know of it any more. */
+    /** Whether the controller is no member and has been silent for so long that it can be removed. */
     private boolean isGone(final NodeInfo controller, final long now) {
         return controller.node() != info.node()
                 && now - leases.leadingSince() > timing.recoverMs()
@@ -106,7 +109,8 @@
     }
 
     /**
-     * True where the node is a new one, or is somewhere else now. What was said of a machine before it says nothing.
+     * True where the node is new or has another address or zone now. A record of the machine that had its number before
+     * does not apply to it.
      */
     private static boolean take(final List<NodeInfo> nodes, final NodeInfo info, final List<Integer> retiring) {
         if (nodes.contains(info)) {
@@ -124,7 +128,7 @@
         group.append(LogRecord.CONTROL, ControlState.metadataBody(metadata), time.mono(), time.wall());
     }
 
-    /** A group's leader tells that its group has been founded. */
+    /** Handles the report of a group's leader that the group has been founded. */
     public void onGroupFounded(final ControlRequest request, final Time time) {
         final int id = (int) PackedBuffer.reader(request.body()).getLong();
         final ClusterMetadata metadata = view.newestMetadata();
@@ -135,7 +139,7 @@
         }
     }
 
-    /** A group's leader tells the membership that its log has committed. */
+    /** Handles the report of a group's leader on the membership that its log has committed. */
     public void onMembershipCommitted(final ControlRequest request, final Time time) {
         final PackedBuffer in = PackedBuffer.reader(request.body());
         final int id = (int) in.getLong();
--- a/coordination/src/main/java/brookpath/coordination/node/control/ConfigurationChangeHandler.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ConfigurationChangeHandler.java
@@ -16,9 +16,9 @@
 import java.util.zip.CRC32C;
 
 /**
- * Changes of the configuration. A change that is taken is a record of the control log, and confirmed once that is
- * committed and in force everywhere. A refusal is no record: it follows from the document and from the version that it
- * lost to, and is given only once that version is committed.
+ * Handles changes of the configuration. An accepted change is a record of the control log, and is confirmed once the
+ * record is committed and in force on every process. A refusal is not recorded: it follows from the document and from
+ * the version that it lost to, and is sent only once that version is committed.
  */
 public final class ConfigurationChangeHandler {
     /** Beyond so many configurations and cluster metadata that are not committed yet, nothing more is appended. */
@@ -48,7 +48,7 @@
         this.responder = responder;
     }
 
-    /** Takes or refuses a document, or answers again for one that was taken before. */
+    /** Accepts or refuses a document, or repeats the response for one that was accepted before. */
     public void change(final int from, final ControlRequest request, final Time time) {
         if (request.body().length > ConfigurationReader.MAX_BYTES) {
             final Finding finding = new Finding("/", "larger than " + ConfigurationReader.MAX_BYTES + " bytes");
@@ -60,8 +60,8 @@
             responder.respond(from, request.requestId(), responder.unavailable("too many changes are under way"));
             return;
         }
-        // Compared with the newest appended, not the newest committed, so that of two racing changes one loses for
-        // certain
+        // Compared with the newest appended, not the newest committed, so that of two concurrent changes one certainly
+        // loses
         final StoredConfiguration newest = view.newestConfiguration();
         final ConfigurationReader.Reading reading =
                 ConfigurationReader.read(request.body(), newest.version() + 1, limits, newest.configuration());
@@ -73,14 +73,14 @@
         }
     }
 
-    /** Whether the document could be read so far that it has a change ID, by which its outcome is known. */
+    /** Whether the document has a readable change ID, by which its outcome can be looked up. */
     private static boolean isIdentified(final ConfigurationReader.Reading reading) {
         return reading.json()
                 && reading.configuration() != null
                 && !reading.configuration().changeId().isEmpty();
     }
 
-    /** Appends the document where nothing speaks against it, and answers once its outcome is certain. */
+    /** Appends the document unless it is refused, and responds once its outcome is certain. */
     private void take(
             final int from,
             final ControlRequest request,
@@ -164,7 +164,7 @@
         return "{\"outcome\":\"" + what + "\",\"changeId\":\"" + changeId + "\",\"version\":" + outcome.version() + "}";
     }
 
-    /** What became of a change: confirmed, spreading, or unknown. */
+    /** The outcome of a change: confirmed, not in force everywhere yet, or unknown. */
     public Response outcome(final String changeId, final int retryAfterMs, final long now) {
         final Outcome outcome = view.state().outcomes().of(changeId);
         if (outcome == null || outcome.index() > group.committed()) {
--- a/coordination/src/main/java/brookpath/coordination/node/control/ConfigurationLeaseGranter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ConfigurationLeaseGranter.java
@@ -21,9 +21,9 @@
 import java.util.TreeMap;
 
 /**
- * The processes that poll this control leader: what each has, until when its lease runs, and when it was heard. Polls
- * stay pending until there is an update; the answer to one grants a lease on the configuration that it brings or
- * confirms.
+ * Tracks the processes that poll this control leader: the version of each, the end of its lease, and its last poll. A
+ * poll stays pending until there is an update; the reply grants a lease on the configuration that it carries or
+ * confirms. Soft state of the leader; not thread-safe.
  */
 public final class ConfigurationLeaseGranter {
     private static final long NOT_LEADING = -1;
@@ -31,7 +31,7 @@
 
     private static final class Poller {
         ConfigurationPoll last;
-        /** Whom its replies go to: itself, or the controller that forwards its polls. */
+        /** The node that its replies are sent to: itself, or the controller that forwards its polls. */
         int via;
 
         long pendingSince = NOT_PENDING;
@@ -39,7 +39,7 @@
         long heardAt;
         /** Whether the fleet's clock was sent to it. */
         boolean clockSent;
-        /** Since when it has been heard without a break. */
+        /** Since when it has polled without interruption. */
         long since = -1;
 
         boolean is(final int role) {
@@ -82,29 +82,29 @@
         this.out = out;
     }
 
-    /** This process acts as the control leader. */
+    /** Starts granting: this process acts as the control leader from now on, unless it did already. */
     public void onLeading(final long now) {
         if (leadingSince < 0) {
             leadingSince = now;
         }
     }
 
-    /** Whether it was the acting leader when it was last asked. */
+    /** Whether this process was the acting control leader at the last event. */
     public boolean isLeading() {
         return leadingSince >= 0;
     }
 
-    /** Since when this process acts as the control leader, negative where it does not. */
+    /** When this process became the acting control leader, in monotonic milliseconds; negative where it is not. */
     public long leadingSince() {
         return leadingSince;
     }
 
-    /** When a process polled that was not known. */
+    /** When an unknown process polled last, in monotonic milliseconds. */
     public long newProcessSeenAt() {
         return newProcessSeenAt;
     }
 
-    /** It is the control leader no longer: a successor learns all of this anew. */
+    /** Discards all state when the leadership ends; a successor rebuilds its own. */
     public void clear() {
         leadingSince = NOT_LEADING;
         pollers.clear();
@@ -114,7 +114,7 @@
 
     // ---- polls
 
-    /** Takes a poll and answers it, now or once there is an update. */
+    /** Handles a poll: replies at once, or later when there is an update. */
     public void onPoll(final int from, final ConfigurationPoll poll, final long now) {
         if (!pollers.containsKey(poll.node())) {
             newProcessSeenAt = now;
@@ -130,14 +130,17 @@
         answer(p, now);
     }
 
-    /** Answers pending polls that have waited long enough or have an update, and forgets processes that are gone. */
+    /**
+     * Replies to pending polls that have an update or have waited long enough, and removes processes that are
+     * considered lost.
+     */
     public void answerPending(final long now) {
         pollers.forEach((node, p) -> {
             if (p.pendingSince >= 0) {
                 answer(p, now);
             }
         });
-        // A process that is gone and whose lease has run out serves nothing, so nobody needs to wait for it
+        // A lost process whose lease has expired serves nothing, so that no change needs to wait for it
         pollers.values()
                 .removeIf(p ->
                         p.pendingSince < 0 && now > p.leaseEnds && now - p.heardAt > 2 * timing.configurationLease());
@@ -148,15 +151,15 @@
         return pollers.keySet();
     }
 
-    /** Answers when there is an update, or when the poll has been pending long enough. */
+    /** Replies when there is an update, or when the poll has been pending long enough. */
     private void answer(final Poller p, final long now) {
         final StoredConfiguration configuration = view.configuration();
         final ClusterMetadata metadata = view.metadata();
         final boolean hasUpdate = p.last.configurationVersion() < configuration.version()
                 || p.last.metadataVersion() < metadata.version();
         noteVersions(configuration, metadata);
-        // A lease that a predecessor granted may be about to run out, so the first poll is never held
-        // Until it knows the clock, a storage machine accepts nothing
+        // A lease that a predecessor granted may be about to expire, so that the first poll is answered at once. A
+        // storage node accepts nothing until it knows the clock
         if (!hasUpdate
                 && (p.clockSent || !clock.known())
                 && p.leaseEnds != Long.MIN_VALUE
@@ -190,7 +193,7 @@
         }
     }
 
-    /** Whether every process that may act on a configuration has this version, or its lease has run out. */
+    /** Whether every process that may act on a configuration has this version, or its lease has expired. */
     boolean allHave(final long version, final long now) {
         for (final Poller p : pollers.values()) {
             if (!p.is(ConfigurationPoll.CONTROLLER)
@@ -202,14 +205,14 @@
         return true;
     }
 
-    /** Whether this leadership has lasted for so long that every live process has been heard. */
+    /** Whether this leadership has lasted long enough that every live process has polled. */
     public boolean hasHeardAll(final long now) {
         return leadingSince >= 0 && now - leadingSince > timing.configurationLease();
     }
 
-    // ---- who is there
+    // ---- known processes
 
-    /** The storage nodes heard within the lease. */
+    /** The storage nodes that have polled within the duration of a lease. */
     public Set<Integer> aliveStorageNodes(final long now) {
         final Set<Integer> alive = new HashSet<>();
         pollers.forEach((node, p) -> {
@@ -220,14 +223,14 @@
         return alive;
     }
 
-    /** Storage machines that have been heard for several times the recovery bound without a break. */
+    /** The storage nodes that have polled for several times the recovery bound without interruption. */
     public Set<Integer> steadyStorageNodes(final long now) {
         final Set<Integer> steady = aliveStorageNodes(now);
         steady.removeIf(n -> now - pollers.get(n).since < 2 * timing.recoverMs());
         return steady;
     }
 
-    /** When each storage machine was heard last. */
+    /** When each storage node polled last, in monotonic milliseconds. */
     public Map<Integer, Long> storageNodesHeardAt() {
         final Map<Integer, Long> heardAt = new TreeMap<>();
         pollers.forEach((node, p) -> {
@@ -238,12 +241,12 @@
         return heardAt;
     }
 
-    /** The storage machines that polled. */
+    /** The storage nodes that have polled. */
     public List<NodeInfo> storageNodes() {
         return machines(ConfigurationPoll.STORAGE);
     }
 
-    /** The controllers that polled. */
+    /** The controllers that have polled. */
     public List<NodeInfo> controllers() {
         return machines(ConfigurationPoll.CONTROLLER);
     }
@@ -255,7 +258,7 @@
                 .toList();
     }
 
-    /** Controllers that have lately asked this leader themselves, and mean to stay. */
+    /** The controllers that have lately polled this leader directly and do not drain. */
     public List<NodeInfo> observers(final long now) {
         return pollers.values().stream()
                 .filter(p -> p.is(ConfigurationPoll.CONTROLLER) && p.via == p.last.node() && !p.last.drain())
@@ -265,7 +268,8 @@
     }
 
     /**
-     * The gateways that take sessions, for one that sends its own on: how many, then node, zone and address of each.
+     * The gateways that accept sessions, for one that moves its own away. The encoding is their number, then node, zone
+     * and address of each.
      */
     public byte[] openGateways(final long now) {
         final List<ConfigurationPoll> gateways = pollers.values().stream()
@@ -280,12 +284,12 @@
         return buffer.toByteArray();
     }
 
-    /** The zone of each process that polled, added to those given. */
+    /** Adds the zone of each process that polled to the map, by node number. */
     public void addZones(final Map<Integer, String> zones) {
         pollers.forEach((node, p) -> zones.put(node, p.last.zone()));
     }
 
-    /** What operators see of the processes that polled. */
+    /** The processes that polled, for the status page. */
     public JsonArrayBuilder nodesJson(final long now) {
         final JsonArrayBuilder nodes = Json.createArrayBuilder();
         pollers.forEach((node, p) -> nodes.add(nodeJson(node, p, now)));
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlGroupMembership.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlGroupMembership.java
@@ -16,11 +16,11 @@
 import java.util.stream.Stream;
 
 /**
- * Keeps the control group's membership up: watches who answers, and as the acting leader appends the steps that
- * {@link MembershipPlan} names.
+ * Maintains the control group's membership: watches which members respond, and as the acting leader appends the steps
+ * that {@link MembershipPlan} decides.
  */
 public final class ControlGroupMembership {
-    /** When a member was first watched, and when it last failed to answer. */
+    /** When a member was first watched, and when it last failed to respond. */
     private static final class Watched {
         final long since;
         long brokenAt;
@@ -41,12 +41,15 @@
             final int self, final GroupMachine group, final TimingBounds timing, final int toleratedLosses) {
         this.self = self;
         this.group = group;
-        // The machine that replaces a dead one may itself be lost soon; timing.md has the arithmetic
+        // The replacement of a lost controller may itself be lost soon; timing.md has the calculation
         limits = new Limits(Limits.votersFor(toleratedLosses), timing.changeMs() * 4 / 5, timing.recoverMs());
         steadyMs = 2 * timing.recoverMs();
     }
 
-    /** Every member watches, so that a new leader knows at once who has been gone for how long. */
+    /**
+     * Updates which members respond; done by every member, so that a new leader knows at once how long each has been
+     * silent.
+     */
     public void watch(final HeartbeatTable table, final long now) {
         final Membership membership = group.membership();
         watched.keySet().removeIf(node -> !membership.holds(node));
@@ -63,10 +66,10 @@
     }
 
     /**
-     * Appends the next step, where one is due; true where it did.
+     * Appends the next step of a membership change if one is due; true where it did.
      *
-     * @param observers controllers that are no members but have asked this leader lately
-     * @param zones of all controllers that are known
+     * @param observers controllers outside the group that have polled this leader lately
+     * @param zones the zone of each known controller, by node number
      */
     public boolean advance(
             final HeartbeatTable table,
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlLeader.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlLeader.java
@@ -20,9 +20,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * The duties of a controller while it leads the control group: it answers polls and grants leases, takes requests,
- * keeps the cluster metadata and the group's membership up to date, moves topic groups and reports usage. A controller
- * that does not lead has this object too, with nothing in it. Not thread-safe.
+ * The duties of a controller while it leads the control group: it replies to polls and grants leases, handles requests,
+ * maintains the cluster metadata and the group's membership, moves topic groups and reports usage. A controller that
+ * does not lead has this object too, without state. Not thread-safe.
  */
 public final class ControlLeader {
     private final int self;
@@ -39,7 +39,7 @@
     private final ControlRequestHandler requests;
 
     /**
-     * @param info this controller as others see it
+     * @param info this controller as peers see it
      * @param ids of usage reports, never the same twice
      */
     public ControlLeader(
@@ -79,13 +79,14 @@
                 out);
     }
 
-    /** Watches which members of the control group answer; done by every member, leader or not. */
+    /** Watches which members of the control group respond; done by every member, leader or not. */
     public void watchMembers(final HeartbeatTable table, final long now) {
         members.watch(table, now);
     }
 
     /**
-     * Does what is due after any event of the control group: takes up or ends the duties, answers what can be answered.
+     * Completes any event of the control group: starts or ends the duties on a change of leadership, and sends the
+     * responses that have become possible.
      */
     public void afterEvent(final HeartbeatTable table, final Time time) {
         if (group.mayAct(time.mono())) {
@@ -111,7 +112,7 @@
         pending.step(time);
     }
 
-    /** Forgets what a successor learns anew, and ends the requests that are not answered yet. */
+    /** Discards the leader's soft state, and ends the pending requests. */
     private void stepDown() {
         if (leases.isLeading()) {
             leases.clear();
@@ -129,7 +130,7 @@
         return zones;
     }
 
-    /** Does the periodic duties; only for a leader that may act. */
+    /** Performs the periodic duties; called only for a leader that may act. */
     public void tick(final Time time) {
         if (!view.backlogged()) {
             metadataUpdater.update(time);
@@ -140,29 +141,29 @@
         usage.report(time);
     }
 
-    /** Takes a poll, and answers it now or once there is an update; only for a leader that may act. */
+    /** Handles a poll, and replies now or once there is an update; called only for a leader that may act. */
     public void onPoll(final int from, final ConfigurationPoll poll, final Time time) {
         clock.hear(poll.node(), poll.wall(), time.mono());
         leases.onPoll(from, poll, time.mono());
         pending.step(time);
     }
 
-    /** Carries out a request; one that comes while this controller may not act is refused. */
+    /** Executes a request; one that arrives while this controller may not act is refused. */
     public void onRequest(final int from, final ControlRequest request, final Time time) {
         requests.handle(from, request, time);
     }
 
-    /** Takes the outcome of a usage report. */
+    /** Handles the outcome of a post of usage to the platform. */
     public void onPosted(final NodeRequest.Posted posted, final Time time) {
         usage.posted(posted, time);
     }
 
-    /** Whether requests wait for their answers. */
+    /** Whether requests are pending. */
     public boolean hasPendingRequests() {
         return !pending.isEmpty();
     }
 
-    /** The zone of each process that polled, added to those given. */
+    /** Adds the zone of each process that polled to the map, by node number. */
     public void addZones(final Map<Integer, String> zones) {
         leases.addZones(zones);
     }
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlRequestHandler.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlRequestHandler.java
@@ -20,8 +20,8 @@
 import java.util.Set;
 
 /**
- * Dispatches the requests that reach the control leader by their kind. Reads are answered from the committed state once
- * a majority has been heard after the request came in. Not thread-safe.
+ * Dispatches the requests that reach the control leader by their kind. Reads are served from the committed state once a
+ * majority has responded after the request arrived. Not thread-safe.
  */
 final class ControlRequestHandler {
     /** Kinds that append a cluster metadata record. */
@@ -31,7 +31,7 @@
             ControlRequestKind.RETIRE,
             ControlRequestKind.RETIRE_NAMED);
 
-    /** The request ID of a request that wants no reply. */
+    /** The request ID of a request without a reply. */
     private static final long NO_REPLY = 0;
 
     private final int self;
@@ -84,8 +84,8 @@
         }
         final ControlRequestKind kind = ControlRequestKind.of(request.kind());
         if (view.backlogged() && APPENDING.contains(kind)) {
-            // Refused before anything is appended, so it is certain; a change may be the repeat of one that is
-            // under way
+            // Refused before anything is appended, so that the refusal is certain; but a change may repeat one in
+            // progress
             responder.respond(
                     from, request.requestId(), responder.unavailable("too many records wait for their copies"));
             return;
@@ -106,7 +106,7 @@
         }
     }
 
-    /** Answers from the committed state, which a majority backs. */
+    /** Responds from the committed state after a majority has confirmed this leader. */
     private Response read(final ControlRequestKind kind, final ControlRequest request, final long now) {
         return switch (kind) {
             case CONFIGURATION -> readConfiguration();
@@ -129,7 +129,9 @@
                 ResponseStatus.OK, 0, "{\"version\":" + stored.version() + ",\"document\":" + document + "}");
     }
 
-    /** Asks a group's members for a manual switchover; nothing is recorded, and it may be asked again. */
+    /**
+     * Requests a manual switchover from a group's members; nothing is recorded, so that the request may be repeated.
+     */
     private Response handover(final ControlRequest request) {
         final int id = (int) PackedBuffer.reader(request.body()).getLong();
         final List<GroupInfo> groups = view.metadata().groups();
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlResponder.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlResponder.java
@@ -11,20 +11,20 @@
 import brookpath.coordination.message.ResponseStatus;
 import java.util.List;
 
-/** Gives responses to whoever asked: a caller of this process, or another process. */
+/** Sends responses to the origin of a request: a caller of this process, or another process. */
 public final class ControlResponder {
     private final int self;
     private final TimingBounds timing;
     private final Actions out;
 
-    /** Responds for the process of this node number. */
+    /** @param self the node number of this process */
     public ControlResponder(final int self, final TimingBounds timing, final Actions out) {
         this.self = self;
         this.timing = timing;
         this.out = out;
     }
 
-    /** Responds to a request of this process's callers, or of another process; request 0 wants no response. */
+    /** Responds to a request of this process's callers or of another process; request ID 0 means no response. */
     public void respond(final int from, final long requestId, final Response response) {
         if (from == self) {
             out.respond(requestId, response);
@@ -48,7 +48,7 @@
                 staysTrue ? response : response.until(deadline, lost(kind, "the answer was held up for too long")));
     }
 
-    /** Passes on what the control leader answered, as above. */
+    /** Forwards the control leader's response, as above. */
     public void relay(final long deadline, final ControlRequestKind kind, final int from, final ControlReply reply) {
         if (from == self) {
             final String json = new String(reply.body(), UTF_8);
@@ -59,13 +59,13 @@
         }
     }
 
-    /** Certainly not done, and worth another try. */
+    /** A refusal of a request that certainly was not executed and may be retried. */
     public Response unavailable(final String why) {
         return new Response(
                 ResponseStatus.UNAVAILABLE, timing.retryAfterMs(), "{\"outcome\":\"refused\",\"why\":\"" + why + "\"}");
     }
 
-    /** The request was sent on, and nobody knows its end: an order may have been taken. */
+    /** The response to a forwarded request whose outcome is unknown: unsettled for a write, a refusal for a read. */
     public Response lost(final ControlRequestKind kind, final String why) {
         if (!kind.isWrite()) {
             return unavailable(why);
@@ -76,7 +76,7 @@
                 "{\"outcome\":\"unsettled\",\"why\":\"" + why + "; send it again as it was\"}");
     }
 
-    /** A refusal for what is wrong with the request. */
+    /** A refusal with the findings on an invalid request; retrying it is no use. */
     public static Response refused(final ResponseStatus status, final List<Finding> findings) {
         return new Response(status, 0, "{\"outcome\":\"refused\",\"findings\":" + Finding.json(findings) + "}");
     }
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlStatus.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlStatus.java
@@ -35,7 +35,7 @@
                 .toString();
     }
 
-    /** Where each topic group lies. */
+    /** The placement of each topic group. */
     private static JsonArrayBuilder placement(final ClusterMetadata metadata) {
         final JsonArrayBuilder placed = Json.createArrayBuilder();
         metadata.groups().forEach(g -> placed.add(group(g)));
@@ -63,7 +63,7 @@
                 .build();
     }
 
-    /** The storage machines. */
+    /** The storage nodes. */
     private static JsonArrayBuilder storages(final ClusterMetadata metadata) {
         final JsonArrayBuilder storages = Json.createArrayBuilder();
         metadata.nodes().forEach(n -> storages.add(storage(n)));
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlView.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlView.java
@@ -5,7 +5,7 @@
 import brookpath.coordination.group.GroupMachine;
 import brookpath.coordination.metadata.ClusterMetadata;
 
-/** What follows from the control log, as a member of the control group sees it. */
+/** Read access to the state that a member of the control group derives from its replica of the control log. */
 public final class ControlView {
     private final GroupMachine group;
 
@@ -14,7 +14,7 @@
         this.group = group;
     }
 
-    /** The state with every record that this member has, committed or not. */
+    /** The state after every record in this member's log, committed or not. */
     public ControlState state() {
         return (ControlState) group.live();
     }
@@ -24,7 +24,7 @@
         return state().configurationAt(group.committed());
     }
 
-    /** The newest configuration in the log, committed or not: what the next version builds on. */
+    /** The newest configuration in the log, committed or not: the base of the next version. */
     public StoredConfiguration newestConfiguration() {
         return state().configurationAt(Long.MAX_VALUE);
     }
@@ -34,17 +34,17 @@
         return state().metadataAt(group.committed());
     }
 
-    /** The newest cluster metadata in the log, committed or not: what the next version builds on. */
+    /** The newest cluster metadata in the log, committed or not: the base of the next version. */
     public ClusterMetadata newestMetadata() {
         return state().metadataAt(Long.MAX_VALUE);
     }
 
-    /** How many configurations and cluster metadata are in the log and not committed yet. */
+    /** The number of configurations and cluster metadata in the log that are not committed yet. */
     public int uncommitted() {
         return state().appendedAfter(group.committed());
     }
 
-    /** Whether so much waits for its copies that nothing more is to be appended. */
+    /** Whether so many records await replication that nothing more may be appended. */
     public boolean backlogged() {
         return group.diskBacklogged() || uncommitted() >= ConfigurationChangeHandler.MAX_UNCOMMITTED;
     }
--- a/coordination/src/main/java/brookpath/coordination/node/control/ForwardedPolls.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ForwardedPolls.java
@@ -24,15 +24,15 @@
     }
 
     /**
-     * Forwards the poll where its sender asks for that, and names the leader to the sender otherwise.
+     * Forwards the poll if its sender requests that; otherwise replies with the leader's number.
      *
      * @param from the process that the poll came from
      * @param leader the control leader's node number, 0 for none
      */
     public void forwardOrRedirect(final int from, final ConfigurationPoll poll, final int leader) {
         if (poll.relay() && from == poll.node() && leader != NO_LEADER) {
-            // It cannot reach the leader but this node can; without this a half cut-off leader would pause all
-            // who do not hear it
+            // The sender cannot reach the leader but this node can; without forwarding, a partially partitioned leader
+            // would make all processes that cannot reach it pause
             inFlight.put(from, poll);
             out.send(leader, poll);
         } else {
@@ -40,7 +40,7 @@
         }
     }
 
-    /** Delivers a reply to the process that polled; one to an earlier poll of that process is dropped. */
+    /** Delivers a reply to the process that polled; a reply to an earlier poll of that process is dropped. */
     public void onReply(final ConfigurationReply reply) {
         final ConfigurationPoll poll = inFlight.get(reply.node());
         if (poll != null && poll.pollId() == reply.pollId()) {
@@ -49,14 +49,14 @@
         }
     }
 
-    /** The poll never left this process. */
+    /** Forgets a poll that was not sent. */
     public void onUnsent(final ConfigurationPoll poll) {
         if (inFlight.remove(poll.node()) != null) {
             redirect(poll.node(), poll, NO_LEADER);
         }
     }
 
-    /** The session with a controller broke, so that no reply to what was forwarded can be relied on. */
+    /** Forgets all forwarded polls after the connection to a controller broke, since their replies may be lost. */
     public void onSessionLost() {
         inFlight.forEach((node, poll) -> redirect(node, poll, NO_LEADER));
         inFlight.clear();
--- a/coordination/src/main/java/brookpath/coordination/node/control/ForwardedRequests.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ForwardedRequests.java
@@ -10,8 +10,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * Requests that this process forwards to the control leader, for its own callers or for other processes. Each ends by
- * this process's monotonic clock: an answer that comes later is dropped, however it was held up.
+ * Requests that this process forwards to the control leader, for its own callers or for other processes. Each has a
+ * deadline by this process's monotonic clock: a later reply is dropped, whatever delayed it.
  */
 public final class ForwardedRequests {
     private static final int MAX_FORWARDED = 1_024;
@@ -24,7 +24,7 @@
     private final Actions out;
     private final TreeMap<Long, Forwarded> forwarded = new TreeMap<>();
 
-    /** @param ids of relayed requests, never the same twice */
+    /** @param ids gives the IDs of forwarded requests, each once */
     public ForwardedRequests(
             final TimingBounds timing, final ControlResponder responder, final LongSupplier ids, final Actions out) {
         this.timing = timing;
@@ -33,12 +33,12 @@
         this.out = out;
     }
 
-    /** Whether no forwarded request waits for its reply. */
+    /** Whether no forwarded request is pending. */
     public boolean isEmpty() {
         return forwarded.isEmpty();
     }
 
-    /** Sends a request on to the control leader; false where none is heard (0) or too many are under way. */
+    /** Forwards a request to the control leader; false where there is none (0) or too many requests are in flight. */
     public boolean forward(final int from, final ControlRequest request, final int leader, final long now) {
         if (leader == 0 || forwarded.size() >= MAX_FORWARDED) {
             return false;
@@ -47,20 +47,20 @@
         final long deadline = now + (kind.isWrite() ? timing.opDeadline() : timing.readDeadline());
         final long id = ids.getAsLong();
         forwarded.put(id, new Forwarded(request.requestId(), from, leader, kind, deadline));
-        // The name as it came, so that kinds of a newer version pass through
+        // The kind as it was received, so that kinds of a newer version are forwarded too
         out.send(leader, new ControlRequest(id, request.kind(), request.body()));
         return true;
     }
 
-    /** The control leader's answer, which may be late. */
+    /** Delivers the control leader's reply to the origin of the request, unless its deadline has passed. */
     public void onReply(final int from, final ControlReply reply, final long now) {
         final Forwarded r = forwarded.get(reply.requestId());
-        // Only whom the request was forwarded to can answer it
+        // Only the node that the request was forwarded to may reply to it
         if (r == null || r.leader != from) {
             return;
         }
         forwarded.remove(reply.requestId());
-        // A process that was frozen may take the answer before the timer that ends the request
+        // A process that was suspended may receive the reply before the timer that ends the request
         if (now >= r.deadline) {
             responder.respond(r.from, r.requestId, late(r));
         } else {
@@ -72,7 +72,7 @@
         }
     }
 
-    /** Ends what has had no answer in time. */
+    /** Ends the requests whose deadline has passed. */
     public void tick(final long now) {
         forwarded.values().removeIf(r -> {
             if (now >= r.deadline) {
@@ -86,7 +86,7 @@
         return responder.lost(r.kind, "no word from the control master in time");
     }
 
-    /** The request never left this process. */
+    /** Ends a request that was not sent, with a refusal. */
     public void unsent(final ControlRequest request) {
         final Forwarded r = forwarded.remove(request.requestId());
         if (r != null) {
@@ -94,7 +94,7 @@
         }
     }
 
-    /** The session broke; what was sent on it may or may not have arrived. */
+    /** Ends the requests in flight to a node whose connection broke; they may or may not have arrived. */
     public void sessionLost(final int node) {
         forwarded.values().removeIf(r -> {
             if (r.leader == node) {
--- a/coordination/src/main/java/brookpath/coordination/node/control/GroupMoveDriver.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/GroupMoveDriver.java
@@ -13,11 +13,11 @@
 import java.util.TreeMap;
 
 /**
- * Drives on the moves of topic groups that {@link MovePlan} names, and hands masterships back to the members that rank
- * first. Orders are sent to the groups' members again and again; nothing here is replicated.
+ * Drives the moves of topic groups that {@link MovePlan} decides, and returns leaderships to the members that rank
+ * first. Orders to the groups' members are repeated until they have taken effect; nothing here is replicated.
  */
 public final class GroupMoveDriver {
-    /** The request ID of a request that wants no reply. */
+    /** The request ID of a request without a reply. */
     private static final long NO_REPLY = 0;
 
     private final ControlView view;
@@ -26,15 +26,15 @@
     private final TimingBounds timing;
     private final Actions out;
     private long nextMove = Long.MIN_VALUE / 2;
-    /** What the last plan of moves was made for; it is made anew when either changes. */
+    /** The inputs of the last plan of moves; a change of either makes a new plan. */
     private long plannedVersion = -1;
 
     private Set<Integer> plannedLost = Set.of();
     private long nextSwitchover = Long.MIN_VALUE / 2;
-    /** The node that reported last that it leads the group, by group. */
+    /** The node that last reported that it leads the group, by group ID. */
     private final TreeMap<Integer, Integer> leaders = new TreeMap<>();
 
-    /** @param copies of each group */
+    /** @param copies the number of replicas of each group */
     public GroupMoveDriver(
             final ControlView view,
             final ConfigurationLeaseGranter leases,
@@ -48,12 +48,12 @@
         this.out = out;
     }
 
-    /** A node has reported that it leads a group. */
+    /** Records the report of a node that it leads a group. */
     public void onLeaderReported(final int group, final int node) {
         leaders.put(group, node);
     }
 
-    /** What a leader knows and its successor must learn anew. */
+    /** Discards all state when the leadership ends; a successor rebuilds its own. */
     public void clear() {
         leaders.clear();
         plannedLost = Set.of();
@@ -84,7 +84,7 @@
         if (s == null) {
             return;
         }
-        // One at a time, each with time to settle; a handing over that fails costs its group a moment
+        // One at a time, with an interval between them: a failed leadership transfer interrupts its group briefly
         nextSwitchover = now + timing.recoverMs() / 2;
         leaders.remove(s.group());
         out.note("group " + s.group() + ": asks node " + s.from() + " to hand over to node " + s.to()
@@ -101,7 +101,7 @@
         }
     }
 
-    /** Tells all members, of whom the group's leader obeys. */
+    /** Sends the order to all members; only the group's leader executes it. */
     private void order(final ClusterMetadata metadata, final MovePlan.Move m) {
         final GroupInfo info = metadata.groups().get(m.group());
         final byte[] body =
--- a/coordination/src/main/java/brookpath/coordination/node/control/PendingRequests.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/PendingRequests.java
@@ -11,13 +11,14 @@
 import java.util.List;
 
 /**
- * Requests that the control leader has taken and not answered yet. Each is answered only by a leader that had contact
- * with a majority which began after the request came in (a read index), so that no answer is older than its question.
+ * Requests that the control leader has accepted and not responded to yet. A response is sent only after a majority has
+ * confirmed the leadership in a heartbeat round that began after the request arrived (a read index), so that no
+ * response is older than its request.
  */
 public final class PendingRequests {
     private static final int MAX_PENDING = 1_024;
 
-    /** Looks at the replicated state. It is asked again with each event until it answers. */
+    /** Computes a response from the replicated state. It is called at each event until it returns one. */
     public interface Answer {
         /** The response as the state is now, or null while it is not known yet. */
         Response at(Time time);
@@ -37,7 +38,7 @@
     private final ControlResponder responder;
     private final Actions out;
     private final List<Pending> pending = new ArrayList<>();
-    /** When the last extra round of heartbeats was asked for. */
+    /** When the last extra round of heartbeats was requested. */
     private long askedAt = Long.MIN_VALUE / 2;
 
     public PendingRequests(
@@ -48,17 +49,20 @@
         this.out = out;
     }
 
-    /** Whether no request waits for its answer. */
+    /** Whether no request is pending. */
     public boolean isEmpty() {
         return pending.isEmpty();
     }
 
-    /** How many requests of this kind wait. */
+    /** The number of pending requests of this kind. */
     public long count(final ControlRequestKind kind) {
         return pending.stream().filter(p -> p.kind == kind).count();
     }
 
-    /** Answers the request once a majority has been heard after now, and the answer is known. */
+    /**
+     * Adds a request, which is responded to once a majority has confirmed the leadership after {@code now} and the
+     * response is known.
+     */
     public void add(
             final int from,
             final ControlRequest request,
@@ -75,7 +79,7 @@
         step(time);
     }
 
-    /** Answers what can be answered now, and gives up what has waited for too long. */
+    /** Sends the responses that are possible now, and ends the requests whose deadline has passed. */
     public void step(final Time time) {
         pending.removeIf(p -> answered(p, time));
         if (pending.stream().anyMatch(p -> !group.majoritySince(p.arrivedAt))) {
@@ -88,7 +92,7 @@
      * requests.
      */
     private void askMajority(final long now) {
-        // Only so many heartbeats are remembered, and an answer to a forgotten one counts for nothing
+        // Only a bounded number of heartbeats is remembered, and a reply to a forgotten one does not count
         if (group.majoritySince(askedAt) || now - askedAt >= timing.heartbeat() / 4) {
             askedAt = now;
             out.heartbeatNow();
@@ -111,7 +115,7 @@
         return response != null;
     }
 
-    /** This process is the control leader no longer. */
+    /** Ends all requests: this process is no longer the control leader. */
     public void end() {
         pending.forEach(
                 p -> responder.respond(p.from, p.requestId, responder.lost(p.kind, "the control master stepped down")));
--- a/coordination/src/main/java/brookpath/coordination/node/control/StorageRetirementHandler.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/StorageRetirementHandler.java
@@ -17,11 +17,11 @@
 import brookpath.state.record.PackedBuffer;
 
 /**
- * Orders to empty a storage machine, or to keep it after all. An order is acknowledged once the record that took it is
- * committed, and again however often it is repeated, also when the machine is long gone.
+ * Handles orders to retire a storage node, or to cancel its retirement. An order is acknowledged once its record is
+ * committed, and again each time it is repeated, also after the node has been removed.
  */
 public final class StorageRetirementHandler {
-    /** The machine that an order names, by its number or by its name. */
+    /** The storage node that an order names, by its number or by its name. */
     private sealed interface Target {
         NodeInfo in(ClusterMetadata metadata);
 
@@ -71,14 +71,14 @@
         this.pending = pending;
     }
 
-    /** Empties a machine given by its number, or keeps it after all. */
+    /** Retires the storage node of a number, or cancels its retirement. */
     public void retire(final int from, final ControlRequest request, final Time time) {
         final PackedBuffer in = PackedBuffer.reader(request.body());
         final Target target = new ByNumber((int) in.getLong());
         take(from, request, ControlRequestKind.RETIRE, target, in.getLong() == 1, time);
     }
 
-    /** Empties a machine given by its name. */
+    /** Retires the storage node of a name. */
     public void retireNamed(final int from, final ControlRequest request, final Time time) {
         take(from, request, ControlRequestKind.RETIRE_NAMED, new ByName(new String(request.body(), UTF_8)), true, time);
     }
@@ -94,7 +94,7 @@
         pending.add(from, request, kind, at -> answer(target, on, at), time);
     }
 
-    /** Whether the order is a fact in this cluster metadata, which stands at this position of the log. */
+    /** Whether this cluster metadata, which is at this position of the log, reflects the order. */
     private boolean done(final ClusterMetadata metadata, final long position, final Target target, final boolean on) {
         final NodeInfo node = target.in(metadata);
         return node != null
@@ -106,7 +106,7 @@
         return done(view.newestMetadata(), Long.MAX_VALUE, target, on);
     }
 
-    /** Appends the order unless it is there already, or something speaks against it just now. */
+    /** Appends the order unless the log has it already or it cannot be executed at present. */
     private void append(final Target target, final boolean on, final Time time) {
         final ClusterMetadata metadata = view.newestMetadata();
         final NodeInfo node = target.in(metadata);
@@ -129,7 +129,7 @@
             return new Response(ResponseStatus.ACCEPTED, 0, "{\"outcome\":\"" + (on ? "retiring" : "kept") + "\"}");
         }
         append(target, on, time);
-        // A refusal is final, so it must follow from what is committed, and not from machines not heard yet
+        // A refusal is final, so that it must follow from committed state, not from nodes that have not polled yet
         final boolean settled =
                 view.newestMetadata().version() == view.metadata().version() && leases.hasHeardAll(time.mono());
         return appended(target, on) || !settled ? null : refusal(target, on, time);
@@ -149,7 +149,7 @@
         return new Response(ResponseStatus.NOT_FOUND, 0, "{\"outcome\":\"unknown\"}");
     }
 
-    /** Whether a machine that was to be emptied holds nothing any more, by the committed cluster metadata. */
+    /** Whether a retiring node has no replica any more, by the committed cluster metadata. */
     public Response retired(final String name) {
         final ClusterMetadata metadata = view.metadata();
         final Target target = new ByName(name);
@@ -160,7 +160,7 @@
         final int number = node != null
                 ? node.node()
                 : target.retired(view.state(), group.committed()).node();
-        // Where another machine has the number now, the one that retired is gone
+        // Where another machine has the number now, the retired one has been removed
         final boolean replaced = node == null && metadata.node(number) != null;
         final boolean holds =
                 metadata.groups().stream().anyMatch(g -> g.membership().holds(number));
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/CatchUpFetcher.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/CatchUpFetcher.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.function.LongSupplier;
 
-/** Brings sessions from their cursors to the groups' feeds by fetches of their own. */
+/** Reads records for sessions from their cursors on, until they have caught up with the groups' feeds. */
 final class CatchUpFetcher {
     private final SessionRegistry registry;
     private final FetchSources sources;
@@ -46,7 +46,7 @@
         feeds.fetch(registry.feed(subscription.group), now);
     }
 
-    /** Retries what has had no reply in time, or no member to be read from. */
+    /** Retries fetches without a timely reply, and those that had no member to read from. */
     void retryIfOverdue(final Session session, final GroupSubscription subscription, final long now) {
         final boolean underWay = subscription.fetchId != 0;
         if (subscription.live || (underWay && now - subscription.fetchSentAt <= timing.down())) {
@@ -67,7 +67,7 @@
         }
         final int source = sources.select(subscription.group, now);
         subscription.resolvingEnd = !subscription.knowsPositions();
-        // a shared cursor must name every topic, so no line goes out before all positions are known
+        // a shared cursor must contain every topic, so that no line is sent before all positions are known
         final boolean mustWait = session.sharedCursor && !subscription.resolvingEnd && !session.knowsPositions();
         if (source == 0 || mustWait) {
             return;
@@ -82,7 +82,10 @@
                 new Fetch(subscription.fetchId, subscription.group, subscription.resolvingEnd, false, 0, 0, wanted));
     }
 
-    /** The feed asks for the topic from its own position on, so nothing between is missed. */
+    /**
+     * Adds the subscription to the feed. The feed requests the topic from its own position on, so that no record is
+     * missed.
+     */
     private static boolean isCoveredBy(final Feed feed, final GroupSubscription subscription) {
         final long position = subscription.position();
         return feed.hasPosition() && (position < 0 || position >= feed.position);
@@ -103,7 +106,7 @@
         }
     }
 
-    /** The reply to a session's own fetch. */
+    /** Handles the reply to a session's own fetch. */
     void received(final int from, final FetchReply reply, final long now) {
         final SessionRegistry.CatchUpFetch fetch = registry.completeCatchUp(reply.requestId());
         if (fetch == null || fetch.subscription().fetchId != reply.requestId()) {
@@ -150,8 +153,8 @@
     }
 
     /**
-     * Goes on through the feed once that is no further, else catches up on. A source that is behind the feed and has
-     * nothing more is asked again at the next timer, not at once and for ever.
+     * Continues through the feed once the feed is no further, else continues to catch up. A source that lags behind the
+     * feed and has nothing more is retried at the next timer, not at once, which would be a busy loop.
      */
     private void joinFeed(
             final Session session, final GroupSubscription subscription, final FetchReply reply, final long now) {
@@ -167,7 +170,7 @@
         }
     }
 
-    /** A fetch never left this process. */
+    /** A fetch was not sent. */
     void unsent(final Fetch message, final long now) {
         final SessionRegistry.CatchUpFetch fetch = registry.catchUp(message.requestId());
         if (fetch != null) {
@@ -175,7 +178,7 @@
         }
     }
 
-    /** The session with a node broke, so fetches under way there are not answered. */
+    /** The connection to a node broke, so that the fetches in flight there get no reply. */
     void sessionLost(final int node) {
         for (final Session session : registry.sessions()) {
             for (final GroupSubscription subscription : session.subscriptions()) {
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/Feed.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/Feed.java
@@ -7,7 +7,7 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** The shared reading of one group: each topic is fetched once, however many sessions listen. */
+/** The shared fetching of one group: each topic is fetched once, however many sessions listen. */
 final class Feed {
     private static final long UNKNOWN_POSITION = -1;
 
@@ -20,15 +20,15 @@
 
     final int group;
     private final TreeMap<String, Listeners> byTopic = new TreeMap<>();
-    /** What was reported of the listeners to the group's leader. */
+    /** The listener counts as last reported to the group's leader. */
     final ReportedListeners reported = new ReportedListeners();
-    /** Names the set of topics; another one whenever that changes. */
+    /** The version of the set of topics; it changes whenever the set does. */
     long topicsVersion;
-    /** Up to where the group's log was read; -1 before the first listener has caught up. */
+    /** The position up to which the group's log was read; -1 before the first listener has caught up. */
     long position = UNKNOWN_POSITION;
-    /** The fetch under way; 0 for none. */
+    /** The request ID of the fetch in flight; 0 for none. */
     long fetchId;
-    /** The node that was asked last, and since when it owes an answer. */
+    /** The node that was fetched from last, and since when its reply is outstanding. */
     int source;
 
     long fetchSentAt;
@@ -50,12 +50,12 @@
         return byTopic.isEmpty();
     }
 
-    /** How often a listener has come or gone. */
+    /** Counts the times that a listener was added or removed. */
     long changes() {
         return changes;
     }
 
-    /** True where the topic is a new one, so that a fetch under way does not look for it. */
+    /** Adds a listener; true where the topic is new, so that a fetch in flight does not include it. */
     boolean add(final String topic) {
         changes++;
         final Listeners listeners = byTopic.computeIfAbsent(topic, k -> new Listeners());
@@ -63,7 +63,7 @@
         return listeners.sessions == 1;
     }
 
-    /** True where nobody listens to the topic any more. */
+    /** Removes a listener; true where the topic has none left. */
     boolean remove(final String topic, final long session) {
         changes++;
         final Listeners listeners = byTopic.get(topic);
@@ -80,7 +80,7 @@
         byTopic.get(topic).live.add(session);
     }
 
-    /** A copy, for a session may end while its records are delivered. */
+    /** The sessions that listen, as a new list, for a session may end while records are delivered. */
     List<Long> liveSessions(final String topic) {
         final Listeners listeners = byTopic.get(topic);
         return listeners == null ? List.of() : new ArrayList<>(listeners.live);
@@ -90,7 +90,7 @@
         return byTopic.keySet();
     }
 
-    /** How many sessions listen, per topic. */
+    /** The number of sessions that listen, per topic. */
     Map<String, Integer> listenerCounts() {
         final Map<String, Integer> counts = new HashMap<>();
         byTopic.forEach((topic, listeners) -> counts.put(topic, listeners.sessions));
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/FeedFetcher.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/FeedFetcher.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.function.LongSupplier;
 
-/** Fetches the groups' feeds: for each group one fetch is held at a source, for all live sessions together. */
+/** Fetches the groups' feeds: for each group one long poll is pending at a source, for all live sessions together. */
 final class FeedFetcher {
     private final SessionRegistry registry;
     private final FetchSources sources;
@@ -42,13 +42,14 @@
         registry.feeds().forEach(feed -> fetch(feed, now));
     }
 
-    /** Sends the next fetch, unless one is under way that asks for all that is wanted. */
+    /** Sends the next fetch, unless one in flight already requests all topics. */
     void fetch(final Feed feed, final long now) {
         if (!feed.hasPosition()) {
             return;
         }
         final boolean underWay = feed.fetchId != 0;
-        // the source answers within the hold, so one that has not is avoided before its heartbeats are missed
+        // the source replies within the long-poll timeout, so that one that has not is avoided before its heartbeats
+        // are missed
         final boolean overdue = underWay && now - feed.fetchSentAt > timing.longPollTimeout() + timing.heartbeat();
         if (underWay && !overdue && feed.sentTopicsVersion == feed.topicsVersion) {
             return;
@@ -61,7 +62,7 @@
             feed.fetchId = 0;
             return;
         }
-        // a source that is asked anew for other topics has been silent since it was asked first
+        // a source that gets a new fetch for other topics has been silent since the first one
         final boolean stillUnanswered = underWay && !overdue && source == feed.source;
         send(feed, source, stillUnanswered ? feed.fetchSentAt : now);
     }
@@ -79,7 +80,7 @@
         out.send(source, new Fetch(feed.fetchId, feed.group, false, true, feed.position, feed.topicsVersion, topics));
     }
 
-    /** The reply to a feed's fetch. */
+    /** Handles the reply to a feed's fetch. */
     void received(final Feed feed, final int from, final FetchReply reply, final long now) {
         if (reply.status() == FetchStatus.TOPICS_UNKNOWN) {
             feed.topicsKnownBy = 0;
@@ -102,7 +103,7 @@
         }
     }
 
-    /** The feed stood still for longer than history is kept; each session is told what it missed. */
+    /** The feed lagged for longer than history is kept; each session is notified of what it missed. */
     private void endWhereHistoryIsGone(final Feed feed, final FetchReply reply) {
         for (final String topic : reply.gone()) {
             for (final long id : feed.liveSessions(topic)) {
@@ -119,7 +120,10 @@
         }
     }
 
-    /** A member cannot be read just now: another is asked at once, or, where none is better, at the next timer. */
+    /**
+     * A member cannot serve reads at present: retries with another at once, or, where none is better, at the next
+     * timer.
+     */
     private void fetchElsewhere(final Feed feed, final int failed, final long now) {
         sources.avoid(failed, now);
         feed.fetchId = 0;
@@ -129,7 +133,7 @@
         }
     }
 
-    /** A fetch never left this process. */
+    /** A fetch was not sent. */
     void unsent(final int to, final Fetch message, final long now) {
         registry.feeds().stream()
                 .filter(feed -> feed.fetchId == message.requestId())
@@ -139,7 +143,7 @@
                 });
     }
 
-    /** The session with a node broke; what was told on it may not have arrived. */
+    /** The connection to a node broke; what was sent on it may not have arrived. */
     void sessionLost(final int node, final long now) {
         for (final Feed feed : registry.feeds()) {
             if (feed.source == node && feed.fetchId != 0) {
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/FetchSources.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/FetchSources.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.function.LongFunction;
 
-/** Selects the members that history is read from; those that did not respond lately are asked last. */
+/** Selects the members that history is read from; those that did not respond lately are selected last. */
 final class FetchSources {
     private final TimingBounds timing;
     private final LongFunction<RouteFinder> routes;
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/ForwardedPublish.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/ForwardedPublish.java
@@ -5,7 +5,7 @@
 import brookpath.coordination.route.Route;
 import brookpath.coordination.route.RouteFinder.Leader;
 
-/** A caller's publish that has neither been committed nor given back yet. */
+/** A caller's publish in flight: neither committed nor returned to its caller yet. */
 final class ForwardedPublish {
     private final NodeRequest.Publish request;
     private final Route route;
@@ -15,7 +15,7 @@
     private boolean maybeAppended;
     private String lastFailure = "the group has no master just now";
 
-    /** @param deadline when the publish is given back to its caller, on the monotonic clock in milliseconds */
+    /** @param deadline when the publish is returned to its caller, in monotonic milliseconds */
     ForwardedPublish(
             final NodeRequest.Publish request,
             final Route route,
@@ -31,7 +31,7 @@
         return request;
     }
 
-    /** Why the last attempt failed, in a sentence. */
+    /** The reason for which the last attempt failed, in a sentence. */
     String lastFailure() {
         return lastFailure;
     }
@@ -40,7 +40,7 @@
         return now >= deadline;
     }
 
-    /** Whether no attempt is under way. */
+    /** Whether no attempt is in flight. */
     boolean isWaiting() {
         return target.node() == 0;
     }
@@ -49,29 +49,29 @@
         return target.node() == node;
     }
 
-    /** Whether an attempt before the one under way may have succeeded. */
+    /** Whether an attempt before the one in flight may have succeeded. */
     boolean isMaybeAppended() {
         return maybeAppended;
     }
 
-    /** Whether the publish may lie in a log, so that its outcome is unknown to the caller. */
+    /** Whether the publish may be in a log, so that its outcome is unknown. */
     boolean isUncertain() {
         return maybeAppended || !isWaiting();
     }
 
-    /** An attempt at the leader begins; one that was under way at another may have succeeded. */
+    /** Begins an attempt at the leader; one in flight to another node may have succeeded. */
     void beginAttempt(final Leader leader) {
         maybeAppended = isUncertain();
         target = leader;
     }
 
-    /** The attempt under way is over, and it may have succeeded. */
+    /** Ends the attempt in flight, which may have succeeded. */
     void endAttemptUncertain() {
         maybeAppended = true;
         target = Leader.NONE;
     }
 
-    /** The attempt under way is over, and it certainly did not succeed. */
+    /** Ends the attempt in flight, which certainly did not succeed. */
     void endAttempt() {
         target = Leader.NONE;
     }
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/GatewayAddresses.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/GatewayAddresses.java
@@ -5,19 +5,19 @@
 import java.util.List;
 import java.util.function.LongSupplier;
 
-/** Where callers reach the other gateways, as the control plane tells a gateway that drains. */
+/** The addresses of the other gateways for callers, as the control plane sends them to a draining gateway. */
 public final class GatewayAddresses {
     private final int self;
     private final String zone;
     private final LongSupplier ids;
     private List<String> addresses = List.of();
     private boolean awaited;
-    /** The request that asked for the addresses. */
+    /** The ID of the pending request for the addresses. */
     private long request;
 
     private long awaitedUntil;
 
-    /** @param ids by which callers are spread over the gateways */
+    /** @param ids gives the numbers by which callers are spread over the gateways */
     public GatewayAddresses(final int self, final String zone, final LongSupplier ids) {
         this.self = self;
         this.zone = zone;
@@ -25,10 +25,10 @@
     }
 
     /**
-     * The control plane is asked, and its reply is waited for.
+     * Records that the control plane was asked for the addresses, and that its reply is pending.
      *
-     * @param requestId by which its reply is known
-     * @param until no longer than this, on the monotonic clock in milliseconds
+     * @param requestId the ID of the request, by which its reply is recognized
+     * @param until the deadline of the reply, in monotonic milliseconds
      */
     public void await(final long requestId, final long until) {
         request = requestId;
@@ -37,23 +37,23 @@
         awaitedUntil = until;
     }
 
-    /** Whether callers need not wait for the addresses (any longer). */
+    /** Whether callers need not wait for the addresses: they are known, or the deadline has passed. */
     public boolean isSettled(final long now) {
         return !awaited || now >= awaitedUntil;
     }
 
-    /** Whether the request is the one whose reply is waited for. */
+    /** Whether this is the ID of the pending request. */
     public boolean asked(final long requestId) {
         return awaited && requestId == request;
     }
 
-    /** The control plane did not tell the addresses. */
+    /** Ends the wait: the control plane did not send the addresses. */
     public void unknown() {
         addresses = List.of();
         awaited = false;
     }
 
-    /** The control plane's reply. The gateways of this node's zone are preferred to all others. */
+    /** Handles the control plane's reply. Gateways in this node's zone are preferred to all others. */
     public void received(final byte[] body) {
         final List<String> near = new ArrayList<>();
         final List<String> all = new ArrayList<>();
@@ -74,7 +74,7 @@
         awaited = false;
     }
 
-    /** The address for the next caller that is sent on; empty where none is known. */
+    /** The address for the next caller that is moved, in rotation; empty where none is known. */
     public String next() {
         if (addresses.isEmpty()) {
             return "";
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/GatewayDrain.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/GatewayDrain.java
@@ -12,11 +12,11 @@
 import java.util.function.LongSupplier;
 
 /**
- * Empties this gateway: new sessions go to other gateways at once, and those that are here are moved there one after
- * the other. A graceful shutdown is a faster drain, which says when nothing is left here.
+ * Drains this gateway: new sessions are redirected to other gateways at once, and the existing ones are moved there one
+ * by one. A graceful shutdown is a faster drain that responds once nothing is left here.
  */
 public final class GatewayDrain {
-    /** A drain spreads the sessions' moves over this part of the bound on recovery. */
+    /** The fraction of the recovery bound over which a drain spreads the sessions' moves. */
     private static final int DRAIN_DIVISOR = 2;
 
     private static final int SHUTDOWN_DIVISOR = 12;
@@ -31,9 +31,9 @@
     private long shutdownRequest = NOT_REQUESTED;
 
     /**
-     * @param client tells the control plane that this node drains
+     * @param client notifies the control plane that this node drains
      * @param otherGateways where the sessions are moved to
-     * @param ids never the same twice, and rising
+     * @param ids gives request IDs, ascending
      */
     public GatewayDrain(
             final ConfigurationClient client,
@@ -55,7 +55,7 @@
         start(timing.recoverMs() / DRAIN_DIVISOR, now);
     }
 
-    /** Begins a graceful shutdown; the request has its response once nothing is under way here any more. */
+    /** Begins a graceful shutdown; the request is responded to once no session or publish is left here. */
     public void shutDown(final long requestId, final long now) {
         shutdownRequest = requestId;
         start(timing.recoverMs() / SHUTDOWN_DIVISOR, now);
@@ -63,7 +63,7 @@
 
     private void start(final long spreadOverMs, final long now) {
         if (!client.draining()) {
-            // whoever is moved is told where to, and only the control plane knows all gateways
+            // a moved caller gets the address of its next gateway, and only the control plane knows all gateways
             final long request = ids.getAsLong();
             otherGateways.await(request, now + timing.down());
             out.send(client.controlLeader(), ControlRequestKind.GATEWAYS.request(request, new byte[0]));
@@ -72,7 +72,7 @@
         subscriptions.scheduleMoves(spreadOverMs, now);
     }
 
-    /** The sessions stay, and new ones are taken again. */
+    /** Ends the drain: the sessions stay, and new ones are accepted again. */
     public void stop() {
         client.drain(false);
         subscriptions.cancelMoves();
@@ -81,7 +81,7 @@
     /**
      * Moves the sessions whose time has come, and completes a graceful shutdown.
      *
-     * @param publishes how many publishes are under way here
+     * @param publishes the number of publishes in flight here
      */
     public void tick(final int publishes, final long now) {
         if (client.draining() && otherGateways.isSettled(now)) {
@@ -93,7 +93,7 @@
         }
     }
 
-    /** The control leader's reply; one that does not answer the request for the other gateways is ignored. */
+    /** Handles a reply of the control leader; one to another request than that for the gateways is ignored. */
     public void received(final ControlReply reply) {
         if (!otherGateways.asked(reply.requestId())) {
             return;
@@ -105,7 +105,7 @@
         }
     }
 
-    /** A request never left this process. */
+    /** A request was not sent. */
     public void unsent(final ControlRequest request) {
         if (otherGateways.asked(request.requestId())) {
             otherGateways.unknown();
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/GroupSubscription.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/GroupSubscription.java
@@ -8,24 +8,24 @@
 import java.util.TreeMap;
 
 /**
- * Topics of one group that a session reads together. It catches up by fetches of its own until it meets the group's
- * feed, and is live from then on.
+ * The topics of one group that a session reads together. It catches up by fetches of its own until it reaches the
+ * position of the group's feed, and is live from then on.
  */
 final class GroupSubscription {
     private static final long UNKNOWN_POSITION = -1;
 
     final int group;
-    /** When a topic that has not begun is given up, on the monotonic clock in milliseconds. */
+    /** The deadline for a topic to begin, in monotonic milliseconds. */
     final long deadline;
 
     private final TreeMap<String, Long> positions = new TreeMap<>();
     /** Whether the records come through the group's feed. */
     boolean live;
-    /** Whether the fetch under way asks only where the log ends. */
+    /** Whether the fetch in flight requests only the end of the log. */
     boolean resolvingEnd;
-    /** The fetch under way; 0 for none. */
+    /** The request ID of the fetch in flight; 0 for none. */
     long fetchId;
-    /** The node that was asked last, and when. */
+    /** The node that was fetched from last, and when. */
     int source;
 
     long fetchSentAt;
@@ -70,7 +70,7 @@
         positions.replaceAll((topic, position) -> position == UNKNOWN_POSITION ? end : position);
     }
 
-    /** Whether a record was not delivered yet; notes that it is now. */
+    /** Marks a record as delivered; true where it was not delivered before. */
     boolean advance(final String topic, final long position) {
         final Long reached = positions.get(topic);
         if (reached == null || position <= reached) {
@@ -80,12 +80,12 @@
         return true;
     }
 
-    /** Nothing up to the position is missing any more, of any topic. */
+    /** Advances all topics to the position, up to which nothing is missing. */
     void advanceAll(final long position) {
         positions.replaceAll((topic, reached) -> Math.max(reached, position));
     }
 
-    /** What a fetch asks for: each topic from its position on. */
+    /** The contents of a fetch: each topic with the position after which it is read. */
     List<TopicPosition> wanted() {
         final List<TopicPosition> wanted = new ArrayList<>();
         for (final Map.Entry<String, Long> entry : positions.entrySet()) {
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/LeaderAvailability.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/LeaderAvailability.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.function.LongFunction;
 
-/** Since when groups have had no leader that this node knows of. */
+/** Tracks since when each group has had no leader that this node knows of. */
 final class LeaderAvailability {
     private final TimingBounds timing;
     private final LongFunction<RouteFinder> routes;
@@ -18,7 +18,7 @@
         this.routes = routes;
     }
 
-    /** Looks, at most twice a heartbeat, which groups have a leader. */
+    /** Checks which groups have a leader, at most twice per heartbeat interval. */
     void check(final int groups, final long now) {
         if (now < nextCheck) {
             return;
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/LeaseQueue.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/LeaseQueue.java
@@ -6,7 +6,7 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 
-/** Requests that cannot be judged without the configuration's lease and wait a moment for it, in their order. */
+/** Requests that cannot be decided without the lease on the configuration and wait briefly for it, in their order. */
 public final class LeaseQueue {
     private static final int MAX_REQUESTS = 4_096;
     private static final long NEVER = Long.MAX_VALUE / 2;
@@ -22,9 +22,9 @@
     }
 
     /**
-     * Takes the request where a lease may be expected soon.
+     * Queues the request where a lease may be expected soon.
      *
-     * @return false where the request is to be judged at once
+     * @return false where the request must be handled at once
      */
     public boolean offer(final NodeRequest request, final boolean leased, final long now) {
         if (leased || isLeaseGivenUp(now) || waiting.size() >= MAX_REQUESTS) {
@@ -34,7 +34,7 @@
         return true;
     }
 
-    /** Passes on what need not or cannot wait any longer. */
+    /** Passes on the requests that need not or cannot wait any longer. */
     public void release(final boolean leased, final long now, final Consumer<NodeRequest> handler) {
         if (leased) {
             leaseMissingSince = NEVER;
@@ -46,7 +46,7 @@
         }
     }
 
-    /** Nobody waits for the answers to these requests any more. */
+    /** Removes requests whose callers no longer wait for a response. */
     public void removeIf(final Predicate<NodeRequest> abandoned) {
         waiting.removeIf(entry -> abandoned.test(entry.request));
     }
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/ListenerCountRequests.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/ListenerCountRequests.java
@@ -14,7 +14,7 @@
 import java.util.TreeMap;
 import java.util.function.LongSupplier;
 
-/** Callers' requests for the number of a topic's listeners that are under way to the groups' leaders. */
+/** Callers' requests for the number of a topic's listeners that are in flight to the groups' leaders. */
 public final class ListenerCountRequests {
     private static final int MAX_REQUESTS = 4_096;
 
@@ -25,7 +25,7 @@
     private final Actions out;
     private final TreeMap<Long, PendingCount> pending = new TreeMap<>();
 
-    /** @param ids never the same twice, and rising */
+    /** @param ids gives request IDs, ascending */
     public ListenerCountRequests(final TimingBounds timing, final LongSupplier ids, final Actions out) {
         this.timing = timing;
         this.ids = ids;
@@ -33,7 +33,7 @@
     }
 
     /**
-     * Asks the group's leader.
+     * Sends the request to the group's leader.
      *
      * @param excludesCaller whether the caller is a listener itself, and is not counted
      */
@@ -48,7 +48,7 @@
         out.send(route.node(), new ListenerCountRequest(id, route.group(), topic));
     }
 
-    /** The leader's reply. */
+    /** Responds to the caller with the leader's reply. */
     public void reply(final ListenerCountReply reply) {
         final PendingCount count = pending.remove(reply.requestId());
         if (count == null) {
@@ -62,7 +62,7 @@
         out.respond(count.requestId, new Response(OK, 0, "{\"listeners\":" + listeners + "}"));
     }
 
-    /** The question never left this process. */
+    /** Ends a request that was not sent. */
     public void unsent(final int to, final ListenerCountRequest message) {
         final PendingCount count = pending.remove(message.requestId());
         if (count != null) {
@@ -70,7 +70,7 @@
         }
     }
 
-    /** Gives up what is overdue. */
+    /** Ends the requests whose deadline has passed. */
     public void tick(final long now) {
         final Iterator<PendingCount> counts = pending.values().iterator();
         while (counts.hasNext()) {
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/ListenerReporter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/ListenerReporter.java
@@ -10,7 +10,7 @@
 import java.util.function.LongFunction;
 import java.util.function.LongSupplier;
 
-/** Tells each group's leader how many sessions of this node listen to its topics. */
+/** Reports to each group's leader how many sessions of this node listen to its topics. */
 final class ListenerReporter {
     private final SessionRegistry registry;
     private final TimingBounds timing;
@@ -31,7 +31,7 @@
         this.out = out;
     }
 
-    /** Reports what has changed, to a new leader everything, and now and then that all is as before. */
+    /** Reports the changed counts, all counts to a new leader, and periodically confirms unchanged ones. */
     void report(final long now) {
         final RouteFinder finder = routes.apply(now);
         for (final Feed feed : registry.feeds()) {
@@ -59,7 +59,7 @@
         out.send(leader, new ListenerReport(feed.group, reported.version(), base, changed));
     }
 
-    /** The report never left this process. */
+    /** A report was not sent. */
     void unsent(final ListenerReport message) {
         final Feed feed = registry.feed(message.group());
         if (feed != null) {
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/PermissionReview.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/PermissionReview.java
@@ -6,9 +6,9 @@
 import brookpath.coordination.route.Route;
 import brookpath.coordination.route.RouteFinder;
 
-/** Ends, at a new configuration, what a session listens to by a permission that it no longer has. */
+/** Ends, at a new configuration, the subscriptions that a session no longer has permission for. */
 final class PermissionReview {
-    /** Why a topic may not be listened to any longer. */
+    /** The reason for which a topic may no longer be listened to. */
     private record Revocation(Response response, String closeReason) {}
 
     private final SessionRegistry registry;
@@ -21,7 +21,7 @@
         this.timing = timing;
     }
 
-    /** Reviews all sessions against the configuration that the routes stand on. */
+    /** Reviews all sessions against the configuration that the routes are based on. */
     void reviewAll(final RouteFinder finder) {
         for (final Session session : registry.sessions()) {
             review(session, finder);
@@ -38,7 +38,7 @@
         }
     }
 
-    /** Null where all topics of the subscription may be listened to as before. */
+    /** The first withdrawn permission; null where all topics of the subscription may still be listened to. */
     private Revocation revocation(
             final Session session, final GroupSubscription subscription, final RouteFinder finder) {
         for (final String topic : subscription.topics()) {
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/PublishForwarder.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/PublishForwarder.java
@@ -22,13 +22,13 @@
 import java.util.function.LongSupplier;
 
 /**
- * Forwards publishes to their groups' leaders, in the order in which the callers sent them. What a leader did not take,
- * or what became unknown when a leader or a session was lost, is retried with whoever leaders the group then, for the
- * sequence makes a repeat harmless. Only a publish whose deadline has passed is given back, as refused where it
- * certainly was not appended, else as unsettled.
+ * Forwards publishes to their groups' leaders, in the order in which the callers sent them. A publish that a leader
+ * refused, or whose outcome became unknown when a leader or a connection was lost, is retried with the leader of the
+ * group at that time; the sequence makes a repeat idempotent. Only a publish whose deadline has passed is returned to
+ * its caller: as refused where it certainly was not appended, else as unsettled.
  */
 public final class PublishForwarder {
-    /** The most publishes that are under way at a time. */
+    /** The most publishes that may be in flight at a time. */
     private static final int MAX_PUBLISHES = 4_096;
 
     private final TimingBounds timing;
@@ -40,8 +40,8 @@
     private final Map<Long, Integer> groupOf = new HashMap<>();
 
     /**
-     * @param routes the routes as the tables stand at a time
-     * @param ids never the same twice, and rising
+     * @param routes gives the routes by the tables at a time in monotonic milliseconds
+     * @param ids gives request IDs, ascending
      */
     public PublishForwarder(
             final TimingBounds timing,
@@ -55,20 +55,20 @@
         leaders = new LeaderAvailability(timing, routes);
     }
 
-    /** How many publishes are under way. */
+    /** The number of publishes in flight. */
     public int size() {
         return groupOf.size();
     }
 
-    /** Whether something waits for a timer rather than for a reply. */
+    /** Whether a publish waits for a timer rather than for a reply. */
     public boolean needsTimer() {
         return queues.values().stream().anyMatch(PublishQueue::needsTimer);
     }
 
     /**
-     * Takes a publish that was admitted, and sends it if its group has a leader.
+     * Adds a publish that was admitted, and sends it if its group has a leader.
      *
-     * @param answerMs how long the caller waits for an answer; 0 where that is unknown
+     * @param answerMs how long the caller waits for a response, in milliseconds; 0 where that is unknown
      */
     public void add(
             final NodeRequest.Publish request,
@@ -91,7 +91,7 @@
         send(route.group(), queue, now);
     }
 
-    /** How long a publish is retried: no longer than leaves the caller time to hear of it. */
+    /** How long a publish is retried, in milliseconds: it ends early enough for the response to reach the caller. */
     private long patience(final long answerMs) {
         if (answerMs == 0) {
             return timing.forwardDeadline();
@@ -99,12 +99,15 @@
         return Math.min(timing.forwardDeadline(), answerMs * 3 / 4);
     }
 
-    /** Looks which groups have a leader: one that has been without for longer than an election is not waited for. */
+    /**
+     * Checks which groups have a leader; publishes do not wait for a group without one for longer than an election
+     * takes.
+     */
     public void checkLeaders(final int groups, final long now) {
         leaders.check(groups, now);
     }
 
-    /** Gives back what is overdue and retries the rest where its pause is over. */
+    /** Returns overdue publishes to their callers, and retries the others whose back-off is over. */
     public void tick(final long now) {
         queues.forEach((group, queue) -> {
             giveBackOverdue(group, queue, now);
@@ -136,7 +139,7 @@
         }
     }
 
-    /** Sends, in order, what is not with the group's present leader. */
+    /** Sends, in order, the publishes that are not in flight to the group's present leader. */
     private void send(final int group, final PublishQueue queue, final long now) {
         if (queue.isEmpty() || queue.isPaused(now)) {
             return;
@@ -154,7 +157,7 @@
         });
     }
 
-    /** A leader's reply to a publish. */
+    /** Handles a leader's reply to a publish. */
     public void reply(final int from, final PublishReply reply, final long now) {
         final PublishQueue queue = queueOf(reply.requestId());
         final ForwardedPublish publish = queue == null ? null : queue.get(reply.requestId());
@@ -179,7 +182,7 @@
             final PublishQueue queue, final ForwardedPublish publish, final int from, final PublishReply reply) {
         remove(queue, reply.requestId());
         if (publish.isMaybeAppended()) {
-            // an earlier attempt may lie in a log, and its sequence may only have been forgotten
+            // an earlier attempt may be in a log, and its sequence may only have been forgotten
             unsettled(
                     publish.request(),
                     "node " + from + " said " + reply.reason() + ", after an attempt whose end is unknown");
@@ -198,7 +201,7 @@
             final PublishReply reply,
             final long now) {
         if (!publish.isWith(from)) {
-            // a late reply to an attempt that was given up since
+            // a late reply to an attempt that has ended since
             return;
         }
         publish.failed(reply.reason());
@@ -219,11 +222,11 @@
         send(groupOf.get(reply.requestId()), queue, now);
     }
 
-    /** The message never left this process for the node, so that attempt leaves nothing in doubt. */
+    /** The message was not sent to the node, so that this attempt certainly had no effect. */
     public void unsent(final int to, final Publish message, final long now) {
         final PublishQueue queue = queueOf(message.requestId());
         final ForwardedPublish publish = queue == null ? null : queue.get(message.requestId());
-        // late word of an earlier attempt says nothing of the one that is under way
+        // a late notification about an earlier attempt does not concern the one in flight
         if (publish != null && publish.isWith(to)) {
             publish.endAttempt();
             publish.failed("no session to the group's master");
@@ -231,7 +234,7 @@
         }
     }
 
-    /** The session with a node broke: what was under way on it may or may not have arrived. */
+    /** The connection to a node broke: publishes in flight on it may or may not have arrived. */
     public void sessionLost(final int node, final long now) {
         final String reason = "the session with node " + node + " broke";
         for (final PublishQueue queue : queues.values()) {
@@ -263,7 +266,7 @@
                 Refusals.response(ResponseStatus.UNSETTLED, timing.retryAfterMs(), "unsettled", "unsettled", reason));
     }
 
-    /** The notes are what is left to explain a publish from afterwards; committed ones explain themselves. */
+    /** Notes the outcome, by which a publish can be explained afterwards; a committed publish needs no note. */
     private void note(final NodeRequest.Publish request, final String how) {
         out.note("publish " + request.topic() + " " + request.sender() + "/" + request.seq() + ": " + how);
     }
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/PublishQueue.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/PublishQueue.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The publishes under way to one group, in the order in which the callers sent them. */
+/** The publishes in flight to one group, in the order in which the callers sent them. */
 final class PublishQueue {
     /** The back-off doubles up to this many times. */
     private static final int MAX_BACKOFF_DOUBLINGS = 3;
@@ -16,7 +16,7 @@
     private long pausedUntil = Long.MIN_VALUE;
     private int consecutivePauses;
 
-    /** The publishes by request ID, which rises with their order. */
+    /** The publishes by request ID, which is ascending in their order. */
     Map<Long, ForwardedPublish> publishes() {
         return publishes;
     }
@@ -29,7 +29,7 @@
         return now < pausedUntil;
     }
 
-    /** Whether a timer has something to do here. */
+    /** Whether a publish waits for a timer. */
     boolean needsTimer() {
         final boolean backingOff = consecutivePauses > 0 && !publishes.isEmpty();
         return backingOff || publishes.values().stream().anyMatch(ForwardedPublish::isWaiting);
@@ -56,7 +56,7 @@
         consecutivePauses = 0;
     }
 
-    /** Follows a refusal that named the leader, until the heartbeats say the same or something newer. */
+    /** Adopts the leader that a refusal named, until the heartbeats name the same or a newer one. */
     void followHint(final int leader, final long validUntil) {
         hintedLeader = leader;
         hintValidUntil = validUntil;
@@ -75,13 +75,13 @@
         if (hintedLeader == 0 || now >= hintValidUntil || fromHeartbeats.node() == hintedLeader) {
             return fromHeartbeats;
         }
-        // a term above all, so that what the heartbeats tell of the old leader does not turn the publishes back
+        // the highest term, so that heartbeats about the old leader do not redirect the publishes to it
         return new Leader(hintedLeader, Long.MAX_VALUE);
     }
 
     /**
-     * Takes back the publish and those behind it that are with the node. They must not pass it, for a lower sequence
-     * would then be refused for good.
+     * Ends the attempts of the publish and of those behind it that are in flight to the node. They must not overtake
+     * it, for a lower sequence would then be refused permanently.
      */
     void takeBackFrom(final long id, final int node) {
         for (final Map.Entry<Long, ForwardedPublish> entry :
@@ -98,7 +98,7 @@
         }
     }
 
-    /** Takes back all that is with a node whose session broke; true where there was something. */
+    /** Ends all attempts in flight to a node whose connection broke; true where there was one. */
     boolean takeBackAll(final int node, final String reason) {
         boolean any = false;
         for (final ForwardedPublish publish : publishes.values()) {
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/Session.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/Session.java
@@ -12,18 +12,18 @@
     final long id;
     final String key;
     /**
-     * Whether all topics were named at once, with one cursor over them, and are told in lines; else topics come and go,
-     * each with a cursor of its own.
+     * Whether all topics were named at once, with one shared cursor, and are streamed as lines; else topics are joined
+     * and left one by one, each with its own cursor.
      */
     final boolean sharedCursor;
 
-    /** When a session that has not started is given up, on the monotonic clock in milliseconds. */
+    /** The deadline for the session to start, in monotonic milliseconds. */
     final long deadline;
 
     private final TreeMap<String, GroupSubscription> byTopic = new TreeMap<>();
     boolean started;
     long lastLineAt;
-    /** When the caller is sent to another node. */
+    /** When the caller is moved to another node, in monotonic milliseconds. */
     long moveAt = NEVER;
 
     Session(final long id, final String key, final boolean sharedCursor, final long deadline) {
@@ -50,11 +50,11 @@
         return byTopic.size();
     }
 
-    /** A copy, each subscription once. */
+    /** The subscriptions as a new list, each once. */
     List<GroupSubscription> subscriptions() {
         final List<GroupSubscription> subscriptions = new ArrayList<>();
         for (final GroupSubscription subscription : byTopic.values()) {
-            // there are few, and those of one group lie next to each other only by chance
+            // there are few, and those of one group need not be adjacent
             if (!subscriptions.contains(subscription)) {
                 subscriptions.add(subscription);
             }
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/SessionDrain.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/SessionDrain.java
@@ -3,7 +3,7 @@
 import brookpath.coordination.action.Actions;
 import java.util.function.Supplier;
 
-/** Moves the sessions of a node that is to be emptied to other nodes. */
+/** Moves the sessions of a draining node to other nodes. */
 final class SessionDrain {
     private static final String CLOSE_REASON = "this node drains; go on elsewhere with the cursor";
 
@@ -15,7 +15,7 @@
         this.out = out;
     }
 
-    /** Spreads the sessions' moves over the time, so that the other nodes are not met by all at once. */
+    /** Spreads the sessions' moves over the duration, so that they do not reach the other nodes all at once. */
     void schedule(final long over, final long now) {
         int index = 0;
         for (final Session session : registry.sessions()) {
@@ -28,7 +28,7 @@
         registry.sessions().forEach(session -> session.moveAt = Session.NEVER);
     }
 
-    /** Moves the sessions whose time has come. */
+    /** Moves the sessions whose move is due. */
     void moveDue(final Supplier<String> nextAddress, final long now) {
         for (final Session session : registry.sessions()) {
             if (session.started && now >= session.moveAt) {
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/SessionRegistry.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/SessionRegistry.java
@@ -13,7 +13,7 @@
 final class SessionRegistry {
     private static final int MAX_SESSIONS = 8_192;
 
-    /** A session's own fetch that is under way. */
+    /** A session's own fetch in flight. */
     record CatchUpFetch(Session session, GroupSubscription subscription) {}
 
     private final LongSupplier ids;
@@ -40,7 +40,7 @@
         return sessions.get(id);
     }
 
-    /** A copy, for sessions may end while they are looked through. */
+    /** All sessions as a new list, for sessions may end during the iteration. */
     List<Session> sessions() {
         return new ArrayList<>(sessions.values());
     }
@@ -49,7 +49,7 @@
         sessions.put(session.id, session);
     }
 
-    /** Ends a session with all that it listens to. */
+    /** Ends a session with all its subscriptions. */
     void remove(final Session session) {
         sessions.remove(session.id);
         needingTimer.remove(session.id);
@@ -73,7 +73,7 @@
         final Feed feed = feeds.get(subscription.group);
         for (final String topic : subscription.topics()) {
             if (feed.remove(topic, session.id)) {
-                // what is read too much does no harm until the next fetch, which says what is wanted then
+                // records of the topic that are still read are harmless, until the next fetch no longer requests it
                 feed.topicsVersion = ids.getAsLong();
             }
         }
@@ -104,24 +104,24 @@
         needingTimer.remove(session.id);
     }
 
-    /** Notes a session's own fetch; its request ID is the subscription's. */
+    /** Records a session's own fetch; its request ID is the subscription's. */
     void catchUpSent(final Session session, final GroupSubscription subscription) {
         catchUpFetches.put(subscription.fetchId, new CatchUpFetch(session, subscription));
     }
 
-    /** A reply to the subscription's fetch is waited for no longer. */
+    /** Removes the subscription's fetch, whose reply is no longer awaited. */
     void abandonCatchUp(final GroupSubscription subscription) {
         catchUpFetches.remove(subscription.fetchId);
         subscription.fetchId = 0;
     }
 
-    /** The fetch under way with this request ID; null for none, or where its session has ended. */
+    /** The fetch in flight with this request ID; null for none, or where its session has ended. */
     CatchUpFetch catchUp(final long fetchId) {
         final CatchUpFetch fetch = catchUpFetches.get(fetchId);
         return fetch == null || !sessions.containsKey(fetch.session.id) ? null : fetch;
     }
 
-    /** As above, and the fetch is under way no longer. */
+    /** As above, and removes the fetch. */
     CatchUpFetch completeCatchUp(final long fetchId) {
         final CatchUpFetch fetch = catchUp(fetchId);
         catchUpFetches.remove(fetchId);
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/SessionRequests.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/SessionRequests.java
@@ -17,7 +17,7 @@
 import java.util.function.IntSupplier;
 import java.util.function.LongFunction;
 
-/** Carries out or refuses the callers' requests that open and end sessions or change what they listen to. */
+/** Executes or refuses the callers' requests that open and end sessions or change what they listen to. */
 public final class SessionRequests {
     private static final long START_AT_END = -1;
 
@@ -29,8 +29,8 @@
     private final CatchUpFetcher catchUpFetcher;
 
     /**
-     * @param maxTopics how many topics a session may listen to
-     * @param routes the routes as the tables stand at a time
+     * @param maxTopics the most topics that a session may listen to
+     * @param routes gives the routes by the tables at a time in monotonic milliseconds
      */
     SessionRequests(
             final SessionRegistry registry,
@@ -82,7 +82,7 @@
             return;
         }
         if (previous != null) {
-            // joined anew, the topic begins anew, at the cursor that is asked for
+            // a topic that is joined again restarts at the requested cursor
             registry.unsubscribe(session, previous);
         }
         final GroupSubscription subscription =
@@ -105,7 +105,7 @@
     /**
      * Opens a session on all its topics at once, with one cursor over them.
      *
-     * @param cursor a position per topic; null where the caller's cursor is none
+     * @param cursor a position per topic; null where the caller's cursor is malformed
      */
     public void subscribe(final NodeRequest.Subscribe request, final Map<String, Long> cursor, final long now) {
         if (cursor == null) {
@@ -133,10 +133,10 @@
     }
 
     /**
-     * Sorts the topics by group, for a space may promise one order over all its topics and those of one group are read
-     * together.
+     * Partitions the topics by group: those of one group are read together, since a space may guarantee one order over
+     * all its topics.
      *
-     * @param byGroup takes the subscriptions
+     * @param byGroup receives the subscriptions
      * @return the refusal of the first topic that the key may not listen to; null where it may listen to all
      */
     private Response subscriptionsByGroup(
@@ -157,7 +157,7 @@
         return null;
     }
 
-    /** The caller's session has ended. */
+    /** Ends the session, since its caller has left. */
     public void end(final long sessionId) {
         final Session session = registry.get(sessionId);
         if (session != null) {
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/SessionTerminator.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/SessionTerminator.java
@@ -9,7 +9,7 @@
 import jakarta.json.Json;
 import java.util.List;
 
-/** Ends sessions, or single topics of them, and tells the callers why. */
+/** Ends sessions, or single topics of them, and notifies the callers of the reason. */
 final class SessionTerminator {
     private static final String NOT_READ_IN_TIME = "no member in sync could be read in time";
     private static final String NO_LONGER_KEPT = "history after the cursor is no longer kept";
@@ -58,7 +58,7 @@
         }
     }
 
-    /** Records after the session's position were trimmed before it read them. */
+    /** Ends a subscription whose unread records were trimmed. */
     void historyGone(final Session session, final GroupSubscription subscription, final List<String> topics) {
         final String json = Json.createObjectBuilder()
                 .add("outcome", "gone")
@@ -70,13 +70,13 @@
         end(session, subscription, new Response(GONE, 0, json, "gone"), NO_LONGER_KEPT);
     }
 
-    /** A session could not start in time. */
+    /** Ends a session that did not start by its deadline. */
     void sessionTimedOut(final Session session) {
         registry.remove(session);
         out.respond(session.id, Refusals.retryLater(timing, "history", NOT_READ_IN_TIME));
     }
 
-    /** A topic that was joined by itself could not begin in time. */
+    /** Ends the join of a topic that did not begin by its deadline. */
     void joinTimedOut(final Session session, final GroupSubscription subscription) {
         registry.unsubscribe(session, subscription);
         out.respond(subscription.pendingJoin, Refusals.retryLater(timing, "history", NOT_READ_IN_TIME));
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/SessionWriter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/SessionWriter.java
@@ -33,7 +33,7 @@
         out.respond(session.id, new Response(OK, 0, hello));
     }
 
-    /** Responds to the join request with the topic's cursor, unless that was done before. */
+    /** Responds to the join request with the topic's cursor, unless it has its response already. */
     void confirmJoin(final GroupSubscription subscription) {
         if (subscription.pendingJoin != 0) {
             out.respond(subscription.pendingJoin, new Response(OK, 0, Cursor.one(subscription.position())));
@@ -41,7 +41,7 @@
         }
     }
 
-    /** Hands out a record, unless the session has it already. */
+    /** Delivers a record, unless the session has it already. */
     void deliver(
             final Session session, final GroupSubscription subscription, final LogRecord logRecord, final long now) {
         if (!subscription.advance(logRecord.topic(), logRecord.index())) {
@@ -63,7 +63,7 @@
         writeLine(session, message, now);
     }
 
-    /** Tells a session with a shared cursor that nothing was sent, and the cursor. */
+    /** Sends a keep-alive line with the cursor to a session with a shared cursor. */
     void keepAlive(final Session session, final long now) {
         final JsonObject alive = Json.createObjectBuilder()
                 .add("type", "alive")
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/Subscriptions.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/Subscriptions.java
@@ -12,8 +12,8 @@
 import java.util.function.Supplier;
 
 /**
- * The callers' sessions of a gateway: passes their requests, the members' replies and the timers on to the part that
- * each concerns. Times are monotonic milliseconds.
+ * The callers' sessions of a gateway: dispatches their requests, the members' replies and the timers to the part that
+ * handles each. Times are monotonic milliseconds.
  */
 public final class Subscriptions {
     private final TimingBounds timing;
@@ -31,9 +31,9 @@
 
     /**
      * @param self this node
-     * @param maxTopics how many topics a session may listen to
-     * @param routes the routes as the tables stand at a time
-     * @param ids never the same twice, and rising
+     * @param maxTopics the most topics that a session may listen to
+     * @param routes gives the routes by the tables at a time
+     * @param ids gives request IDs, ascending
      */
     public Subscriptions(
             final int self,
@@ -56,12 +56,12 @@
         permissions = new PermissionReview(registry, terminator, timing);
     }
 
-    /** How many sessions there are. */
+    /** The number of sessions. */
     public int size() {
         return registry.size();
     }
 
-    /** Whether something waits for a timer rather than for a reply. */
+    /** Whether a session waits for a timer rather than for a reply. */
     public boolean needsTimer() {
         return registry.needsTimer();
     }
@@ -72,32 +72,32 @@
         return session != null && session.subscription(topic) != null;
     }
 
-    /** Carries out the callers' requests. */
+    /** The part that executes the callers' requests. */
     public SessionRequests requests() {
         return requests;
     }
 
-    /** Ends at once what stood on a key or a space that a new configuration took away. */
+    /** Ends the subscriptions whose key or space a new configuration has removed. */
     public void reviewPermissions(final long now) {
         permissions.reviewAll(routes.apply(now));
     }
 
-    // ---- leaving
+    // ---- drain
 
-    /** Spreads the sessions' moves to other nodes over the time. */
+    /** Schedules the moves of all sessions to other nodes, spread over a duration in milliseconds. */
     public void scheduleMoves(final long over, final long now) {
         drain.schedule(over, now);
     }
 
-    /** The sessions stay. */
+    /** Cancels the scheduled moves. */
     public void cancelMoves() {
         drain.cancel();
     }
 
     /**
-     * Moves the sessions whose time has come.
+     * Moves the sessions whose move is due.
      *
-     * @param nextAddress of another gateway, for the next caller; empty where none is known
+     * @param nextAddress gives the address of another gateway for the next caller; empty where none is known
      */
     public void moveDue(final Supplier<String> nextAddress, final long now) {
         drain.moveDue(nextAddress, now);
@@ -105,7 +105,7 @@
 
     // ---- timers
 
-    /** Retries fetches, gives up what is overdue, and keeps idle sessions alive. */
+    /** Retries fetches, ends overdue sessions and topics, and keeps idle sessions alive. */
     public void tick(final long now) {
         sources.expire(now);
         for (final long id : registry.needingTimer()) {
@@ -136,7 +136,7 @@
 
     // ---- messages
 
-    /** What a member sent; the caller has looked whether anything may be delivered just now. */
+    /** Handles a member's reply to a fetch; called only while this node holds the lease on the configuration. */
     public void fetched(final int from, final FetchReply reply, final long now) {
         sources.responded(from);
         final Feed feed = registry.feed(reply.group());
@@ -147,26 +147,26 @@
         }
     }
 
-    /** A fetch never left this process. */
+    /** A fetch was not sent. */
     public void unsent(final int to, final Fetch message, final long now) {
         sources.avoid(to, now);
         feedFetcher.unsent(to, message, now);
         catchUpFetcher.unsent(message, now);
     }
 
-    /** A report of listeners never left this process. */
+    /** A report of listeners was not sent. */
     public void unsent(final ListenerReport message) {
         listenerReporter.unsent(message);
     }
 
-    /** The session with a node broke; what was under way on it may or may not have arrived. */
+    /** The connection to a node broke; messages in flight on it may or may not have arrived. */
     public void sessionLost(final int node, final long now) {
         sources.avoid(node, now);
         feedFetcher.sessionLost(node, now);
         catchUpFetcher.sessionLost(node);
     }
 
-    /** Tells each group's leader how many sessions listen to its topics. */
+    /** Reports to each group's leader how many sessions listen to its topics. */
     public void reportListeners(final long now) {
         listenerReporter.report(now);
     }
--- a/coordination/src/main/java/brookpath/coordination/node/storage/FetchHandler.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/FetchHandler.java
@@ -31,7 +31,7 @@
         pending = new PendingFetches(timing);
     }
 
-    /** A gateway's fetch. */
+    /** Handles a gateway's fetch; the reply is sent now, or later for a long poll without records. */
     public void fetch(final int gateway, final Fetch fetch, final long now) {
         final GroupMachine group = groups.get(fetch.group());
         if (group == null || !group.inSync(now) || !client.leased(now)) {
@@ -48,16 +48,19 @@
         }
     }
 
-    /** Answers the long polls that the group's commit index, its sync state or the time set free. */
+    /**
+     * Replies to the long polls that a change of the group's commit index or sync state, or their deadline, has made
+     * due.
+     */
     public void servePending(final GroupMachine group, final long now) {
         pending.removeAnswered(
                 group.id(), waiting -> serve(waiting.gateway(), waiting.fetch(), group, waiting.deadline(), now));
     }
 
     /**
-     * Answers a fetch if there is anything to answer.
+     * Replies to a fetch if there is anything to reply.
      *
-     * @param deadline when it is answered even without a record
+     * @param deadline when it is answered even without a record, in monotonic milliseconds
      * @return true where the fetch was answered
      */
     private boolean serve(
@@ -70,7 +73,7 @@
                 ? FetchScan.ofLongPoll(group, interests.topics(group.id(), gateway), fetch.at())
                 : FetchScan.ofPositions(group, fetch);
         scan.run();
-        // why: at once, not when the hold is over: the gateway has other replicas to ask
+        // why: at once, not at the deadline of the long poll: the gateway can retry with other replicas
         if (scan.isDamaged() || (scan.records().isEmpty() && !group.inSync(now))) {
             replyWithoutRecords(gateway, fetch, FetchStatus.NOT_HERE, 0);
             return true;
@@ -91,7 +94,7 @@
         out.send(gateway, new FetchReply(fetch.requestId(), fetch.group(), status, scannedTo, List.of(), List.of()));
     }
 
-    /** The group was dropped; the gateways learn it by asking. */
+    /** Forgets the long polls of a dropped group; the gateways retry elsewhere. */
     public void drop(final int group) {
         pending.drop(group);
         interests.drop(group);
--- a/coordination/src/main/java/brookpath/coordination/node/storage/FetchScan.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/FetchScan.java
@@ -54,7 +54,7 @@
         return new FetchScan(group, null, positions, start);
     }
 
-    /** Looks through the log. */
+    /** Reads the log from the lowest position on, and collects the records that the fetch requests. */
     void run() {
         long index = Math.max(start, group.baseIndex());
         int bytes = 0;
@@ -96,7 +96,7 @@
     List<String> trimmedTopics() {
         final List<String> trimmed = new ArrayList<>();
         if (start >= group.baseIndex()) {
-            // why: only what lies before the oldest record can be gone, and looking for it costs a walk over all topics
+            // why: only records before the oldest one can be trimmed, and checking for them iterates over all topics
             return trimmed;
         }
         final TopicState state = TopicGroups.stateOf(group);
--- a/coordination/src/main/java/brookpath/coordination/node/storage/GracefulShutdown.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/GracefulShutdown.java
@@ -7,7 +7,7 @@
 import brookpath.coordination.message.Response;
 import java.util.Collection;
 
-/** Hands the leaderships of this node over to other replicas before the process ends. */
+/** Transfers the leaderships of this node to other replicas before the process ends. */
 public final class GracefulShutdown {
     private static final long NOT_REQUESTED = 0;
 
@@ -18,17 +18,17 @@
         this.out = out;
     }
 
-    /** Begins; the request has its response once nothing is led here any more. */
+    /** Begins the shutdown; the request is responded to once this node leads no group. */
     public void begin(final long request) {
         requestId = request;
     }
 
-    /** Whether it was requested and is not complete yet. */
+    /** Whether a shutdown was requested and is not complete yet. */
     public boolean isUnderWay() {
         return requestId != NOT_REQUESTED;
     }
 
-    /** Asks each group that is still led here for a hand-over. */
+    /** Attempts a leadership transfer for each group that this node still leads, and responds once none is left. */
     public void tick(final Collection<GroupMachine> groups, final long now) {
         if (!isUnderWay()) {
             return;
--- a/coordination/src/main/java/brookpath/coordination/node/storage/GroupStateReporter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/GroupStateReporter.java
@@ -34,7 +34,10 @@
         this.out = out;
     }
 
-    /** Reports that the group has had a leader, so that an empty disk means a lost one from here on. */
+    /**
+     * Reports that the group has had a leader, so that from here on a member with an empty disk is known to have lost
+     * its data.
+     */
     public void reportFounded(final GroupMachine group, final long now) {
         final GroupInfo info = groups.metadataOf(group.id());
         if (info != null
--- a/coordination/src/main/java/brookpath/coordination/node/storage/HistoryRetention.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/HistoryRetention.java
@@ -10,7 +10,7 @@
     private final TimingBounds timing;
 
     /**
-     * @param client the copy of the configuration that this node works by
+     * @param client the client with this node's replica of the configuration
      * @param timing gives the margin by which history outlives what its space asks
      */
     public HistoryRetention(final ConfigurationClient client, final TimingBounds timing) {
@@ -28,7 +28,7 @@
             return 0;
         }
         final Configuration.Space space = client.configuration().spaceOf(topic);
-        // why: before the first configuration nobody knows how long a space keeps, so nothing goes
+        // why: before the first configuration the retention of a space is unknown, so that nothing is trimmed
         return client.configuration().version() == 0
                 ? Long.MAX_VALUE
                 : space == null ? timing.keepMargin() : space.keepingMs() + timing.keepMargin();
--- a/coordination/src/main/java/brookpath/coordination/node/storage/ListenerCounts.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/ListenerCounts.java
@@ -13,13 +13,13 @@
 
 /**
  * How many sessions of each gateway listen to the topics of each group. Soft state of the leaders: it is rebuilt from
- * the gateways' reports, and what a gateway no longer confirms lapses.
+ * the gateways' reports, and the counts that a gateway no longer confirms expire.
  */
 public final class ListenerCounts {
-    /** A report whose counts stand by themselves, and change no earlier ones. */
+    /** The base version of a report with complete counts, not changes of earlier ones. */
     private static final long COMPLETE = 0;
 
-    /** @param version names these counts, so that the gateway may report only what has changed since */
+    /** @param version identifies these counts, so that the gateway may report only the changes since */
     private record ReportedCounts(long reportedAt, long version, Map<String, Integer> byTopic) {}
 
     private final TimingBounds timing;
@@ -31,7 +31,7 @@
         this.out = out;
     }
 
-    /** Takes a gateway's report; one that changes counts that are not known here is dropped. */
+    /** Applies a gateway's report; a report of changes to counts that are unknown here is dropped. */
     public void report(final int gateway, final ListenerReport report, final long now) {
         final TreeMap<Integer, ReportedCounts> byGateway =
                 byGroupAndGateway.computeIfAbsent(report.group(), id -> new TreeMap<>());
@@ -54,9 +54,9 @@
     }
 
     /**
-     * ControlResponder to a gateway that asks how many sessions listen to a topic.
+     * Replies to a gateway's request for the number of sessions that listen to a topic.
      *
-     * @param group the replica here; null where this machine has none
+     * @param group this node's replica of the group; null where it has none
      */
     public void answer(
             final int gateway, final ListenerCountRequest request, final GroupMachine group, final long now) {
@@ -75,7 +75,7 @@
         }
         int listeners = 0;
         for (final ReportedCounts reported : byGateway.values()) {
-            // why: soft state lapses with the reports of the gateway that it came from
+            // why: soft state expires with the reports of the gateway that it came from
             if (now - reported.reportedAt <= timing.listenerExpiry()) {
                 listeners += reported.byTopic.getOrDefault(topic, 0);
             }
--- a/coordination/src/main/java/brookpath/coordination/node/storage/PendingFetches.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/PendingFetches.java
@@ -7,7 +7,7 @@
 
 /** The long polls, per group and gateway, that have found no record yet. A gateway has one per group at most. */
 final class PendingFetches {
-    /** @param deadline when it is answered even without a record */
+    /** @param deadline when it is answered even without a record, in monotonic milliseconds */
     record PendingFetch(int gateway, Fetch fetch, long deadline) {}
 
     private final TimingBounds timing;
@@ -18,8 +18,8 @@
     }
 
     /**
-     * Keeps a fetch until there is something to answer. A gateway that asks anew for other topics is answered by the
-     * time of its first question, lest it take this node for silent.
+     * Keeps a fetch until there is something to reply. A gateway that replaces its fetch by one for other topics keeps
+     * the deadline of the first, or it would consider this node unresponsive.
      */
     void add(final int gateway, final Fetch fetch, final long now) {
         final TreeMap<Integer, PendingFetch> byGateway =
--- a/coordination/src/main/java/brookpath/coordination/node/storage/PendingPublishes.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/PendingPublishes.java
@@ -34,7 +34,7 @@
     }
 
     /**
-     * ControlResponder to the gateway once enough replicas have the record.
+     * Adds a publish, which is replied to once enough replicas have its record.
      *
      * @param index where the publish lies in the group's log
      */
@@ -56,8 +56,8 @@
         if (pending == null || pending.isEmpty()) {
             return;
         }
-        // why: asked again right before replying, so that a leader which slept in between does not speak for its
-        // successor
+        // why: checked again right before the reply, so that a leader which was suspended meanwhile does not reply in
+        // place of its successor
         final boolean mayAct = group.mayAct(now);
         for (final Iterator<PendingPublish> iterator = pending.iterator(); iterator.hasNext(); ) {
             if (resolve(iterator.next(), group, mayAct, now)) {
@@ -90,7 +90,7 @@
         out.send(publish.gateway, new PublishReply(publish.requestId, UNSETTLED, 0, 0, 0, reason));
     }
 
-    /** The group was dropped; the gateways ask its leader by themselves. */
+    /** Forgets the publishes of a dropped group; the gateways retry with its leader. */
     public void drop(final int group) {
         byGroup.remove(group);
     }
--- a/coordination/src/main/java/brookpath/coordination/node/storage/PublishAdmission.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/PublishAdmission.java
@@ -18,8 +18,8 @@
 import brookpath.state.record.LogRecord;
 
 /**
- * Decides whether the leader of a topic group takes a publish. What is taken is appended to the group's log and stays
- * in {@link PendingPublishes} until it is committed; what is refused was certainly not appended.
+ * Decides whether the leader of a topic group accepts a publish. An accepted publish is appended to the group's log and
+ * stays in {@link PendingPublishes} until it is committed; a refused one was certainly not appended.
  */
 public final class PublishAdmission {
     /** The most (topic, sender) pairs of a group whose sequences are remembered. */
@@ -42,7 +42,7 @@
     }
 
     /**
-     * Takes or refuses a publish that a gateway has forwarded.
+     * Accepts or refuses a publish that a gateway has forwarded.
      *
      * @return true where it is pending, so that its outcome may be decided at once
      */
@@ -65,7 +65,7 @@
         return admitSequence(gateway, publish, group, requiredReplicas, time);
     }
 
-    /** Why this node cannot take any publish of the space just now; null where it can. */
+    /** Why this node cannot accept any publish of the space at present; null where it can. */
     private String unavailableReason(
             final Publish publish, final GroupMachine group, final Configuration.Space space, final long now) {
         if (!client.leased(now)) {
@@ -118,7 +118,7 @@
         return true;
     }
 
-    /** Why nothing new may be appended to the group's log just now; null where it may. */
+    /** Why nothing new may be appended to the group's log at present; null where it may. */
     private static String appendObstacle(
             final TopicState state, final GroupMachine group, final int requiredReplicas, final long now) {
         if (state.senders() >= MAX_SENDERS) {
--- a/coordination/src/main/java/brookpath/coordination/node/storage/TopicGroups.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/TopicGroups.java
@@ -17,7 +17,7 @@
 import java.util.function.IntFunction;
 
 /**
- * The topic groups that have a replica on this machine: opened when the cluster metadata names this node as a member,
+ * The topic groups that have a replica on this node: opened when the cluster metadata names this node as a member,
  * dropped when a newer group version no longer does, and rebuilt from the log at the start.
  *
  * <p>Invariant: a group is dropped only after the group's own log has committed a membership without this node.
@@ -58,17 +58,17 @@
         return (TopicState) group.live();
     }
 
-    /** The replica of a group; null where this machine has none. */
+    /** This node's replica of a group; null where it has none. */
     public GroupMachine get(final int id) {
         return groups.get(id);
     }
 
-    /** All replicas of this machine, by the groups' IDs. */
+    /** All replicas of this node, in the order of the groups' IDs. */
     public Collection<GroupMachine> all() {
         return groups.values();
     }
 
-    /** What the cluster metadata tells of a group; null where it has no such group. */
+    /** The cluster metadata of a group; null where there is no such group. */
     GroupInfo metadataOf(final int id) {
         for (final GroupInfo info : client.metadata().groups()) {
             if (info.id() == id) {
@@ -90,7 +90,7 @@
     }
 
     /**
-     * Opens, reconfigures and drops groups as newer cluster metadata says.
+     * Opens, reconfigures and drops groups according to newer cluster metadata.
      *
      * @return the IDs of the groups that were dropped
      */
--- a/coordination/src/main/java/brookpath/coordination/node/storage/UsageWindowReporter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/UsageWindowReporter.java
@@ -35,7 +35,10 @@
         this.out = out;
     }
 
-    /** Once the cluster's clock has passed a window's end, a log record says that nothing more is counted in it. */
+    /**
+     * Closes each window whose end the cluster's clock has passed, by a log record after which nothing is counted in
+     * it.
+     */
     public void closeEndedWindows(final GroupMachine group, final Time time) {
         if (!client.clockKnown()) {
             return;
@@ -77,7 +80,7 @@
         return buffer.toByteArray();
     }
 
-    /** The control leader's reply: the newest window of the group that its log has. */
+    /** Handles the control leader's reply: the newest window of the group that the control log has. */
     public void acknowledged(final ControlReply reply) {
         if (reply.status() == OK.code()) {
             acknowledgedWindow.put(
--- a/coordination/src/main/java/brookpath/coordination/node/usage/PostOutcome.java
+++ b/coordination/src/main/java/brookpath/coordination/node/usage/PostOutcome.java
@@ -1,28 +1,28 @@
 package brookpath.coordination.node.usage;
 
 /**
- * How a call to the platform ended. A report may be sent again after any end but the first: its counts come from the
- * control log, so a repeat is exact, and the platform ignores exact repeats of a window.
+ * The outcome of a post to the platform. A report may be retried after any outcome but the first: its counts come from
+ * the control log, so a repeat is exact, and the platform ignores exact repeats of a window.
  */
 public enum PostOutcome {
-    /** The platform has taken it. */
+    /** The platform has accepted it. */
     ACCEPTED,
-    /** It certainly did not arrive: no connection came about. */
+    /** It certainly did not arrive: no connection was established. */
     NOT_SENT,
-    /** The platform did not take it, for there are too many calls just now. */
+    /** The platform did not accept it, for there are too many calls at present. */
     THROTTLED,
     /** The platform has seen a higher fencing token: another process leads, or did. */
     FENCED,
     /** The platform answered that it failed, or refused for another reason. Whether it was counted is not known. */
     FAILED,
-    /** It was sent, and no whole answer came: silence, a reset, or an answer that cannot be read. */
+    /** It was sent, and no complete response arrived: a timeout, a reset, or an unreadable response. */
     UNKNOWN;
 
     private static final int SUCCESS = 2;
     private static final int CONFLICT = 409;
     private static final int TOO_MANY_REQUESTS = 429;
 
-    /** What an HTTP status of the platform says. */
+    /** The outcome that an HTTP status of the platform stands for. */
     public static PostOutcome ofStatus(final int status) {
         if (status / 100 == SUCCESS) {
             return ACCEPTED;
--- a/coordination/src/main/java/brookpath/coordination/node/usage/UsageReporter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/usage/UsageReporter.java
@@ -24,17 +24,21 @@
 import java.util.function.LongSupplier;
 
 /**
- * Reports usage for the control leader: the totals of a window go into the control log before they go to the platform.
+ * Reports usage for the control leader: the totals of a window are committed to the control log before they are posted
+ * to the platform.
  */
 public final class UsageReporter {
-    /** Goes at one report: about an hour of a platform that is down, as long as the groups keep their windows. */
+    /**
+     * The most attempts at one report: about an hour of unavailability of the platform, as long as the groups keep
+     * their windows.
+     */
     private static final int MAX_ATTEMPTS = 1_200;
 
     private static final int MAX_POSTS_IN_FLIGHT = 8;
     private static final int MAX_DOUBLINGS = 6;
 
     /**
-     * What a group's leader has reported and no total includes yet.
+     * The windows that a group's leader has reported and no total includes yet.
      *
      * @param closed the newest window that the group has closed
      */
@@ -74,7 +78,7 @@
     private final TreeMap<Integer, ClosedWindows> closedWindows = new TreeMap<>();
     private final TreeMap<Long, Post> posts = new TreeMap<>();
 
-    /** @param ids of posts, never the same twice */
+    /** @param ids gives the IDs of posts, each once */
     public UsageReporter(
             final int self,
             final GroupMachine group,
@@ -92,15 +96,15 @@
         this.out = out;
     }
 
-    /** What a leader knows and its successor must learn anew. */
+    /** Discards all state when the leadership ends; a successor rebuilds its own. */
     public void clear() {
         closedWindows.clear();
         posts.clear();
     }
 
     /**
-     * A group's leader tells its closed windows; returns through which of them it is counted for good, -1 where that is
-     * not settled.
+     * Records the closed windows that a group's leader reports; returns the newest of them that committed totals
+     * include, -1 while that is undecided.
      */
     public long takeClosedWindows(final ControlRequest request) {
         final PackedBuffer in = PackedBuffer.reader(request.body());
@@ -115,11 +119,11 @@
             }
             closedWindows.put(id, new ClosedWindows(closed, counts));
         }
-        // What is only appended may still be lost, and the group would forget to tell it again
+        // An uncommitted total may still be lost, but the group would not report its windows again
         return group.committed() >= group.endIndex() ? included : -1;
     }
 
-    /** Totals the next window once all groups have closed it, or its time for stragglers is up. */
+    /** Totals the next window once all groups have closed it, or the time allowed for late groups is over. */
     public void total(final ClusterMetadata metadata, final Set<String> tenants, final Time time) {
         if (closedWindows.isEmpty() || metadata.groups().isEmpty() || !clock.known()) {
             return;
@@ -186,7 +190,7 @@
         return upTo;
     }
 
-    /** Posts what the log has committed and the platform has not taken yet. */
+    /** Posts the committed totals that the platform has not accepted yet. */
     public void report(final Time time) {
         final long now = time.mono();
         for (final ControlState.Window w : view.state().undelivered(group.committed())) {
@@ -225,13 +229,13 @@
                 .toString();
     }
 
-    /** What became of a post. */
+    /** Handles the outcome of a post. */
     public void posted(final NodeRequest.Posted j, final Time time) {
         final Post p = posts.get(j.requestId());
         if (p == null) {
             return;
         }
-        // The lease may have run out for a moment only, and the report must not wait for ever then
+        // The lease may have expired only briefly, so that the report must be retried
         p.inFlight = false;
         p.nextAt = time.mono() + pause(j.outcome(), p.attempts);
         final boolean ok = j.outcome() == PostOutcome.ACCEPTED;
@@ -242,19 +246,19 @@
         }
     }
 
-    /** How long to wait before a report goes again. */
+    /** The delay before a report is posted again, in milliseconds. */
     private long pause(final PostOutcome outcome, final int attempts) {
         return switch (outcome) {
             case ACCEPTED -> 0;
-            // Whoever leads by now reports the same numbers from the same log; going on would only cost
-            // calls, and a leader that is still the newest comes through later
+            // A newer leader reports the same numbers from the same log, so that quick retries would only cost calls; a
+            // leader that is still the newest succeeds later
             case FENCED -> timing.recoverMs();
             case NOT_SENT, THROTTLED, FAILED, UNKNOWN ->
                 Math.min(timing.recoverMs() / 4, timing.down() << Math.min(attempts, MAX_DOUBLINGS));
         };
     }
 
-    /** The committed totals and what became of their reports, for operators. */
+    /** The committed totals and the outcomes of their reports, as JSON for operators. */
     public String windowsJson() {
         final JsonArrayBuilder arr = Json.createArrayBuilder();
         for (final ControlState.Window w : view.state().windows()) {
--- a/coordination/src/main/java/brookpath/coordination/placement/MovePlan.java
+++ b/coordination/src/main/java/brookpath/coordination/placement/MovePlan.java
@@ -14,12 +14,12 @@
 import java.util.Set;
 
 /**
- * Which copies are to move, and which masterships: asked by the controller again and again, and by the planner, which
- * changes nothing. It follows from the cluster metadata alone, so that any control leader goes on with what another
- * began; nothing of a move is kept but the memberships themselves.
+ * Decides which replicas and leaderships are to move. The control leader calls it periodically; the planner calls it
+ * too, without effect. The result is derived from the cluster metadata alone, so that any control leader continues what
+ * another began; no state of a move is kept but the memberships themselves.
  */
 public final class MovePlan {
-    /** The most groups whose replicas move at the same time, so that the others are not slowed. */
+    /** The most groups whose replicas move at the same time, to bound the load on the others. */
     public static final int MAX_CONCURRENT_MOVES = 4;
 
     /** Weighs a replica in a zone that has none yet against the load of single nodes. */
@@ -31,9 +31,9 @@
     private static final int NO_NODE = 0;
 
     /**
-     * A copy of the group goes from one node to another.
+     * A move of one replica of the group from one node to another.
      *
-     * @param repair the one that leaves is taken for gone
+     * @param repair the node that leaves is considered lost
      */
     public record Move(int group, int from, NodeInfo to, String why, boolean repair) {
         Move(final int group, final int from, final NodeInfo to, final String why) {
@@ -47,23 +47,26 @@
     }
 
     /**
-     * What the control leader has heard of the storage machines.
+     * The liveness of the storage nodes as the control leader sees it.
      *
-     * @param alive heard lately
-     * @param steady those among them that have been heard for so long that it is worth moving something to them
-     * @param lost silent for so long that their copies are to be made elsewhere
+     * @param alive those that have polled lately
+     * @param steady those among them that have been alive for long enough to receive replicas or leaderships
+     * @param lost those silent for so long that their replicas are to be rebuilt elsewhere
      */
     public record StorageLiveness(Set<Integer> alive, Set<Integer> steady, Set<Integer> lost) {}
 
-    /** The group's leadership goes to a member that ranks higher. */
+    /** A transfer of the group's leadership to a member that ranks higher. */
     public record Switchover(int group, int from, int to) {}
 
-    /** What retiring a machine, or keeping it after all, comes to: the cluster metadata then, or why not. */
+    /**
+     * The result of retiring a storage node, or of cancelling that: the resulting cluster metadata, or the findings
+     * against it.
+     */
     public record Retirement(ClusterMetadata then, List<Finding> findings) {}
 
     private MovePlan() {}
 
-    /** Plans to empty a storage node, or with {@code on} false to keep it after all. */
+    /** Plans to retire a storage node, or with {@code on} false to cancel its retirement. */
     public static Retirement retire(
             final ClusterMetadata metadata, final int node, final boolean on, final Set<Integer> alive) {
         final List<Finding> findings = new ArrayList<>();
@@ -89,9 +92,7 @@
         return new Retirement(then, findings);
     }
 
-    /**
-     * The cluster metadata after one step of a move, as the group's leader takes it; null where nothing is left of it.
-     */
+    /** The cluster metadata after one step of a move by the group's leader; null where the move is complete. */
     public static ClusterMetadata after(final ClusterMetadata metadata, final Move m) {
         final GroupInfo g = metadata.groups().get(m.group());
         final Member from = Membership.find(g.members(), m.from());
@@ -103,16 +104,17 @@
         return next == null ? null : metadata.with(new GroupInfo(g.id(), g.founded(), next));
     }
 
-    /** The moves to be driven on now, one step each, where no machine is taken for gone. */
+    /** The moves that are due, one step each, where no node is considered lost. */
     public static List<Move> next(
             final ClusterMetadata metadata, final Set<Integer> alive, final Set<Integer> steady, final int copies) {
         return next(metadata, new StorageLiveness(alive, steady, Set.of()), copies);
     }
 
-    /** The moves to be driven on now, one step each. */
+    /** The moves that are due, one step each. */
     public static List<Move> next(final ClusterMetadata metadata, final StorageLiveness liveness, final int copies) {
         final List<Move> moves = new ArrayList<>();
-        // What has begun is ended first, else a change of plans would leave copies half moved everywhere
+        // Moves in progress are completed first, else a change of plans would leave partly moved replicas in many
+        // groups
         for (final GroupInfo g : metadata.groups()) {
             if (g.founded() && underWay(g, copies)) {
                 final Move m = continueMove(metadata, g, liveness, copies);
@@ -121,7 +123,7 @@
                 }
             }
         }
-        // A group that is a copy short comes before one whose copy only has to go elsewhere
+        // A group with too few replicas has priority over one whose replica only has to move
         begin(metadata, liveness, copies, liveness.lost, moves);
         begin(metadata, liveness, copies, metadata.retiring(), moves);
         if (moves.isEmpty()) {
@@ -152,7 +154,9 @@
         }
     }
 
-    /** The cluster metadata with the moves begun, so that machines that are about to get a copy count as fuller. */
+    /**
+     * The cluster metadata as if the moves had begun, so that nodes about to receive a replica count as more loaded.
+     */
     private static ClusterMetadata planned(final ClusterMetadata metadata, final List<Move> moves) {
         ClusterMetadata then = metadata;
         for (final Move m : moves) {
@@ -174,7 +178,7 @@
         return g.members().size() > copies || !g.membership().learners().isEmpty();
     }
 
-    /** The voter that leaves: one that is gone before one that retires; 0 for none. */
+    /** The voter to be removed: a lost one before a retiring one; 0 for none. */
     private static int leaving(final ClusterMetadata metadata, final GroupInfo g, final StorageLiveness liveness) {
         final int gone = leaving(g, liveness.lost);
         return gone != 0 ? gone : leaving(g, metadata.retiring());
@@ -190,8 +194,8 @@
     }
 
     /**
-     * The next step for a group with a learner, or with one voter too many: who learns becomes a voter, then the one
-     * that leaves is let go. A learner that leaves itself goes first. Null where the step has to wait.
+     * The next step for a group with a learner, or with one voter too many: the learner becomes a voter, then the
+     * leaving voter is removed. A learner that leaves itself is removed first. Null where the step has to wait.
      */
     private static Move continueMove(
             final ClusterMetadata metadata, final GroupInfo g, final StorageLiveness liveness, final int copies) {
@@ -225,7 +229,7 @@
         return new Move(g.id(), from, stays, "it has a copy more than it needs");
     }
 
-    /** Goes on with the first learner that is alive; null where there is none. */
+    /** The next step for the first learner that is alive; null where there is none. */
     private static Move continueWithLearner(
             final ClusterMetadata metadata,
             final GroupInfo g,
@@ -269,12 +273,12 @@
     }
 
     /**
-     * One move that makes the spread over machines better by two, and the spread over zones no worse; null where there
-     * is none.
+     * One move that reduces the imbalance between two nodes by two replicas, and makes the spread over zones no worse;
+     * null where there is none.
      */
     private static Move spread(final ClusterMetadata metadata, final Set<Integer> steady, final int copies) {
         Move best = null;
-        // A difference of one would only swap sides, so such moves would go to and fro
+        // A difference of one would only change sides, so that such moves would alternate endlessly
         int bestGain = 1;
         for (final GroupInfo g : metadata.groups()) {
             if (!isMovable(g, steady, copies)) {
@@ -297,7 +301,7 @@
         return best;
     }
 
-    /** With a member away no replica is moved for the sake of an even spread. */
+    /** Whether all members are present; while one is missing, no replica is moved just for an even spread. */
     private static boolean isMovable(final GroupInfo g, final Set<Integer> steady, final int copies) {
         return g.founded()
                 && g.members().size() == copies
@@ -333,8 +337,8 @@
     }
 
     /**
-     * The first group whose leader is not its highest rank, though that one is steady; null where all is as the weights
-     * spread it.
+     * The first group whose leader is not its highest-ranking member, though that one is steady; null where all leaders
+     * follow the weights.
      */
     public static Switchover switchover(
             final ClusterMetadata metadata, final Map<Integer, Integer> leaders, final Set<Integer> steady) {
@@ -355,7 +359,7 @@
     }
 
     /**
-     * The member of the greatest weight that does not retire, of equal ones that of the highest number; null for none.
+     * The member of the greatest weight that does not retire, of equal weights the highest node number; null for none.
      */
     private static Member highestRanked(final ClusterMetadata metadata, final GroupInfo g) {
         Member first = null;
--- a/coordination/src/main/java/brookpath/coordination/placement/Placement.java
+++ b/coordination/src/main/java/brookpath/coordination/placement/Placement.java
@@ -24,7 +24,7 @@
         final List<GroupInfo> placed = new ArrayList<>();
         for (int g = 0; g < groups; g++) {
             final List<NodeInfo> chosen = new ArrayList<>();
-            // First one of each zone, then whoever is left, beginning elsewhere for each group
+            // First one node of each zone, then the remaining ones, with another start for each group
             for (int round = 0; round < 2; round++) {
                 for (int i = 0; i < sorted.size() && chosen.size() < copies; i++) {
                     final NodeInfo n = sorted.get((g + i) % sorted.size());
@@ -45,7 +45,7 @@
         return placed;
     }
 
-    /** The storage node that best takes the place of another in a group, or null where none can. */
+    /** The storage node that best replaces another in a group; null where none can. */
     public static NodeInfo replacementFor(
             final ClusterMetadata metadata, final GroupInfo g, final int leaving, final Set<Integer> alive) {
         NodeInfo best = null;
@@ -62,7 +62,7 @@
             final int load = (int) metadata.groups().stream()
                     .filter(o -> o.membership().holds(n.node()))
                     .count();
-            // One that learns already is taken to the end, else two would be made to learn
+            // An existing learner is kept, else the group would get two
             final int score = load
                     + (sameZone ? 10_000 : 0)
                     - (Membership.find(g.membership().learners(), n.node()) != null ? 100_000 : 0);
@@ -74,7 +74,7 @@
         return best;
     }
 
-    /** The group of a topic. A space that promises one order for all lies in one group. */
+    /** The group ID of a topic. A space that guarantees one order over all its topics maps to one group. */
     public static int groupOf(final String topic, final Configuration.Space space, final int groups) {
         int h = 0x811c9dc5;
         final String hashed = space.one() ? space.name() : topic;
--- a/coordination/src/main/java/brookpath/coordination/placement/StorageFailureDetector.java
+++ b/coordination/src/main/java/brookpath/coordination/placement/StorageFailureDetector.java
@@ -8,8 +8,8 @@
 import java.util.TreeSet;
 
 /**
- * Judges which storage nodes are lost, from when the control leader heard each of them last. It judges nothing while
- * most of them are silent, for then it is more likely cut off itself.
+ * Decides which storage nodes are lost, from when each last polled the control leader. It considers none newly lost
+ * while most of them are silent, for then this controller is more likely partitioned itself.
  */
 public final class StorageFailureDetector {
     private final TimingBounds timing;
@@ -17,7 +17,10 @@
     private final Map<Integer, Long> heardAt;
     private final long now;
 
-    /** @param heardAt when each storage machine polled last; one that has not polled this control leader is missing */
+    /**
+     * @param heardAt when each storage node polled last, in monotonic milliseconds; a node that has not polled this
+     *     control leader is absent
+     */
     public StorageFailureDetector(
             final TimingBounds timing,
             final ClusterMetadata metadata,
@@ -29,7 +32,7 @@
         this.now = now;
     }
 
-    /** The machines heard lately enough to be given copies. */
+    /** The nodes that have polled recently enough to be given replicas. */
     public Set<Integer> alive() {
         final Set<Integer> alive = new HashSet<>();
         heardAt.forEach((node, at) -> {
@@ -41,10 +44,11 @@
     }
 
     /**
-     * The machines that hold copies and are to be taken for lost.
+     * The nodes that have replicas and are considered lost.
      *
-     * @param leadingSince since when this control leader has led; whoever polled its predecessor needs time to find it
-     * @param lostBefore those taken for lost so far: they stay so until they are heard
+     * @param leadingSince when this control leader began to lead; nodes that polled its predecessor need time to find
+     *     it
+     * @param lostBefore the nodes considered lost so far; they remain so until they poll
      */
     public Set<Integer> lost(final long leadingSince, final Set<Integer> lostBefore) {
         final Set<Integer> alive = alive();
@@ -75,7 +79,7 @@
         return holders;
     }
 
-    /** Whether a live machine waits for copies: with one at hand, nothing is lost by filling it early. */
+    /** Whether a live node has no replicas; such a spare can be filled early at no cost. */
     private boolean anyEmpty(final Set<Integer> alive) {
         final Set<Integer> holders = holders();
         return alive.stream()
--- a/coordination/src/main/java/brookpath/coordination/placement/package-info.java
+++ b/coordination/src/main/java/brookpath/coordination/placement/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Decides where topic groups lie: the first placement, the moves of replicas afterwards, and which storage nodes are
- * taken for lost. Everything here follows from the cluster metadata and from when nodes were heard last; nothing is
- * stored and nothing is sent.
+ * Decides the placement of topic groups: {@link brookpath.coordination.placement.Placement} the first one,
+ * {@link brookpath.coordination.placement.MovePlan} the later moves of replicas and leaderships, and
+ * {@link brookpath.coordination.placement.StorageFailureDetector} which storage nodes are considered lost. All of it is
+ * computed from the cluster metadata and from the times of the nodes' last polls; nothing is stored or sent.
  */
 package brookpath.coordination.placement;
--- a/coordination/src/main/java/brookpath/coordination/route/Refusals.java
+++ b/coordination/src/main/java/brookpath/coordination/route/Refusals.java
@@ -5,32 +5,32 @@
 import brookpath.coordination.message.ResponseStatus;
 import jakarta.json.Json;
 
-/** Builds the responses to requests that are not carried out. */
+/** Builds the responses to requests that are refused or whose outcome is unknown. */
 public final class Refusals {
     private Refusals() {}
 
-    /** A request that was certainly not carried out. */
+    /** Refuses a request that was certainly not executed. */
     public static Response refused(
             final ResponseStatus status, final int retryAfterMs, final String code, final String why) {
         return response(status, retryAfterMs, "refused", code, why);
     }
 
-    /** A request that was certainly not carried out and may be repeated after the time that the response names. */
+    /** Refuses a request that was certainly not executed and may be retried after the delay in the response. */
     public static Response retryLater(final TimingBounds timing, final String code, final String why) {
         return refused(ResponseStatus.UNAVAILABLE, timing.retryAfterMs(), code, why);
     }
 
-    /** Whether the same request may be carried out later. */
+    /** Whether the same request may succeed later. */
     public static boolean isTemporary(final Response refusal) {
         return refusal.is(ResponseStatus.UNAVAILABLE);
     }
 
     /**
-     * A request that had any outcome but success.
+     * The response to a request with any outcome but success.
      *
-     * @param outcome "refused" where the request was certainly not carried out
+     * @param outcome "refused" where the request was certainly not executed
      * @param code the kind of the failure in one word
-     * @param why the reason in a sentence
+     * @param why the reason, in a sentence
      */
     public static Response response(
             final ResponseStatus status,
