--- a/coordination/src/main/java/brookpath/coordination/route/Route.java
+++ b/coordination/src/main/java/brookpath/coordination/route/Route.java
@@ -5,13 +5,13 @@
 import brookpath.coordination.message.ResponseStatus;
 
 /**
- * Where a request goes, and why; or the refusal that it gets.
+ * The destination of a request with the reason, or its refusal.
  *
- * @param refusal null where the request may go on
+ * @param refusal null where the request is admitted
  * @param tenant the tenant whose key was given; empty where none was
  * @param group the topic's group; -1 with a refusal
- * @param node the node that takes the request; 0 where that is left open
- * @param because the decision in a sentence, for operators
+ * @param node the node that the request is sent to; 0 where that is undecided
+ * @param because the reason for the decision in a sentence, for operators
  */
 public record Route(Response refusal, String tenant, int group, int node, String because) {
     private static final int NO_GROUP = -1;
--- a/coordination/src/main/java/brookpath/coordination/route/RouteFinder.java
+++ b/coordination/src/main/java/brookpath/coordination/route/RouteFinder.java
@@ -15,17 +15,17 @@
 import brookpath.coordination.placement.Placement;
 import java.util.function.IntPredicate;
 
-/** Decides where a request goes, from immutable tables alone. Whoever asks sends it there. */
+/** Decides the destination of a request from immutable tables alone; sending it is up to the caller. Immutable. */
 public final class RouteFinder {
     /**
-     * The refusal's code where no space has such a topic; callers over HTTP are not told it by status from a space that
-     * is not theirs.
+     * The refusal's code where no space has such a topic; the HTTP status does not distinguish it from a space without
+     * permission.
      */
     public static final String UNKNOWN_SPACE = "space";
 
     private static final String TOPIC = "[!-~]{1,200}";
 
-    /** Members to read from are compared by these, the heaviest first. */
+    /** The preferences among members to read from, the strongest first. */
     private static final int AVOIDED_PENALTY = 8;
 
     private static final int OTHER_ZONE_PENALTY = 4;
@@ -43,7 +43,7 @@
      * @param metadata the cluster's metadata: which members each group has
      * @param table the newest heartbeats
      * @param leased whether this node holds the lease on the configuration
-     * @param zone the zone of this node, where history is read from if it can be
+     * @param zone the zone of this node, which is preferred for reads of history
      */
     public RouteFinder(
             final Configuration configuration,
@@ -60,19 +60,19 @@
         this.timing = timing;
     }
 
-    /** May the key use the topic, and which group holds it? The node is left open. */
+    /** Checks whether the key may use the topic, and finds its group. The node remains undecided. */
     public Route admit(final String key, final String topic) {
         if (!topic.matches(TOPIC)) {
             return refused(
                     ResponseStatus.BAD_REQUEST, 0, "topic", "a topic is 1 to 200 printable characters without a space");
         }
         if (!leased) {
-            // the key may have been removed since; safety comes first
+            // the key may have been removed since, so that the request is refused
             return unavailable(timing, "spec", "this node has not heard from the control plane lately");
         }
         final Configuration.Tenant tenant = configuration.tenantOf(key);
         final Configuration.Space space = configuration.spaceOf(topic);
-        // the key is judged first; who has none learns nothing of the spaces but whether one is open
+        // the key is checked first, so that callers without one learn only whether a space is open
         if (tenant == null && (!key.isEmpty() || (space != null && !space.open()))) {
             return refused(ResponseStatus.UNAUTHORIZED, 0, "key", key.isEmpty() ? "a key is needed" : "unknown key");
         }
@@ -95,7 +95,7 @@
                 "spec " + configuration.version() + " puts " + topic + " into group " + group);
     }
 
-    /** Publishes go to the group's leader, as the roles in the heartbeats tell it. */
+    /** The route of a publish: to the group's leader according to the heartbeats. */
     public Route publish(final String key, final String topic, final long now) {
         final Route route = admit(key, topic);
         return route.isRefused() ? route : toLeader(route, now);
@@ -111,12 +111,12 @@
         public static final Leader NONE = new Leader(0, -1);
     }
 
-    /** Who leads the group, as the roles in the heartbeats tell it. */
+    /** The leader of the group according to the roles in the heartbeats. */
     public Leader leader(final int group, final long now) {
         Leader leader = Leader.NONE;
         for (final Member m : groupOf(group).members()) {
             final HeartbeatEntry e = table.fresh(m.node(), group, now);
-            // two may call themselves leader for a moment; the later term is the true one
+            // two members may claim leadership briefly; the higher term is valid
             if (e != null && e.role() == GroupMachine.LEADER && e.term() > leader.term && table.up(m.node())) {
                 leader = new Leader(m.node(), e.term());
             }
@@ -124,7 +124,7 @@
         return leader;
     }
 
-    /** An admitted route to the group's leader; refused for now where there is none. */
+    /** An admitted route to the group's leader; a retryable refusal where there is none. */
     public Route toLeader(final Route route, final long now) {
         final Leader leader = leader(route.group(), now);
         if (leader.node == 0) {
@@ -139,10 +139,9 @@
     }
 
     /**
-     * History is read from the nearest member that is in sync: same zone first, followers before the leader. 0 for
-     * none.
+     * Selects the member to read history from: in sync, same zone first, followers before the leader. 0 for none.
      *
-     * @param avoided those that have not responded lately are asked last
+     * @param avoided nodes that have not responded lately, which are selected last
      */
     public int nearest(final int group, final IntPredicate avoided, final long now) {
         int best = 0;
--- a/coordination/src/main/java/brookpath/coordination/topic/SenderSequences.java
+++ b/coordination/src/main/java/brookpath/coordination/topic/SenderSequences.java
@@ -5,9 +5,12 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Per topic, which sequences of which sender were appended and where, and up to where the history was trimmed. */
+/**
+ * The sequences that each sender has appended to each topic with their log positions, and the position up to which each
+ * topic was trimmed.
+ */
 final class SenderSequences {
-    /** So many of a sender's messages can be told from a sequence that was never seen. */
+    /** The number of a sender's newest messages that are recognized as repeats. */
     private static final int MAX_REMEMBERED = 256;
 
     /** A message as it was appended. */
@@ -15,7 +18,7 @@
 
     private static final class Sender {
         long lastSeq;
-        /** When the last message was appended, by the log's own time. */
+        /** When the last message was appended, by the stamps in the log. */
         long lastStamp;
 
         final ArrayDeque<Appended> recent = new ArrayDeque<>();
@@ -29,7 +32,7 @@
     private final TreeMap<String, Topic> topics = new TreeMap<>();
     private int senderCount;
 
-    /** How many (topic, sender) pairs are remembered. */
+    /** The number of (topic, sender) pairs that are remembered. */
     int senderCount() {
         return senderCount;
     }
@@ -66,8 +69,8 @@
     }
 
     /**
-     * Forgets the senders whose last message is older. What was trimmed of a topic stays remembered, for else a cursor
-     * from before would pass for a good one; it is one number.
+     * Removes the senders whose last message is older. The trimmed position of a topic is kept, one number each, since
+     * an outdated cursor would be accepted otherwise.
      */
     void forget(final long before) {
         for (final Topic topic : topics.values()) {
--- a/coordination/src/main/java/brookpath/coordination/topic/TopicState.java
+++ b/coordination/src/main/java/brookpath/coordination/topic/TopicState.java
@@ -9,23 +9,23 @@
 import java.util.function.ToLongFunction;
 
 /**
- * What follows from a topic group's log: the senders' sequences, up to where each topic's history is gone, and the
- * usage per window.
+ * The state derived from a topic group's log: the senders' sequences, the position up to which each topic was trimmed,
+ * and the usage per window. Not thread-safe.
  */
 public final class TopicState implements LogState {
-    /** {@link #lookUp} gives this for a sequence above the sender's last. */
+    /** The result of {@link #lookUp} for a sequence above the sender's last. */
     public static final long NEW = 0;
 
-    /** {@link #lookUp} gives this for a sequence below the last that was not seen, or too long ago. */
+    /** The result of {@link #lookUp} for a lower sequence that was never appended, or too long ago. */
     public static final long TOO_LOW = -1;
 
     /**
-     * A sender is forgotten this long after its last message, by the log's own time. A repeat that is older was given
-     * up long before.
+     * A sender is forgotten this long after its last message, in milliseconds by the stamps in the log. Retries end
+     * long before.
      */
     private static final long FORGET_MS = 3_600_000;
 
-    /** What a tenant had committed in a window. */
+    /** What a tenant has published in a window: messages and bytes. */
     public record Count(long window, String tenant, long publishes, long bytes) {}
 
     private final ToLongFunction<String> keeping;
@@ -33,8 +33,8 @@
     private final UsageWindows usage;
 
     /**
-     * @param keeping how long a topic's history is kept, in milliseconds
-     * @param windowMs the length of a usage window
+     * @param keeping gives how long a topic's history is kept, in milliseconds
+     * @param windowMs the length of a usage window, in milliseconds
      */
     public TopicState(final ToLongFunction<String> keeping, final long windowMs) {
         this.keeping = keeping;
@@ -46,22 +46,22 @@
         return usage.closed(position);
     }
 
-    /** The counts of the windows after one, up to another. */
+    /** The counts of the windows after {@code after}, up to and including {@code upTo}. */
     public List<Count> counts(final long after, final long upTo) {
         return usage.counts(after, upTo);
     }
 
-    /** How many (topic, sender) pairs are remembered. */
+    /** The number of (topic, sender) pairs that are remembered. */
     public int senders() {
         return senders.senderCount();
     }
 
-    /** The position of a repeat, NEW, or TOO_LOW for a sequence below the last that was not seen. */
+    /** The log position of a repeat; {@link #NEW} or {@link #TOO_LOW} for a sequence that is not known. */
     public long lookUp(final String topic, final String sender, final long seq) {
         return senders.lookUp(topic, sender, seq);
     }
 
-    /** The index of the newest record of the topic that is no longer kept. */
+    /** The index of the newest record of the topic that was trimmed; 0 for none. */
     public long gone(final String topic) {
         return senders.trimmedThrough(topic);
     }
--- a/coordination/src/main/java/brookpath/coordination/topic/UsageWindows.java
+++ b/coordination/src/main/java/brookpath/coordination/topic/UsageWindows.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What each tenant had committed, per usage window, and which windows the log has closed. */
+/** What each tenant has published, per usage window, and which windows the log has closed. */
 final class UsageWindows {
-    /** The most windows that are kept, and the most closings. */
+    /** The most windows, and the most closing records, that are kept. */
     private static final int MAX_WINDOWS = 360;
 
-    /** What a tenant had committed. */
+    /** The messages and bytes that a tenant has published. */
     private record Usage(long publishes, long bytes) {
         static final Usage NONE = new Usage(0, 0);
 
@@ -40,7 +40,7 @@
         return -1;
     }
 
-    /** The counts of the windows after one, up to another. */
+    /** The counts of the windows after {@code after}, up to and including {@code upTo}. */
     List<Count> counts(final long after, final long upTo) {
         final List<Count> counts = new ArrayList<>();
         byWindow.subMap(after, false, upTo, true)
@@ -49,7 +49,9 @@
         return counts;
     }
 
-    /** Counts a message. What a leader with a slow clock stamps after a window was closed belongs to the next. */
+    /**
+     * Counts a message. A message stamped in a closed window, by a leader with a slow clock, counts in the next one.
+     */
     void add(final long stamp, final String tenant, final long bytes) {
         final long window = Math.max(stamp / windowMs, closedAt.isEmpty() ? 0 : closedAt.lastKey() + 1);
         add(window, tenant, new Usage(1, bytes));
@@ -63,7 +65,9 @@
         }
     }
 
-    /** Nothing may go uncounted however long the control plane is away, so the oldest are counted with the next. */
+    /**
+     * Adds the oldest window to the next one, so that nothing is lost however long the control plane is unavailable.
+     */
     private void mergeOldest() {
         final TreeMap<String, Usage> oldest = byWindow.pollFirstEntry().getValue();
         oldest.forEach((tenant, usage) -> add(byWindow.firstKey(), tenant, usage));
