--- a/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
@@ -252,7 +252,7 @@
         return machine.log.syncBacklogged();
     }
 
-    /** A digest of the whole log up to the index; -1 where this replica does not reach. */
+    /** A digest of the complete log up to the index; -1 where this replica does not hold it. */
     public long chainAt(final long index) {
         return machine.log.digestAt(index);
     }
--- a/coordination/src/main/java/brookpath/coordination/group/GroupMembership.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupMembership.java
@@ -116,7 +116,7 @@
         return NO_VOTER;
     }
 
-    /** Whether the first of two voters goes before the second where their logs end alike. */
+    /** Whether the first of two voters ranks above the second in an election where their logs are equal. */
     boolean outranks(final int one, final int other) {
         final int weightOfOne = weight(one);
         final int weightOfOther = weight(other);
--- a/coordination/src/main/java/brookpath/coordination/group/LeaderElection.java
+++ b/coordination/src/main/java/brookpath/coordination/group/LeaderElection.java
@@ -15,7 +15,7 @@
  * the group's state thread owns it.
  */
 final class LeaderElection {
-    /** After so many failed attempts nobody defers to a higher rank any more. */
+    /** After so many failed attempts a member no longer defers to a higher rank. */
     private static final int DEFERRING_ATTEMPTS = 3;
 
     private static final int MAX_BACKOFF_ATTEMPTS = 4;
--- a/coordination/src/main/java/brookpath/coordination/group/LeaderLease.java
+++ b/coordination/src/main/java/brookpath/coordination/group/LeaderLease.java
@@ -44,7 +44,7 @@
 
     /**
      * Whether this member may act as the leader now: it has committed the record that opened its term, holds the lease
-     * and has asked nobody to take over.
+     * and is not transferring the leadership.
      */
     boolean mayAct(final long now) {
         return roleState.isLeader()
--- a/coordination/src/main/java/brookpath/coordination/group/LogFetcher.java
+++ b/coordination/src/main/java/brookpath/coordination/group/LogFetcher.java
@@ -68,7 +68,7 @@
 
     /** Whether this follower has all that the leader which it hears has committed. */
     boolean isInSync(final long now) {
-        // why: a follower that hears its leader but is not heard gets no more of the log, and would not notice
+        // why: a follower that hears its leader but is not heard gets no further records, and would not notice
         return inSync
                 && !recovery.isLost()
                 && roleState.leader() != PeerView.NOBODY
--- a/coordination/src/main/java/brookpath/coordination/group/Membership.java
+++ b/coordination/src/main/java/brookpath/coordination/group/Membership.java
@@ -103,7 +103,7 @@
      * The next single step on the way from a lost node to another, or null where nothing is left to do. The lost one
      * leaves before the learner becomes a voter, so that no majority ever counts on the learner being up.
      *
-     * @param from 0 where a voter is missing and nobody leaves
+     * @param from 0 where a voter is missing and none leaves
      */
     public Membership repairStep(final int from, final Member to) {
         final Member learner = find(learners, to.node());
--- a/coordination/src/main/java/brookpath/coordination/group/MembershipDriver.java
+++ b/coordination/src/main/java/brookpath/coordination/group/MembershipDriver.java
@@ -34,7 +34,7 @@
         this.timing = timing;
     }
 
-    /** Takes an order; one that was made for another membership is ignored, unless it repeats the one under way. */
+    /** Takes an order; one that was made for another membership is ignored, unless it repeats the one in progress. */
     public void order(final MoveOrder order, final GroupMachine group, final long now) {
         final Running before = running.get(group.id());
         final int version = group.membership().version();
@@ -47,7 +47,7 @@
     }
 
     /**
-     * Appends the next membership record of the order under way, where that is due and safe.
+     * Appends the next membership record of the order in progress, where that is due and safe.
      *
      * @return true where the step waits for an answer to a heartbeat, so that one should be sent now
      */
--- a/coordination/src/main/java/brookpath/coordination/group/RaftLog.java
+++ b/coordination/src/main/java/brookpath/coordination/group/RaftLog.java
@@ -42,7 +42,7 @@
     private LogState base;
     private LogState live;
     private final ArrayList<LogRecord> records = new ArrayList<>();
-    /** Per record, a digest of the whole log up to it: equal here and there means equal all the way. */
+    /** Per record, a digest of the complete log up to it: equal digests in two replicas mean equal logs up to there. */
     private final ArrayList<Long> digests = new ArrayList<>();
 
     private long bytes;
@@ -104,7 +104,7 @@
         return records.get((int) (index - baseIndex - 1));
     }
 
-    /** The term of the record at the index; -1 where this log does not reach. */
+    /** The term of the record at the index; -1 where this log does not hold it. */
     long termAt(final long index) {
         if (index == baseIndex) {
             return baseTerm;
@@ -122,7 +122,7 @@
         return termAt(syncedIndex);
     }
 
-    /** A digest of the whole log up to the index; -1 where this log does not reach. */
+    /** A digest of the complete log up to the index; -1 where this log does not hold it. */
     long digestAt(final long index) {
         if (index == baseIndex) {
             return baseDigest;
--- a/coordination/src/main/java/brookpath/coordination/group/RoleState.java
+++ b/coordination/src/main/java/brookpath/coordination/group/RoleState.java
@@ -70,7 +70,7 @@
         leader = newLeader;
     }
 
-    /** A candidacy has ended without a majority, for another member was chosen or nobody was. */
+    /** Becomes a follower without a new reason; a leader uses {@link #stepDown} instead. */
     void becomeFollower() {
         role = GroupRole.FOLLOWER;
     }
--- a/coordination/src/main/java/brookpath/coordination/group/SnapshotChecksum.java
+++ b/coordination/src/main/java/brookpath/coordination/group/SnapshotChecksum.java
@@ -3,7 +3,10 @@
 import java.util.zip.CRC32;
 import java.util.zip.CRC32C;
 
-/** What tells one snapshot from another: the snapshot begins with its base position, so the sum covers that as well. */
+/**
+ * The checksum that identifies a snapshot. A snapshot begins with its base position, so the checksum covers that as
+ * well.
+ */
 final class SnapshotChecksum {
     private SnapshotChecksum() {}
 
--- a/coordination/src/main/java/brookpath/coordination/heartbeat/HeartbeatMonitor.java
+++ b/coordination/src/main/java/brookpath/coordination/heartbeat/HeartbeatMonitor.java
@@ -160,7 +160,7 @@
 
     private boolean onReply(final Peer peer, final Heartbeat heartbeat, final long now) {
         final Sent sent = peer == null ? null : peer.sent.get(heartbeat.id());
-        // why: a reply that took longer than the detection time says nothing about the present
+        // why: a reply that took longer than the detection time does not show that the peer is up now
         if (sent == null || now - sent.at > Math.max(timing.down(), 2 * period)) {
             return false;
         }
--- a/coordination/src/main/java/brookpath/coordination/heartbeat/HeartbeatPromises.java
+++ b/coordination/src/main/java/brookpath/coordination/heartbeat/HeartbeatPromises.java
@@ -45,7 +45,7 @@
             final int from, final Heartbeat heartbeat, final List<HeartbeatEntry> own, final long now) {
         for (final HeartbeatEntry e : heartbeat.entries()) {
             final Promise promise = of(e.group());
-            // why: a leadership older than what was voted for since binds nobody, and the entry below says so
+            // why: a leadership older than the term voted in since does not bind, and the entry below reports that
             if (e.role() == HeartbeatEntry.LEADER && e.term() >= promise.raised) {
                 promise.leader = from;
                 promise.heartbeat = heartbeat.id();
--- a/coordination/src/main/java/brookpath/coordination/message/ControlRequestKind.java
+++ b/coordination/src/main/java/brookpath/coordination/message/ControlRequestKind.java
@@ -6,9 +6,9 @@
 public enum ControlRequestKind {
     /** Submits a configuration document. */
     CHANGE("change", true),
-    /** Empties a storage machine given by its number, or keeps it after all. */
+    /** Retires a storage node given by its number, or cancels its retirement. */
     RETIRE("retire", true),
-    /** Empties a storage machine given by its name. */
+    /** Retires a storage node given by its name. */
     RETIRE_NAMED("retireNamed", true),
     /** Manual switchover of a group's leadership. */
     HANDOVER("handover", true),
@@ -24,7 +24,7 @@
     CONFIGURATION("spec", false),
     /** Reads the outcome of a change. */
     OUTCOME("outcome", false),
-    /** Reads whether a retiring storage machine is empty. */
+    /** Reads whether a retiring storage node is empty. */
     RETIRED("retired", false),
     /** Reads the usage windows. */
     WINDOWS("windows", false),
--- a/coordination/src/main/java/brookpath/coordination/message/PeerMessage.java
+++ b/coordination/src/main/java/brookpath/coordination/message/PeerMessage.java
@@ -241,7 +241,8 @@
     record TopicPosition(String topic, long from) {}
 
     /**
-     * Committed records up to the position that was scanned, and the topics of which older records are no longer kept.
+     * Committed records up to the position that was scanned, and the topics of which records after the requested
+     * position are no longer kept.
      */
     record FetchReply(
             long requestId, int group, FetchStatus status, long scannedTo, List<String> gone, List<LogRecord> records)
--- a/coordination/src/main/java/brookpath/coordination/message/Response.java
+++ b/coordination/src/main/java/brookpath/coordination/message/Response.java
@@ -4,7 +4,7 @@
  * The response to a caller's or operator's request. Immutable.
  *
  * @param status the code of a {@link ResponseStatus}, or one that a controller of a newer version has sent
- * @param retryAfterMs when the request may be sent again, in milliseconds from now; 0 says nothing about that
+ * @param retryAfterMs when the request may be sent again, in milliseconds from now; 0 where not given
  * @param code a refusal's kind in one word, as in the JSON; empty elsewhere
  * @param expiry until when it is valid, and what replaces it then; null where it does not expire
  */
--- a/coordination/src/main/java/brookpath/coordination/message/ResponseStatus.java
+++ b/coordination/src/main/java/brookpath/coordination/message/ResponseStatus.java
@@ -44,7 +44,7 @@
         return code;
     }
 
-    /** Whether a code, which may be one of a newer version, says that the request succeeded. */
+    /** Whether a code, which may be one of a newer version, means that the request succeeded. */
     public static boolean isSuccess(final int code) {
         return code / CODES_PER_CLASS == SUCCESS_CLASS;
     }
