--- a/coordination/src/main/java/brookpath/coordination/node/control/ClusterMetadataUpdater.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ClusterMetadataUpdater.java
@@ -109,8 +109,8 @@
     }
 
     /**
-     * True where the node is new or has another address or zone now. A record of the machine that had its number before
-     * does not apply to it.
+     * Adds or updates a node; true where it is new or has changed. An order to retire the machine that had its number
+     * before does not apply to a replacement.
      */
     private static boolean take(final List<NodeInfo> nodes, final NodeInfo info, final List<Integer> retiring) {
         if (nodes.contains(info)) {
--- a/coordination/src/main/java/brookpath/coordination/node/control/ForwardedPolls.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ForwardedPolls.java
@@ -49,14 +49,14 @@
         }
     }
 
-    /** Forgets a poll that was not sent. */
+    /** Rejects a forwarded poll that could not be sent, so that its sender polls another controller. */
     public void onUnsent(final ConfigurationPoll poll) {
         if (inFlight.remove(poll.node()) != null) {
             redirect(poll.node(), poll, NO_LEADER);
         }
     }
 
-    /** Forgets all forwarded polls after the connection to a controller broke, since their replies may be lost. */
+    /** Rejects all forwarded polls after the connection to a controller broke, since their replies may be lost. */
     public void onSessionLost() {
         inFlight.forEach((node, poll) -> redirect(node, poll, NO_LEADER));
         inFlight.clear();
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/SessionRegistry.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/SessionRegistry.java
@@ -91,7 +91,7 @@
         return feeds.values();
     }
 
-    /** A copy of the IDs of the sessions that a timer has something to do for. */
+    /** The IDs of the sessions that need a timer, as a new list. */
     List<Long> needingTimer() {
         return new ArrayList<>(needingTimer);
     }
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/SessionTerminator.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/SessionTerminator.java
@@ -25,11 +25,11 @@
     }
 
     /**
-     * Ends a subscription, and with a shared cursor the whole session.
+     * Ends a subscription, and with a shared cursor the complete session.
      *
      * @param response for a caller that waits for a response, or whose topic ends
      * @param closeReason for a caller whose session ends
-     * @return true where the whole session ended
+     * @return true where the session ended
      */
     boolean end(
             final Session session,
--- a/coordination/src/main/java/brookpath/coordination/node/storage/HistoryRetention.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/HistoryRetention.java
@@ -11,7 +11,7 @@
 
     /**
      * @param client the client with this node's replica of the configuration
-     * @param timing gives the margin by which history outlives what its space asks
+     * @param timing gives the margin by which history is kept longer than its space requires
      */
     public HistoryRetention(final ConfigurationClient client, final TimingBounds timing) {
         this.client = client;
--- a/coordination/src/main/java/brookpath/coordination/placement/StorageFailureDetector.java
+++ b/coordination/src/main/java/brookpath/coordination/placement/StorageFailureDetector.java
@@ -8,8 +8,8 @@
 import java.util.TreeSet;
 
 /**
- * Decides which storage nodes are lost, from when each last polled the control leader. It considers none newly lost
- * while most of them are silent, for then this controller is more likely partitioned itself.
+ * Decides which storage nodes are lost, from when each last polled the control leader. It considers none lost while
+ * half of them or more are silent, for then this controller is more likely partitioned itself.
  */
 public final class StorageFailureDetector {
     private final TimingBounds timing;
