--- a/testing/src/main/java/brookpath/testing/mutate/Mutants.java
+++ b/testing/src/main/java/brookpath/testing/mutate/Mutants.java
@@ -79,6 +79,7 @@
 
     private Mutants() {}
 
+    /** Runs the rows whose text holds the second argument; the first is how many seeds, or {@code model}. */
     public static void main(final String[] args) throws Exception {
         final String seeds = args.length > 0 ? args[0] : "24";
         final boolean model = seeds.equals(MODEL);
--- a/testing/src/main/java/brookpath/testing/oracle/History.java
+++ b/testing/src/main/java/brookpath/testing/oracle/History.java
@@ -46,10 +46,12 @@
         /** False once its key was taken away or it came back too late: it may then have missed something. */
         public boolean entitled = true;
 
+        /** The topics that the subscriber listens to. */
         public Set<String> topics() {
             return topics;
         }
 
+        /** Whether the subscriber got this message. */
         public boolean has(final Sent s) {
             return got.contains(id(s.topic, s.sender, s.seq));
         }
--- a/testing/src/main/java/brookpath/testing/sim/ControlDay.java
+++ b/testing/src/main/java/brookpath/testing/sim/ControlDay.java
@@ -44,6 +44,7 @@
             long newest,
             TreeMap<String, Integer> counts,
             List<String> notes) {
+        /** Whether neither the oracles of the control plane nor the others found a violation. */
         public boolean good() {
             return violations.isEmpty() && others.isEmpty();
         }
--- a/testing/src/main/java/brookpath/testing/sim/ControlSweep.java
+++ b/testing/src/main/java/brookpath/testing/sim/ControlSweep.java
@@ -23,6 +23,7 @@
         this.count = count;
     }
 
+    /** Plays days from the first seed on, as many as the second argument says, with the given kinds of faults. */
     public static void main(final String[] args) {
         final ControlSweep sweep = new ControlSweep(
                 args.length > 0 ? Long.parseLong(args[0]) : 1, args.length > 1 ? Long.parseLong(args[1]) : 20);
--- a/testing/src/main/java/brookpath/testing/sim/SimulatedDay.java
+++ b/testing/src/main/java/brookpath/testing/sim/SimulatedDay.java
@@ -54,6 +54,7 @@
             EnumSet<Fault> faults,
             EnumSet<Mutation> mutations,
             Ending ending) {
+        /** A day of a small fleet with faults of these kinds. */
         public static Plan of(final long seed, final EnumSet<Fault> faults) {
             return new Plan(
                     seed,
@@ -65,18 +66,22 @@
                     faults.isEmpty() ? Ending.CALM : Ending.ON_A_FAULT);
         }
 
+        /** The same day on code that breaks one rule. */
         public Plan broken(final Mutation mutation) {
             return new Plan(seed, size, lengthMs, faultEveryMs, faults, EnumSet.of(mutation), ending);
         }
 
+        /** The same day with another ending. */
         public Plan ending(final Ending other) {
             return new Plan(seed, size, lengthMs, faultEveryMs, faults, mutations, other);
         }
 
+        /** The same day of a fleet of another size. */
         public Plan sized(final FleetSize other) {
             return new Plan(seed, other, lengthMs, faultEveryMs, faults, mutations, ending);
         }
 
+        /** The same day of another length, in milliseconds of the simulation. */
         public Plan lasting(final long ms) {
             return new Plan(seed, size, ms, faultEveryMs, faults, mutations, ending);
         }
@@ -102,6 +107,7 @@
             TreeMap<String, Long> crossZoneBytes,
             List<String> notes,
             long trace) {
+        /** Whether no oracle found a violation. */
         public boolean good() {
             return violations.isEmpty();
         }
--- a/testing/src/main/java/brookpath/testing/sim/Slopes.java
+++ b/testing/src/main/java/brookpath/testing/sim/Slopes.java
@@ -15,6 +15,7 @@
 
     private Slopes() {}
 
+    /** Prints a row for each fleet size. */
     public static void main(final String[] args) {
         memory();
         for (final FleetSize size : List.of(
--- a/testing/src/main/java/brookpath/testing/sim/Sweep.java
+++ b/testing/src/main/java/brookpath/testing/sim/Sweep.java
@@ -20,6 +20,7 @@
         this.single = single;
     }
 
+    /** Plays days from the first seed on, as many as the second argument says, with the given kinds of faults. */
     public static void main(final String[] args) {
         final long first = args.length > 0 ? Long.parseLong(args[0]) : 1;
         final long count = args.length > 1 ? Long.parseLong(args[1]) : 100;
--- a/testing/src/main/java/brookpath/testing/sim/ZoneBytes.java
+++ b/testing/src/main/java/brookpath/testing/sim/ZoneBytes.java
@@ -11,6 +11,7 @@
 
     private ZoneBytes() {}
 
+    /** Prints the bytes between zones for both profiles. */
     public static void main(final String[] args) {
         for (final String name : new String[] {"jadran", "sajha"}) {
             final SimulatedDay.Outcome day =
