--- a/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
@@ -116,7 +116,7 @@
     }
 
     /** Whether the log itself holds a membership, so that the members need not be given from outside. */
-    public boolean tellsMembers() {
+    public boolean hasMembershipInLog() {
         return machine.log.baseMembership() != null || machine.log.newestMembershipRecord() != null;
     }
 
@@ -126,7 +126,7 @@
     }
 
     /** The index up to which a learner's replica is known to be synced; -1 where nothing is known. */
-    public long learnt(final int node) {
+    public long learnerSyncedIndex(final int node) {
         return machine.progress.ofLearner(node);
     }
 
@@ -134,7 +134,7 @@
      * The index up to which a voter's replica is known to be synced, as the leader counts it; -1 where nothing is
      * known.
      */
-    public long copySynced(final int node) {
+    public long voterSyncedIndex(final int node) {
         return machine.progress.ofVoter(node);
     }
 
@@ -144,7 +144,7 @@
     }
 
     /** Whether nothing is in progress that needs timer events, so that they may come less often. */
-    public boolean calm() {
+    public boolean isIdle() {
         return machine.roleState.isLeader()
                 ? machine.roleState.openIndex() > 0 && machine.log.committedIndex() == endIndex()
                 : machine.roleState.isFollower() && machine.roleState.leader() != 0 && !lost();
@@ -191,12 +191,12 @@
     }
 
     /** Whether the node, a voter or a learner, is this leader itself or has answered it within the lease. */
-    public boolean follows(final int node, final long now) {
+    public boolean answersWithinLease(final int node, final long now) {
         return node == self || machine.lease.answered(node, now);
     }
 
     /** How many voters are known to have synced the log up to the index. */
-    public int copies(final long index) {
+    public int replicas(final long index) {
         return machine.progress.replicas(index);
     }
 
@@ -253,7 +253,7 @@
     }
 
     /** A digest of the complete log up to the index; -1 where this replica does not hold it. */
-    public long chainAt(final long index) {
+    public long digestAt(final long index) {
         return machine.log.digestAt(index);
     }
 
@@ -304,8 +304,8 @@
     }
 
     /** Sets when this process started, by the steady clock; promises of an earlier run were made before that. */
-    public void bornAt(final long mono) {
-        machine.election.startedAt(mono);
+    public void startedAt(final long now) {
+        machine.election.startedAt(now);
     }
 
     /** Sets the membership as of the placement, with voters alone. */
@@ -358,7 +358,7 @@
      * Prepares this member to leave: it no longer stands, and transfers its leadership to a voter with the complete
      * log. True once it leads nothing.
      */
-    public boolean retreat(final long now) {
+    public boolean withdraw(final long now) {
         return machine.transfer.withdraw(now);
     }
 
@@ -366,7 +366,7 @@
      * Manual switchover: asks a voter with the complete log to stand, and does not act until that has been tried.
      * False, and nothing is done, where that is not possible.
      */
-    public boolean handOver(final int to, final long now) {
+    public boolean transferLeadership(final int to, final long now) {
         return machine.transfer.to(to, now);
     }
 
@@ -374,7 +374,7 @@
      * Whether the record is undamaged. Where not, this replica does not count and is repaired from another, and nothing
      * of it is served.
      */
-    public boolean whole(final long index) {
+    public boolean isIntact(final long index) {
         return machine.isIntact(index);
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/group/MembershipDriver.java
+++ b/coordination/src/main/java/brookpath/coordination/group/MembershipDriver.java
@@ -66,7 +66,7 @@
             return wantsHeartbeat(group, run.order, now);
         }
         if (run.order.from() == self && !next.holds(self)) {
-            handOver(group, next, now);
+            transferLeadership(group, next, now);
             return false;
         }
         if (group.change(next, now, wall)) {
@@ -76,7 +76,8 @@
     }
 
     private boolean wantsHeartbeat(final GroupMachine group, final MoveOrder order, final long now) {
-        final boolean waits = group.learnt(order.to()) >= group.committed() && !group.follows(order.to(), now);
+        final boolean waits =
+                group.learnerSyncedIndex(order.to()) >= group.committed() && !group.answersWithinLease(order.to(), now);
         if (!waits || now < nextHeartbeat) {
             return false;
         }
@@ -116,7 +117,9 @@
     }
 
     private static long following(final GroupMachine group, final List<Member> voters, final long now) {
-        return voters.stream().filter(m -> group.follows(m.node(), now)).count();
+        return voters.stream()
+                .filter(m -> group.answersWithinLease(m.node(), now))
+                .count();
     }
 
     /** A learner becomes a voter once it has all that is committed and, except in a repair, all new voters answer. */
@@ -129,7 +132,7 @@
     }
 
     private static boolean ready(final GroupMachine group, final int learner, final long now) {
-        return group.learnt(learner) >= group.committed() && group.follows(learner, now);
+        return group.learnerSyncedIndex(learner) >= group.committed() && group.answersWithinLease(learner, now);
     }
 
     /**
@@ -145,7 +148,8 @@
             final long now) {
         final List<Member> staying = next.voters();
         final long holding = staying.stream()
-                .filter(m -> group.follows(m.node(), now) && group.copySynced(m.node()) >= group.committed())
+                .filter(m -> group.answersWithinLease(m.node(), now)
+                        && group.voterSyncedIndex(m.node()) >= group.committed())
                 .count();
         if (holding < group.floor(staying.size())) {
             return false;
@@ -155,13 +159,13 @@
         }
         return !leaverUp
                 || staying.stream()
-                        .allMatch(m ->
-                                group.follows(m.node(), now) && group.copySynced(m.node()) >= group.membershipIndex());
+                        .allMatch(m -> group.answersWithinLease(m.node(), now)
+                                && group.voterSyncedIndex(m.node()) >= group.membershipIndex());
     }
 
-    private static void handOver(final GroupMachine group, final Membership next, final long now) {
+    private static void transferLeadership(final GroupMachine group, final Membership next, final long now) {
         for (final Member successor : next.voters()) {
-            if (group.handOver(successor.node(), now)) {
+            if (group.transferLeadership(successor.node(), now)) {
                 return;
             }
         }
--- a/coordination/src/main/java/brookpath/coordination/node/ControllerNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/ControllerNode.java
@@ -130,7 +130,7 @@
      * control group.
      */
     public List<Action> start(final boolean found, final Time time) {
-        group.bornAt(bornAt);
+        group.startedAt(bornAt);
         if (found) {
             group.found();
         }
@@ -197,7 +197,7 @@
         if (group.role() != GroupMachine.LEADER) {
             client.tick(time);
         }
-        if (retreat != NO_REQUEST && group.retreat(now)) {
+        if (retreat != NO_REQUEST && group.withdraw(now)) {
             out.respond(retreat, new Response(ResponseStatus.OK, 0, "{}"));
             retreat = NO_REQUEST;
         }
@@ -295,7 +295,7 @@
     public long restMs(final Time time) {
         final boolean busy = retreat != NO_REQUEST || leader.hasPendingRequests() || !forwarded.isEmpty();
         // A controller outside the control group has nothing in flight but forwarded requests
-        return !busy && (group.calm() || !group.membership().holds(self)) ? timing.heartbeat() / 2 : timing.tick();
+        return !busy && (group.isIdle() || !group.membership().holds(self)) ? timing.heartbeat() / 2 : timing.tick();
     }
 
     @Override
--- a/coordination/src/main/java/brookpath/coordination/node/StorageNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/StorageNode.java
@@ -107,7 +107,7 @@
                 () -> new TopicState(retention::retentionMs, timing.windowMs()),
                 promises,
                 out);
-        group.bornAt(bornAt);
+        group.startedAt(bornAt);
         return group;
     }
 
@@ -169,7 +169,7 @@
     public long restMs(final Time time) {
         final boolean calm = !shutdown.isUnderWay()
                 && client.leased(time.mono())
-                && groups.all().stream().allMatch(GroupMachine::calm);
+                && groups.all().stream().allMatch(GroupMachine::isIdle);
         return calm ? timing.heartbeat() / 2 : timing.tick();
     }
 
@@ -231,7 +231,7 @@
         final GroupMachine group = groups.get((int) body.getLong());
         if (group != null) {
             final int successor = (int) body.getLong();
-            group.handOver(successor, now);
+            group.transferLeadership(successor, now);
         }
     }
 
--- a/coordination/src/main/java/brookpath/coordination/node/control/ClusterMetadataUpdater.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ClusterMetadataUpdater.java
@@ -48,7 +48,7 @@
      * groups.
      */
     public void update(final Time time) {
-        if (!group.tellsMembers()) {
+        if (!group.hasMembershipInLog()) {
             // From here on the log names the members, also for a controller that restarts with other seeds than the
             // founders
             final Membership present = group.membership();
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlGroupMembership.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlGroupMembership.java
@@ -96,7 +96,7 @@
         }
         final HeartbeatTable.Row row = table.row(m.node());
         final long heardAt = row == null ? w.since : Math.max(w.since, row.answeredSentAt());
-        final boolean synced = table.up(m.node()) && group.learnt(m.node()) >= group.committed();
+        final boolean synced = table.up(m.node()) && group.learnerSyncedIndex(m.node()) >= group.committed();
         return new Candidate(m.node(), zone, now - heardAt, synced, now - w.brokenAt >= steadyMs);
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlLeader.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlLeader.java
@@ -101,7 +101,7 @@
     private void act(final HeartbeatTable table, final Time time) {
         final long now = time.mono();
         leases.onLeading(now);
-        if (group.tellsMembers()) {
+        if (group.hasMembershipInLog()) {
             members.advance(table, leases.observers(now), controllerZones(), now, time.wall());
         }
         clock.hear(self, time.wall(), now);
--- a/coordination/src/main/java/brookpath/coordination/node/storage/FetchScan.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/FetchScan.java
@@ -60,7 +60,7 @@
         int bytes = 0;
         while (index < group.committed() && bytes < MAX_BYTES) {
             final LogRecord logRecord = group.logRecord(++index);
-            if (!group.whole(index)) {
+            if (!group.isIntact(index)) {
                 damaged = true;
                 return;
             }
--- a/coordination/src/main/java/brookpath/coordination/node/storage/GracefulShutdown.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/GracefulShutdown.java
@@ -35,7 +35,7 @@
         }
         boolean complete = true;
         for (final GroupMachine group : groups) {
-            complete &= group.retreat(now);
+            complete &= group.withdraw(now);
         }
         if (complete) {
             out.respond(requestId, new Response(OK, 0, "{}"));
--- a/coordination/src/main/java/brookpath/coordination/node/storage/PendingPublishes.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/PendingPublishes.java
@@ -83,7 +83,7 @@
 
     private static boolean isReplicated(final PendingPublish publish, final GroupMachine group) {
         return publish.index <= group.committed()
-                && (publish.index <= group.baseIndex() || group.copies(publish.index) >= publish.requiredReplicas);
+                && (publish.index <= group.baseIndex() || group.replicas(publish.index) >= publish.requiredReplicas);
     }
 
     private void unsettled(final PendingPublish publish, final String reason) {
--- a/testing/src/main/java/brookpath/testing/model/Choices.java
+++ b/testing/src/main/java/brookpath/testing/model/Choices.java
@@ -162,7 +162,7 @@
             if (!present.holds(m.id)) {
                 list.add(new Choice(Kind.ADD_LEARNER, leader.id, m.id));
             } else if (Membership.find(present.learners(), m.id) != null) {
-                if (leader.group.learnt(m.id) >= leader.group.committed()) {
+                if (leader.group.learnerSyncedIndex(m.id) >= leader.group.committed()) {
                     list.add(new Choice(Kind.PROMOTE, leader.id, m.id));
                 }
             } else if (m != leader && present.voters().size() > FEWEST_VOTERS) {
--- a/testing/src/main/java/brookpath/testing/model/Invariants.java
+++ b/testing/src/main/java/brookpath/testing/model/Invariants.java
@@ -158,7 +158,7 @@
             throw new Violation("member " + m.id + " acts with " + g.committed() + " accepted, " + committed.lastKey()
                     + " was accepted before");
         }
-        if (!g.tellsMembers() || !g.membershipSettled() || g.membership().equals(settled)) {
+        if (!g.hasMembershipInLog() || !g.membershipSettled() || g.membership().equals(settled)) {
             return;
         }
         if (settled != null) {
@@ -238,7 +238,7 @@
             final GroupMachine other = world.member(voter.node()).group;
             if (other.endIndex() != g.endIndex()
                     || other.committed() != g.committed()
-                    || other.chainAt(other.endIndex()) != g.chainAt(g.endIndex())
+                    || other.digestAt(other.endIndex()) != g.digestAt(g.endIndex())
                     || other.lost()) {
                 return "member " + voter.node() + " never catches up; " + Schedule.describe(world);
             }
--- a/testing/src/main/java/brookpath/testing/model/ModelMember.java
+++ b/testing/src/main/java/brookpath/testing/model/ModelMember.java
@@ -68,7 +68,7 @@
         heartbeats.peers(others);
         group = machine(promises, out);
         replay(group, entries.size(), now);
-        group.bornAt(now);
+        group.startedAt(now);
         if (first) {
             group.found();
         }
--- a/testing/src/main/java/brookpath/testing/model/ModelWorld.java
+++ b/testing/src/main/java/brookpath/testing/model/ModelWorld.java
@@ -92,7 +92,7 @@
             case SYNC -> sync(m, choice.detail() == Choice.KEEP_FIRST ? m.syncedEntries + 1 : m.entries.size());
             case APPEND -> append(m);
             case ADD_LEARNER, PROMOTE, REMOVE -> change(m, choice);
-            case HAND_OVER -> event(m, () -> m.group.handOver(choice.detail(), clock(m)));
+            case HAND_OVER -> event(m, () -> m.group.transferLeadership(choice.detail(), clock(m)));
             default -> disturb(m, choice);
         }
         invariants.afterChoice();
@@ -193,7 +193,7 @@
     private void place(final ModelMember m) {
         final GroupMachine g = m.group;
         if (g.mayAct(clock(m))
-                && g.tellsMembers()
+                && g.hasMembershipInLog()
                 && g.membershipSettled()
                 && g.membership().version() > placed.version()) {
             placed = g.membership();
--- a/testing/src/main/java/brookpath/testing/model/StartState.java
+++ b/testing/src/main/java/brookpath/testing/model/StartState.java
@@ -108,7 +108,8 @@
         await(
                 world,
                 w -> w.placed.holds(spare)
-                        && leader(w).group.learnt(spare) >= leader(w).group.committed());
+                        && leader(w).group.learnerSyncedIndex(spare)
+                                >= leader(w).group.committed());
         append(world);
         tick(world);
     }
--- a/testing/src/test/java/brookpath/testing/sim/UsageRepeatTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/UsageRepeatTest.java
@@ -58,7 +58,7 @@
                 .orElseThrow();
         // why: whoever is to take over is frozen, so the leadership stays where it is, after a while without acting
         cluster.freeze(successor, 30_000);
-        assertTrue(group.handOver(successor.id, leader.mono()));
+        assertTrue(group.transferLeadership(successor.id, leader.mono()));
         cluster.run(answerAt);
         assertFalse(group.mayAct(leader.mono()));
         for (int i = 0; i < 10_000 && !group.mayAct(leader.mono()); i++) {
--- a/tools/src/main/java/brookpath/tools/datafolder/ReplicaComparison.java
+++ b/tools/src/main/java/brookpath/tools/datafolder/ReplicaComparison.java
@@ -35,7 +35,7 @@
     /** The first index at which the logs differ though their terms agree, 0 for none. */
     long indexOfContradiction() {
         for (long index = firstCommonIndex; index <= lastCommonIndex && termsAgree(index); index++) {
-            if (first.chainAt(index) != second.chainAt(index)) {
+            if (first.digestAt(index) != second.digestAt(index)) {
                 return index;
             }
         }
