--- a/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
@@ -340,8 +340,8 @@
     }
 
     /** The session to the node is lost; a pull that was sent to it is not waited for any longer. */
-    public void sessionLost(final int node) {
-        machine.fetcher.sessionLost(node);
+    public void connectionLost(final int node) {
+        machine.fetcher.connectionLost(node);
     }
 
     /** Appends a record as the leader, and returns its index; the caller has checked {@link #mayAct}. */
--- a/coordination/src/main/java/brookpath/coordination/group/LogFetcher.java
+++ b/coordination/src/main/java/brookpath/coordination/group/LogFetcher.java
@@ -99,7 +99,7 @@
     }
 
     /** The session to the node is lost, and so may be the pull that was sent to it. */
-    void sessionLost(final int node) {
+    void connectionLost(final int node) {
         if (source == node) {
             cancel();
         }
--- a/coordination/src/main/java/brookpath/coordination/node/ControllerNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/ControllerNode.java
@@ -284,11 +284,11 @@
     @Override
     protected void onSessionLost(final int node, final Time time) {
         client.unsent(node, time.mono());
-        group.sessionLost(node);
+        group.connectionLost(node);
         if (isPeer(node)) {
             forwardedPolls.onSessionLost();
         }
-        forwarded.sessionLost(node);
+        forwarded.connectionLost(node);
     }
 
     @Override
--- a/coordination/src/main/java/brookpath/coordination/node/GatewayNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/GatewayNode.java
@@ -196,8 +196,8 @@
     @Override
     protected void onSessionLost(final int node, final Time time) {
         client.unsent(node, time.mono());
-        forwarder.sessionLost(node, time.mono());
-        subscriptions.sessionLost(node, time.mono());
+        forwarder.connectionLost(node, time.mono());
+        subscriptions.connectionLost(node, time.mono());
     }
 
     // ---- requests
--- a/coordination/src/main/java/brookpath/coordination/node/Node.java
+++ b/coordination/src/main/java/brookpath/coordination/node/Node.java
@@ -75,7 +75,7 @@
     }
 
     /** The connection to a peer broke; messages in flight on it may or may not have arrived. */
-    public final List<Action> sessionLost(final int node, final Time time) {
+    public final List<Action> connectionLost(final int node, final Time time) {
         onSessionLost(node, time);
         return out.drain();
     }
--- a/coordination/src/main/java/brookpath/coordination/node/StorageNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/StorageNode.java
@@ -277,7 +277,7 @@
     @Override
     protected void onSessionLost(final int node, final Time time) {
         client.unsent(node, time.mono());
-        groups.all().forEach(group -> group.sessionLost(node));
+        groups.all().forEach(group -> group.connectionLost(node));
     }
 
     // ---- requests
--- a/coordination/src/main/java/brookpath/coordination/node/control/ForwardedRequests.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ForwardedRequests.java
@@ -95,7 +95,7 @@
     }
 
     /** Ends the requests in flight to a node whose connection broke; they may or may not have arrived. */
-    public void sessionLost(final int node) {
+    public void connectionLost(final int node) {
         forwarded.values().removeIf(r -> {
             if (r.leader == node) {
                 responder.respond(
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/CatchUpFetcher.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/CatchUpFetcher.java
@@ -197,7 +197,7 @@
     }
 
     /** The connection to a node broke, so that the fetches in flight there get no reply. */
-    void sessionLost(final int node) {
+    void connectionLost(final int node) {
         for (final Session session : registry.sessions()) {
             for (final GroupSubscription subscription : session.subscriptions()) {
                 if (subscription.source == node) {
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/FeedFetcher.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/FeedFetcher.java
@@ -163,7 +163,7 @@
     }
 
     /** The connection to a node broke; what was sent on it may not have arrived. */
-    void sessionLost(final int node, final long now) {
+    void connectionLost(final int node, final long now) {
         for (final Feed feed : registry.feeds()) {
             if (feed.source == node && !feed.fetches.isEmpty()) {
                 fetchElsewhere(feed, node, now);
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/PublishForwarder.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/PublishForwarder.java
@@ -235,7 +235,7 @@
     }
 
     /** The connection to a node broke: publishes in flight on it may or may not have arrived. */
-    public void sessionLost(final int node, final long now) {
+    public void connectionLost(final int node, final long now) {
         final String reason = "the session with node " + node + " broke";
         for (final PublishQueue queue : queues.values()) {
             if (queue.takeBackAll(node, reason)) {
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/Subscriptions.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/Subscriptions.java
@@ -165,10 +165,10 @@
     }
 
     /** The connection to a node broke; messages in flight on it may or may not have arrived. */
-    public void sessionLost(final int node, final long now) {
+    public void connectionLost(final int node, final long now) {
         sources.avoid(node, now);
-        feedFetcher.sessionLost(node, now);
-        catchUpFetcher.sessionLost(node);
+        feedFetcher.connectionLost(node, now);
+        catchUpFetcher.connectionLost(node);
     }
 
     /** Reports to each group's leader how many sessions listen to its topics. */
--- a/testing/src/main/java/brookpath/testing/sim/SimulatedCluster.java
+++ b/testing/src/main/java/brookpath/testing/sim/SimulatedCluster.java
@@ -273,7 +273,7 @@
         callers.resetConnections(p);
         for (final SimulatedProcess other : processes.values()) {
             if (other.alive) {
-                at(now() + 1, () -> other.run(o -> o.node.sessionLost(p.id, o.time())));
+                at(now() + 1, () -> other.run(o -> o.node.connectionLost(p.id, o.time())));
             }
         }
     }
--- a/testing/src/main/java/brookpath/testing/sim/SimulatedNetwork.java
+++ b/testing/src/main/java/brookpath/testing/sim/SimulatedNetwork.java
@@ -64,7 +64,7 @@
 
     private void breakSession(final SimulatedProcess from, final SimulatedProcess to) {
         resetAt.put(link(from.id, to.id), cluster.now());
-        cluster.at(cluster.now() + 1, () -> to.run(p -> p.node.sessionLost(from.id, p.time())));
+        cluster.at(cluster.now() + 1, () -> to.run(p -> p.node.connectionLost(from.id, p.time())));
     }
 
     private boolean resetSince(final long link, final long sentAt) {
@@ -128,7 +128,7 @@
                 // why: a short cut delays, and what was sent arrives late and in order; a long one breaks the session
                 if (attempts > 8 || !from.alive || from.incarnation != fromIncarnation) {
                     if (from.alive && from.incarnation == fromIncarnation) {
-                        from.run(p -> p.node.sessionLost(to.id, p.time()));
+                        from.run(p -> p.node.connectionLost(to.id, p.time()));
                     }
                     return;
                 }
--- a/testing/src/test/java/brookpath/testing/PublishForwarderTest.java
+++ b/testing/src/test/java/brookpath/testing/PublishForwarderTest.java
@@ -150,7 +150,7 @@
     public void refusedAfterAnAttemptWhoseEndIsUnknownIsUnknown() {
         leaders(ONE, 1);
         final Publish first = publish();
-        forwarder.sessionLost(ONE, now);
+        forwarder.connectionLost(ONE, now);
         tick(TIMING.heartbeat(), ONE, 1);
         assertEquals(sent.size(), 2);
         reply(ONE, first.requestId(), PublishOutcome.REFUSED_FOR_GOOD);
--- a/testing/src/test/java/brookpath/testing/WireIdentityTest.java
+++ b/testing/src/test/java/brookpath/testing/WireIdentityTest.java
@@ -48,7 +48,7 @@
         }
 
         @Override
-        public void sessionLost(final int node) {
+        public void connectionLost(final int node) {
             lost.add(node);
         }
 
--- a/testing/src/test/java/brookpath/testing/WireTest.java
+++ b/testing/src/test/java/brookpath/testing/WireTest.java
@@ -21,7 +21,7 @@
         }
 
         @Override
-        public void sessionLost(final int node) {
+        public void connectionLost(final int node) {
             // why: the sends below say whether one was
         }
 
--- a/transport/src/main/java/brookpath/transport/loop/Host.java
+++ b/transport/src/main/java/brookpath/transport/loop/Host.java
@@ -178,8 +178,8 @@
     }
 
     @Override
-    public void sessionLost(final int lost) {
-        events.add((node, time) -> node.sessionLost(lost, time));
+    public void connectionLost(final int lost) {
+        events.add((node, time) -> node.connectionLost(lost, time));
     }
 
     /** Ends the threads and all sessions. */
--- a/transport/src/main/java/brookpath/transport/wire/SessionHandler.java
+++ b/transport/src/main/java/brookpath/transport/wire/SessionHandler.java
@@ -84,7 +84,7 @@
                 sender.incarnation(),
                 ctx.channel(),
                 dialledByUs(),
-                () -> wire.inbox().sessionLost(sender.node()));
+                () -> wire.inbox().connectionLost(sender.node()));
         if (dialledByUs()) {
             wire.inbox().sessionUp(sender.node());
         }
@@ -107,7 +107,7 @@
             helloTimeout.cancel(false);
         }
         if (remote != null && peer.end(remote.incarnation(), ctx.channel())) {
-            wire.inbox().sessionLost(remote.node());
+            wire.inbox().connectionLost(remote.node());
         }
     }
 
--- a/transport/src/main/java/brookpath/transport/wire/Wire.java
+++ b/transport/src/main/java/brookpath/transport/wire/Wire.java
@@ -40,7 +40,7 @@
         void frame(int from, PeerMessage message);
 
         /** A session with the node ended, or its process was replaced by a newer incarnation. */
-        void sessionLost(int node);
+        void connectionLost(int node);
 
         /** There is a session with the node that was not there before. */
         void sessionUp(int node);
