--- a/coordination/src/main/java/brookpath/coordination/node/GatewayNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/GatewayNode.java
@@ -305,22 +305,22 @@
             refuseDraining(request.requestId());
             out.moveSession(request.requestId(), otherGateways.next());
         } else if (!passOn(request, now)) {
-            overflow.tookIn();
+            overflow.accepted();
             sessionRequests.open(request);
         }
     }
 
     /** Sends a caller on that would wait too long here; false where it is to be served here. */
     private boolean passOn(final NodeRequest.Open request, final long now) {
-        if (!overflow.isDue(now)) {
+        if (!overflow.shouldRedirect(now)) {
             return false;
         }
-        otherGateways.askOnce(client.controlLeader(), now);
+        otherGateways.requestIfStale(client.controlLeader(), now);
         final String address = otherGateways.next();
         if (address.isEmpty()) {
             return false;
         }
-        overflow.passedOn();
+        overflow.redirected();
         refuse(request.requestId(), Refusals.MOVED, "this node has more sessions to set up than it can in time");
         out.moveSession(request.requestId(), address);
         return true;
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/CatchUpFetcher.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/CatchUpFetcher.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.function.LongSupplier;
 
-/** Reads records for sessions from their cursors on, until they have caught up with the groups' feeds. */
+/** Fetches records for each session separately, from its cursors on, until it has caught up with the groups' feeds. */
 final class CatchUpFetcher {
     private final SessionRegistry registry;
     private final FetchSources sources;
@@ -43,21 +43,21 @@
         this.out = out;
     }
 
-    /** Begins to read for a new subscription. */
+    /** Starts fetching for a new subscription. */
     void start(final Session session, final GroupSubscription subscription, final long now) {
         fetch(session, subscription, now);
         feeds.fetch(registry.feed(subscription.group), now);
     }
 
-    /** Retries fetches without a timely reply, and those that had no member to read from. */
+    /** Retries fetches that got no reply in time, and those for which no member could be read from. */
     void retryIfOverdue(final Session session, final GroupSubscription subscription, final long now) {
-        final boolean underWay = !subscription.fetches.isEmpty();
-        if (subscription.live || (underWay && now - subscription.fetchSentAt <= timing.down())) {
+        final boolean inFlight = !subscription.fetches.isEmpty();
+        if (subscription.live || (inFlight && now - subscription.fetchSentAt <= timing.down())) {
             return;
         }
-        if (underWay) {
+        if (inFlight) {
             sources.avoid(subscription.source, now);
-            // why: the overdue fetch stays outstanding, since its reply is as good as that to the next one
+            // the overdue fetch stays outstanding: its reply is as useful as the reply to the retry
             if (!goLiveIfCovered(session, subscription, now)) {
                 send(session, subscription, now);
             }
@@ -86,7 +86,7 @@
     private void send(final Session session, final GroupSubscription subscription, final long now) {
         final int source = sources.select(subscription.group, now);
         subscription.resolvingEnd = !subscription.knowsPositions();
-        // a shared cursor must contain every topic, so that no line is sent before all positions are known
+        // a shared cursor must contain every topic, so no line can be sent before all positions are known
         final boolean mustWait = session.sharedCursor && !subscription.resolvingEnd && !session.knowsPositions();
         if (source == 0 || mustWait) {
             return;
@@ -100,8 +100,8 @@
     }
 
     /**
-     * Adds the subscription to the feed. The feed requests the topic from its own position on, so that no record is
-     * missed.
+     * Whether the subscription can continue through the feed without missing a record: the feed requests the topic from
+     * its own position on, which must not be after the subscription's.
      */
     private static boolean isCoveredBy(final Feed feed, final GroupSubscription subscription) {
         final long position = subscription.position();
@@ -124,7 +124,7 @@
         }
     }
 
-    /** Handles the reply to a session's own fetch. */
+    /** Handles the reply to a catch-up fetch. */
     void received(final int from, final FetchReply reply, final long now) {
         final SessionRegistry.CatchUpFetch fetch = registry.completeCatchUp(reply.requestId());
         if (fetch == null) {
@@ -171,8 +171,9 @@
     }
 
     /**
-     * Continues through the feed once the feed is no further, else continues to catch up. A source that lags behind the
-     * feed and has nothing more is retried at the next timer, not at once, which would be a busy loop.
+     * Continues through the feed once the subscription has reached the feed's position, else continues to catch up. A
+     * source that lags behind the feed and has no more records is retried at the next timer; retrying it at once would
+     * be a busy loop.
      */
     private void joinFeed(
             final Session session, final GroupSubscription subscription, final FetchReply reply, final long now) {
@@ -196,7 +197,7 @@
         }
     }
 
-    /** The connection to a node broke, so that the fetches in flight there get no reply. */
+    /** The connection to a node broke: the fetches in flight on it get no reply. */
     void connectionLost(final int node) {
         for (final Session session : registry.sessions()) {
             for (final GroupSubscription subscription : session.subscriptions()) {
@@ -208,7 +209,7 @@
     }
 
     private void retryAtNextTimer(final GroupSubscription subscription, final long now) {
-        // so long ago that the fetch is overdue
+        // makes the fetch overdue
         subscription.fetchSentAt = now - timing.deliverMs();
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/Feed.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/Feed.java
@@ -7,14 +7,16 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** The shared fetching of one group: each topic is fetched once, however many sessions listen. */
+/**
+ * The state of the fetches that all sessions share for one group: each topic is fetched once, for all its listeners.
+ */
 final class Feed {
     private static final long UNKNOWN_POSITION = -1;
 
-    /** Who listens to a topic. */
+    /** The sessions that listen to a topic. */
     private static final class Listeners {
         int sessions;
-        /** The sessions that get the topic through the feed already. */
+        /** The sessions that already get the topic through the feed. */
         final TreeSet<Long> live = new TreeSet<>();
     }
 
@@ -22,17 +24,17 @@
     private final TreeMap<String, Listeners> byTopic = new TreeMap<>();
     /** The listener counts as last reported to the group's leader. */
     final ReportedListeners reported = new ReportedListeners();
-    /** The version of the set of topics; it changes whenever the set does. */
+    /** The version of the set of topics; a new one is assigned whenever the set changes. */
     long topicsVersion;
-    /** The position up to which the group's log was read; -1 before the first listener has caught up. */
+    /** The position up to which the group's log has been read; -1 before the first listener has caught up. */
     long position = UNKNOWN_POSITION;
-    /** The fetches in flight, all for the present topics from the present position. */
+    /** The fetches in flight, all for the current topics from the current position. */
     final OutstandingFetches fetches = new OutstandingFetches();
-    /** The node that was fetched from last, and since when its reply is outstanding. */
+    /** The node that the last fetch was sent to, and since when its reply is outstanding. */
     int source;
 
     long fetchSentAt;
-    /** The node that the topics were sent to last; 0 where none knows them. */
+    /** The node that last received the set of topics; 0 where none knows it. */
     int topicsKnownBy;
 
     long sentTopicsVersion;
@@ -50,12 +52,12 @@
         return byTopic.isEmpty();
     }
 
-    /** Counts the times that a listener was added or removed. */
+    /** How many times a listener was added or removed. */
     long changes() {
         return changes;
     }
 
-    /** Adds a listener; true where the topic is new, so that a fetch in flight does not include it. */
+    /** Adds a listener; true where the topic is new, so that the fetches in flight do not include it. */
     boolean add(final String topic) {
         changes++;
         final Listeners listeners = byTopic.computeIfAbsent(topic, k -> new Listeners());
@@ -80,7 +82,7 @@
         byTopic.get(topic).live.add(session);
     }
 
-    /** The sessions that listen, as a new list, for a session may end while records are delivered. */
+    /** The live sessions of the topic, as a new list, since a session may end while records are delivered. */
     List<Long> liveSessions(final String topic) {
         final Listeners listeners = byTopic.get(topic);
         return listeners == null ? List.of() : new ArrayList<>(listeners.live);
@@ -90,7 +92,7 @@
         return byTopic.keySet();
     }
 
-    /** The number of sessions that listen, per topic. */
+    /** The number of sessions that listen to each topic. */
     Map<String, Integer> listenerCounts() {
         final Map<String, Integer> counts = new HashMap<>();
         byTopic.forEach((topic, listeners) -> counts.put(topic, listeners.sessions));
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/FeedFetcher.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/FeedFetcher.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.function.LongSupplier;
 
-/** Fetches the groups' feeds: for each group one long poll is pending at a source, for all live sessions together. */
+/** Fetches the groups' feeds: each group has one long poll pending at a source, shared by all live sessions. */
 final class FeedFetcher {
     private final SessionRegistry registry;
     private final FetchSources sources;
@@ -47,11 +47,12 @@
         if (!feed.hasPosition()) {
             return;
         }
-        final boolean underWay = !feed.fetches.isEmpty();
-        // the source replies within the long-poll timeout, so that one that has not is avoided before its heartbeats
+        final boolean inFlight = !feed.fetches.isEmpty();
+        // a working source replies within the long-poll timeout; one that does not is avoided even before its
+        // heartbeats
         // are missed
-        final boolean overdue = underWay && now - feed.fetchSentAt > timing.longPollTimeout() + timing.heartbeat();
-        if (underWay && !overdue && feed.sentTopicsVersion == feed.topicsVersion) {
+        final boolean overdue = inFlight && now - feed.fetchSentAt > timing.longPollTimeout() + timing.heartbeat();
+        if (inFlight && !overdue && feed.sentTopicsVersion == feed.topicsVersion) {
             return;
         }
         if (overdue) {
@@ -62,14 +63,14 @@
             feed.fetches.clear();
             return;
         }
-        // a source that gets a new fetch for other topics has been silent since the first one
-        final boolean stillUnanswered = underWay && !overdue && source == feed.source;
+        // a new fetch to the same source does not restart the time-out: it has not replied since the earlier one
+        final boolean stillUnanswered = inFlight && !overdue && source == feed.source;
         send(feed, source, stillUnanswered ? feed.fetchSentAt : now);
     }
 
     private void send(final Feed feed, final int source, final long unansweredSince) {
         if (feed.sentTopicsVersion != feed.topicsVersion) {
-            // why: those in flight do not request all topics
+            // the fetches in flight do not request all topics
             feed.fetches.clear();
         }
         final long fetchId = ids.getAsLong();
@@ -92,7 +93,7 @@
      */
     void received(final Feed feed, final int from, final FetchReply reply, final boolean newest, final long now) {
         if (!newest && reply.records().isEmpty() && reply.gone().isEmpty()) {
-            // why: no progress, often from a member that was frozen; the newest fetch waits at a better one
+            // no progress, often a late reply of a member that was paused; the newest fetch is pending at a better one
             return;
         }
         if (reply.status() == FetchStatus.TOPICS_UNKNOWN) {
@@ -118,7 +119,7 @@
         }
     }
 
-    /** The feed lagged for longer than history is kept; each session is notified of what it missed. */
+    /** Ends the subscriptions whose topics the feed can no longer read: it lagged for longer than history is kept. */
     private void endWhereHistoryIsGone(final Feed feed, final FetchReply reply) {
         for (final String topic : reply.gone()) {
             for (final long id : feed.liveSessions(topic)) {
@@ -136,13 +137,13 @@
     }
 
     /**
-     * A member cannot serve reads at present: retries with another at once, or, where none is better, at the next
-     * timer.
+     * Retries a fetch that a member cannot serve at present: with another member at once, or at the next timer where
+     * all are being avoided.
      */
     private void fetchElsewhere(final Feed feed, final int failed, final long now) {
         sources.avoid(failed, now);
         if (failed != feed.source) {
-            // why: the newest fetch is at another member, and is still awaited
+            // the newest fetch was sent to another member, and its reply is still awaited
             return;
         }
         feed.fetches.clear();
@@ -162,7 +163,7 @@
                 });
     }
 
-    /** The connection to a node broke; what was sent on it may not have arrived. */
+    /** The connection to a node broke; messages in flight on it may not have arrived. */
     void connectionLost(final int node, final long now) {
         for (final Feed feed : registry.feeds()) {
             if (feed.source == node && !feed.fetches.isEmpty()) {
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/FetchSources.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/FetchSources.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.function.LongFunction;
 
-/** Selects the members that history is read from; those that did not respond lately are selected last. */
+/** Selects the group members that records are fetched from; those that failed recently are selected last. */
 final class FetchSources {
     private final TimingBounds timing;
     private final LongFunction<RouteFinder> routes;
@@ -34,7 +34,7 @@
         avoidedUntil.remove(node);
     }
 
-    /** Forgets failures that are long past. */
+    /** Removes the failures that no longer count. */
     void expire(final long now) {
         avoidedUntil.values().removeIf(until -> now >= until);
     }
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/ForwardedPublish.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/ForwardedPublish.java
@@ -5,7 +5,7 @@
 import brookpath.coordination.route.Route;
 import brookpath.coordination.route.RouteFinder.Leader;
 
-/** A caller's publish in flight: neither committed nor returned to its caller yet. */
+/** A caller's publish in flight: its caller has no response yet. */
 final class ForwardedPublish {
     private final NodeRequest.Publish request;
     private final Route route;
@@ -13,9 +13,9 @@
     private final long deadline;
     private Leader target = Leader.NONE;
     private boolean maybeAppended;
-    private String lastFailure = "the group has no master just now";
+    private String lastFailure = "the group has no leader at present";
 
-    /** @param deadline when the publish is returned to its caller, in monotonic milliseconds */
+    /** @param deadline when the caller gets a response even without an outcome, in monotonic milliseconds */
     ForwardedPublish(
             final NodeRequest.Publish request,
             final Route route,
@@ -31,7 +31,7 @@
         return request;
     }
 
-    /** The reason for which the last attempt failed, in a sentence. */
+    /** Why the last attempt failed, in a sentence. */
     String lastFailure() {
         return lastFailure;
     }
@@ -45,7 +45,7 @@
         return target.node() == 0;
     }
 
-    boolean isWith(final int node) {
+    boolean isSentTo(final int node) {
         return target.node() == node;
     }
 
@@ -59,7 +59,7 @@
         return maybeAppended || !isWaiting();
     }
 
-    /** Begins an attempt at the leader; one in flight to another node may have succeeded. */
+    /** Begins an attempt with the leader; an attempt in flight to another node may have succeeded. */
     void beginAttempt(final Leader leader) {
         maybeAppended = isUncertain();
         target = leader;
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/GatewayAddresses.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/GatewayAddresses.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.function.LongSupplier;
 
-/** The addresses of the other gateways for callers, as the control plane sends them to a draining gateway. */
+/** The public addresses of the other gateways, to which callers are redirected, as the control plane sends them. */
 public final class GatewayAddresses {
     private final int self;
     private final String zone;
@@ -16,15 +16,15 @@
     private final TimingBounds timing;
     private final Actions out;
     private List<String> addresses = List.of();
-    private boolean awaited;
-    /** The ID of the pending request for the addresses. */
-    private long request;
+    private boolean pending;
+    /** The request ID of the pending request for the addresses. */
+    private long pendingId;
 
-    private long awaitedUntil;
+    private long pendingUntil;
 
-    private long askedAt = Long.MIN_VALUE / 2;
+    private long requestedAt = Long.MIN_VALUE / 2;
 
-    /** @param ids gives request IDs, and the numbers by which callers are spread over the gateways */
+    /** @param ids gives request IDs, and numbers that spread the callers over the gateways in rotation */
     public GatewayAddresses(
             final int self, final String zone, final LongSupplier ids, final TimingBounds timing, final Actions out) {
         this.self = self;
@@ -35,40 +35,40 @@
     }
 
     /**
-     * Asks the control leader for the addresses; those that are known are used until its reply.
+     * Requests the addresses from the control leader; those already known are used until its reply.
      *
-     * @param controlLeader its node number
+     * @param controlLeader the node number of the control leader
      * @param now in monotonic milliseconds
      */
-    public void ask(final int controlLeader, final long now) {
-        request = ids.getAsLong();
-        awaited = true;
-        askedAt = now;
-        awaitedUntil = now + timing.down();
-        out.send(controlLeader, ControlRequestKind.GATEWAYS.request(request, new byte[0]));
+    public void request(final int controlLeader, final long now) {
+        pendingId = ids.getAsLong();
+        pending = true;
+        requestedAt = now;
+        pendingUntil = now + timing.down();
+        out.send(controlLeader, ControlRequestKind.GATEWAYS.request(pendingId, new byte[0]));
     }
 
-    /** The same, unless it was asked within the recovery bound. */
-    public void askOnce(final int controlLeader, final long now) {
-        if (now - askedAt > timing.recoverMs()) {
-            ask(controlLeader, now);
+    /** Requests the addresses, unless they were requested within the last recovery bound. */
+    public void requestIfStale(final int controlLeader, final long now) {
+        if (now - requestedAt > timing.recoverMs()) {
+            request(controlLeader, now);
         }
     }
 
-    /** Whether callers need not wait for the addresses: they are known, or the deadline has passed. */
-    public boolean isSettled(final long now) {
-        return !awaited || now >= awaitedUntil;
+    /** Whether callers can be moved: no request is pending, or its deadline has passed. */
+    public boolean isReady(final long now) {
+        return !pending || now >= pendingUntil;
     }
 
     /** Whether this is the ID of the pending request. */
-    public boolean asked(final long requestId) {
-        return awaited && requestId == request;
+    public boolean isPending(final long requestId) {
+        return pending && requestId == pendingId;
     }
 
-    /** Ends the wait: the control plane did not send the addresses. */
-    public void unknown() {
+    /** Handles a failed request: no addresses are known. */
+    public void requestFailed() {
         addresses = List.of();
-        awaited = false;
+        pending = false;
     }
 
     /** Handles the control plane's reply. Gateways in this node's zone are preferred to all others. */
@@ -89,10 +89,10 @@
             }
         }
         addresses = near.isEmpty() ? all : near;
-        awaited = false;
+        pending = false;
     }
 
-    /** The address for the next caller that is moved, in rotation; empty where none is known. */
+    /** The address for the next redirected caller, in rotation; empty where none is known. */
     public String next() {
         if (addresses.isEmpty()) {
             return "";
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/GatewayDrain.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/GatewayDrain.java
@@ -11,10 +11,10 @@
 
 /**
  * Drains this gateway: new sessions are redirected to other gateways at once, and the existing ones are moved there one
- * by one. A graceful shutdown is a faster drain that responds once nothing is left here.
+ * by one. A graceful shutdown is a faster drain that responds once no session or publish is left.
  */
 public final class GatewayDrain {
-    /** The fraction of the recovery bound over which a drain spreads the sessions' moves. */
+    /** A drain spreads the sessions' moves over the recovery bound divided by this. */
     private static final int DRAIN_DIVISOR = 2;
 
     private static final int SHUTDOWN_DIVISOR = 12;
@@ -29,7 +29,7 @@
 
     /**
      * @param client notifies the control plane that this node drains
-     * @param otherGateways where the sessions are moved to
+     * @param otherGateways gives the addresses that the sessions are moved to
      */
     public GatewayDrain(
             final ConfigurationClient client,
@@ -49,7 +49,7 @@
         start(timing.recoverMs() / DRAIN_DIVISOR, now);
     }
 
-    /** Begins a graceful shutdown; the request is responded to once no session or publish is left here. */
+    /** Begins a graceful shutdown; the response is sent once no session or publish is left here. */
     public void shutDown(final long requestId, final long now) {
         shutdownRequest = requestId;
         start(timing.recoverMs() / SHUTDOWN_DIVISOR, now);
@@ -57,26 +57,26 @@
 
     private void start(final long spreadOverMs, final long now) {
         if (!client.draining()) {
-            // a moved caller gets the address of its next gateway, and only the control plane knows all gateways
-            otherGateways.ask(client.controlLeader(), now);
+            // a moved caller is given the address of another gateway, and only the control plane knows all gateways
+            otherGateways.request(client.controlLeader(), now);
         }
         client.drain(true);
         subscriptions.scheduleMoves(spreadOverMs, now);
     }
 
-    /** Ends the drain: the sessions stay, and new ones are accepted again. */
+    /** Cancels the drain: the remaining sessions stay, and new ones are accepted again. */
     public void stop() {
         client.drain(false);
         subscriptions.cancelMoves();
     }
 
     /**
-     * Moves the sessions whose time has come, and completes a graceful shutdown.
+     * Moves the sessions whose move is due, and completes a graceful shutdown.
      *
      * @param publishes the number of publishes in flight here
      */
     public void tick(final int publishes, final long now) {
-        if (client.draining() && otherGateways.isSettled(now)) {
+        if (client.draining() && otherGateways.isReady(now)) {
             subscriptions.moveDue(otherGateways::next, now);
         }
         if (shutdownRequest != NOT_REQUESTED && subscriptions.size() == 0 && publishes == 0) {
@@ -85,22 +85,22 @@
         }
     }
 
-    /** Handles a reply of the control leader; one to another request than that for the gateways is ignored. */
+    /** Handles a reply of the control leader; only the reply to the pending request for the addresses counts. */
     public void received(final ControlReply reply) {
-        if (!otherGateways.asked(reply.requestId())) {
+        if (!otherGateways.isPending(reply.requestId())) {
             return;
         }
         if (reply.status() == OK.code()) {
             otherGateways.received(reply.body());
         } else {
-            otherGateways.unknown();
+            otherGateways.requestFailed();
         }
     }
 
-    /** A request was not sent. */
+    /** A request to the control leader was not sent. */
     public void unsent(final ControlRequest request) {
-        if (otherGateways.asked(request.requestId())) {
-            otherGateways.unknown();
+        if (otherGateways.isPending(request.requestId())) {
+            otherGateways.requestFailed();
         }
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/GroupSubscription.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/GroupSubscription.java
@@ -8,26 +8,26 @@
 import java.util.TreeMap;
 
 /**
- * The topics of one group that a session reads together. It catches up by fetches of its own until it reaches the
- * position of the group's feed, and is live from then on.
+ * The topics of one group that a session reads together. A subscription catches up by fetches of its own until it
+ * reaches the position of the group's feed, and is live from then on.
  */
 final class GroupSubscription {
     private static final long UNKNOWN_POSITION = -1;
 
     final int group;
-    /** When the caller asked for it, in monotonic milliseconds. */
+    /** When the caller requested the subscription, in monotonic milliseconds. */
     final long startedAt;
-    /** The deadline for a topic to begin, in monotonic milliseconds. */
+    /** The deadline for the topics to start, in monotonic milliseconds. */
     final long deadline;
 
     private final TreeMap<String, Long> positions = new TreeMap<>();
-    /** Whether the records come through the group's feed. */
+    /** Whether the session gets the records through the group's feed. */
     boolean live;
     /** Whether the fetch in flight requests only the end of the log. */
     boolean resolvingEnd;
     /** The fetches in flight. */
     final OutstandingFetches fetches = new OutstandingFetches();
-    /** The node that was fetched from last, and when. */
+    /** The node that the last fetch was sent to, and when. */
     int source;
 
     long fetchSentAt;
@@ -41,7 +41,7 @@
         this.deadline = deadline;
     }
 
-    /** @param start the position behind which reading begins; -1 for the log's end, which is not known yet */
+    /** @param start the position after which reading begins; -1 for the end of the log, which is not known yet */
     void include(final String topic, final long start) {
         positions.put(topic, start);
     }
@@ -50,7 +50,7 @@
         return positions.keySet();
     }
 
-    /** The only topic of a subscription that was joined by itself. */
+    /** The only topic of a subscription that a join created. */
     String topic() {
         return positions.firstKey();
     }
@@ -68,12 +68,12 @@
         return !positions.containsValue(UNKNOWN_POSITION);
     }
 
-    /** Topics that were to begin at the log's end begin at this position. */
+    /** Sets the position of the topics that begin at the end of the log. */
     void resolveEnd(final long end) {
         positions.replaceAll((topic, position) -> position == UNKNOWN_POSITION ? end : position);
     }
 
-    /** Marks a record as delivered; true where it was not delivered before. */
+    /** Advances a topic to a record that is delivered; false where the record was delivered before. */
     boolean advance(final String topic, final long position) {
         final Long reached = positions.get(topic);
         if (reached == null || position <= reached) {
@@ -83,12 +83,12 @@
         return true;
     }
 
-    /** Advances all topics to the position, up to which nothing is missing. */
+    /** Advances all topics to the position, up to which all records have been delivered. */
     void advanceAll(final long position) {
         positions.replaceAll((topic, reached) -> Math.max(reached, position));
     }
 
-    /** The contents of a fetch: each topic with the position after which it is read. */
+    /** The topics to fetch, each with the position after which it is read. */
     List<TopicPosition> wanted() {
         final List<TopicPosition> wanted = new ArrayList<>();
         for (final Map.Entry<String, Long> entry : positions.entrySet()) {
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/JoinReport.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/JoinReport.java
@@ -4,8 +4,8 @@
 import brookpath.coordination.action.Actions;
 
 /**
- * Reports how topics are joined while that takes long or fails: at most one line per {@link #INTERVAL_MS}, and none
- * while all joins are quick. Times are monotonic milliseconds.
+ * Logs how many topics were joined and how many joins failed: one line per {@link #INTERVAL_MS} at most, and none while
+ * all joins succeed quickly. Times are monotonic milliseconds.
  */
 final class JoinReport {
     private static final long INTERVAL_MS = 1_000;
@@ -29,24 +29,25 @@
         longestMs = Math.max(longestMs, now - subscription.startedAt);
     }
 
-    /** A join was refused, since no member could be read in time. */
+    /** A join was refused because no member could be read in time. */
     void timedOut() {
         refused++;
     }
 
-    /** A subscription ended, since records after its cursor are no longer kept. */
+    /** A subscription ended because records after its cursor are no longer kept. */
     void historyGone() {
         historyGone++;
     }
 
-    /** Writes the report of an interval that has ended, if there is anything to report. */
+    /** Logs the interval that has ended, if a join was slow or failed in it. */
     void tick(final long now) {
         if (now - intervalStart < INTERVAL_MS) {
             return;
         }
         if (refused > 0 || historyGone > 0 || longestMs > timing.heartbeat()) {
-            out.milestone("joins in " + (now - intervalStart) + " ms: " + live + " live, the longest after " + longestMs
-                    + " ms; " + refused + " refused, no member read in time; " + historyGone + " without history");
+            out.milestone("joins in " + (now - intervalStart) + " ms: " + live + " live, the slowest after " + longestMs
+                    + " ms; " + refused + " refused, since no member could be read in time; " + historyGone
+                    + " ended, since history was trimmed");
         }
         intervalStart = now;
         live = 0;
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/LeaderAvailability.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/LeaderAvailability.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.function.LongFunction;
 
-/** Tracks since when each group has had no leader that this node knows of. */
+/** Tracks for how long each group has had no leader, as far as this node knows. */
 final class LeaderAvailability {
     private final TimingBounds timing;
     private final LongFunction<RouteFinder> routes;
@@ -34,8 +34,10 @@
         }
     }
 
-    /** Whether the group has been without a leader for longer than an election takes, so that waiting is no use. */
-    boolean isGivenUp(final int group, final long now) {
+    /**
+     * Whether the group has had no leader for longer than an election takes, so that a publish should not wait for one.
+     */
+    boolean isUnavailable(final int group, final long now) {
         return now - unavailableSince.getOrDefault(group, now) > timing.deliverMs() / 2;
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/LeaseQueue.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/LeaseQueue.java
@@ -6,7 +6,7 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 
-/** Requests that cannot be decided without the lease on the configuration and wait briefly for it, in their order. */
+/** Requests that cannot be decided without the lease on the configuration, and wait briefly for it in FIFO order. */
 public final class LeaseQueue {
     private static final int MAX_REQUESTS = 4_096;
     private static final long NEVER = Long.MAX_VALUE / 2;
@@ -22,26 +22,26 @@
     }
 
     /**
-     * Queues the request where a lease may be expected soon.
+     * Queues the request if the lease is missing but may be expected soon.
      *
      * @return false where the request must be handled at once
      */
     public boolean offer(final NodeRequest request, final boolean leased, final long now) {
-        if (leased || isLeaseGivenUp(now) || waiting.size() >= MAX_REQUESTS) {
+        if (leased || isLeaseOverdue(now) || waiting.size() >= MAX_REQUESTS) {
             return false;
         }
         waiting.add(new WaitingRequest(request, now + timing.deliverMs() / 2));
         return true;
     }
 
-    /** Passes on the requests that need not or cannot wait any longer. */
+    /** Passes to the handler the requests that need not wait any longer, or whose deadline has passed. */
     public void release(final boolean leased, final long now, final Consumer<NodeRequest> handler) {
         if (leased) {
             leaseMissingSince = NEVER;
         } else if (leaseMissingSince > now) {
             leaseMissingSince = now;
         }
-        while (!waiting.isEmpty() && (leased || now >= waiting.peek().deadline || isLeaseGivenUp(now))) {
+        while (!waiting.isEmpty() && (leased || now >= waiting.peek().deadline || isLeaseOverdue(now))) {
             handler.accept(waiting.poll().request);
         }
     }
@@ -51,7 +51,7 @@
         waiting.removeIf(entry -> abandoned.test(entry.request));
     }
 
-    private boolean isLeaseGivenUp(final long now) {
+    private boolean isLeaseOverdue(final long now) {
         return now - leaseMissingSince > timing.deliverMs();
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/ListenerCountRequests.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/ListenerCountRequests.java
@@ -14,7 +14,7 @@
 import java.util.TreeMap;
 import java.util.function.LongSupplier;
 
-/** Callers' requests for the number of a topic's listeners that are in flight to the groups' leaders. */
+/** The callers' requests for listener counts that await a reply from a group's leader. */
 public final class ListenerCountRequests {
     private static final int MAX_REQUESTS = 4_096;
 
@@ -38,12 +38,12 @@
     /**
      * Sends the request to the group's leader.
      *
-     * @param excludesCaller whether the caller is a listener itself, and is not counted
+     * @param excludesCaller whether the caller is a listener itself and must not be counted
      */
     public void ask(
             final long requestId, final Route route, final String topic, final boolean excludesCaller, final long now) {
         if (pending.size() >= MAX_REQUESTS) {
-            refuse(requestId, "busy", "too many counts are under way here");
+            refuse(requestId, "busy", "too many listener count requests are in flight on this node");
             return;
         }
         final long id = ids.getAsLong();
@@ -58,7 +58,7 @@
             return;
         }
         if (reply.status() != ListenerCountStatus.OK) {
-            refuse(count.requestId, "master", "the master has no lease just now");
+            refuse(count.requestId, "master", "the leader has no lease at present");
             return;
         }
         final int listeners = Math.max(0, reply.count() - (count.excludesCaller ? 1 : 0));
@@ -75,7 +75,7 @@
     public void unsent(final int to, final ListenerCountRequest message) {
         final PendingCount count = pending.remove(message.requestId());
         if (count != null) {
-            refuse(count.requestId, "master", "no session to node " + to);
+            refuse(count.requestId, "master", "no connection to node " + to);
         }
     }
 
@@ -85,7 +85,7 @@
         while (counts.hasNext()) {
             final PendingCount count = counts.next();
             if (now >= count.deadline) {
-                refuse(count.requestId, "count", "no word from the master in time");
+                refuse(count.requestId, "count", "no reply from the leader in time");
                 counts.remove();
             }
         }
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/ListenerReporter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/ListenerReporter.java
@@ -31,7 +31,7 @@
         this.out = out;
     }
 
-    /** Reports the changed counts, all counts to a new leader, and periodically confirms unchanged ones. */
+    /** Reports changed counts to each leader, all counts to a new leader, and periodically confirms unchanged ones. */
     void report(final long now) {
         final RouteFinder finder = routes.apply(now);
         for (final Feed feed : registry.feeds()) {
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/OutstandingFetches.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/OutstandingFetches.java
@@ -4,29 +4,29 @@
 import java.util.List;
 
 /**
- * The request IDs of the fetches for one thing that have no reply yet: the newest, and those before it that were
- * repeated because they were overdue. The reply to any of them is progress; where those to repeated fetches were
- * dropped, a node that handles replies later than its own time-out would never get on.
+ * The request IDs of one feed's or subscription's fetches that have no reply yet: the newest, and earlier ones that
+ * were repeated because they were overdue. The reply to any of them is progress: if replies to fetches that were
+ * repeated were dropped, a node that handles replies later than its own time-out would never make progress.
  *
- * <p>Invariant: all request the same from the same positions. Whoever requests something else, or adopts a reply,
- * clears them first.
+ * <p>Invariant: all of them request the same topics from the same positions. They are cleared before a different fetch
+ * is sent, and when a reply is adopted.
  */
 final class OutstandingFetches {
-    /** Fetches beyond so many are no longer awaited, the oldest first. */
+    /** The most fetches whose replies are awaited; beyond that the oldest is dropped. */
     private static final int MAX_OUTSTANDING = 8;
 
-    /** In place of the ID of a dropped fetch: none was dropped. */
+    /** Stands for the ID of a dropped fetch where none was dropped. */
     private static final long NONE = 0;
 
     private final List<Long> ids = new ArrayList<>();
 
-    /** Adds the newest fetch; returns the ID of one that is no longer awaited for it, 0 for none. */
+    /** Adds the newest fetch; returns the ID of the fetch that is dropped in its place, 0 for none. */
     long add(final long id) {
         ids.add(id);
         return ids.size() > MAX_OUTSTANDING ? ids.remove(0) : NONE;
     }
 
-    /** Takes out one that is answered or was not sent; false where it is not awaited. */
+    /** Removes a fetch that got its reply or was not sent; false where it is not outstanding. */
     boolean remove(final long id) {
         return ids.remove(Long.valueOf(id));
     }
@@ -40,7 +40,7 @@
         return ids.isEmpty();
     }
 
-    /** No reply to any of them is awaited any more. */
+    /** Stops awaiting replies to any of them. */
     void clear() {
         ids.clear();
     }
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/PermissionReview.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/PermissionReview.java
@@ -6,9 +6,9 @@
 import brookpath.coordination.route.Route;
 import brookpath.coordination.route.RouteFinder;
 
-/** Ends, at a new configuration, the subscriptions that a session no longer has permission for. */
+/** Ends the subscriptions for which a new configuration no longer gives the session permission. */
 final class PermissionReview {
-    /** The reason for which a topic may no longer be listened to. */
+    /** Why a subscription ends: the response to its caller, and the reason for closing the session. */
     private record Revocation(Response response, String closeReason) {}
 
     private final SessionRegistry registry;
@@ -21,7 +21,7 @@
         this.timing = timing;
     }
 
-    /** Reviews all sessions against the configuration that the routes are based on. */
+    /** Reviews all sessions against the configuration that the route finder uses. */
     void reviewAll(final RouteFinder finder) {
         for (final Session session : registry.sessions()) {
             review(session, finder);
@@ -38,7 +38,7 @@
         }
     }
 
-    /** The first withdrawn permission; null where all topics of the subscription may still be listened to. */
+    /** The first topic's revocation; null where the session may still listen to all topics of the subscription. */
     private Revocation revocation(
             final Session session, final GroupSubscription subscription, final RouteFinder finder) {
         for (final String topic : subscription.topics()) {
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/PublishForwarder.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/PublishForwarder.java
@@ -23,9 +23,9 @@
 
 /**
  * Forwards publishes to their groups' leaders, in the order in which the callers sent them. A publish that a leader
- * refused, or whose outcome became unknown when a leader or a connection was lost, is retried with the leader of the
- * group at that time; the sequence makes a repeat idempotent. Only a publish whose deadline has passed is returned to
- * its caller: as refused where it certainly was not appended, else as unsettled.
+ * refused temporarily, or whose outcome became unknown when a leader or a connection was lost, is retried with the
+ * current leader of the group; its sequence number makes a retry idempotent. A publish whose deadline has passed is
+ * refused if it certainly was not appended; otherwise its caller is told that the outcome is unsettled.
  */
 public final class PublishForwarder {
     /** The most publishes that may be in flight at a time. */
@@ -40,7 +40,7 @@
     private final Map<Long, Integer> groupOf = new HashMap<>();
 
     /**
-     * @param routes gives the routes by the tables at a time in monotonic milliseconds
+     * @param routes gives the route finder for a time in monotonic milliseconds
      * @param ids gives request IDs, ascending
      */
     public PublishForwarder(
@@ -66,7 +66,7 @@
     }
 
     /**
-     * Adds a publish that was admitted, and sends it if its group has a leader.
+     * Accepts a publish that was admitted, and sends it if its group has a leader.
      *
      * @param answerMs how long the caller waits for a response, in milliseconds; 0 where that is unknown
      */
@@ -77,22 +77,22 @@
             final long answerMs,
             final long now) {
         if (groupOf.size() >= MAX_PUBLISHES) {
-            refuse(request, "busy", "too many publishes are under way here");
+            refuse(request, "busy", "too many publishes are in flight on this node");
             return;
         }
-        if (leaders.isGivenUp(route.group(), now)) {
-            refuse(request, "master", "group " + route.group() + " has no master just now");
+        if (leaders.isUnavailable(route.group(), now)) {
+            refuse(request, "master", "group " + route.group() + " has no leader at present");
             return;
         }
         final long id = ids.getAsLong();
         groupOf.put(id, route.group());
         final PublishQueue queue = queues.computeIfAbsent(route.group(), group -> new PublishQueue());
-        queue.add(id, new ForwardedPublish(request, route, configurationVersion, now + patience(answerMs)));
+        queue.add(id, new ForwardedPublish(request, route, configurationVersion, now + retryTimeout(answerMs)));
         send(route.group(), queue, now);
     }
 
-    /** How long a publish is retried, in milliseconds: it ends early enough for the response to reach the caller. */
-    private long patience(final long answerMs) {
+    /** How long a publish is retried, in milliseconds: short enough for the response to reach the caller in time. */
+    private long retryTimeout(final long answerMs) {
         if (answerMs == 0) {
             return timing.forwardDeadline();
         }
@@ -100,46 +100,46 @@
     }
 
     /**
-     * Checks which groups have a leader; publishes do not wait for a group without one for longer than an election
+     * Checks which groups have a leader; publishes to a group without one do not wait for longer than an election
      * takes.
      */
     public void checkLeaders(final int groups, final long now) {
         leaders.check(groups, now);
     }
 
-    /** Returns overdue publishes to their callers, and retries the others whose back-off is over. */
+    /** Responds to the callers of overdue publishes, and retries the other publishes whose back-off has elapsed. */
     public void tick(final long now) {
         queues.forEach((group, queue) -> {
-            giveBackOverdue(group, queue, now);
+            failOverdue(group, queue, now);
             send(group, queue, now);
         });
         queues.values().removeIf(queue -> queue.isEmpty() && !queue.isPaused(now));
     }
 
-    private void giveBackOverdue(final int group, final PublishQueue queue, final long now) {
+    private void failOverdue(final int group, final PublishQueue queue, final long now) {
         final Iterator<Map.Entry<Long, ForwardedPublish>> entries =
                 queue.publishes().entrySet().iterator();
         while (entries.hasNext()) {
             final Map.Entry<Long, ForwardedPublish> entry = entries.next();
             final ForwardedPublish publish = entry.getValue();
-            if (!publish.expired(now) && !leaders.isGivenUp(group, now)) {
+            if (!publish.expired(now) && !leaders.isUnavailable(group, now)) {
                 continue;
             }
             entries.remove();
             groupOf.remove(entry.getKey());
-            giveBack(publish);
+            fail(publish);
         }
     }
 
-    private void giveBack(final ForwardedPublish publish) {
+    private void fail(final ForwardedPublish publish) {
         if (publish.isUncertain()) {
-            unsettled(publish.request(), "no word from the master in time: " + publish.lastFailure());
+            unsettled(publish.request(), "no reply from the leader in time: " + publish.lastFailure());
         } else {
             refuse(publish.request(), "master", publish.lastFailure());
         }
     }
 
-    /** Sends, in order, the publishes that are not in flight to the group's present leader. */
+    /** Sends, in order, the publishes that are not in flight to the group's current leader. */
     private void send(final int group, final PublishQueue queue, final long now) {
         if (queue.isEmpty() || queue.isPaused(now)) {
             return;
@@ -150,7 +150,7 @@
             return;
         }
         queue.publishes().forEach((id, publish) -> {
-            if (!publish.isWith(leader.node())) {
+            if (!publish.isSentTo(leader.node())) {
                 publish.beginAttempt(leader);
                 out.send(leader.node(), publish.message(id));
             }
@@ -167,7 +167,7 @@
         switch (reply.outcome()) {
             case ACCEPTED -> committed(queue, publish, reply);
             case REFUSED_FOR_GOOD -> refusedForGood(queue, publish, from, reply);
-            default -> notTaken(queue, publish, from, reply, now);
+            default -> notAccepted(queue, publish, from, reply, now);
         }
     }
 
@@ -182,26 +182,26 @@
             final PublishQueue queue, final ForwardedPublish publish, final int from, final PublishReply reply) {
         remove(queue, reply.requestId());
         if (publish.isMaybeAppended()) {
-            // an earlier attempt may be in a log, and its sequence may only have been forgotten
+            // an earlier attempt may be in a log: a leader that no longer knows its sequence refuses it as well
             unsettled(
                     publish.request(),
-                    "node " + from + " said " + reply.reason() + ", after an attempt whose end is unknown");
+                    "node " + from + " refused: " + reply.reason() + ", after an attempt with an unknown outcome");
             return;
         }
-        note(publish.request(), "node " + from + " said " + reply.reason());
+        note(publish.request(), "node " + from + " refused: " + reply.reason());
         out.respond(
                 publish.request().requestId(),
                 Refusals.refused(ResponseStatus.CONFLICT, 0, "sequence", reply.reason()));
     }
 
-    private void notTaken(
+    private void notAccepted(
             final PublishQueue queue,
             final ForwardedPublish publish,
             final int from,
             final PublishReply reply,
             final long now) {
-        if (!publish.isWith(from)) {
-            // a late reply to an attempt that has ended since
+        if (!publish.isSentTo(from)) {
+            // a late reply to an attempt that has already ended
             return;
         }
         publish.failed(reply.reason());
@@ -218,27 +218,27 @@
             }
             queue.pause(timing, now);
         }
-        queue.takeBackFrom(reply.requestId(), from);
+        queue.endAttemptsFrom(reply.requestId(), from);
         send(groupOf.get(reply.requestId()), queue, now);
     }
 
-    /** The message was not sent to the node, so that this attempt certainly had no effect. */
+    /** The message was not sent to the node: this attempt certainly had no effect. */
     public void unsent(final int to, final Publish message, final long now) {
         final PublishQueue queue = queueOf(message.requestId());
         final ForwardedPublish publish = queue == null ? null : queue.get(message.requestId());
         // a late notification about an earlier attempt does not concern the one in flight
-        if (publish != null && publish.isWith(to)) {
+        if (publish != null && publish.isSentTo(to)) {
             publish.endAttempt();
-            publish.failed("no session to the group's master");
+            publish.failed("no connection to the group's leader");
             queue.pause(timing, now);
         }
     }
 
     /** The connection to a node broke: publishes in flight on it may or may not have arrived. */
     public void connectionLost(final int node, final long now) {
-        final String reason = "the session with node " + node + " broke";
+        final String reason = "the connection to node " + node + " broke";
         for (final PublishQueue queue : queues.values()) {
-            if (queue.takeBackAll(node, reason)) {
+            if (queue.endAllAttempts(node, reason)) {
                 queue.pause(timing, now);
             }
         }
@@ -266,8 +266,8 @@
                 Refusals.response(ResponseStatus.UNSETTLED, timing.retryAfterMs(), "unsettled", "unsettled", reason));
     }
 
-    /** Notes the outcome, by which a publish can be explained afterwards; a committed publish needs no note. */
-    private void note(final NodeRequest.Publish request, final String how) {
-        out.note("publish " + request.topic() + " " + request.sender() + "/" + request.seq() + ": " + how);
+    /** Logs the outcome, so that a failed publish can be explained afterwards; a committed publish is not logged. */
+    private void note(final NodeRequest.Publish request, final String outcome) {
+        out.note("publish " + request.topic() + " " + request.sender() + "/" + request.seq() + ": " + outcome);
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/PublishQueue.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/PublishQueue.java
@@ -16,7 +16,7 @@
     private long pausedUntil = Long.MIN_VALUE;
     private int consecutivePauses;
 
-    /** The publishes by request ID, which is ascending in their order. */
+    /** The publishes by request ID; the IDs ascend in the order of the publishes. */
     Map<Long, ForwardedPublish> publishes() {
         return publishes;
     }
@@ -56,7 +56,7 @@
         consecutivePauses = 0;
     }
 
-    /** Adopts the leader that a refusal named, until the heartbeats name the same or a newer one. */
+    /** Sends to the leader that a refusal named, until the heartbeats name it as well or the hint expires. */
     void followHint(final int leader, final long validUntil) {
         hintedLeader = leader;
         hintValidUntil = validUntil;
@@ -70,24 +70,24 @@
         return hintedLeader == leader;
     }
 
-    /** The hinted leader while the hint holds, else the one that the heartbeats name. */
+    /** The hinted leader while the hint is valid, else the leader according to the heartbeats. */
     Leader leaderToUse(final Leader fromHeartbeats, final long now) {
         if (hintedLeader == 0 || now >= hintValidUntil || fromHeartbeats.node() == hintedLeader) {
             return fromHeartbeats;
         }
-        // the highest term, so that heartbeats about the old leader do not redirect the publishes to it
+        // the highest term, so that heartbeats that still name the old leader do not send the publishes back to it
         return new Leader(hintedLeader, Long.MAX_VALUE);
     }
 
     /**
-     * Ends the attempts of the publish and of those behind it that are in flight to the node. They must not overtake
-     * it, for a lower sequence would then be refused permanently.
+     * Ends the attempts of the publish and of all later ones that are in flight to the node. The later ones must not
+     * overtake it, since its lower sequence would then be refused permanently.
      */
-    void takeBackFrom(final long id, final int node) {
+    void endAttemptsFrom(final long id, final int node) {
         for (final Map.Entry<Long, ForwardedPublish> entry :
                 publishes.tailMap(id, true).entrySet()) {
             final ForwardedPublish publish = entry.getValue();
-            if (!publish.isWith(node)) {
+            if (!publish.isSentTo(node)) {
                 continue;
             }
             if (entry.getKey() == id) {
@@ -99,10 +99,10 @@
     }
 
     /** Ends all attempts in flight to a node whose connection broke; true where there was one. */
-    boolean takeBackAll(final int node, final String reason) {
+    boolean endAllAttempts(final int node, final String reason) {
         boolean any = false;
         for (final ForwardedPublish publish : publishes.values()) {
-            if (publish.isWith(node)) {
+            if (publish.isSentTo(node)) {
                 publish.endAttemptUncertain();
                 publish.failed(reason);
                 any = true;
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/ReportedListeners.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/ReportedListeners.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** The listener counts of a group as they were reported to its leader last. */
+/** The listener counts of a group as last reported to its leader. */
 final class ReportedListeners {
-    /** The version of the counts that were reported. */
+    /** The version of the reported counts. */
     private long version;
 
     private int leader;
@@ -15,7 +15,7 @@
     private Map<String, Integer> counts = Map.of();
     private long changes;
 
-    /** The version of the counts that the leader has, so that changes suffice; 0 where it has none. */
+    /** The version of the counts that the node already has, to which a report adds changes; 0 where it has none. */
     long baseFor(final int node) {
         return leader == node ? version : 0;
     }
@@ -36,7 +36,7 @@
         sentAt = now;
     }
 
-    /** Records the counts that are about to be reported to a leader. */
+    /** Records the counts that are reported to a leader next. */
     void replace(final int node, final Map<String, Integer> newCounts, final long changesNow, final long newVersion) {
         version = newVersion;
         leader = node;
@@ -44,7 +44,7 @@
         changes = changesNow;
     }
 
-    /** Makes the next report complete, since the leader may not have received the last one. */
+    /** Makes the next report a complete one, since the leader may not have received the last one. */
     void forget() {
         leader = 0;
     }
@@ -55,7 +55,7 @@
         }
     }
 
-    /** The topics whose counts differ from those that the node has. */
+    /** The topics whose counts differ from the base version; all topics where there is none. */
     List<TopicCount> changedSince(final long base, final Map<String, Integer> newCounts) {
         final Map<String, Integer> before = base == 0 ? Map.of() : counts;
         final List<TopicCount> changed = new ArrayList<>();
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/Session.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/Session.java
@@ -5,15 +5,15 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** A caller's session and what it listens to. */
+/** A caller's session and its subscriptions. */
 final class Session {
     static final long NEVER = Long.MAX_VALUE;
 
     final long id;
     final String key;
     /**
-     * Whether all topics were named at once, with one shared cursor, and are streamed as lines; else topics are joined
-     * and left one by one, each with its own cursor.
+     * Whether all topics are given at the start, have one shared cursor and are streamed as lines; else topics are
+     * joined and left one by one, and each has its own cursor.
      */
     final boolean sharedCursor;
 
@@ -23,7 +23,7 @@
     private final TreeMap<String, GroupSubscription> byTopic = new TreeMap<>();
     boolean started;
     long lastLineAt;
-    /** When the caller is moved to another node, in monotonic milliseconds. */
+    /** When the session is moved to another node, in monotonic milliseconds. */
     long moveAt = NEVER;
 
     Session(final long id, final String key, final boolean sharedCursor, final long deadline) {
@@ -54,7 +54,7 @@
     List<GroupSubscription> subscriptions() {
         final List<GroupSubscription> subscriptions = new ArrayList<>();
         for (final GroupSubscription subscription : byTopic.values()) {
-            // there are few, and those of one group need not be adjacent
+            // a linear search suffices for the few there are; the topics of one group need not be adjacent
             if (!subscriptions.contains(subscription)) {
                 subscriptions.add(subscription);
             }
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/SessionDrain.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/SessionDrain.java
@@ -5,7 +5,7 @@
 
 /** Moves the sessions of a draining node to other nodes. */
 final class SessionDrain {
-    private static final String CLOSE_REASON = "this node drains; go on elsewhere with the cursor";
+    private static final String CLOSE_REASON = "this node is draining; resume at another gateway with the cursor";
 
     private final SessionRegistry registry;
     private final Actions out;
@@ -15,11 +15,11 @@
         this.out = out;
     }
 
-    /** Spreads the sessions' moves over the duration, so that they do not reach the other nodes all at once. */
-    void schedule(final long over, final long now) {
+    /** Spreads the sessions' moves over the duration, so that they do not all reach the other nodes at once. */
+    void schedule(final long durationMs, final long now) {
         int index = 0;
         for (final Session session : registry.sessions()) {
-            session.moveAt = now + over * index / registry.size();
+            session.moveAt = now + durationMs * index / registry.size();
             index++;
         }
     }
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/SessionOverflow.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/SessionOverflow.java
@@ -3,25 +3,25 @@
 import brookpath.coordination.TimingBounds;
 
 /**
- * Decides which sessions a gateway passes on because it has taken in as many lately as it can set up while their
- * callers wait. Only a gateway that others name to their callers ({@link StartupRedirect}) does so, and those that it
- * names do not, so a caller is sent on twice at most. It passes on no more than it takes in itself. Times are monotonic
- * milliseconds. Not thread-safe: the state thread owns it.
+ * Decides which new sessions a gateway redirects because it has recently accepted as many as it can set up while their
+ * callers wait. Only a gateway that other gateways redirect callers to ({@link StartupRedirect}) does so, and those
+ * that it redirects to do not, so a caller is redirected twice at most. It redirects no more sessions than it accepts.
+ * Times are monotonic milliseconds. Not thread-safe: the state thread owns it.
  */
 public final class SessionOverflow {
-    /** The processor time of a session's set-up, as measured while the code is cold; in milliseconds. */
-    private static final int SESSION_PROCESSOR_MS = 5;
+    /** The CPU time to set up a session before the code has been compiled by the JIT, in milliseconds. */
+    private static final int SESSION_CPU_MS = 5;
 
-    /** A gateway that passes nothing on. */
+    /** The overflow of a gateway that redirects no sessions. */
     public static final SessionOverflow NONE = new SessionOverflow(Integer.MAX_VALUE, 1);
 
-    /** How many sessions are taken in within one window before some are passed on. */
+    /** How many sessions are accepted within one window before some are redirected. */
     private final int limit;
 
     private final long windowMs;
     private long windowStart = Long.MIN_VALUE / 2;
-    private int takenIn;
-    private int passedOn;
+    private int accepted;
+    private int redirected;
 
     private SessionOverflow(final int limit, final long windowMs) {
         this.limit = limit;
@@ -31,34 +31,34 @@
     /**
      * The overflow of a gateway.
      *
-     * @param processors how many processors' worth of time this process gets; 0 where that is unknown
-     * @param named whether other gateways name this one to their callers
+     * @param processors the number of processors that this process may use, as a fraction; 0 where it is unknown
+     * @param redirectTarget whether other gateways redirect their callers to this one
      */
-    public static SessionOverflow of(final double processors, final boolean named, final TimingBounds timing) {
-        if (!named || processors == 0) {
+    public static SessionOverflow of(final double processors, final boolean redirectTarget, final TimingBounds timing) {
+        if (!redirectTarget || processors == 0) {
             return NONE;
         }
         final long windowMs = timing.callerPatience();
-        return new SessionOverflow((int) (processors * windowMs / SESSION_PROCESSOR_MS), windowMs);
+        return new SessionOverflow((int) (processors * windowMs / SESSION_CPU_MS), windowMs);
     }
 
-    /** Whether the next session should be passed on. */
-    public boolean isDue(final long now) {
+    /** Whether the next session should be redirected. */
+    public boolean shouldRedirect(final long now) {
         if (now - windowStart >= windowMs) {
             windowStart = now;
-            takenIn = 0;
-            passedOn = 0;
+            accepted = 0;
+            redirected = 0;
         }
-        return takenIn >= limit && passedOn < takenIn;
+        return accepted >= limit && redirected < accepted;
     }
 
-    /** A session was taken in. */
-    public void tookIn() {
-        takenIn++;
+    /** A session was accepted. */
+    public void accepted() {
+        accepted++;
     }
 
-    /** A session was passed on. */
-    public void passedOn() {
-        passedOn++;
+    /** A session was redirected. */
+    public void redirected() {
+        redirected++;
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/SessionRegistry.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/SessionRegistry.java
@@ -9,18 +9,18 @@
 import java.util.TreeSet;
 import java.util.function.LongSupplier;
 
-/** The sessions of this node, the groups' feeds that serve them, and the fetches by which sessions catch up. */
+/** The sessions of this node, the groups' feeds, and the catch-up fetches in flight. */
 final class SessionRegistry {
     private static final int MAX_SESSIONS = 8_192;
 
-    /** A session's own fetch in flight. */
+    /** A fetch in flight that a subscription catches up by. */
     record CatchUpFetch(Session session, GroupSubscription subscription) {}
 
     private final LongSupplier ids;
     private final TreeMap<Long, Session> sessions = new TreeMap<>();
     private final TreeMap<Integer, Feed> feeds = new TreeMap<>();
     private final Map<Long, CatchUpFetch> catchUpFetches = new HashMap<>();
-    /** Sessions with a shared cursor, and those with a topic that is not live yet. */
+    /** The sessions with a shared cursor, and those with a topic that may not be live yet. */
     private final TreeSet<Long> needingTimer = new TreeSet<>();
 
     SessionRegistry(final LongSupplier ids) {
@@ -40,7 +40,7 @@
         return sessions.get(id);
     }
 
-    /** All sessions as a new list, for sessions may end during the iteration. */
+    /** All sessions as a new list, since sessions may end during the iteration. */
     List<Session> sessions() {
         return new ArrayList<>(sessions.values());
     }
@@ -73,7 +73,8 @@
         final Feed feed = feeds.get(subscription.group);
         for (final String topic : subscription.topics()) {
             if (feed.remove(topic, session.id)) {
-                // records of the topic that are still read are harmless, until the next fetch no longer requests it
+                // a fetch in flight may still return records of the topic, which is harmless; the next does not request
+                // it
                 feed.topicsVersion = ids.getAsLong();
             }
         }
@@ -104,25 +105,25 @@
         needingTimer.remove(session.id);
     }
 
-    /** Records a session's own fetch. */
+    /** Records a catch-up fetch. */
     void catchUpSent(final long fetchId, final Session session, final GroupSubscription subscription) {
         catchUpFetches.remove(subscription.fetches.add(fetchId));
         catchUpFetches.put(fetchId, new CatchUpFetch(session, subscription));
     }
 
-    /** Removes the subscription's fetches, whose replies are no longer awaited. */
+    /** Removes the subscription's catch-up fetches: their replies are no longer awaited. */
     void abandonCatchUp(final GroupSubscription subscription) {
         subscription.fetches.ids().forEach(catchUpFetches::remove);
         subscription.fetches.clear();
     }
 
-    /** The fetch in flight with this request ID; null for none, or where its session has ended. */
+    /** The catch-up fetch in flight with this request ID; null for none, or where its session has ended. */
     CatchUpFetch catchUp(final long fetchId) {
         final CatchUpFetch fetch = catchUpFetches.get(fetchId);
         return fetch == null || !sessions.containsKey(fetch.session.id) ? null : fetch;
     }
 
-    /** As above, and removes the fetch. */
+    /** Removes and returns the catch-up fetch with this request ID; null for none, or where its session has ended. */
     CatchUpFetch completeCatchUp(final long fetchId) {
         final CatchUpFetch fetch = catchUp(fetchId);
         catchUpFetches.remove(fetchId);
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/SessionRequests.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/SessionRequests.java
@@ -17,7 +17,7 @@
 import java.util.function.IntSupplier;
 import java.util.function.LongFunction;
 
-/** Executes or refuses the callers' requests that open and end sessions or change what they listen to. */
+/** Executes or refuses the callers' requests that open and end sessions or change their subscriptions. */
 public final class SessionRequests {
     private static final long START_AT_END = -1;
 
@@ -30,7 +30,7 @@
 
     /**
      * @param maxTopics the most topics that a session may listen to
-     * @param routes gives the routes by the tables at a time in monotonic milliseconds
+     * @param routes gives the route finder for a time in monotonic milliseconds
      */
     SessionRequests(
             final SessionRegistry registry,
@@ -82,7 +82,7 @@
             return;
         }
         if (previous != null) {
-            // a topic that is joined again restarts at the requested cursor
+            // joining a topic again restarts it at the requested cursor
             registry.unsubscribe(session, previous);
         }
         final GroupSubscription subscription =
@@ -133,7 +133,7 @@
     }
 
     /**
-     * Partitions the topics by group: those of one group are read together, since a space may guarantee one order over
+     * Partitions the topics by group. Those of one group are read together, since a space may guarantee an order across
      * all its topics.
      *
      * @param byGroup receives the subscriptions
@@ -157,7 +157,7 @@
         return null;
     }
 
-    /** Ends the session, since its caller has left. */
+    /** Ends the session of a caller that has disconnected. */
     public void end(final long sessionId) {
         final Session session = registry.get(sessionId);
         if (session != null) {
@@ -166,7 +166,8 @@
     }
 
     private void refuseFull(final long requestId) {
-        out.respond(requestId, Refusals.retryLater(timing, "busy", "this node holds as many sessions as it may"));
+        out.respond(
+                requestId, Refusals.retryLater(timing, "busy", "this node has reached its maximum number of sessions"));
     }
 
     private void refuseInvalid(final long requestId, final String code, final String reason) {
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/SessionTerminator.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/SessionTerminator.java
@@ -9,9 +9,9 @@
 import jakarta.json.Json;
 import java.util.List;
 
-/** Ends sessions, or single topics of them, and notifies the callers of the reason. */
+/** Ends sessions, or single subscriptions, and notifies the callers of the reason. */
 final class SessionTerminator {
-    private static final String NOT_READ_IN_TIME = "no member in sync could be read in time";
+    private static final String NOT_READ_IN_TIME = "no in-sync member could be read in time";
     private static final String NO_LONGER_KEPT = "history after the cursor is no longer kept";
 
     private final SessionRegistry registry;
@@ -28,10 +28,10 @@
     }
 
     /**
-     * Ends a subscription, and with a shared cursor the complete session.
+     * Ends a subscription, and the whole session if it has a shared cursor.
      *
-     * @param response for a caller that waits for a response, or whose topic ends
-     * @param closeReason for a caller whose session ends
+     * @param response the response to a pending request, or the reason for the end of a topic
+     * @param closeReason the reason for closing a session that has started
      * @return true where the session ended
      */
     boolean end(
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Ends a subscription whose unread records were trimmed. */
+    /** Ends a subscription for which records that it has not read yet were trimmed. */
     void historyGone(final Session session, final GroupSubscription subscription, final List<String> topics) {
         joins.historyGone();
         final String json = Json.createObjectBuilder()
@@ -74,13 +74,13 @@
         end(session, subscription, new Response(GONE, 0, json, "gone"), NO_LONGER_KEPT);
     }
 
-    /** Ends a session that did not start by its deadline. */
+    /** Refuses a session that did not start by its deadline. */
     void sessionTimedOut(final Session session) {
         registry.remove(session);
         out.respond(session.id, Refusals.retryLater(timing, "history", NOT_READ_IN_TIME));
     }
 
-    /** Ends the join of a topic that did not begin by its deadline. */
+    /** Refuses the join of a topic that did not start by its deadline. */
     void joinTimedOut(final Session session, final GroupSubscription subscription) {
         joins.timedOut();
         registry.unsubscribe(session, subscription);
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/SessionWriter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/SessionWriter.java
@@ -10,7 +10,7 @@
 import jakarta.json.Json;
 import jakarta.json.JsonObject;
 
-/** Writes to the callers: records, keep-alive lines, and the responses that begin sessions and topics. */
+/** Sends records and keep-alive lines to the callers, and the responses that start sessions and topics. */
 final class SessionWriter {
 
     private final int self;
@@ -21,7 +21,7 @@
         this.out = out;
     }
 
-    /** Begins the stream of a session with a shared cursor. */
+    /** Starts the stream of a session with a shared cursor. */
     void start(final Session session, final long now) {
         session.started = true;
         session.lastLineAt = now;
@@ -33,7 +33,7 @@
         out.respond(session.id, new Response(OK, 0, hello));
     }
 
-    /** Responds to the join request with the topic's cursor, unless it has its response already. */
+    /** Responds to the join request with the topic's cursor, unless the response has been sent already. */
     void confirmJoin(final GroupSubscription subscription) {
         if (subscription.pendingJoin != 0) {
             out.respond(subscription.pendingJoin, new Response(OK, 0, Cursor.one(subscription.position())));
@@ -41,7 +41,7 @@
         }
     }
 
-    /** Delivers a record, unless the session has it already. */
+    /** Delivers a record, unless the session already has it. */
     void deliver(
             final Session session, final GroupSubscription subscription, final LogRecord logRecord, final long now) {
         if (!subscription.advance(logRecord.topic(), logRecord.index())) {
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/StartupRedirect.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/StartupRedirect.java
@@ -4,15 +4,16 @@
 import java.util.List;
 
 /**
- * Names another gateway to callers that come before this one has its first lease on the configuration. Only a gateway
- * whose start takes longer than a caller waits does so, and only to gateways beside the controllers of its settings,
- * which are the first to get a lease. These redirect nobody before theirs, so there is no ring. Not thread-safe.
+ * Redirects callers that arrive before this gateway has its first lease on the configuration to another gateway. Only a
+ * gateway whose start takes longer than a caller waits does so, and only to the seed gateways: those on the machines of
+ * the controllers in its settings, which are the first to get a lease. Seed gateways redirect no callers before their
+ * own first lease, so there is no redirect loop. Not thread-safe.
  */
 public final class StartupRedirect {
-    /** The processor time of a start, from the process to its first lease, as measured; in milliseconds. */
-    private static final int START_PROCESSOR_MS = 150;
+    /** The CPU time from the start of the process to its first lease, in milliseconds. */
+    private static final int START_CPU_MS = 150;
 
-    /** A gateway that redirects nobody. */
+    /** The redirect of a gateway that redirects no callers. */
     public static final StartupRedirect NONE = new StartupRedirect(List.of());
 
     private final List<String> addresses;
@@ -23,17 +24,17 @@
     }
 
     /**
-     * The redirects of a gateway.
+     * The redirect of a gateway.
      *
-     * @param processors how many processors' worth of time this process gets; 0 where that is unknown
-     * @param seedGateways where callers reach the gateways beside the controllers of the settings, host:port each
-     * @param self where callers reach this gateway
+     * @param processors the number of processors that this process may use, as a fraction; 0 where it is unknown
+     * @param seedGateways the public addresses of the seed gateways, host:port each
+     * @param self the public address of this gateway
      */
     public static StartupRedirect of(
             final double processors, final List<String> seedGateways, final String self, final TimingBounds timing) {
-        final boolean besideController = seedGateways.contains(self);
-        final boolean startsInTime = processors == 0 || START_PROCESSOR_MS / processors <= timing.callerPatience();
-        return besideController || startsInTime ? NONE : new StartupRedirect(seedGateways);
+        final boolean isSeed = seedGateways.contains(self);
+        final boolean startsInTime = processors == 0 || START_CPU_MS / processors <= timing.callerPatience();
+        return isSeed || startsInTime ? NONE : new StartupRedirect(seedGateways);
     }
 
     /** Whether callers are redirected before the first lease. */
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/Subscriptions.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/Subscriptions.java
@@ -12,8 +12,8 @@
 import java.util.function.Supplier;
 
 /**
- * The callers' sessions of a gateway: dispatches their requests, the members' replies and the timers to the part that
- * handles each. Times are monotonic milliseconds.
+ * The callers' sessions on a gateway: dispatches their requests, the group members' replies and the timers to the class
+ * that handles each. Times are monotonic milliseconds.
  */
 public final class Subscriptions {
     private final TimingBounds timing;
@@ -31,9 +31,9 @@
     private final PermissionReview permissions;
 
     /**
-     * @param self this node
+     * @param self the number of this node
      * @param maxTopics the most topics that a session may listen to
-     * @param routes gives the routes by the tables at a time
+     * @param routes gives the route finder for a time in monotonic milliseconds
      * @param ids gives request IDs, ascending
      */
     public Subscriptions(
@@ -69,27 +69,27 @@
         return registry.needsTimer();
     }
 
-    /** Whether the session is one of this node and listens to the topic. */
+    /** Whether the session exists on this node and listens to the topic. */
     public boolean listens(final long sessionId, final String topic) {
         final Session session = registry.get(sessionId);
         return session != null && session.subscription(topic) != null;
     }
 
-    /** The part that executes the callers' requests. */
+    /** Executes the callers' requests. */
     public SessionRequests requests() {
         return requests;
     }
 
-    /** Ends the subscriptions whose key or space a new configuration has removed. */
+    /** Ends the subscriptions for which a new configuration no longer gives permission. */
     public void reviewPermissions(final long now) {
         permissions.reviewAll(routes.apply(now));
     }
 
     // ---- drain
 
-    /** Schedules the moves of all sessions to other nodes, spread over a duration in milliseconds. */
-    public void scheduleMoves(final long over, final long now) {
-        drain.schedule(over, now);
+    /** Schedules the moves of all sessions to other nodes, spread over the duration. */
+    public void scheduleMoves(final long durationMs, final long now) {
+        drain.schedule(durationMs, now);
     }
 
     /** Cancels the scheduled moves. */
@@ -140,7 +140,7 @@
 
     // ---- messages
 
-    /** Handles a member's reply to a fetch; called only while this node holds the lease on the configuration. */
+    /** Handles a group member's reply to a fetch; called only while this node holds the lease on the configuration. */
     public void fetched(final int from, final FetchReply reply, final long now) {
         sources.responded(from);
         final Feed feed = registry.feed(reply.group());
@@ -159,7 +159,7 @@
         catchUpFetcher.unsent(message, now);
     }
 
-    /** A report of listeners was not sent. */
+    /** A listener report was not sent. */
     public void unsent(final ListenerReport message) {
         listenerReporter.unsent(message);
     }
--- a/coordination/src/main/java/brookpath/coordination/route/Route.java
+++ b/coordination/src/main/java/brookpath/coordination/route/Route.java
@@ -5,12 +5,12 @@
 import brookpath.coordination.message.ResponseStatus;
 
 /**
- * The destination of a request with the reason, or its refusal.
+ * The destination of a request, or its refusal, with the reason.
  *
  * @param refusal null where the request is admitted
- * @param tenant the tenant whose key was given; empty where none was
+ * @param tenant the tenant that the key belongs to; empty where no key was given
  * @param group the topic's group; -1 with a refusal
- * @param node the node that the request is sent to; 0 where that is undecided
+ * @param node the node that the request is sent to; 0 while it is undecided
  * @param because the reason for the decision in a sentence, for operators
  */
 public record Route(Response refusal, String tenant, int group, int node, String because) {
--- a/coordination/src/main/java/brookpath/coordination/route/RouteFinder.java
+++ b/coordination/src/main/java/brookpath/coordination/route/RouteFinder.java
@@ -16,20 +16,20 @@
 import brookpath.coordination.text.AsciiText;
 import java.util.function.IntToLongFunction;
 
-/** Decides the destination of a request from immutable tables alone; sending it is up to the caller. Immutable. */
+/** Determines the destination of a request from immutable tables alone; sending it is up to the caller. Immutable. */
 public final class RouteFinder {
     /**
-     * The refusal's code where no space has such a topic; the HTTP status does not distinguish it from a space without
-     * permission.
+     * The code of the refusal where no space contains the topic; the HTTP status does not distinguish this from a
+     * missing permission for the space.
      */
     public static final String UNKNOWN_SPACE = "space";
 
     private static final int MAX_TOPIC_LENGTH = 200;
 
-    /** The time of failure of a node that has not failed lately. */
+    /** The time of failure of a node that has not failed recently. */
     public static final long NOT_FAILED = Long.MIN_VALUE;
 
-    /** The preferences among members to read from, the strongest first. */
+    /** The penalties of members to read from, the largest first: the member with the lowest sum is preferred. */
     private static final int OTHER_ZONE_PENALTY = 4;
 
     private static final int LEADER_PENALTY = 1;
@@ -43,10 +43,10 @@
 
     /**
      * @param configuration the configuration
-     * @param metadata the cluster's metadata: which members each group has
+     * @param metadata the cluster metadata: which members each group has
      * @param table the newest heartbeats
      * @param leased whether this node holds the lease on the configuration
-     * @param zone the zone of this node, which is preferred for reads of history
+     * @param zone the zone of this node, whose members are preferred for reads
      */
     public RouteFinder(
             final Configuration configuration,
@@ -70,7 +70,7 @@
                     ResponseStatus.BAD_REQUEST, 0, "topic", "a topic is 1 to 200 printable characters without a space");
         }
         if (!leased) {
-            // the key may have been removed since, so that the request is refused
+            // the key may have been revoked since the lease expired, so the request is refused
             return unavailable(timing, "spec", "this node has not heard from the control plane lately");
         }
         final Configuration.Tenant tenant = configuration.tenantOf(key);
@@ -80,11 +80,14 @@
             return refused(ResponseStatus.UNAUTHORIZED, 0, "key", key.isEmpty() ? "a key is needed" : "unknown key");
         }
         if (space == null) {
-            return refused(ResponseStatus.FORBIDDEN, 0, UNKNOWN_SPACE, "no space has a topic of this name");
+            return refused(ResponseStatus.FORBIDDEN, 0, UNKNOWN_SPACE, "no space contains this topic");
         }
         if (tenant != null && !tenant.uses(space.name())) {
             return refused(
-                    ResponseStatus.FORBIDDEN, 0, "topic", "space \"" + space.name() + "\" is not among the tenant's");
+                    ResponseStatus.FORBIDDEN,
+                    0,
+                    "topic",
+                    "space \"" + space.name() + "\" is not one of the tenant's spaces");
         }
         if (metadata.groups().isEmpty()) {
             return unavailable(timing, "placement", "no groups are placed yet");
@@ -114,12 +117,12 @@
         public static final Leader NONE = new Leader(0, -1);
     }
 
-    /** The leader of the group according to the roles in the heartbeats. */
+    /** The leader of the group according to the heartbeats. */
     public Leader leader(final int group, final long now) {
         Leader leader = Leader.NONE;
         for (final Member m : groupOf(group).members()) {
             final HeartbeatEntry e = table.fresh(m.node(), group, now);
-            // two members may claim leadership briefly; the higher term is valid
+            // two members may briefly claim to be the leader; the one with the higher term is
             if (e != null && e.role() == GroupMachine.LEADER && e.term() > leader.term && table.up(m.node())) {
                 leader = new Leader(m.node(), e.term());
             }
@@ -131,21 +134,21 @@
     public Route toLeader(final Route route, final long now) {
         final Leader leader = leader(route.group(), now);
         if (leader.node == 0) {
-            return unavailable(timing, "master", "group " + route.group() + " has no master just now");
+            return unavailable(timing, "master", "group " + route.group() + " has no leader at present");
         }
         return new Route(
                 null,
                 route.tenant(),
                 route.group(),
                 leader.node,
-                route.because() + "; node " + leader.node + " masters it in epoch " + leader.term);
+                route.because() + "; node " + leader.node + " leads it in term " + leader.term);
     }
 
     /**
-     * Selects the member to read history from: in sync, same zone first, followers before the leader. 0 for none.
+     * Selects an in-sync member to read from: same zone first, then followers before the leader. 0 for none.
      *
-     * @param failedAt when a node failed lately, {@link #NOT_FAILED} where it did not; those that failed are selected
-     *     last, the one that failed longest ago before the others
+     * @param failedAt when a node failed, {@link #NOT_FAILED} where it has not failed recently; failed members are
+     *     selected last, the one that failed longest ago first
      */
     public int nearest(final int group, final IntToLongFunction failedAt, final long now) {
         int best = 0;
@@ -158,7 +161,7 @@
             }
             final int score = (m.zone().equals(zone) ? 0 : OTHER_ZONE_PENALTY)
                     + (e.role() == GroupMachine.LEADER ? LEADER_PENALTY : 0);
-            // why: by score alone, one that is gone would be tried over and over although the others serve again
+            // by score alone, a dead member would be retried again and again although the others can serve reads again
             final long memberFailedAt = failedAt.applyAsLong(m.node());
             if (memberFailedAt < bestFailedAt || (memberFailedAt == bestFailedAt && score < bestScore)) {
                 bestFailedAt = memberFailedAt;
