--- a/testing/src/test/java/brookpath/testing/PublishForwarderTest.java
+++ b/testing/src/test/java/brookpath/testing/PublishForwarderTest.java
@@ -28,7 +28,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What a reply to one attempt of a publish says of the others. */
+/** A reply to one attempt of a publish, or its failure, must not be taken for the outcome of another attempt. */
 public final class PublishForwarderTest {
     private static final TimingBounds TIMING = TimingBounds.DEFAULT;
     private static final int GROUP = 0;
@@ -53,7 +53,7 @@
     private final List<Action.Respond> responses = new ArrayList<>();
 
     @BeforeMethod
-    public void begin() {
+    public void setUp() {
         out = new Actions();
         heartbeats = new HeartbeatMonitor(TIMING, TIMING.heartbeat(), new HeartbeatPromises(TIMING.down()));
         heartbeats.peers(Set.of(ONE, TWO));
@@ -68,20 +68,20 @@
                 out);
     }
 
-    private void leaders(final int node, final long term) {
+    private void announceLeader(final int node, final long term) {
         final HeartbeatEntry entry =
                 new HeartbeatEntry(GROUP, 1, term, HeartbeatEntry.LEADER, 0, 1, 1, term, 1, node, 50);
-        final Actions round = new Actions();
-        heartbeats.heartbeatNow(now, round);
-        final Heartbeat asked = round.drain().stream()
+        final Actions actions = new Actions();
+        heartbeats.heartbeatNow(now, actions);
+        final Heartbeat request = actions.drain().stream()
                 .filter(a -> a instanceof Action.Send s && s.node() == node)
                 .map(a -> (Heartbeat) ((Action.Send) a).message())
                 .findFirst()
                 .orElseThrow();
-        heartbeats.onHeartbeat(node, new Heartbeat(true, asked.id(), now, 0, false, List.of(entry)), now, round);
+        heartbeats.onHeartbeat(node, new Heartbeat(true, request.id(), now, 0, false, List.of(entry)), now, actions);
     }
 
-    private void obey() {
+    private void collectActions() {
         for (final Action action : out.drain()) {
             if (action instanceof Action.Send a) {
                 sent.add(a);
@@ -98,76 +98,76 @@
                 1,
                 0,
                 now);
-        obey();
+        collectActions();
         assertEquals(sent.size(), 1);
         return (Publish) sent.get(0).message();
     }
 
     private void tick(final long ms, final int leader, final long term) {
         now += ms;
-        leaders(leader, term);
+        announceLeader(leader, term);
         forwarder.tick(now);
-        obey();
+        collectActions();
     }
 
     private void reply(final int from, final long id, final PublishOutcome outcome) {
         forwarder.reply(from, new PublishReply(id, outcome, 9, 0, 1, "why"), now);
-        obey();
+        collectActions();
     }
 
     private List<Integer> statuses() {
         return responses.stream().map(r -> r.response().status()).toList();
     }
 
-    private void untilItsTimeIsUp(final int leader, final long term) {
+    private void tickUntilResponse(final int leader, final long term) {
         for (int i = 0; i < 1_000 && responses.isEmpty(); i++) {
             tick(TIMING.tick(), leader, term);
         }
     }
 
     @Test
-    public void afterSilenceNothingIsSentAgainAndTheEndIsUnknown() {
-        leaders(ONE, 1);
+    public void publishWithoutReplyIsNotRetriedAndEndsUnsettled() {
+        announceLeader(ONE, 1);
         publish();
-        untilItsTimeIsUp(ONE, 1);
-        assertEquals(sent.size(), 1, "sent again to a node that may have it");
+        tickUntilResponse(ONE, 1);
+        assertEquals(sent.size(), 1, "retried with a node that may have received it");
         assertEquals(statuses(), List.of(504));
     }
 
     @Test
-    public void lateWordThatAnEarlierAttemptNeverLeftSaysNothingOfThisOne() {
-        leaders(ONE, 1);
+    public void lateFailureToSendAnEarlierAttemptDoesNotAffectTheCurrentOne() {
+        announceLeader(ONE, 1);
         final Publish first = publish();
         tick(TIMING.tick(), TWO, 2);
         assertEquals(sent.stream().map(Action.Send::node).toList(), List.of(ONE, TWO));
         forwarder.unsent(ONE, first, now);
-        untilItsTimeIsUp(TWO, 2);
-        assertEquals(sent.size(), 2, "sent again while it was under way");
+        tickUntilResponse(TWO, 2);
+        assertEquals(sent.size(), 2, "retried while an attempt was in flight");
         assertEquals(statuses(), List.of(504));
     }
 
     @Test
-    public void refusedAfterAnAttemptWhoseEndIsUnknownIsUnknown() {
-        leaders(ONE, 1);
+    public void refusalAfterAnAttemptWithUnknownOutcomeIsUnsettled() {
+        announceLeader(ONE, 1);
         final Publish first = publish();
         forwarder.connectionLost(ONE, now);
         tick(TIMING.heartbeat(), ONE, 1);
         assertEquals(sent.size(), 2);
         reply(ONE, first.requestId(), PublishOutcome.REFUSED_FOR_GOOD);
-        assertEquals(statuses(), List.of(504), "what may lie in a log was refused for certain");
+        assertEquals(statuses(), List.of(504), "a publish that may be in a log was reported as refused");
     }
 
     @Test
-    public void refusedAtTheOnlyAttemptIsRefused() {
-        leaders(ONE, 1);
+    public void refusalOfTheOnlyAttemptIsFinal() {
+        announceLeader(ONE, 1);
         final Publish first = publish();
         reply(ONE, first.requestId(), PublishOutcome.REFUSED_FOR_GOOD);
         assertEquals(statuses(), List.of(409));
     }
 
     @Test
-    public void committedByAnEarlierLeaderIsCommittedOnce() {
-        leaders(ONE, 1);
+    public void publishCommittedByAnEarlierLeaderIsReportedOnce() {
+        announceLeader(ONE, 1);
         final Publish first = publish();
         tick(TIMING.tick(), TWO, 2);
         reply(ONE, first.requestId(), PublishOutcome.ACCEPTED);
@@ -177,22 +177,22 @@
     }
 
     @Test
-    public void aRefusalOfAnEarlierLeaderLeavesTheNewAttemptAlone() {
-        leaders(ONE, 1);
+    public void refusalByAnEarlierLeaderDoesNotAffectTheCurrentAttempt() {
+        announceLeader(ONE, 1);
         final Publish first = publish();
         tick(TIMING.tick(), TWO, 2);
         reply(ONE, first.requestId(), PublishOutcome.NOT_LEADER);
         reply(ONE, first.requestId(), PublishOutcome.BUSY);
         tick(TIMING.heartbeat(), TWO, 2);
-        assertEquals(sent.size(), 2, "sent again while it was under way");
+        assertEquals(sent.size(), 2, "retried while an attempt was in flight");
         assertTrue(responses.isEmpty());
         reply(TWO, first.requestId(), PublishOutcome.ACCEPTED);
         assertEquals(statuses(), List.of(200));
     }
 
     @Test
-    public void aReplyToAnotherLifeSettlesNothing() {
-        leaders(ONE, 1);
+    public void replyToAnotherRequestIdIsIgnored() {
+        announceLeader(ONE, 1);
         final Publish first = publish();
         reply(ONE, first.requestId() - 1, PublishOutcome.ACCEPTED);
         reply(ONE, first.requestId() + 1, PublishOutcome.REFUSED_FOR_GOOD);
--- a/testing/src/test/java/brookpath/testing/sim/CallIdsTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/CallIdsTest.java
@@ -21,12 +21,14 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Replies that third nodes carry may outlive the incarnation of the process that asked; they answer no other. */
+/**
+ * A reply forwarded by another node may arrive after the requesting process has restarted, and must then be ignored.
+ */
 public final class CallIdsTest {
     private static final NodeInfo GATEWAY = new NodeInfo(31, "a", "sim:31", "", 31);
     private static final List<Integer> SEEDS = List.of(1, 2, 3);
-    private static final long FORMER_IDS = 1L << 40;
-    private static final long IDS = 1L << 50;
+    private static final long EARLIER_FIRST_ID = 1L << 40;
+    private static final long FIRST_ID = 1L << 50;
     private static final Time NOW = new Time(10_000, 10_000);
 
     private static GatewayNode incarnation(final long firstId) {
@@ -47,19 +49,19 @@
     }
 
     @Test
-    public void aGrantForAFormerLifeGivesNoLease() {
-        final ConfigurationPoll former = poll(incarnation(FORMER_IDS));
-        final GatewayNode gateway = incarnation(IDS);
-        final ConfigurationPoll own = poll(gateway);
-        assertNotEquals(own.pollId(), former.pollId());
-        gateway.message(2, grant(former), NOW);
-        assertFalse(gateway.client().leased(NOW.mono()), "an answer to a former life's poll granted a lease");
-        gateway.message(2, grant(own), NOW);
+    public void replyToAnEarlierIncarnationGrantsNoLease() {
+        final ConfigurationPoll earlier = poll(incarnation(EARLIER_FIRST_ID));
+        final GatewayNode gateway = incarnation(FIRST_ID);
+        final ConfigurationPoll current = poll(gateway);
+        assertNotEquals(current.pollId(), earlier.pollId());
+        gateway.message(2, grant(earlier), NOW);
+        assertFalse(gateway.client().leased(NOW.mono()), "the reply to an earlier incarnation's poll granted a lease");
+        gateway.message(2, grant(current), NOW);
         assertTrue(gateway.client().leased(NOW.mono()));
     }
 
     @Test
-    public void addressesThatAFormerLifeAskedForAreNotTaken() {
+    public void addressesThatAnEarlierIncarnationRequestedAreIgnored() {
         final SimulatedProcess process = ServingCluster.start(81).processes.get(31);
         final GatewayNode gateway = (GatewayNode) process.node;
         final byte[] elsewhere = PackedBuffer.writer()
@@ -68,19 +70,19 @@
                 .putString("a")
                 .putString("gone:1")
                 .toByteArray();
-        final ControlRequest question = gateway.request(new NodeRequest.Drain(1, true), process.time()).stream()
+        final ControlRequest request = gateway.request(new NodeRequest.Drain(1, true), process.time()).stream()
                 .filter(a -> a instanceof Action.Send s && s.message() instanceof ControlRequest)
                 .map(a -> (ControlRequest) ((Action.Send) a).message())
                 .findFirst()
                 .orElseThrow();
         gateway.message(2, new ControlReply(0, 200, 0, elsewhere), process.time());
-        gateway.message(2, new ControlReply(question.requestId() - 1, 200, 0, elsewhere), process.time());
-        assertEquals(sentOn(gateway, process), "", "sent on by an answer to a question that was not asked");
-        gateway.message(2, new ControlReply(question.requestId(), 200, 0, elsewhere), process.time());
-        assertEquals(sentOn(gateway, process), "gone:1");
+        gateway.message(2, new ControlReply(request.requestId() - 1, 200, 0, elsewhere), process.time());
+        assertEquals(redirectAddress(gateway, process), "", "redirected by the reply to another request");
+        gateway.message(2, new ControlReply(request.requestId(), 200, 0, elsewhere), process.time());
+        assertEquals(redirectAddress(gateway, process), "gone:1");
     }
 
-    private static String sentOn(final GatewayNode gateway, final SimulatedProcess process) {
+    private static String redirectAddress(final GatewayNode gateway, final SimulatedProcess process) {
         return gateway.request(new NodeRequest.Open(7, "key-members"), process.time()).stream()
                 .filter(a -> a instanceof Action.MoveSession)
                 .map(a -> ((Action.MoveSession) a).address())
--- a/testing/src/test/java/brookpath/testing/sim/FeedSourceTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/FeedSourceTest.java
@@ -9,27 +9,22 @@
 import org.testng.annotations.Test;
 
 /**
- * Which member a gateway reads a group from after one of them is gone.
- *
- * <p>The failure: messages reached the clients of one gateway up to 2.3 s late, all of one group. The order of events:
- * the group's leadership was handed over, and in that moment two members refused the gateway's reads and were avoided
- * for three seconds; the third answered. Half a second later it was killed. The cause: among members that had all
- * failed lately the gateway chose by zone and number alone, so it tried the dead one again and again until the three
- * seconds were over, although the two others had long been in sync.
- *
- * <p>The evidence: in the history of that day the gateway sent 60 fetches to the dead member in a row, while the
- * heartbeats of both others told it that they were in sync.
+ * Which member a gateway reads a group from after one of them is lost. Guards against messages that reach the clients
+ * up to 2.3 s late: two members refuse reads during a leadership transfer and are avoided for 3 s, and the third is
+ * killed half a second later. A gateway that chooses among recently failed members by zone and node number alone then
+ * keeps fetching from the dead one (60 fetches in a row) until the 3 s are over, although the two others are in sync
+ * again.
  */
 public final class FeedSourceTest extends ClusterScenario {
     private static final int SEEDS = 6;
     private static final int MEMBERS = 3;
-    /** By one gateway after the member's end: its groups, and the topics that are just joined. */
+    /** The most fetches that one gateway may send to the dead member: for its groups, and for topics being joined. */
     private static final long MAX_FETCHES = 12;
 
     private static final long BETWEEN_RESETS_AND_LOSS_MS = 400;
 
     @Test
-    public void aDeadMemberIsNotTriedAgainBeforeThoseThatFailedEarlier() {
+    public void deadMemberIsNotRetriedBeforeMembersThatFailedEarlier() {
         for (int seed = 200; seed < 200 + SEEDS; seed++) {
             for (int lost = 0; lost < MEMBERS; lost++) {
                 begin(seed);
--- a/testing/src/test/java/brookpath/testing/sim/JoinedSessionsTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/JoinedSessionsTest.java
@@ -23,7 +23,7 @@
 import java.util.function.LongFunction;
 import org.testng.annotations.Test;
 
-/** Sessions whose topics come and go, publishes that outlive a leader, and processes that leave in good order. */
+/** Sessions that join and leave topics, publishes that are retried after a leader is lost, and graceful shutdowns. */
 public final class JoinedSessionsTest {
     private static final String TOPIC = "permits/a";
 
@@ -63,18 +63,18 @@
         return ask(gateway, i -> new NodeRequest.Publish(i, "key-members", TOPIC, "ana", seq, "says " + seq));
     }
 
-    private List<Action.DeliverRecord> handed(final long session) {
+    private List<Action.DeliverRecord> delivered(final long session) {
         final List<Action.DeliverRecord> list = new ArrayList<>();
         cluster.callers.sessionActions.forEach(a -> {
-            if (a instanceof Action.DeliverRecord h && h.sessionId() == session) {
-                list.add(h);
+            if (a instanceof Action.DeliverRecord d && d.sessionId() == session) {
+                list.add(d);
             }
         });
         return list;
     }
 
-    private List<Long> heard(final long session) {
-        return handed(session).stream().map(h -> h.logRecord().seq()).toList();
+    private List<Long> deliveredSequences(final long session) {
+        return delivered(session).stream().map(d -> d.logRecord().seq()).toList();
     }
 
     private SimulatedProcess leader() {
@@ -87,11 +87,11 @@
                 return p;
             }
         }
-        throw new AssertionError("group " + g + " has no acting master");
+        throw new AssertionError("group " + g + " has no acting leader");
     }
 
     @Test
-    public void aTopicGoesOnAtAnotherGatewayFromTheCursorOfItsLastMessageThoughTheFirstIsGone() {
+    public void topicResumesFromItsCursorAtAnotherGatewayAfterTheFirstOneDied() {
         begin(21);
         final long first = open(31, "key-members");
         assertTrue(Cursor.readOne(join(31, first, TOPIC, null).json()) >= 0);
@@ -99,8 +99,8 @@
             assertEquals(publish(32, seq).status(), 200);
         }
         cluster.run(cluster.now() + 300);
-        assertEquals(heard(first), List.of(1L, 2L, 3L));
-        final String cursor = Cursor.one(handed(first).get(1).logRecord().index());
+        assertEquals(deliveredSequences(first), List.of(1L, 2L, 3L));
+        final String cursor = Cursor.one(delivered(first).get(1).logRecord().index());
         cluster.kill(cluster.processes.get(31), true);
         assertEquals(publish(32, 4).status(), 200);
         final long second = open(33, "key-members");
@@ -108,15 +108,15 @@
         assertEquals(joined.json(), cursor);
         assertEquals(publish(32, 5).status(), 200);
         cluster.run(cluster.now() + 300);
-        assertEquals(heard(second), List.of(3L, 4L, 5L));
+        assertEquals(deliveredSequences(second), List.of(3L, 4L, 5L));
         assertEquals(ask(33, i -> new NodeRequest.Leave(i, second, TOPIC)).status(), 200);
         assertEquals(publish(32, 6).status(), 200);
         cluster.run(cluster.now() + 300);
-        assertEquals(heard(second), List.of(3L, 4L, 5L), "it has left the topic");
+        assertEquals(deliveredSequences(second), List.of(3L, 4L, 5L), "delivered after the session left the topic");
     }
 
     @Test
-    public void whatIsNoCursorAndWhatIsNoTopicIsRefusedAtOnce() {
+    public void invalidCursorsTopicsAndKeysAreRefused() {
         begin(22);
         final long session = open(31, "key-members");
         assertEquals(join(31, session, TOPIC, "nonsense!").status(), 400);
@@ -127,7 +127,7 @@
     }
 
     @Test
-    public void aTopicEndsWithTheKeyAndNothingComesAfterwards() {
+    public void topicEndsWhenItsKeyIsRevoked() {
         begin(23);
         final long session = open(31, "key-guest");
         assertEquals(join(31, session, TOPIC, null).status(), 200);
@@ -146,11 +146,11 @@
                 cluster.callers.sessionActions.toString());
         assertEquals(publish(32, 2).status(), 200);
         cluster.run(cluster.now() + 300);
-        assertEquals(heard(session), List.of(1L));
+        assertEquals(deliveredSequences(session), List.of(1L));
     }
 
     @Test
-    public void aPublishOutlivesItsLeaderWithoutItsCallersHelp() {
+    public void publishSucceedsAlthoughItsLeaderIsLost() {
         for (long seed = 31; seed < 37; seed++) {
             begin(seed);
             final long session = open(32, "key-members");
@@ -162,18 +162,18 @@
                     cluster.processes.get(31),
                     i -> new NodeRequest.Publish(i, "key-members", TOPIC, "ana", 2, "x"),
                     got::add);
-            // why: a little later each time, so that the publish has come further each time
+            // later with each seed, so that the leader is lost at a different stage of the publish
             cluster.run(cluster.now() + seed - 30);
             cluster.kill(leader, true);
             cluster.run(cluster.now() + 3_000);
             assertEquals(got.size(), 1, "seed " + seed);
             assertEquals(got.get(0).status(), 200, "seed " + seed + ": " + got);
-            assertEquals(heard(session), List.of(1L, 2L), "seed " + seed);
+            assertEquals(deliveredSequences(session), List.of(1L, 2L), "seed " + seed);
         }
     }
 
     @Test
-    public void pipelinedPublishesKeepTheirOrderAcrossAnOwnersDeath() {
+    public void pipelinedPublishesKeepTheirOrderWhenTheLeaderIsLost() {
         for (long seed = 41; seed < 47; seed++) {
             begin(seed);
             final long session = open(32, "key-members");
@@ -190,22 +190,26 @@
             cluster.run(cluster.now() + 1 + seed % 6);
             cluster.kill(leader, true);
             cluster.run(cluster.now() + 3_000);
-            final List<Long> heard = heard(session);
-            assertEquals(heard, heard.stream().sorted().distinct().toList(), "seed " + seed);
+            final List<Long> deliveredSequences = deliveredSequences(session);
+            assertEquals(
+                    deliveredSequences,
+                    deliveredSequences.stream().sorted().distinct().toList(),
+                    "seed " + seed);
             for (int seq = 1; seq <= 8; seq++) {
-                assertNotNull(got[seq], "seed " + seed + ", number " + seq + " was never answered");
+                assertNotNull(got[seq], "seed " + seed + ", sequence " + seq + " got no response");
                 assertTrue(
-                        got[seq].status() != 200 || heard.contains((long) seq),
-                        "seed " + seed + ", number " + seq + " was accepted and not heard");
+                        got[seq].status() != 200 || deliveredSequences.contains((long) seq),
+                        "seed " + seed + ", sequence " + seq + " was accepted but not delivered");
                 assertFalse(
-                        (got[seq].status() == 503 || got[seq].status() == 409) && heard.contains((long) seq),
-                        "seed " + seed + ", number " + seq + " was refused for good and heard");
+                        (got[seq].status() == 503 || got[seq].status() == 409)
+                                && deliveredSequences.contains((long) seq),
+                        "seed " + seed + ", sequence " + seq + " was refused but delivered");
             }
         }
     }
 
     @Test
-    public void aRepeatIsCommittedAgainAndALowerNumberNever() {
+    public void repeatedSequenceIsAcceptedAndALowerOneIsRefused() {
         begin(24);
         assertEquals(publish(31, 5).status(), 200);
         assertEquals(publish(33, 5).status(), 200);
@@ -218,22 +222,24 @@
     }
 
     @Test
-    public void aStorageMachineThatRetreatsHandsItsMastershipsOver() {
+    public void storageNodeThatShutsDownTransfersItsLeadership() {
         begin(25);
         final SimulatedProcess leaving = leader();
-        final long asked = cluster.now();
+        final long requestedAt = cluster.now();
         assertEquals(ask(leaving.id, NodeRequest.GracefulShutdown::new).status(), 200);
-        assertTrue(cluster.now() - asked < cluster.timing.down(), "it took " + (cluster.now() - asked) + " ms");
-        // why: it leaves once another is elected, which then opens its term
+        assertTrue(
+                cluster.now() - requestedAt < cluster.timing.down(),
+                "the shutdown took " + (cluster.now() - requestedAt) + " ms");
+        // the node shuts down once another is elected, which acts only after it has opened its term
         cluster.run(cluster.now() + 50);
         assertTrue(leader() != leaving);
         assertEquals(publish(31, 1).status(), 200);
         cluster.run(cluster.now() + 2_000);
-        assertTrue(leader() != leaving, "it was elected again though it is about to leave");
+        assertTrue(leader() != leaving, "it was elected again although it is shutting down");
     }
 
     @Test
-    public void aGatewayThatRetreatsSendsEachSessionToAnotherAndThenSaysThatItIsDone() {
+    public void gatewayThatShutsDownMovesItsSessionsAndThenResponds() {
         begin(26);
         final long session = open(31, "key-members");
         join(31, session, TOPIC, null);
@@ -248,7 +254,7 @@
     }
 
     @Test
-    public void aDocumentMayBringItsOwnVersionAndAnAnnotation() {
+    public void configurationMayContainItsVersionAndAnAnnotation() {
         begin(27);
         final String doc = cluster.callers.operators.document(1, "numbered", true);
         final String numbered = "{\"version\":17,\"annotation\":\"as it was: {\\\"x\\\":35.0}\"," + doc.substring(1);
@@ -283,9 +289,9 @@
     }
 
     @Test
-    public void aControllerThatIsNoMemberCarriesRequestsAndKnowsTheOthers() {
+    public void controllerOutsideTheControlGroupForwardsRequestsAndKnowsTheMembers() {
         begin(28);
-        final SimulatedProcess attendant = new SimulatedProcess(
+        final SimulatedProcess controller = new SimulatedProcess(
                 cluster,
                 4,
                 "d",
@@ -299,13 +305,13 @@
                         7,
                         process.incarnation << 32,
                         1 << 20));
-        cluster.processes.put(4, attendant);
-        attendant.start();
+        cluster.processes.put(4, controller);
+        controller.start();
         cluster.run(cluster.now() + 2_000);
         final Response read = ask(4, i -> new NodeRequest.Operate(i, ControlRequestKind.CONFIGURATION, new byte[0]));
         assertEquals(read.status(), 200, read.toString());
         assertEquals(ask(4, NodeRequest.ReadinessProbe::new).status(), 200);
-        assertEquals(((ControllerNode) attendant.node).addresses().keySet(), java.util.Set.of(1, 2, 3));
-        assertEquals(((ControllerNode) attendant.node).group().role(), GroupMachine.FOLLOWER);
+        assertEquals(((ControllerNode) controller.node).addresses().keySet(), java.util.Set.of(1, 2, 3));
+        assertEquals(((ControllerNode) controller.node).group().role(), GroupMachine.FOLLOWER);
     }
 }
--- a/testing/src/test/java/brookpath/testing/sim/LaggingGatewayTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/LaggingGatewayTest.java
@@ -14,8 +14,9 @@
 import org.testng.annotations.Test;
 
 /**
- * A gateway that handles replies late, as on a small machine on which all clients come back at once. Whatever the lag,
- * each reply is progress: one that comes after the gateway has asked again must not be wasted, or it never catches up.
+ * A gateway that handles replies late, as on a small machine when all clients reconnect at once. Guards against
+ * dropping a reply that arrives after the gateway has repeated its request: with a constant lag it would never make
+ * progress.
  */
 public final class LaggingGatewayTest {
     private static final String TOPIC = "permits/a";
@@ -31,7 +32,7 @@
         cluster = ServingCluster.start(51);
     }
 
-    /** From below the detection time to beyond the time-out of a long poll, in milliseconds. */
+    /** From below the failure detection time to beyond the time-out of a long poll, in milliseconds. */
     @DataProvider
     public Object[][] lags() {
         final TimingBounds timing = TimingBounds.DEFAULT;
@@ -41,26 +42,26 @@
     }
 
     @Test(dataProvider = "lags")
-    public void aSavedPlaceIsTakenUpAndNothingAfterItIsMissed(final long lagMs) {
+    public void sessionResumesFromItsCursorWithoutMissingARecord(final long lagMs) {
         final long first = open(OTHER);
-        final String place = join(OTHER, first, null).json();
+        final String cursor = join(OTHER, first, null).json();
         publish(1);
         lag(lagMs);
         final long second = open(LAGGING);
-        Response joined = join(LAGGING, second, place);
+        Response joined = join(LAGGING, second, cursor);
         for (int i = 0; i < CLIENT_RETRIES && joined.status() != 200; i++) {
             cluster.run(cluster.now() + CLIENT_RETRY_MS);
-            joined = join(LAGGING, second, place);
+            joined = join(LAGGING, second, cursor);
         }
-        assertEquals(joined.status(), 200, "the topic is never joined");
+        assertEquals(joined.status(), 200, "the topic was never joined");
         publish(2);
         cluster.run(cluster.now() + 4 * lagMs + TimingBounds.DEFAULT.deliverMs());
-        assertEquals(heard(second), List.of(1L, 2L));
+        assertEquals(deliveredSequences(second), List.of(1L, 2L));
     }
 
-    /** The clients' topics are live when the lag begins: what comes through the feed alone arrives as well. */
+    /** The topic is live before the lag begins, so its records come through the feed. */
     @Test(dataProvider = "lags")
-    public void aLiveTopicGoesOn(final long lagMs) {
+    public void liveTopicKeepsReceivingRecords(final long lagMs) {
         final long session = open(LAGGING);
         assertEquals(join(LAGGING, session, null).status(), 200);
         lag(lagMs);
@@ -68,12 +69,12 @@
             publish(sequence);
             cluster.run(cluster.now() + 4 * lagMs + TimingBounds.DEFAULT.deliverMs());
         }
-        assertEquals(heard(session), List.of(1L, 2L, 3L));
+        assertEquals(deliveredSequences(session), List.of(1L, 2L, 3L));
     }
 
-    /** A gateway that handles the replies of the control plane late renews its lease all the same. */
+    /** A gateway that handles the control plane's replies late still renews its lease. */
     @Test(dataProvider = "lags")
-    public void theLeaseIsRenewedThoughRepliesToPollsComeLate(final long lagMs) {
+    public void leaseIsRenewedAlthoughPollRepliesAreLate(final long lagMs) {
         final long session = open(LAGGING);
         assertEquals(join(LAGGING, session, null).status(), 200);
         final long pollLagMs = lagMs * 2;
@@ -82,7 +83,7 @@
         cluster.run(cluster.now() + 4 * TimingBounds.DEFAULT.leaseMs());
         publish(1);
         cluster.run(cluster.now() + TimingBounds.DEFAULT.deliverMs());
-        assertEquals(heard(session), List.of(1L), "the lease has run out");
+        assertEquals(deliveredSequences(session), List.of(1L), "the record was not delivered: the lease has expired");
     }
 
     private void lag(final long lagMs) {
@@ -122,7 +123,7 @@
         return responses.get(0);
     }
 
-    private List<Long> heard(final long session) {
+    private List<Long> deliveredSequences(final long session) {
         final List<Long> sequences = new ArrayList<>();
         cluster.callers.sessionActions.forEach(action -> {
             if (action instanceof Action.DeliverRecord delivery && delivery.sessionId() == session) {
--- a/testing/src/test/java/brookpath/testing/sim/PublishScenariosTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/PublishScenariosTest.java
@@ -37,11 +37,11 @@
         final Response early = publish(31, "key-members", "permits/a", "ana", 2);
         assertTrue(early.status() == 504 || early.status() == 503, early.toString());
         cluster.run(cluster.now() + 2_000);
-        final long asked = cluster.now();
+        final long requestedAt = cluster.now();
         final Response late = publish(31, "key-members", "permits/a", "ana", 2);
         assertEquals(late.status(), 503, late.toString());
         assertTrue(
-                late.retryAfterMs() > 0 && cluster.now() - asked <= 50,
-                "answered after " + (cluster.now() - asked) + " ms");
+                late.retryAfterMs() > 0 && cluster.now() - requestedAt <= 50,
+                "responded after " + (cluster.now() - requestedAt) + " ms");
     }
 }
--- a/testing/src/test/java/brookpath/testing/sim/SessionScenariosTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/SessionScenariosTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Callers' sessions on a gateway that shuts down gracefully. */
+/** Callers' sessions on a draining gateway. */
 public final class SessionScenariosTest extends ClusterScenario {
     @Test
     public void drainingGatewayClosesItsSessionsGraduallyAndTheyMissNothing() {
@@ -24,7 +24,7 @@
         final int soon = cluster.counted("sessions closed") - before;
         cluster.run(cluster.now() + 8_000);
         final int all = cluster.counted("sessions closed") - before;
-        assertTrue(soon < all && all >= 2, soon + " of " + all + " left at once");
+        assertTrue(soon < all && all >= 2, soon + " of " + all + " sessions were closed at once");
         final Response[] got = new Response[1];
         cluster.callers.ask(gateway, NodeRequest.ReadinessProbe::new, r -> got[0] = r);
         cluster.run(cluster.now() + 100);
--- a/testing/src/test/java/brookpath/testing/sim/StartupRedirectTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/StartupRedirectTest.java
@@ -17,8 +17,9 @@
 import org.testng.annotations.Test;
 
 /**
- * Which gateways send callers on, and where to: small ones before their first lease, and those that these name once
- * they have more to set up than they can in time. The failure behind it is told in GatewayBeforeItsLeaseTest.
+ * Which gateways redirect callers, and where to: small gateways before their first lease, and the seed gateways that
+ * they redirect to, once these have more sessions to set up than they can in time. GatewayBeforeItsLeaseTest describes
+ * the failure that this prevents.
  */
 public final class StartupRedirectTest {
     private static final TimingBounds TIMING = TimingBounds.DEFAULT;
@@ -29,22 +30,22 @@
     private static final double UNKNOWN = 0;
     private static final int GATEWAY = 31;
     private static final int CALLERS = 30;
-    /** The sessions that a large gateway sets up within the time that a caller waits, 400 ms of it by 5 ms each. */
+    /** How many sessions a large gateway sets up while a caller waits: 400 ms of 0.66 processors, 5 ms each. */
     private static final int LIMIT = 52;
 
     private SimulatedCluster cluster;
 
     @Test
-    public void onlyAGatewayThatStartsTooSlowlyRedirects() {
+    public void onlyAGatewayThatStartsTooSlowlyRedirectsCallers() {
         assertTrue(StartupRedirect.of(SMALL, SEED_GATEWAYS, SELF, TIMING).isActive());
         assertFalse(StartupRedirect.of(LARGE, SEED_GATEWAYS, SELF, TIMING).isActive());
         assertFalse(StartupRedirect.of(UNKNOWN, SEED_GATEWAYS, SELF, TIMING).isActive());
         assertFalse(StartupRedirect.of(SMALL, List.of(), SELF, TIMING).isActive());
     }
 
-    /** Those that are named redirect nobody before their lease, so that no caller is sent around. */
+    /** Seed gateways redirect no callers before their first lease, so there is no redirect loop. */
     @Test
-    public void aGatewayBesideAControllerRedirectsNobodyBeforeItsLease() {
+    public void seedGatewayRedirectsNoCallersBeforeItsLease() {
         SEED_GATEWAYS.forEach(seed -> assertFalse(
                 StartupRedirect.of(SMALL, SEED_GATEWAYS, seed, TIMING).isActive(), seed));
     }
@@ -52,34 +53,34 @@
     @Test
     public void callersAreSpreadEvenly() {
         final StartupRedirect redirect = StartupRedirect.of(SMALL, SEED_GATEWAYS, SELF, TIMING);
-        final List<String> named = new ArrayList<>();
+        final List<String> addresses = new ArrayList<>();
         for (int caller = 0; caller < CALLERS; caller++) {
-            named.add(redirect.nextAddress());
+            addresses.add(redirect.nextAddress());
         }
         SEED_GATEWAYS.forEach(seed ->
-                assertEquals(named.stream().filter(seed::equals).count(), CALLERS / SEED_GATEWAYS.size(), seed));
+                assertEquals(addresses.stream().filter(seed::equals).count(), CALLERS / SEED_GATEWAYS.size(), seed));
     }
 
-    /** A burst beyond the limit is shared with the others, and no more is passed on than is taken in. */
+    /** A burst beyond the limit is shared with the other gateways; no more sessions are redirected than accepted. */
     @Test
-    public void aNamedGatewayPassesOnWhatItCannotSetUpInTime() {
+    public void seedGatewayRedirectsSessionsThatItCannotSetUpInTime() {
         begin(true);
-        // why: the addresses are asked for with the first session beyond the limit, which is still taken in
+        // the first session beyond the limit only has the addresses requested, and is still accepted
         openAll(LIMIT + 1);
         cluster.run(cluster.now() + TIMING.heartbeat());
         assertEquals(moves(), List.of());
         cluster.run(cluster.now() + TIMING.callerPatience());
         final List<Response> responses = openAll(4 * LIMIT);
         cluster.run(cluster.now() + TIMING.heartbeat());
-        final long takenIn =
+        final long accepted =
                 responses.stream().filter(response -> response.status() == 200).count();
-        assertEquals(takenIn, 2 * LIMIT);
+        assertEquals(accepted, 2 * LIMIT);
         assertEquals(moves().size(), 2 * LIMIT);
-        assertTrue(moves().stream().noneMatch(move -> move.address().equals("sim:" + GATEWAY)), "never to itself");
+        assertTrue(moves().stream().noneMatch(move -> move.address().equals("sim:" + GATEWAY)), "redirected to itself");
     }
 
     @Test
-    public void whatCanBeSetUpInTimeIsTakenIn() {
+    public void sessionsThatCanBeSetUpInTimeAreAccepted() {
         begin(true);
         for (int burst = 0; burst < 3; burst++) {
             openAll(LIMIT);
@@ -88,9 +89,9 @@
         assertEquals(moves(), List.of());
     }
 
-    /** One that nobody names has nobody to share with: a caller that was sent to it is served there. */
+    /** Callers may have been redirected to it already, so it serves them itself. */
     @Test
-    public void aGatewayThatIsNotNamedPassesNothingOn() {
+    public void otherGatewayRedirectsNoSessions() {
         begin(false);
         for (int burst = 0; burst < 2; burst++) {
             openAll(4 * LIMIT);
@@ -99,7 +100,7 @@
         assertEquals(moves(), List.of());
     }
 
-    private void begin(final boolean named) {
+    private void begin(final boolean redirectTarget) {
         cluster = ServingCluster.start(61);
         final SimulatedProcess gateway = cluster.processes.get(GATEWAY);
         cluster.kill(gateway, true);
@@ -107,13 +108,13 @@
                 process.info(),
                 List.copyOf(cluster.controllers),
                 cluster.timing,
-                SessionOverflow.of(LARGE, named, cluster.timing),
+                SessionOverflow.of(LARGE, redirectTarget, cluster.timing),
                 process.incarnation << 32);
         cluster.restart(gateway);
         cluster.run(cluster.now() + 4 * TIMING.deliverMs());
     }
 
-    /** Opens so many sessions at once; the responses come with the next run. */
+    /** Opens sessions all at once; the responses are added when the cluster runs next. */
     private List<Response> openAll(final int sessions) {
         final List<Response> responses = new ArrayList<>();
         final LongFunction<NodeRequest> request = id -> new NodeRequest.Open(id, "key-members");
