--- a/coordination/src/main/java/brookpath/coordination/action/Action.java
+++ b/coordination/src/main/java/brookpath/coordination/action/Action.java
@@ -31,8 +31,8 @@
     record DeliverLine(long sessionId, byte[] line) implements ToSession {}
 
     /**
-     * Delivers a record to a session that joins and leaves topics one by one; its cursor is {@code Cursor.one} of its
-     * index.
+     * Delivers a record to a session that joins and leaves topics one by one; its cursor is
+     * {@code Cursor.encodePosition} of its index.
      */
     record DeliverRecord(long sessionId, LogRecord logRecord) implements ToSession {}
 
--- a/coordination/src/main/java/brookpath/coordination/node/ControllerNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/ControllerNode.java
@@ -37,11 +37,11 @@
  */
 public final class ControllerNode extends Node {
     /** The control group's number; topic groups count from 0. */
-    public static final int CONTROL = 1_000_000;
+    public static final int CONTROL_GROUP = 1_000_000;
 
     private static final int NO_REQUEST = 0;
 
-    private final GroupBootstrap founding;
+    private final GroupBootstrap bootstrap;
     /** The founding members of the control group by the settings; ignored once the log contains a membership. */
     private final List<Member> founders;
 
@@ -61,13 +61,13 @@
     /** Whether the newest configuration of the log was encoded for the processes that will poll. */
     private boolean configurationPrepared;
     /** The request that is answered once the graceful shutdown is complete, {@link #NO_REQUEST} for none. */
-    private long retreat = NO_REQUEST;
+    private long pendingShutdown = NO_REQUEST;
 
     /** A controller without zone and address whose seeds are the founders; see the other constructor. */
     public ControllerNode(
             final int self,
             final List<Member> founders,
-            final GroupBootstrap founding,
+            final GroupBootstrap bootstrap,
             final TimingBounds timing,
             final long seed,
             final long firstId,
@@ -76,7 +76,7 @@
                 new NodeInfo(self, "", ""),
                 founders,
                 founders.stream().map(Member::node).toList(),
-                founding,
+                bootstrap,
                 timing,
                 seed,
                 firstId,
@@ -85,7 +85,7 @@
 
     /**
      * @param info this controller's node number, zone and address as peers see them
-     * @param founders the control group's members at its founding; empty where the settings name none
+     * @param founders the control group's members at its bootstrap; empty where the settings name none
      * @param seeds controllers that may be polled, members or not
      * @param seed for the random election timeouts
      * @param firstId request IDs begin after it; it differs in each incarnation, so that no reply to a former one
@@ -96,23 +96,23 @@
             final NodeInfo info,
             final List<Member> founders,
             final List<Integer> seeds,
-            final GroupBootstrap founding,
+            final GroupBootstrap bootstrap,
             final TimingBounds timing,
             final long seed,
             final long firstId,
             final long rollBytes) {
         super(info.node(), timing);
-        this.founding = founding;
+        this.bootstrap = bootstrap;
         this.rollBytes = rollBytes;
         this.founders = founders;
         lastId = firstId;
         group = new GroupMachine(
-                CONTROL, self, timing, founding.toleratedLosses(), seed, ControlState::new, promises, out);
+                CONTROL_GROUP, self, timing, bootstrap.toleratedLosses(), seed, ControlState::new, promises, out);
         view = new ControlView(group);
         responder = new ControlResponder(self, timing, out);
         forwarded = new ForwardedRequests(timing, responder, this::nextId, out);
         forwardedPolls = new ForwardedPolls(group, out);
-        leader = new ControlLeader(info, group, view, founding, timing, responder, this::nextId, out);
+        leader = new ControlLeader(info, group, view, bootstrap, timing, responder, this::nextId, out);
         client = new ConfigurationClient(info, ConfigurationPoll.CONTROLLER, seeds, firstId, timing, out);
     }
 
@@ -130,7 +130,7 @@
      * control group.
      */
     public List<Action> start(final boolean found, final Time time) {
-        group.bornAt(bornAt);
+        group.bornAt(startedAt);
         if (found) {
             group.found();
         }
@@ -197,21 +197,21 @@
         if (group.role() != GroupMachine.LEADER) {
             client.tick(time);
         }
-        if (retreat != NO_REQUEST && group.retreat(now)) {
-            out.respond(retreat, new Response(ResponseStatus.OK, 0, "{}"));
-            retreat = NO_REQUEST;
+        if (pendingShutdown != NO_REQUEST && group.retreat(now)) {
+            out.respond(pendingShutdown, new Response(ResponseStatus.OK, 0, "{}"));
+            pendingShutdown = NO_REQUEST;
         }
         if (group.mayAct(now)) {
             leader.tick(time);
         }
         forwarded.tick(now);
         if (out.bytesSinceRoll() > rollBytes) {
-            onDamage(time);
+            rollLog(time);
         }
     }
 
     @Override
-    protected void onDamage(final Time time) {
+    protected void rollLog(final Time time) {
         final PackedBuffer buffer = PackedBuffer.writer();
         group.checkpoint().forEach(buffer::putBytes);
         out.roll(buffer.toByteArray());
@@ -292,8 +292,8 @@
     }
 
     @Override
-    public long restMs(final Time time) {
-        final boolean busy = retreat != NO_REQUEST || leader.hasPendingRequests() || !forwarded.isEmpty();
+    public long maxTickDelayMs(final Time time) {
+        final boolean busy = pendingShutdown != NO_REQUEST || leader.hasPendingRequests() || !forwarded.isEmpty();
         // A controller outside the control group has nothing in flight but forwarded requests
         return !busy && (group.calm() || !group.membership().holds(self)) ? timing.heartbeat() / 2 : timing.tick();
     }
@@ -311,7 +311,7 @@
             final boolean ready = group.mayAct(now) || controlLeader(now) != 0;
             out.respond(probe.requestId(), ReadinessProbe.response(ready, false));
         } else if (request instanceof NodeRequest.GracefulShutdown shutdown) {
-            retreat = shutdown.requestId();
+            pendingShutdown = shutdown.requestId();
         } else if (request instanceof NodeRequest.Operate operate) {
             onOperate(operate, time);
         }
@@ -360,6 +360,6 @@
 
     @Override
     public String statusJson(final Time time) {
-        return ControlStatus.json(self, view, founding, GroupStatus.json(group, table, time.mono()));
+        return ControlStatus.json(self, view, bootstrap, GroupStatus.json(group, table, time.mono()));
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/Cursor.java
+++ b/coordination/src/main/java/brookpath/coordination/node/Cursor.java
@@ -14,12 +14,12 @@
     private Cursor() {}
 
     /** The cursor of a single topic, from which reading continues after the record at the position. */
-    public static String one(final long position) {
+    public static String encodePosition(final long position) {
         return "c" + Long.toString(position, Character.MAX_RADIX);
     }
 
     /** The position in the cursor of a single topic; -1 where the text is not such a cursor. */
-    public static long readOne(final String text) {
+    public static long decodePosition(final String text) {
         if (!text.startsWith("c") || !AsciiText.endsInDigitsOrLetters(text, MAX_POSITION_DIGITS)) {
             return -1;
         }
@@ -27,7 +27,7 @@
     }
 
     /** The cursor of several topics: each topic with the position up to which the subscription has read it. */
-    public static String write(final Map<String, Long> at) {
+    public static String encode(final Map<String, Long> at) {
         final StringBuilder sb = new StringBuilder();
         at.forEach((topic, pos) ->
                 sb.append(sb.length() == 0 ? "" : ",").append(topic).append('@').append(pos));
@@ -37,7 +37,7 @@
     }
 
     /** The position of each topic in the cursor: empty for a null or empty text, null where the text is malformed. */
-    static Map<String, Long> read(final String text) {
+    static Map<String, Long> decode(final String text) {
         final Map<String, Long> at = new TreeMap<>();
         if (text == null || text.isEmpty()) {
             return at;
--- a/coordination/src/main/java/brookpath/coordination/node/GatewayNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/GatewayNode.java
@@ -43,7 +43,7 @@
  */
 public final class GatewayNode extends Node {
     /** The longest message that a caller may publish, in UTF-8 bytes. */
-    public static final int MAX_TEXT = 16_384;
+    public static final int MAX_MESSAGE_BYTES = 16_384;
 
     /** A gateway only observes, so its heartbeats are rarer: it is notified of leader changes at once besides. */
     private static final int HEARTBEAT_PERIODS = 4;
@@ -104,7 +104,7 @@
     }
 
     @Override
-    public long restMs(final Time time) {
+    public long maxTickDelayMs(final Time time) {
         final boolean needsTimer = forwarder.needsTimer()
                 || subscriptions.needsTimer()
                 || client.draining()
@@ -213,7 +213,7 @@
             if (client.draining()) {
                 refuseDraining(request.requestId());
             } else {
-                sessionRequests.subscribe(request, Cursor.read(request.cursor()), now);
+                sessionRequests.subscribe(request, Cursor.decode(request.cursor()), now);
             }
         } else if (nodeRequest instanceof NodeRequest.Leave request) {
             sessionRequests.leave(request);
@@ -243,7 +243,7 @@
     private void releaseWaiting(final long now) {
         if (!servedBefore && serves(now)) {
             servedBefore = true;
-            reportStartOf(
+            reportStartupMilestone(
                     "serves configuration " + client.configuration().version() + " after " + client.pollsSent()
                             + " polls",
                     now);
--- a/coordination/src/main/java/brookpath/coordination/node/Node.java
+++ b/coordination/src/main/java/brookpath/coordination/node/Node.java
@@ -25,7 +25,7 @@
     protected final Actions out = new Actions();
     protected HeartbeatTable table = HeartbeatTable.EMPTY;
     protected final HeartbeatPromises promises;
-    protected long bornAt = UNKNOWN;
+    protected long startedAt = UNKNOWN;
 
     protected Node(final int self, final TimingBounds timing) {
         this.self = self;
@@ -37,8 +37,8 @@
      * Sets when this process started, in monotonic milliseconds: every promise of its former incarnation was made
      * before then.
      */
-    public final void bornAt(final long mono) {
-        bornAt = mono;
+    public final void startedAt(final long mono) {
+        startedAt = mono;
     }
 
     /** The heartbeat promises of this process. Thread-safe: the heartbeat thread shares them. */
@@ -83,13 +83,13 @@
     /** The disk returned other bytes than were written; the state in memory is complete and is written again. */
     public final List<Action> damaged(final Time time) {
         out.note("the data folder reads back damaged; it is written anew");
-        onDamage(time);
+        rollLog(time);
         return out.drain();
     }
 
     /** The last snapshot did not fit on the disk; another is attempted. */
     public final List<Action> snapshotRefused(final Time time) {
-        onDamage(time);
+        rollLog(time);
         return out.drain();
     }
 
@@ -100,8 +100,8 @@
     }
 
     /** Reports something that happens once in the life of a process, with the time since its start. */
-    protected final void reportStartOf(final String what, final long now) {
-        final String since = bornAt == UNKNOWN ? "" : ", " + (now - bornAt) + " ms after the process started";
+    protected final void reportStartupMilestone(final String what, final long now) {
+        final String since = startedAt == UNKNOWN ? "" : ", " + (now - startedAt) + " ms after the process started";
         out.milestone(what + since);
     }
 
@@ -119,7 +119,7 @@
 
     protected abstract void onRequest(NodeRequest request, Time time);
 
-    protected void onDamage(final Time time) {
+    protected void rollLog(final Time time) {
         // why: a process without a disk has nothing that could be damaged
     }
 
@@ -140,7 +140,7 @@
      * How long the next tick may be delayed while no event comes, in milliseconds: ticks cost processor time, and most
      * of them find nothing to do.
      */
-    public long restMs(final Time time) {
+    public long maxTickDelayMs(final Time time) {
         return timing.tick();
     }
 
--- a/coordination/src/main/java/brookpath/coordination/node/StorageNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/StorageNode.java
@@ -107,7 +107,7 @@
                 () -> new TopicState(retention::retentionMs, timing.windowMs()),
                 promises,
                 out);
-        group.bornAt(bornAt);
+        group.bornAt(startedAt);
         return group;
     }
 
@@ -137,7 +137,7 @@
     }
 
     @Override
-    protected void onDamage(final Time time) {
+    protected void rollLog(final Time time) {
         groups.rollLog();
     }
 
@@ -148,7 +148,7 @@
         final long now = time.mono();
         if (!recovered) {
             recovered = true;
-            reportStartOf("recovered " + groups.describe(), now);
+            reportStartupMilestone("recovered " + groups.describe(), now);
             reconfigure(now);
         }
         client.tick(time);
@@ -166,7 +166,7 @@
     }
 
     @Override
-    public long restMs(final Time time) {
+    public long maxTickDelayMs(final Time time) {
         final boolean calm = !shutdown.isUnderWay()
                 && client.leased(time.mono())
                 && groups.all().stream().allMatch(GroupMachine::calm);
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlLeader.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlLeader.java
@@ -136,9 +136,9 @@
             metadataUpdater.update(time);
             moves.orderDue(time.mono());
         }
-        usage.total(
+        usage.totalNextWindow(
                 view.metadata(), view.configuration().configuration().tenants().keySet(), time);
-        usage.report(time);
+        usage.postTotals(time);
     }
 
     /** Handles a poll, and replies now or once there is an update; called only for a leader that may act. */
@@ -155,7 +155,7 @@
 
     /** Handles the outcome of a post of usage to the platform. */
     public void onPosted(final NodeRequest.Posted posted, final Time time) {
-        usage.posted(posted, time);
+        usage.onPosted(posted, time);
     }
 
     /** Whether requests are pending. */
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlRequestHandler.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlRequestHandler.java
@@ -150,8 +150,9 @@
         if (view.metadata().node(from) != null) {
             moves.onLeaderReported(id, from);
         }
-        final byte[] included =
-                PackedBuffer.writer().putLong(usage.takeClosedWindows(request)).toByteArray();
+        final byte[] included = PackedBuffer.writer()
+                .putLong(usage.recordClosedWindows(request))
+                .toByteArray();
         out.send(from, new ControlReply(request.requestId(), ResponseStatus.OK.code(), 0, included));
     }
 
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/SessionRequests.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/SessionRequests.java
@@ -62,7 +62,7 @@
     /** Adds a topic to a session; the response, once the topic's position is known, is its cursor. */
     public void join(final NodeRequest.Join request, final long now) {
         final Session session = registry.get(request.sessionId());
-        final long start = request.cursor() == null ? START_AT_END : Cursor.readOne(request.cursor());
+        final long start = request.cursor() == null ? START_AT_END : Cursor.decodePosition(request.cursor());
         if (session == null) {
             refuseInvalid(request.requestId(), "cursor", "no such session");
             return;
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/SessionWriter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/SessionWriter.java
@@ -36,7 +36,7 @@
     /** Responds to the join request with the topic's cursor, unless it has its response already. */
     void confirmJoin(final GroupSubscription subscription) {
         if (subscription.pendingJoin != 0) {
-            out.respond(subscription.pendingJoin, new Response(OK, 0, Cursor.one(subscription.position())));
+            out.respond(subscription.pendingJoin, new Response(OK, 0, Cursor.encodePosition(subscription.position())));
             subscription.pendingJoin = 0;
         }
     }
@@ -58,7 +58,7 @@
                 .add("sender", logRecord.sender())
                 .add("sequence", logRecord.seq())
                 .add("message", logRecord.text())
-                .add("cursor", Cursor.write(session.positions()))
+                .add("cursor", Cursor.encode(session.positions()))
                 .build();
         writeLine(session, message, now);
     }
@@ -67,7 +67,7 @@
     void keepAlive(final Session session, final long now) {
         final JsonObject alive = Json.createObjectBuilder()
                 .add("type", "alive")
-                .add("cursor", Cursor.write(session.positions()))
+                .add("cursor", Cursor.encode(session.positions()))
                 .build();
         writeLine(session, alive, now);
     }
--- a/coordination/src/main/java/brookpath/coordination/node/storage/FetchScan.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/FetchScan.java
@@ -101,7 +101,7 @@
         }
         final TopicState state = TopicGroups.stateOf(group);
         for (final String topic : longPollTopics == null ? positions.keySet() : longPollTopics) {
-            if (state.gone(topic) > positions.getOrDefault(topic, start)) {
+            if (state.trimmedThrough(topic) > positions.getOrDefault(topic, start)) {
                 trimmed.add(topic);
             }
         }
--- a/coordination/src/main/java/brookpath/coordination/node/storage/UsageWindowReporter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/UsageWindowReporter.java
@@ -44,7 +44,7 @@
             return;
         }
         final long ended = (client.wall(time) - timing.heartbeat()) / timing.windowMs() - 1;
-        if (TopicGroups.stateOf(group).closed(Long.MAX_VALUE) < ended && group.mayAct(time.mono())) {
+        if (TopicGroups.stateOf(group).newestClosedWindow(Long.MAX_VALUE) < ended && group.mayAct(time.mono())) {
             final byte[] body = PackedBuffer.writer().putLong(ended).toByteArray();
             group.append(LogRecord.CLOSE, body, time.mono(), client.wall(time));
         }
@@ -56,7 +56,7 @@
             return;
         }
         final TopicState state = TopicGroups.stateOf(group);
-        final long closed = state.closed(group.committed());
+        final long closed = state.newestClosedWindow(group.committed());
         final long acknowledged = acknowledgedWindow.getOrDefault(group.id(), NONE);
         if (closed <= acknowledged) {
             return;
--- a/coordination/src/main/java/brookpath/coordination/node/usage/UsageReporter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/usage/UsageReporter.java
@@ -106,7 +106,7 @@
      * Records the closed windows that a group's leader reports; returns the newest of them that committed totals
      * include, -1 while that is undecided.
      */
-    public long takeClosedWindows(final ControlRequest request) {
+    public long recordClosedWindows(final ControlRequest request) {
         final PackedBuffer in = PackedBuffer.reader(request.body());
         final int id = (int) in.getLong();
         final long after = in.getLong();
@@ -124,7 +124,7 @@
     }
 
     /** Totals the next window once all groups have closed it, or the time allowed for late groups is over. */
-    public void total(final ClusterMetadata metadata, final Set<String> tenants, final Time time) {
+    public void totalNextWindow(final ClusterMetadata metadata, final Set<String> tenants, final Time time) {
         if (closedWindows.isEmpty() || metadata.groups().isEmpty() || !clock.known()) {
             return;
         }
@@ -191,7 +191,7 @@
     }
 
     /** Posts the committed totals that the platform has not accepted yet. */
-    public void report(final Time time) {
+    public void postTotals(final Time time) {
         final long now = time.mono();
         for (final ControlState.Window w : view.state().undelivered(group.committed())) {
             if (posts.values().stream().noneMatch(p -> p.window.window() == w.window())) {
@@ -230,14 +230,14 @@
     }
 
     /** Handles the outcome of a post. */
-    public void posted(final NodeRequest.Posted j, final Time time) {
+    public void onPosted(final NodeRequest.Posted j, final Time time) {
         final Post p = posts.get(j.requestId());
         if (p == null) {
             return;
         }
         // The lease may have expired only briefly, so that the report must be retried
         p.inFlight = false;
-        p.nextAt = time.mono() + pause(j.outcome(), p.attempts);
+        p.nextAt = time.mono() + retryDelayMs(j.outcome(), p.attempts);
         final boolean ok = j.outcome() == PostOutcome.ACCEPTED;
         if (group.mayAct(time.mono()) && (ok || p.attempts >= MAX_ATTEMPTS)) {
             posts.remove(j.requestId());
@@ -247,7 +247,7 @@
     }
 
     /** The delay before a report is posted again, in milliseconds. */
-    private long pause(final PostOutcome outcome, final int attempts) {
+    private long retryDelayMs(final PostOutcome outcome, final int attempts) {
         return switch (outcome) {
             case ACCEPTED -> 0;
             // A newer leader reports the same numbers from the same log, so that quick retries would only cost calls; a
--- a/coordination/src/main/java/brookpath/coordination/topic/TopicState.java
+++ b/coordination/src/main/java/brookpath/coordination/topic/TopicState.java
@@ -28,22 +28,22 @@
     /** What a tenant has published in a window: messages and bytes. */
     public record Count(long window, String tenant, long publishes, long bytes) {}
 
-    private final ToLongFunction<String> keeping;
+    private final ToLongFunction<String> retentionMs;
     private final SenderSequences senders = new SenderSequences();
     private final UsageWindows usage;
 
     /**
-     * @param keeping gives how long a topic's history is kept, in milliseconds
+     * @param retentionMs gives how long a topic's history is kept, in milliseconds
      * @param windowMs the length of a usage window, in milliseconds
      */
-    public TopicState(final ToLongFunction<String> keeping, final long windowMs) {
-        this.keeping = keeping;
+    public TopicState(final ToLongFunction<String> retentionMs, final long windowMs) {
+        this.retentionMs = retentionMs;
         usage = new UsageWindows(windowMs);
     }
 
     /** The newest window whose closing record lies at or before the position; -1 for none. */
-    public long closed(final long position) {
-        return usage.closed(position);
+    public long newestClosedWindow(final long position) {
+        return usage.newestClosedWindow(position);
     }
 
     /** The counts of the windows after {@code after}, up to and including {@code upTo}. */
@@ -62,7 +62,7 @@
     }
 
     /** The index of the newest record of the topic that was trimmed; 0 for none. */
-    public long gone(final String topic) {
+    public long trimmedThrough(final String topic) {
         return senders.trimmedThrough(topic);
     }
 
@@ -88,7 +88,7 @@
     @Override
     public boolean keeps(final LogRecord logRecord, final long now, final int newerRecords, final long newerBytes) {
         return now - logRecord.learnedAt()
-                <= keeping.applyAsLong(logRecord.kind() == LogRecord.PUBLISH ? logRecord.topic() : "");
+                <= retentionMs.applyAsLong(logRecord.kind() == LogRecord.PUBLISH ? logRecord.topic() : "");
     }
 
     @Override
--- a/coordination/src/main/java/brookpath/coordination/topic/UsageWindows.java
+++ b/coordination/src/main/java/brookpath/coordination/topic/UsageWindows.java
@@ -31,7 +31,7 @@
     }
 
     /** The newest window whose closing record lies at or before the position; -1 for none. */
-    long closed(final long position) {
+    long newestClosedWindow(final long position) {
         for (final Map.Entry<Long, Long> entry : closedAt.descendingMap().entrySet()) {
             if (entry.getValue() <= position) {
                 return entry.getKey();
--- a/programs/src/main/java/brookpath/programs/boot/ProcessAssembly.java
+++ b/programs/src/main/java/brookpath/programs/boot/ProcessAssembly.java
@@ -44,7 +44,7 @@
         final DataFolder dataFolder = DataFolder.open(plan);
         final NodeInfo self = plan.self().on(dataFolder.machineIdentity());
         final Node node = createNode(plan, self);
-        node.bornAt(plan.startedAtMs());
+        node.startedAt(plan.startedAtMs());
         dataFolder.entries().forEach(entry -> node.replay(entry, now));
         if (plan.foundsControlGroup() && !dataFolder.entries().isEmpty()) {
             throw new ProcessStartException(
--- a/testing/src/test/java/brookpath/platform/line/ServerMessagesTest.java
+++ b/testing/src/test/java/brookpath/platform/line/ServerMessagesTest.java
@@ -39,7 +39,8 @@
         final LogRecord logRecord = LogRecord.of(
                 9, 1, 1_000, LogRecord.PUBLISH, LogRecord.publishBody(4, 2, "tenant", "t.a", "ana", "river closed"), 0);
         final ByteBuf buffer = ServerMessages.delivery(logRecord, ByteBufAllocator.DEFAULT);
-        assertEquals(buffer.toString(US_ASCII), "MESSAGE t.a " + Cursor.one(9) + " ana 4 12\r\nriver closed\r\n");
+        assertEquals(
+                buffer.toString(US_ASCII), "MESSAGE t.a " + Cursor.encodePosition(9) + " ana 4 12\r\nriver closed\r\n");
         buffer.release();
     }
 
--- a/testing/src/test/java/brookpath/testing/sim/JoinedSessionsTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/JoinedSessionsTest.java
@@ -94,13 +94,14 @@
     public void aTopicGoesOnAtAnotherGatewayFromTheCursorOfItsLastMessageThoughTheFirstIsGone() {
         begin(21);
         final long first = open(31, "key-members");
-        assertTrue(Cursor.readOne(join(31, first, TOPIC, null).json()) >= 0);
+        assertTrue(Cursor.decodePosition(join(31, first, TOPIC, null).json()) >= 0);
         for (long seq = 1; seq <= 3; seq++) {
             assertEquals(publish(32, seq).status(), 200);
         }
         cluster.run(cluster.now() + 300);
         assertEquals(heard(first), List.of(1L, 2L, 3L));
-        final String cursor = Cursor.one(handed(first).get(1).logRecord().index());
+        final String cursor =
+                Cursor.encodePosition(handed(first).get(1).logRecord().index());
         cluster.kill(cluster.processes.get(31), true);
         assertEquals(publish(32, 4).status(), 200);
         final long second = open(33, "key-members");
--- a/tools/src/main/java/brookpath/tools/datafolder/StoredGroups.java
+++ b/tools/src/main/java/brookpath/tools/datafolder/StoredGroups.java
@@ -57,7 +57,7 @@
                 TimingBounds.DEFAULT,
                 ANY_TOLERATED_LOSSES,
                 ANY_SEED,
-                id == ControllerNode.CONTROL ? ControlState::new : StoredGroups::emptyTopics,
+                id == ControllerNode.CONTROL_GROUP ? ControlState::new : StoredGroups::emptyTopics,
                 new HeartbeatPromises(0),
                 new Actions());
     }
--- a/transport/src/main/java/brookpath/transport/http/PublishBody.java
+++ b/transport/src/main/java/brookpath/transport/http/PublishBody.java
@@ -1,6 +1,6 @@
 package brookpath.transport.http;
 
-import static brookpath.coordination.node.GatewayNode.MAX_TEXT;
+import static brookpath.coordination.node.GatewayNode.MAX_MESSAGE_BYTES;
 import static java.nio.charset.StandardCharsets.UTF_8;
 
 import brookpath.coordination.configuration.Finding;
@@ -23,7 +23,7 @@
  */
 record PublishBody(String sender, long sequence, String message) {
     /** The largest body that is read, in bytes. */
-    static final int MAX_BYTES = 4 * MAX_TEXT;
+    static final int MAX_BYTES = 4 * MAX_MESSAGE_BYTES;
 
     private static final List<String> FIELDS = List.of("sender", "sequence", "message");
     private static final Pattern SENDER = Pattern.compile("[A-Za-z0-9._-]{1,64}");
@@ -76,8 +76,8 @@
         final String message = text(object, "message");
         if (message == null) {
             findings.add(new Finding("/message", "must be a string"));
-        } else if (message.getBytes(UTF_8).length > MAX_TEXT) {
-            throw tooLarge("/message", "is larger than " + MAX_TEXT + " bytes");
+        } else if (message.getBytes(UTF_8).length > MAX_MESSAGE_BYTES) {
+            throw tooLarge("/message", "is larger than " + MAX_MESSAGE_BYTES + " bytes");
         }
         if (!findings.isEmpty()) {
             throw new RefusedException(false, findings);
--- a/transport/src/main/java/brookpath/transport/loop/StateLoop.java
+++ b/transport/src/main/java/brookpath/transport/loop/StateLoop.java
@@ -101,11 +101,11 @@
             // why: a vote must be decided on the newest table there is
             execute(node.tick(time, newest));
             updateConnections();
-            nextTickMs = time.mono() + node.restMs(time);
+            nextTickMs = time.mono() + node.maxTickDelayMs(time);
         }
         if (event != null && !tickRequested) {
             execute(event.apply(node, SystemClock.now()));
-            nextTickMs = Math.min(nextTickMs, time.mono() + node.restMs(time));
+            nextTickMs = Math.min(nextTickMs, time.mono() + node.maxTickDelayMs(time));
         }
     }
 
