--- a/coordination/src/main/java/brookpath/coordination/controllog/ChangeOutcomes.java
+++ b/coordination/src/main/java/brookpath/coordination/controllog/ChangeOutcomes.java
@@ -10,12 +10,12 @@
 import java.util.Map;
 
 /**
- * The outcomes of the newest changes that took effect, by the digest of their IDs. Refused documents are not kept, so
- * that they cannot evict a change that its sender may still retry.
+ * The outcomes of the newest changes that took effect, by the digest of their IDs. Refusals are not kept, so that they
+ * cannot evict a change that its sender may still retry.
  */
 public final class ChangeOutcomes {
-    private static final int KEPT = 4_096;
-    /** The status by which the format of earlier releases marks a change that took effect. */
+    private static final int MAX_OUTCOMES = 4_096;
+    /** The status that marks a change that took effect in the format of earlier releases. */
     private static final int STORED_TOOK_EFFECT = 200;
 
     /**
@@ -42,7 +42,7 @@
 
     private final Map<ChangeKey, Outcome> outcomes = new LinkedHashMap<>();
 
-    /** The outcome of the change with this ID; null where none took effect, or only one too old to be kept. */
+    /** The outcome of the change with this ID; null if it did not take effect, or so long ago that it was evicted. */
     public Outcome of(final String changeId) {
         return outcomes.get(ChangeKey.of(changeId));
     }
@@ -53,7 +53,7 @@
 
     private void add(final ChangeKey key, final Outcome outcome) {
         outcomes.put(key, outcome);
-        if (outcomes.size() > KEPT) {
+        if (outcomes.size() > MAX_OUTCOMES) {
             outcomes.remove(outcomes.keySet().iterator().next());
         }
     }
--- a/coordination/src/main/java/brookpath/coordination/controllog/CommittedVersions.java
+++ b/coordination/src/main/java/brookpath/coordination/controllog/CommittedVersions.java
@@ -18,7 +18,7 @@
     }
 
     /** Marks everything up to the position as committed. */
-    void accept(final long index) {
+    void markCommitted(final long index) {
         int newestCommitted = 0;
         while (newestCommitted + 1 < versions.size() && versions.get(newestCommitted + 1).index <= index) {
             newestCommitted++;
@@ -26,18 +26,18 @@
         versions.subList(0, newestCommitted).clear();
     }
 
-    /** The newest version at or before the position. */
-    T at(final long index, final T absent) {
+    /** The newest version at or before the position; the fallback if there is none. */
+    T newestAt(final long index, final T fallback) {
         for (int i = versions.size() - 1; i >= 0; i--) {
             if (versions.get(i).index <= index) {
                 return versions.get(i).value;
             }
         }
-        return absent;
+        return fallback;
     }
 
     /** The number of versions that were appended after the position. */
-    int after(final long index) {
+    int countAfter(final long index) {
         return (int) versions.stream().filter(v -> v.index > index).count();
     }
 
--- a/coordination/src/main/java/brookpath/coordination/controllog/ControlState.java
+++ b/coordination/src/main/java/brookpath/coordination/controllog/ControlState.java
@@ -16,9 +16,9 @@
  * usage totals.
  */
 public final class ControlState implements LogState {
-    /** A configuration in full. */
+    /** A configuration, with its document in full. */
     public static final int CONFIGURATION = 1;
-    /** Written by earlier releases; ignored. */
+    /** A refused change. Written by earlier releases; ignored. */
     private static final int REFUSAL = 2;
 
     /** The cluster metadata. */
@@ -27,18 +27,18 @@
     public static final int USAGE = 4;
     /** The platform has accepted a window's usage, or its report was abandoned. */
     public static final int DELIVERED = 5;
-    /** A configuration as a delta to the one in the preceding configuration record. */
+    /** A configuration whose document is stored as a delta to the one in the preceding configuration record. */
     public static final int CONFIGURATION_DELTA = 6;
 
-    /** The number of windows for which totals that the platform has not accepted are kept. */
+    /** The most windows for which totals are kept that the platform has not accepted. */
     private static final int KEPT_WINDOWS = 360;
 
-    /** The number of windows for which accepted totals are kept, so that operators can read what was reported. */
+    /** The most windows for which totals are kept after their report, so that operators can read what was reported. */
     private static final int KEPT_DELIVERED_WINDOWS = 64;
 
-    /** The number and the bytes of committed records that stay in memory for lagging followers. */
+    /** The number and the bytes of the newest committed records that are kept in memory for lagging followers. */
     private static final int KEPT_RECORDS = 256;
-    /** A marker in place of the number of outcomes in earlier formats of the saved state. */
+    /** Marks the present format of the saved state; earlier formats have the number of outcomes in its place. */
     private static final long COMPACT_OUTCOMES = -2;
 
     private static final int KEPT_BYTES = 1 << 20;
@@ -46,12 +46,12 @@
     /**
      * A tenant's part of a window's total.
      *
-     * @param late the counts from earlier windows that it includes
+     * @param late whether it includes counts from earlier windows
      */
-    public record Used(String tenant, long publishes, long bytes, boolean late) {}
+    public record TenantUsage(String tenant, long publishes, long bytes, boolean late) {}
 
     /** The usage of one window, as a record of the control log holds it. */
-    public record Window(long index, long window, List<Used> used) {}
+    public record Window(long index, long window, List<TenantUsage> used) {}
 
     private final TreeMap<Long, Window> windows = new TreeMap<>();
     private final TreeMap<Long, Boolean> deliveries = new TreeMap<>();
@@ -61,10 +61,10 @@
     private final ChangeOutcomes outcomes = new ChangeOutcomes();
     private final Retirements retirements = new Retirements();
 
-    /** A configuration in full. */
+    /** The body of a record with a configuration, with its document in full. */
     public static byte[] configurationBody(
-            final String changeId, final long sum, final long version, final byte[] doc) {
-        return configurationBody(CONFIGURATION, changeId, sum, version, doc);
+            final String changeId, final long checksum, final long version, final byte[] document) {
+        return configurationBody(CONFIGURATION, changeId, checksum, version, document);
     }
 
     /**
@@ -76,21 +76,21 @@
     public static byte[] configurationBody(
             final StoredConfiguration newest,
             final String changeId,
-            final long sum,
+            final long checksum,
             final long version,
-            final byte[] doc) {
-        final byte[] delta = Delta.between(newest.doc(), doc);
-        return delta.length < doc.length
-                ? configurationBody(CONFIGURATION_DELTA, changeId, sum, version, delta)
-                : configurationBody(CONFIGURATION, changeId, sum, version, doc);
+            final byte[] document) {
+        final byte[] delta = Delta.between(newest.doc(), document);
+        return delta.length < document.length
+                ? configurationBody(CONFIGURATION_DELTA, changeId, checksum, version, delta)
+                : configurationBody(CONFIGURATION, changeId, checksum, version, document);
     }
 
     private static byte[] configurationBody(
-            final int kind, final String changeId, final long sum, final long version, final byte[] content) {
+            final int kind, final String changeId, final long checksum, final long version, final byte[] content) {
         return PackedBuffer.writer()
                 .putLong(kind)
                 .putString(changeId)
-                .putLong(sum)
+                .putLong(checksum)
                 .putLong(version)
                 .putBytes(content)
                 .toByteArray();
@@ -101,8 +101,12 @@
         return PackedBuffer.writer().putLong(METADATA).putBytes(metadata.save()).toByteArray();
     }
 
-    /** @param upTo the newest window of each group that the totals include from now on */
-    public static byte[] usageBody(final long window, final List<Used> used, final Map<Integer, Long> upTo) {
+    /**
+     * The body of a record with the usage of a window.
+     *
+     * @param upTo the newest window of each group that the totals include with this record
+     */
+    public static byte[] usageBody(final long window, final List<TenantUsage> used, final Map<Integer, Long> upTo) {
         final PackedBuffer buffer = PackedBuffer.writer().putLong(USAGE);
         packWindow(buffer, new Window(0, window, used));
         buffer.putLong(upTo.size());
@@ -127,9 +131,9 @@
 
     private static Window unpackWindow(final long index, final PackedBuffer in) {
         final long window = in.getLong();
-        final List<Used> used = new ArrayList<>();
+        final List<TenantUsage> used = new ArrayList<>();
         for (long n = in.getLong(); n > 0; n--) {
-            used.add(new Used(in.getString(), in.getLong(), in.getLong(), in.getLong() == 1));
+            used.add(new TenantUsage(in.getString(), in.getLong(), in.getLong(), in.getLong() == 1));
         }
         return new Window(index, window, List.copyOf(used));
     }
@@ -148,17 +152,17 @@
         }
     }
 
-    /** The newest window that has a total; -1 for none. */
+    /** The newest window that has a total; -1 if there is none. */
     public long lastWindow() {
         return windows.isEmpty() ? -1 : windows.lastKey();
     }
 
-    /** The newest window of a group that the totals include; -1 for none. */
+    /** The newest window of a group that the totals include; -1 if there is none. */
     public long included(final int group) {
         return included.getOrDefault(group, -1L);
     }
 
-    /** Windows that the platform has not accepted yet. */
+    /** The windows up to a position of the log whose reports are neither accepted by the platform nor abandoned. */
     public List<Window> undelivered(final long position) {
         return windows.values().stream()
                 .filter(w -> w.index <= position && !deliveries.containsKey(w.window))
@@ -188,17 +192,15 @@
         switch (kind) {
             case CONFIGURATION, CONFIGURATION_DELTA -> {
                 final String changeId = in.getString();
-                final long sum = in.getLong();
+                final long checksum = in.getLong();
                 final long version = in.getLong();
                 final byte[] content = in.getBytes();
                 addConfiguration(
-                        logRecord.index(),
-                        version,
-                        kind == CONFIGURATION ? content : followingNewest(logRecord, content));
-                outcomes.add(changeId, new ChangeOutcomes.Outcome(logRecord.index(), sum, version));
+                        logRecord.index(), version, kind == CONFIGURATION ? content : applyDelta(logRecord, content));
+                outcomes.add(changeId, new ChangeOutcomes.Outcome(logRecord.index(), checksum, version));
             }
             case REFUSAL -> {
-                // A refusal is derived from the document and from the records committed before it
+                // Ignored, since a refusal can be derived from the document and the records committed before it
             }
             case METADATA -> {
                 final ClusterMetadata metadata = ClusterMetadata.load(in.getBytes());
@@ -217,7 +219,7 @@
     }
 
     /** The document of a record that holds a delta to the preceding one in the log. */
-    private byte[] followingNewest(final LogRecord logRecord, final byte[] delta) {
+    private byte[] applyDelta(final LogRecord logRecord, final byte[] delta) {
         try {
             return Delta.apply(configurationAt(Long.MAX_VALUE).doc(), delta);
         } catch (final Delta.MismatchException ex) {
@@ -227,29 +229,29 @@
         }
     }
 
-    private void addConfiguration(final long index, final long version, final byte[] doc) {
-        configurations.add(index, new StoredConfiguration(index, version, doc));
+    private void addConfiguration(final long index, final long version, final byte[] document) {
+        configurations.add(index, new StoredConfiguration(index, version, document));
     }
 
     @Override
     public void committed(final long index) {
-        configurations.accept(index);
-        metadatas.accept(index);
+        configurations.markCommitted(index);
+        metadatas.markCommitted(index);
     }
 
-    /** The newest configuration at or before the position, which is that of the newest committed record or later. */
+    /** The newest configuration at or before the position, which must not precede the newest committed record. */
     public StoredConfiguration configurationAt(final long index) {
-        return configurations.at(index, StoredConfiguration.NONE);
+        return configurations.newestAt(index, StoredConfiguration.NONE);
     }
 
-    /** As {@link #configurationAt}, for the cluster metadata. */
+    /** Like {@link #configurationAt}, for the cluster metadata. */
     public ClusterMetadata metadataAt(final long index) {
-        return metadatas.at(index, ClusterMetadata.NONE);
+        return metadatas.newestAt(index, ClusterMetadata.NONE);
     }
 
     /** The number of configurations and cluster metadata that were appended after the position. */
     public int appendedAfter(final long index) {
-        return configurations.after(index) + metadatas.after(index);
+        return configurations.countAfter(index) + metadatas.countAfter(index);
     }
 
     /** The outcomes of the newest changes. */
@@ -264,13 +266,13 @@
 
     @Override
     public void trimmed(final LogRecord logRecord) {
-        // The control log is not read by position, so that trimmed records need no bookkeeping
+        // The control log is not read by position, so trimmed records need no bookkeeping
     }
 
     @Override
     public boolean keeps(final LogRecord logRecord, final long now, final int newerRecords, final long newerBytes) {
-        // By count and size, not by age: a snapshot serves followers that lag more, and a series of large changes must
-        // not exhaust the memory
+        // Bounded by count and size, not by age, so that a series of large changes cannot exhaust the memory. Followers
+        // that lag further behind get a snapshot
         return newerRecords < KEPT_RECORDS && newerBytes < KEPT_BYTES;
     }
 
@@ -316,10 +318,10 @@
         for (long n = in.getLong(); n > 0; n--) {
             included.put((int) in.getLong(), in.getLong());
         }
-        loadOrders(in);
+        loadOutcomesAndRetirements(in);
     }
 
-    private void loadOrders(final PackedBuffer in) {
+    private void loadOutcomesAndRetirements(final PackedBuffer in) {
         final long format = in.getLong();
         if (format == COMPACT_OUTCOMES) {
             outcomes.load(in);
--- a/coordination/src/main/java/brookpath/coordination/controllog/Retirements.java
+++ b/coordination/src/main/java/brookpath/coordination/controllog/Retirements.java
@@ -7,15 +7,15 @@
 import java.util.List;
 
 /**
- * The storage nodes that were ordered to retire, also after their removal from the cluster metadata: an order that is
- * retried because its response was lost must be recognized. Derived from the cluster metadata records.
+ * The storage nodes that were ordered to retire, including those since removed from the cluster metadata: an order that
+ * is retried because its response was lost must still be recognized. Derived from the cluster metadata records.
  */
 public final class Retirements {
-    private static final int KEPT = 256;
+    private static final int MAX_RETIREMENTS = 256;
 
     /** @param index the index of the record with the order */
     public record Retirement(long index, int node, String name) {
-        private boolean isOf(final NodeInfo info) {
+        private boolean matches(final NodeInfo info) {
             return name.isEmpty()
                     ? info.name().isEmpty() && info.node() == node
                     : info.name().equals(name);
@@ -24,15 +24,15 @@
 
     private final List<Retirement> retirements = new ArrayList<>();
 
-    /** The newest retirement of a node of this name up to a position of the log; null for none. */
-    public Retirement named(final String name, final long position) {
+    /** The newest retirement of a node with this name up to a position of the log; null if there is none. */
+    public Retirement byName(final String name, final long position) {
         return newest(retirements.stream()
                 .filter(r -> r.index <= position && r.name.equals(name))
                 .toList());
     }
 
-    /** The newest retirement of a node of this number up to a position of the log; null for none. */
-    public Retirement numbered(final int node, final long position) {
+    /** The newest retirement of a node with this number up to a position of the log; null if there is none. */
+    public Retirement byNumber(final int node, final long position) {
         return newest(retirements.stream()
                 .filter(r -> r.index <= position && r.node == node)
                 .toList());
@@ -46,12 +46,12 @@
         for (final NodeInfo info : metadata.nodes()) {
             if (!metadata.retiring().contains(info.node())) {
                 // The retirement was cancelled, or another machine has the name now
-                retirements.removeIf(r -> r.isOf(info));
-            } else if (retirements.stream().noneMatch(r -> r.isOf(info))) {
+                retirements.removeIf(r -> r.matches(info));
+            } else if (retirements.stream().noneMatch(r -> r.matches(info))) {
                 retirements.add(new Retirement(index, info.node(), info.name()));
             }
         }
-        while (retirements.size() > KEPT) {
+        while (retirements.size() > MAX_RETIREMENTS) {
             retirements.remove(0);
         }
     }
--- a/coordination/src/main/java/brookpath/coordination/node/ControllerNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/ControllerNode.java
@@ -192,7 +192,7 @@
             view.newestConfiguration().packed();
         }
         group.tick(now, table);
-        leader.watchMembers(table, now);
+        leader.recordMemberResponsiveness(table, now);
         leader.afterEvent(table, time);
         if (group.role() != GroupMachine.LEADER) {
             client.tick(time);
--- a/coordination/src/main/java/brookpath/coordination/node/control/ChangeConfirmation.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ChangeConfirmation.java
@@ -26,10 +26,11 @@
         if (leadingSince < 0 || now - leadingSince <= timing.confirmWait()) {
             return false;
         }
-        // A process that has not adopted it by now cannot be reached, and its lease ends within leaseMs from here
+        // A process that has not adopted the version by now cannot be reached, and its lease ends within leaseMs from
+        // here
         final boolean allLeasesEnded =
                 timing.leaseMs() > timing.changeMs() && now - committedAt.get(version) >= timing.confirmWait();
-        return allLeasesEnded || leases.allHave(version, now);
+        return allLeasesEnded || leases.allHaveAdopted(version, now);
     }
 
     /** Records that the version has been confirmed, and with it all older ones. */
--- a/coordination/src/main/java/brookpath/coordination/node/control/ClusterMetadataUpdater.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ClusterMetadataUpdater.java
@@ -44,32 +44,32 @@
     }
 
     /**
-     * Appends what has changed: nodes that joined, moved or left, the control group's members, the founding of the
-     * groups.
+     * Appends a new version of the cluster metadata if nodes joined, moved or left, the control group's members
+     * changed, or the groups can be founded.
      */
     public void update(final Time time) {
         if (!group.tellsMembers()) {
-            // From here on the log names the members, also for a controller that restarts with other seeds than the
-            // founders
-            final Membership present = group.membership();
-            group.change(new Membership(present.version() + 1, present.voters(), List.of()), time.mono(), time.wall());
+            // Records the members in the log, so that a controller that restarts with seed nodes other than the
+            // founding ones finds them
+            final Membership current = group.membership();
+            group.change(new Membership(current.version() + 1, current.voters(), List.of()), time.mono(), time.wall());
             return;
         }
         final ClusterMetadata metadata = view.newestMetadata();
         final List<NodeInfo> nodes = new ArrayList<>(metadata.nodes());
         final List<NodeInfo> controllers = new ArrayList<>(metadata.controllers());
         final List<Integer> retiring = new ArrayList<>(metadata.retiring());
-        final boolean nodesChanged = takePolled(nodes, controllers, retiring);
+        final boolean nodesChanged = addPolledProcesses(nodes, controllers, retiring);
         final boolean membershipChanged = group.membershipSettled()
                 && metadata.control().version() < group.membership().version();
-        final boolean founds = metadata.groups().isEmpty() && mayFound(nodes.size(), time.mono());
-        if (nodesChanged || membershipChanged || founds) {
+        final boolean foundsGroups = metadata.groups().isEmpty() && canFoundGroups(nodes.size(), time.mono());
+        if (nodesChanged || membershipChanged || foundsGroups) {
             controllers.removeIf(controller -> isGone(controller, time.mono()));
             append(
                     new ClusterMetadata(
                             metadata.version() + 1,
                             List.copyOf(nodes),
-                            founds ? firstGroups(nodes) : metadata.groups(),
+                            foundsGroups ? initialGroups(nodes) : metadata.groups(),
                             List.copyOf(retiring),
                             List.copyOf(controllers),
                             group.membershipSettled() ? group.membership() : metadata.control()),
@@ -77,30 +77,30 @@
         }
     }
 
-    /** Adds this controller and all processes that polled; true where one is new or has changed. */
-    private boolean takePolled(
+    /** Adds this controller and all processes that polled; returns true if one is new or has changed. */
+    private boolean addPolledProcesses(
             final List<NodeInfo> nodes, final List<NodeInfo> controllers, final List<Integer> retiring) {
-        boolean changed = take(controllers, info, retiring);
+        boolean changed = addOrUpdate(controllers, info, retiring);
         for (final NodeInfo storage : leases.storageNodes()) {
-            changed |= take(nodes, storage, retiring);
+            changed |= addOrUpdate(nodes, storage, retiring);
         }
         for (final NodeInfo controller : leases.controllers()) {
-            changed |= take(controllers, controller, retiring);
+            changed |= addOrUpdate(controllers, controller, retiring);
         }
         return changed;
     }
 
-    private List<GroupInfo> firstGroups(final List<NodeInfo> nodes) {
+    private List<GroupInfo> initialGroups(final List<NodeInfo> nodes) {
         final int groups = bootstrap.groups() > 0 ? bootstrap.groups() : nodes.size();
         return Placement.initial(nodes, groups, bootstrap.replicas());
     }
 
-    private boolean mayFound(final int storages, final long now) {
-        return storages >= bootstrap.storageNodes()
+    private boolean canFoundGroups(final int storageNodeCount, final long now) {
+        return storageNodeCount >= bootstrap.storageNodes()
                 && (bootstrap.groups() > 0 || now - leases.newProcessSeenAt() >= timing.changeMs() / 2);
     }
 
-    /** Whether the controller is no member and has been silent for so long that it can be removed. */
+    /** Whether the controller is not a member and has been silent for so long that it can be removed. */
     private boolean isGone(final NodeInfo controller, final long now) {
         return controller.node() != info.node()
                 && now - leases.leadingSince() > timing.recoverMs()
@@ -109,10 +109,10 @@
     }
 
     /**
-     * Adds or updates a node; true where it is new or has changed. An order to retire the machine that had its number
-     * before does not apply to a replacement.
+     * Adds or updates a node; returns true if it is new or has changed. An order to retire a machine does not apply to
+     * the machine that takes over its node number.
      */
-    private static boolean take(final List<NodeInfo> nodes, final NodeInfo info, final List<Integer> retiring) {
+    private static boolean addOrUpdate(final List<NodeInfo> nodes, final NodeInfo info, final List<Integer> retiring) {
         if (nodes.contains(info)) {
             return false;
         }
--- a/coordination/src/main/java/brookpath/coordination/node/control/ConfigurationChangeHandler.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ConfigurationChangeHandler.java
@@ -16,12 +16,12 @@
 import java.util.zip.CRC32C;
 
 /**
- * Handles changes of the configuration. An accepted change is a record of the control log, and is confirmed once the
- * record is committed and in force on every process. A refusal is not recorded: it follows from the document and from
- * the version that it lost to, and is sent only once that version is committed.
+ * Handles changes of the configuration. An accepted change is appended to the control log, and confirmed once its
+ * record is committed and in force on every process. A refusal is not recorded, since it can be derived from the
+ * document and the version that it conflicts with; it is sent only once that version is committed.
  */
 public final class ConfigurationChangeHandler {
-    /** Beyond so many configurations and cluster metadata that are not committed yet, nothing more is appended. */
+    /** Nothing more is appended while this many configuration and cluster metadata records are uncommitted. */
     public static final int MAX_UNCOMMITTED = 16;
 
     private static final int MAX_CHANGES = 64;
@@ -48,7 +48,7 @@
         this.responder = responder;
     }
 
-    /** Accepts or refuses a document, or repeats the response for one that was accepted before. */
+    /** Accepts or refuses a document; a document that was accepted before gets the same response again. */
     public void change(final int from, final ControlRequest request, final Time time) {
         if (request.body().length > ConfigurationReader.MAX_BYTES) {
             final Finding finding = new Finding("/", "larger than " + ConfigurationReader.MAX_BYTES + " bytes");
@@ -57,16 +57,17 @@
             return;
         }
         if (pending.count(ControlRequestKind.CHANGE) >= MAX_CHANGES) {
-            responder.respond(from, request.requestId(), responder.unavailable("too many changes are under way"));
+            responder.respond(
+                    from, request.requestId(), responder.unavailable("too many configuration changes are in progress"));
             return;
         }
-        // Compared with the newest appended, not the newest committed, so that of two concurrent changes one certainly
-        // loses
+        // Compared with the newest appended version, not the newest committed one, so that of two concurrent changes
+        // one is certainly refused
         final StoredConfiguration newest = view.newestConfiguration();
         final ConfigurationReader.Reading reading =
                 ConfigurationReader.read(request.body(), newest.version() + 1, limits, newest.configuration());
-        if (isIdentified(reading)) {
-            take(from, request, newest, reading, time);
+        if (hasChangeId(reading)) {
+            appendOrRefuse(from, request, newest, reading, time);
         } else {
             final ResponseStatus status = reading.json() ? ResponseStatus.INVALID : ResponseStatus.BAD_REQUEST;
             responder.respond(from, request.requestId(), ControlResponder.refused(status, reading.findings()));
@@ -74,14 +75,14 @@
     }
 
     /** Whether the document has a readable change ID, by which its outcome can be looked up. */
-    private static boolean isIdentified(final ConfigurationReader.Reading reading) {
+    private static boolean hasChangeId(final ConfigurationReader.Reading reading) {
         return reading.json()
                 && reading.configuration() != null
                 && !reading.configuration().changeId().isEmpty();
     }
 
     /** Appends the document unless it is refused, and responds once its outcome is certain. */
-    private void take(
+    private void appendOrRefuse(
             final int from,
             final ControlRequest request,
             final StoredConfiguration newest,
@@ -92,8 +93,7 @@
         final Response refusal = refusal(reading, newest);
         final boolean appends = view.state().outcomes().of(changeId) == null && refusal == null;
         if (appends && view.uncommitted() >= MAX_UNCOMMITTED) {
-            responder.respond(
-                    from, request.requestId(), responder.unavailable("too many changes wait for their copies"));
+            responder.respond(from, request.requestId(), responder.unavailable("too many changes await replication"));
             return;
         }
         if (appends) {
@@ -101,13 +101,13 @@
                     newest, changeId, checksum, reading.configuration().version(), request.body());
             group.append(LogRecord.CONTROL, body, time.mono(), time.wall());
         }
-        final PendingRequests.Answer answer = at -> {
+        final PendingRequests.ResponseSource responseSource = at -> {
             final Outcome outcome = view.state().outcomes().of(changeId);
             return outcome != null
-                    ? taken(changeId, checksum, outcome, at.mono())
-                    : refusedBy(newest.version(), refusal);
+                    ? acceptedResponse(changeId, checksum, outcome, at.mono())
+                    : refusalOnceCommitted(newest.version(), refusal);
         };
-        pending.add(from, request, ControlRequestKind.CHANGE, answer, time);
+        pending.add(from, request, ControlRequestKind.CHANGE, responseSource, time);
     }
 
     private static long checksum(final byte[] document) {
@@ -116,52 +116,58 @@
         return crc.getValue();
     }
 
-    /** Why the document cannot follow the newest version, null where it can. */
+    /** The refusal of a document that cannot follow the newest version; null where it can. */
     private static Response refusal(final ConfigurationReader.Reading reading, final StoredConfiguration newest) {
         if (!reading.findings().isEmpty()) {
-            return refused(
+            return refusalResponse(
                     ResponseStatus.INVALID,
                     reading.configuration().changeId(),
                     "\"findings\":" + Finding.json(reading.findings()));
         }
         return reading.configuration().basedOn() == newest.version()
                 ? null
-                : refused(
+                : refusalResponse(
                         ResponseStatus.CONFLICT,
                         reading.configuration().changeId(),
-                        "\"why\":\"basedOn is not the present version\",\"version\":" + newest.version());
+                        "\"why\":\"basedOn is not the current version\",\"version\":" + newest.version());
     }
 
-    private static Response refused(final ResponseStatus status, final String changeId, final String why) {
-        return new Response(status, 0, "{\"outcome\":\"refused\",\"changeId\":\"" + changeId + "\"," + why + "}");
+    private static Response refusalResponse(
+            final ResponseStatus status, final String changeId, final String reasonJson) {
+        return new Response(
+                status, 0, "{\"outcome\":\"refused\",\"changeId\":\"" + changeId + "\"," + reasonJson + "}");
     }
 
-    /** A lost race is final only once the version that won is committed. */
-    private Response refusedBy(final long winner, final Response refusal) {
+    /** A refusal for a conflict is final only once the version that won is committed. */
+    private Response refusalOnceCommitted(final long winner, final Response refusal) {
         return view.configuration().version() >= winner ? refusal : null;
     }
 
-    private Response taken(final String changeId, final long checksum, final Outcome outcome, final long now) {
+    private Response acceptedResponse(
+            final String changeId, final long checksum, final Outcome outcome, final long now) {
         if (outcome.index() > group.committed()) {
             return null;
         }
         if (outcome.checksum() != checksum) {
-            return refused(
-                    ResponseStatus.CONFLICT, changeId, "\"why\":\"the change ID was used for another document\"");
+            return refusalResponse(
+                    ResponseStatus.CONFLICT,
+                    changeId,
+                    "\"why\":\"the change ID was already used for a different document\"");
         }
         if (!confirmation.isAppliedEverywhere(outcome.version(), now)) {
             return null;
         }
         confirmation.onConfirmed(outcome.version());
-        return confirmed(changeId, outcome);
+        return confirmedResponse(changeId, outcome);
     }
 
-    private static Response confirmed(final String changeId, final Outcome outcome) {
+    private static Response confirmedResponse(final String changeId, final Outcome outcome) {
         return new Response(ResponseStatus.OK, 0, outcomeJson("confirmed", changeId, outcome));
     }
 
-    private static String outcomeJson(final String what, final String changeId, final Outcome outcome) {
-        return "{\"outcome\":\"" + what + "\",\"changeId\":\"" + changeId + "\",\"version\":" + outcome.version() + "}";
+    private static String outcomeJson(final String status, final String changeId, final Outcome outcome) {
+        return "{\"outcome\":\"" + status + "\",\"changeId\":\"" + changeId + "\",\"version\":" + outcome.version()
+                + "}";
     }
 
     /** The outcome of a change: confirmed, not in force everywhere yet, or unknown. */
@@ -171,7 +177,7 @@
             return new Response(ResponseStatus.NOT_FOUND, 0, "{\"outcome\":\"unknown\"}");
         }
         return confirmation.isAppliedEverywhere(outcome.version(), now)
-                ? confirmed(changeId, outcome)
+                ? confirmedResponse(changeId, outcome)
                 : new Response(ResponseStatus.ACCEPTED, retryAfterMs, outcomeJson("spreading", changeId, outcome));
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/control/ConfigurationLeaseGranter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ConfigurationLeaseGranter.java
@@ -32,17 +32,17 @@
     private static final class Poller {
         ConfigurationPoll last;
         /** The node that its replies are sent to: itself, or the controller that forwards its polls. */
-        int via;
+        int replyTo;
 
         long pendingSince = NOT_PENDING;
         long leaseEnds = Long.MIN_VALUE;
         long heardAt;
-        /** Whether the fleet's clock was sent to it. */
+        /** Whether the fleet clock has been sent to it. */
         boolean clockSent;
         /** Since when it has polled without interruption. */
-        long since = -1;
+        long pollingSince = -1;
 
-        boolean is(final int role) {
+        boolean hasRole(final int role) {
             return last.role() == role;
         }
 
@@ -58,7 +58,7 @@
     private final TimingBounds timing;
     private final Actions out;
     private final TreeMap<Integer, Poller> pollers = new TreeMap<>();
-    /** The configurations and the cluster metadata as followers get them. */
+    /** The configurations and the cluster metadata, as full versions or as updates since an earlier one. */
     private final VersionUpdates configurationUpdates = new VersionUpdates();
 
     private final VersionUpdates metadataUpdates = new VersionUpdates();
@@ -82,7 +82,7 @@
         this.out = out;
     }
 
-    /** Starts granting: this process acts as the control leader from now on, unless it did already. */
+    /** Starts granting leases as the acting control leader; does nothing if it is one already. */
     public void onLeading(final long now) {
         if (leadingSince < 0) {
             leadingSince = now;
@@ -120,24 +120,24 @@
             newProcessSeenAt = now;
         }
         final Poller p = pollers.computeIfAbsent(poll.node(), k -> new Poller());
-        p.via = from;
+        p.replyTo = from;
         p.last = poll;
-        if (p.since < 0 || now - p.heardAt > timing.configurationLease()) {
-            p.since = now;
+        if (p.pollingSince < 0 || now - p.heardAt > timing.configurationLease()) {
+            p.pollingSince = now;
         }
         p.heardAt = now;
         p.pendingSince = now;
-        answer(p, now);
+        reply(p, now);
     }
 
     /**
      * Replies to pending polls that have an update or have waited long enough, and removes processes that are
      * considered lost.
      */
-    public void answerPending(final long now) {
+    public void replyToPendingPolls(final long now) {
         pollers.forEach((node, p) -> {
             if (p.pendingSince >= 0) {
-                answer(p, now);
+                reply(p, now);
             }
         });
         // A lost process whose lease has expired serves nothing, so that no change needs to wait for it
@@ -146,20 +146,21 @@
                         p.pendingSince < 0 && now > p.leaseEnds && now - p.heardAt > 2 * timing.configurationLease());
     }
 
-    /** The processes that polled. */
+    /** The node numbers of the processes that have polled. */
     public Set<Integer> nodes() {
         return pollers.keySet();
     }
 
     /** Replies when there is an update, or when the poll has been pending long enough. */
-    private void answer(final Poller p, final long now) {
+    private void reply(final Poller p, final long now) {
         final StoredConfiguration configuration = view.configuration();
         final ClusterMetadata metadata = view.metadata();
         final boolean hasUpdate = p.last.configurationVersion() < configuration.version()
                 || p.last.metadataVersion() < metadata.version();
-        noteVersions(configuration, metadata);
-        // A lease that a predecessor granted may be about to expire, so that the first poll is answered at once. A
-        // storage node accepts nothing until it knows the clock
+        recordVersions(configuration, metadata);
+        // The first poll is answered at once, since a lease granted by the previous leader may be about to expire. So
+        // is
+        // the poll of a process that has not been sent the clock, since a storage node accepts nothing until it has it
         if (!hasUpdate
                 && (p.clockSent || !clock.known())
                 && p.leaseEnds != Long.MIN_VALUE
@@ -170,7 +171,7 @@
         p.clockSent = clock.known();
         p.leaseEnds = now + timing.configurationLease();
         out.send(
-                p.via,
+                p.replyTo,
                 new ConfigurationReply(
                         p.last.pollId(),
                         true,
@@ -184,7 +185,7 @@
                         clock.known() ? clock.wall(now) : 0));
     }
 
-    private void noteVersions(final StoredConfiguration configuration, final ClusterMetadata metadata) {
+    private void recordVersions(final StoredConfiguration configuration, final ClusterMetadata metadata) {
         if (!configurationUpdates.has(configuration.version())) {
             configurationUpdates.newest(configuration.version(), configuration.packed());
         }
@@ -193,10 +194,10 @@
         }
     }
 
-    /** Whether every process that may act on a configuration has this version, or its lease has expired. */
-    boolean allHave(final long version, final long now) {
+    /** Whether every process that may act on a configuration has adopted this version or lost its lease. */
+    boolean allHaveAdopted(final long version, final long now) {
         for (final Poller p : pollers.values()) {
-            if (!p.is(ConfigurationPoll.CONTROLLER)
+            if (!p.hasRole(ConfigurationPoll.CONTROLLER)
                     && p.last.configurationVersion() < version
                     && (now <= p.leaseEnds || p.pendingSince >= 0)) {
                 return false;
@@ -206,7 +207,7 @@
     }
 
     /** Whether this leadership has lasted long enough that every live process has polled. */
-    public boolean hasHeardAll(final long now) {
+    public boolean hasHeardFromAll(final long now) {
         return leadingSince >= 0 && now - leadingSince > timing.configurationLease();
     }
 
@@ -216,17 +217,17 @@
     public Set<Integer> aliveStorageNodes(final long now) {
         final Set<Integer> alive = new HashSet<>();
         pollers.forEach((node, p) -> {
-            if (p.is(ConfigurationPoll.STORAGE) && now - p.heardAt <= timing.configurationLease()) {
+            if (p.hasRole(ConfigurationPoll.STORAGE) && now - p.heardAt <= timing.configurationLease()) {
                 alive.add(node);
             }
         });
         return alive;
     }
 
-    /** The storage nodes that have polled for several times the recovery bound without interruption. */
+    /** The storage nodes that have polled without interruption for at least twice the recovery bound. */
     public Set<Integer> steadyStorageNodes(final long now) {
         final Set<Integer> steady = aliveStorageNodes(now);
-        steady.removeIf(n -> now - pollers.get(n).since < 2 * timing.recoverMs());
+        steady.removeIf(n -> now - pollers.get(n).pollingSince < 2 * timing.recoverMs());
         return steady;
     }
 
@@ -234,7 +235,7 @@
     public Map<Integer, Long> storageNodesHeardAt() {
         final Map<Integer, Long> heardAt = new TreeMap<>();
         pollers.forEach((node, p) -> {
-            if (p.is(ConfigurationPoll.STORAGE)) {
+            if (p.hasRole(ConfigurationPoll.STORAGE)) {
                 heardAt.put(node, p.heardAt);
             }
         });
@@ -243,37 +244,37 @@
 
     /** The storage nodes that have polled. */
     public List<NodeInfo> storageNodes() {
-        return machines(ConfigurationPoll.STORAGE);
+        return nodesWithRole(ConfigurationPoll.STORAGE);
     }
 
     /** The controllers that have polled. */
     public List<NodeInfo> controllers() {
-        return machines(ConfigurationPoll.CONTROLLER);
+        return nodesWithRole(ConfigurationPoll.CONTROLLER);
     }
 
-    private List<NodeInfo> machines(final int role) {
+    private List<NodeInfo> nodesWithRole(final int role) {
         return pollers.values().stream()
-                .filter(p -> p.is(role))
+                .filter(p -> p.hasRole(role))
                 .map(Poller::info)
                 .toList();
     }
 
-    /** The controllers that have lately polled this leader directly and do not drain. */
+    /** The controllers that have lately polled this leader directly and are not draining. */
     public List<NodeInfo> observers(final long now) {
         return pollers.values().stream()
-                .filter(p -> p.is(ConfigurationPoll.CONTROLLER) && p.via == p.last.node() && !p.last.drain())
+                .filter(p -> p.hasRole(ConfigurationPoll.CONTROLLER) && p.replyTo == p.last.node() && !p.last.drain())
                 .filter(p -> now - p.heardAt <= 2 * timing.configurationHold())
                 .map(Poller::info)
                 .toList();
     }
 
     /**
-     * The gateways that accept sessions, for one that moves its own away. The encoding is their number, then node, zone
-     * and address of each.
+     * The gateways that accept sessions, for a draining gateway that moves its own sessions to them: their count, then
+     * the node number, zone and address of each.
      */
     public byte[] openGateways(final long now) {
         final List<ConfigurationPoll> gateways = pollers.values().stream()
-                .filter(p -> p.is(ConfigurationPoll.GATEWAY)
+                .filter(p -> p.hasRole(ConfigurationPoll.GATEWAY)
                         && !p.last.drain()
                         && now - p.heardAt <= 2 * timing.configurationHold())
                 .map(p -> p.last)
@@ -284,12 +285,12 @@
         return buffer.toByteArray();
     }
 
-    /** Adds the zone of each process that polled to the map, by node number. */
+    /** Adds the zone of each process that has polled to the map, by node number. */
     public void addZones(final Map<Integer, String> zones) {
         pollers.forEach((node, p) -> zones.put(node, p.last.zone()));
     }
 
-    /** The processes that polled, for the status page. */
+    /** The processes that have polled, for the status page. */
     public JsonArrayBuilder nodesJson(final long now) {
         final JsonArrayBuilder nodes = Json.createArrayBuilder();
         pollers.forEach((node, p) -> nodes.add(nodeJson(node, p, now)));
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlGroupMembership.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlGroupMembership.java
@@ -16,18 +16,18 @@
 import java.util.stream.Stream;
 
 /**
- * Maintains the control group's membership: watches which members respond, and as the acting leader appends the steps
+ * Maintains the control group's membership: monitors which members respond, and as the acting leader appends the steps
  * that {@link MembershipPlan} decides.
  */
 public final class ControlGroupMembership {
-    /** When a member was first watched, and when it last failed to respond. */
-    private static final class Watched {
-        final long since;
-        long brokenAt;
+    /** When the monitoring of a member began, and when it last failed to respond. */
+    private static final class Responsiveness {
+        final long monitoredSince;
+        long unresponsiveAt;
 
-        Watched(final long now) {
-            since = now;
-            brokenAt = now;
+        Responsiveness(final long now) {
+            monitoredSince = now;
+            unresponsiveAt = now;
         }
     }
 
@@ -35,28 +35,28 @@
     private final GroupMachine group;
     private final Limits limits;
     private final long steadyMs;
-    private final TreeMap<Integer, Watched> watched = new TreeMap<>();
+    private final TreeMap<Integer, Responsiveness> responsiveness = new TreeMap<>();
 
     public ControlGroupMembership(
             final int self, final GroupMachine group, final TimingBounds timing, final int toleratedLosses) {
         this.self = self;
         this.group = group;
-        // The replacement of a lost controller may itself be lost soon; timing.md has the calculation
+        // The replacement of a lost controller may soon be lost itself; timing.md has the calculation of these limits
         limits = new Limits(Limits.votersFor(toleratedLosses), timing.changeMs() * 4 / 5, timing.recoverMs());
         steadyMs = 2 * timing.recoverMs();
     }
 
     /**
-     * Updates which members respond; done by every member, so that a new leader knows at once how long each has been
+     * Records which members respond. Every member does so, so that a new leader knows at once how long each has been
      * silent.
      */
-    public void watch(final HeartbeatTable table, final long now) {
+    public void recordResponsiveness(final HeartbeatTable table, final long now) {
         final Membership membership = group.membership();
-        watched.keySet().removeIf(node -> !membership.holds(node));
+        responsiveness.keySet().removeIf(node -> !membership.holds(node));
         members().forEach(m -> {
-            final Watched w = watched.computeIfAbsent(m.node(), node -> new Watched(now));
+            final Responsiveness state = responsiveness.computeIfAbsent(m.node(), node -> new Responsiveness(now));
             if (m.node() != self && !table.up(m.node())) {
-                w.brokenAt = now;
+                state.unresponsiveAt = now;
             }
         });
     }
@@ -66,7 +66,7 @@
     }
 
     /**
-     * Appends the next step of a membership change if one is due; true where it did.
+     * Appends the next step of a membership change if one is due; returns whether it did.
      *
      * @param observers controllers outside the group that have polled this leader lately
      * @param zones the zone of each known controller, by node number
@@ -90,13 +90,13 @@
     }
 
     private Candidate candidate(final Member m, final HeartbeatTable table, final String zone, final long now) {
-        final Watched w = watched.get(m.node());
-        if (m.node() == self || w == null) {
+        final Responsiveness state = responsiveness.get(m.node());
+        if (m.node() == self || state == null) {
             return new Candidate(m.node(), zone, 0, false, m.node() == self);
         }
         final HeartbeatTable.Row row = table.row(m.node());
-        final long heardAt = row == null ? w.since : Math.max(w.since, row.answeredSentAt());
+        final long heardAt = row == null ? state.monitoredSince : Math.max(state.monitoredSince, row.answeredSentAt());
         final boolean synced = table.up(m.node()) && group.learnt(m.node()) >= group.committed();
-        return new Candidate(m.node(), zone, now - heardAt, synced, now - w.brokenAt >= steadyMs);
+        return new Candidate(m.node(), zone, now - heardAt, synced, now - state.unresponsiveAt >= steadyMs);
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlLeader.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlLeader.java
@@ -40,7 +40,7 @@
 
     /**
      * @param info this controller as peers see it
-     * @param ids of usage reports, never the same twice
+     * @param ids supplies the IDs of usage reports, each once
      */
     public ControlLeader(
             final NodeInfo info,
@@ -79,20 +79,20 @@
                 out);
     }
 
-    /** Watches which members of the control group respond; done by every member, leader or not. */
-    public void watchMembers(final HeartbeatTable table, final long now) {
-        members.watch(table, now);
+    /** Records which members of the control group respond; done by every member, leader or not. */
+    public void recordMemberResponsiveness(final HeartbeatTable table, final long now) {
+        members.recordResponsiveness(table, now);
     }
 
     /**
-     * Completes any event of the control group: starts or ends the duties on a change of leadership, and sends the
+     * Called after each event of the control group: starts or ends the duties on a change of leadership, and sends the
      * responses that have become possible.
      */
     public void afterEvent(final HeartbeatTable table, final Time time) {
         if (group.mayAct(time.mono())) {
             act(table, time);
         } else if (group.role() == GroupMachine.LEADER) {
-            pending.step(time);
+            pending.completeReady(time);
         } else {
             stepDown();
         }
@@ -105,14 +105,14 @@
             members.advance(table, leases.observers(now), controllerZones(), now, time.wall());
         }
         clock.hear(self, time.wall(), now);
-        leases.answerPending(now);
+        leases.replyToPendingPolls(now);
         final Set<Integer> heard = new HashSet<>(leases.nodes());
         heard.add(self);
         clock.keep(heard);
-        pending.step(time);
+        pending.completeReady(time);
     }
 
-    /** Discards the leader's soft state, and ends the pending requests. */
+    /** Discards the leader's soft state, and fails the pending requests. */
     private void stepDown() {
         if (leases.isLeading()) {
             leases.clear();
@@ -121,7 +121,7 @@
             usage.clear();
             moves.clear();
         }
-        pending.end();
+        pending.failAll();
     }
 
     private Map<Integer, String> controllerZones() {
@@ -134,7 +134,7 @@
     public void tick(final Time time) {
         if (!view.backlogged()) {
             metadataUpdater.update(time);
-            moves.orderDue(time.mono());
+            moves.orderDueMoves(time.mono());
         }
         usage.total(
                 view.metadata(), view.configuration().configuration().tenants().keySet(), time);
@@ -145,7 +145,7 @@
     public void onPoll(final int from, final ConfigurationPoll poll, final Time time) {
         clock.hear(poll.node(), poll.wall(), time.mono());
         leases.onPoll(from, poll, time.mono());
-        pending.step(time);
+        pending.completeReady(time);
     }
 
     /** Executes a request; one that arrives while this controller may not act is refused. */
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlRequestHandler.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlRequestHandler.java
@@ -79,21 +79,21 @@
 
     void handle(final int from, final ControlRequest request, final Time time) {
         if (!group.mayAct(time.mono())) {
-            responder.respond(from, request.requestId(), responder.unavailable("this node is not the control master"));
+            responder.respond(from, request.requestId(), responder.unavailable("this node is not the control leader"));
             return;
         }
         final ControlRequestKind kind = ControlRequestKind.of(request.kind());
         if (view.backlogged() && APPENDING.contains(kind)) {
-            // Refused before anything is appended, so that the refusal is certain; but a change may repeat one in
-            // progress
-            responder.respond(
-                    from, request.requestId(), responder.unavailable("too many records wait for their copies"));
+            // Refused before anything is appended, so that the refusal is certain. A configuration change is not
+            // refused
+            // here, because it may repeat one that is in progress
+            responder.respond(from, request.requestId(), responder.unavailable("too many records await replication"));
             return;
         }
         switch (kind) {
             case FOUNDED -> metadataUpdater.onGroupFounded(request, time);
             case MEMBERS -> metadataUpdater.onMembershipCommitted(request, time);
-            case USAGE -> takeUsage(from, request);
+            case USAGE -> addUsage(from, request);
             case GATEWAYS ->
                 out.send(
                         from,
@@ -106,7 +106,7 @@
         }
     }
 
-    /** Responds from the committed state after a majority has confirmed this leader. */
+    /** The response from the committed state, once a majority has confirmed this leader. */
     private Response read(final ControlRequestKind kind, final ControlRequest request, final long now) {
         return switch (kind) {
             case CONFIGURATION -> readConfiguration();
@@ -130,7 +130,7 @@
     }
 
     /**
-     * Requests a manual switchover from a group's members; nothing is recorded, so that the request may be repeated.
+     * Forwards a manual switchover to the members of its group; nothing is recorded, so the request may be repeated.
      */
     private Response handover(final ControlRequest request) {
         final int id = (int) PackedBuffer.reader(request.body()).getLong();
@@ -145,7 +145,7 @@
         return new Response(ResponseStatus.ACCEPTED, 0, "{\"outcome\":\"asked\"}");
     }
 
-    private void takeUsage(final int from, final ControlRequest request) {
+    private void addUsage(final int from, final ControlRequest request) {
         final int id = (int) PackedBuffer.reader(request.body()).getLong();
         if (view.metadata().node(from) != null) {
             moves.onLeaderReported(id, from);
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlResponder.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlResponder.java
@@ -34,21 +34,23 @@
         }
     }
 
-    /** Responds as above, but nothing that may have become untrue is given after the deadline. */
+    /** Like {@link #respond}, but after the deadline only the success of a write is sent, since nothing can undo it. */
     public void respondBefore(
             final long deadline,
             final ControlRequestKind kind,
             final int from,
             final long requestId,
             final Response response) {
-        final boolean staysTrue = kind.isWrite() && response.isSuccess();
+        final boolean remainsValid = kind.isWrite() && response.isSuccess();
         respond(
                 from,
                 requestId,
-                staysTrue ? response : response.until(deadline, lost(kind, "the answer was held up for too long")));
+                remainsValid
+                        ? response
+                        : response.until(deadline, outcomeUnknown(kind, "the response was delayed past its deadline")));
     }
 
-    /** Forwards the control leader's response, as above. */
+    /** Forwards the control leader's response; to a caller of this process as {@link #respondBefore} does. */
     public void relay(final long deadline, final ControlRequestKind kind, final int from, final ControlReply reply) {
         if (from == self) {
             final String json = new String(reply.body(), UTF_8);
@@ -59,24 +61,24 @@
         }
     }
 
-    /** A refusal of a request that certainly was not executed and may be retried. */
+    /** A refusal of a request that was certainly not executed and may be retried. */
     public Response unavailable(final String why) {
         return new Response(
                 ResponseStatus.UNAVAILABLE, timing.retryAfterMs(), "{\"outcome\":\"refused\",\"why\":\"" + why + "\"}");
     }
 
-    /** The response to a forwarded request whose outcome is unknown: unsettled for a write, a refusal for a read. */
-    public Response lost(final ControlRequestKind kind, final String why) {
+    /** The response to a request whose outcome is unknown: unsettled for a write, a refusal for a read. */
+    public Response outcomeUnknown(final ControlRequestKind kind, final String why) {
         if (!kind.isWrite()) {
             return unavailable(why);
         }
         return new Response(
                 ResponseStatus.UNSETTLED,
                 timing.retryAfterMs(),
-                "{\"outcome\":\"unsettled\",\"why\":\"" + why + "; send it again as it was\"}");
+                "{\"outcome\":\"unsettled\",\"why\":\"" + why + "; retry the identical request\"}");
     }
 
-    /** A refusal with the findings on an invalid request; retrying it is no use. */
+    /** A refusal with the findings on an invalid request, which it is no use to retry. */
     public static Response refused(final ResponseStatus status, final List<Finding> findings) {
         return new Response(status, 0, "{\"outcome\":\"refused\",\"findings\":" + Finding.json(findings) + "}");
     }
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlStatus.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlStatus.java
@@ -29,7 +29,7 @@
                 .add("control", control)
                 .add("placement", placement(metadata))
                 .add("copies", bootstrap.replicas())
-                .add("storages", storages(metadata))
+                .add("storages", storageNodes(metadata))
                 .add("retiring", Json.createArrayBuilder(metadata.retiring()))
                 .build()
                 .toString();
@@ -37,9 +37,9 @@
 
     /** The placement of each topic group. */
     private static JsonArrayBuilder placement(final ClusterMetadata metadata) {
-        final JsonArrayBuilder placed = Json.createArrayBuilder();
-        metadata.groups().forEach(g -> placed.add(group(g)));
-        return placed;
+        final JsonArrayBuilder placements = Json.createArrayBuilder();
+        metadata.groups().forEach(g -> placements.add(group(g)));
+        return placements;
     }
 
     private static JsonObjectBuilder group(final GroupInfo g) {
@@ -64,13 +64,13 @@
     }
 
     /** The storage nodes. */
-    private static JsonArrayBuilder storages(final ClusterMetadata metadata) {
-        final JsonArrayBuilder storages = Json.createArrayBuilder();
-        metadata.nodes().forEach(n -> storages.add(storage(n)));
-        return storages;
+    private static JsonArrayBuilder storageNodes(final ClusterMetadata metadata) {
+        final JsonArrayBuilder storageNodes = Json.createArrayBuilder();
+        metadata.nodes().forEach(n -> storageNodes.add(storageNode(n)));
+        return storageNodes;
     }
 
-    private static JsonObject storage(final NodeInfo n) {
+    private static JsonObject storageNode(final NodeInfo n) {
         return Json.createObjectBuilder()
                 .add("node", n.node())
                 .add("zone", n.zone())
--- a/coordination/src/main/java/brookpath/coordination/node/control/ForwardedPolls.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ForwardedPolls.java
@@ -31,8 +31,8 @@
      */
     public void forwardOrRedirect(final int from, final ConfigurationPoll poll, final int leader) {
         if (poll.relay() && from == poll.node() && leader != NO_LEADER) {
-            // The sender cannot reach the leader but this node can; without forwarding, a partially partitioned leader
-            // would make all processes that cannot reach it pause
+            // The sender cannot reach the leader but this node can. Without forwarding, a partially partitioned leader
+            // would make every process that cannot reach it pause
             inFlight.put(from, poll);
             out.send(leader, poll);
         } else {
--- a/coordination/src/main/java/brookpath/coordination/node/control/ForwardedRequests.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ForwardedRequests.java
@@ -24,7 +24,7 @@
     private final Actions out;
     private final TreeMap<Long, Forwarded> forwarded = new TreeMap<>();
 
-    /** @param ids gives the IDs of forwarded requests, each once */
+    /** @param ids supplies the IDs of forwarded requests, each once */
     public ForwardedRequests(
             final TimingBounds timing, final ControlResponder responder, final LongSupplier ids, final Actions out) {
         this.timing = timing;
@@ -38,7 +38,7 @@
         return forwarded.isEmpty();
     }
 
-    /** Forwards a request to the control leader; false where there is none (0) or too many requests are in flight. */
+    /** Forwards a request to the control leader; returns false if there is none (0) or too many are in flight. */
     public boolean forward(final int from, final ControlRequest request, final int leader, final long now) {
         if (leader == 0 || forwarded.size() >= MAX_FORWARDED) {
             return false;
@@ -62,7 +62,7 @@
         forwarded.remove(reply.requestId());
         // A process that was suspended may receive the reply before the timer that ends the request
         if (now >= r.deadline) {
-            responder.respond(r.from, r.requestId, late(r));
+            responder.respond(r.from, r.requestId, deadlinePassed(r));
         } else {
             responder.relay(
                     r.deadline,
@@ -76,21 +76,21 @@
     public void tick(final long now) {
         forwarded.values().removeIf(r -> {
             if (now >= r.deadline) {
-                responder.respond(r.from, r.requestId, late(r));
+                responder.respond(r.from, r.requestId, deadlinePassed(r));
             }
             return now >= r.deadline;
         });
     }
 
-    private Response late(final Forwarded r) {
-        return responder.lost(r.kind, "no word from the control master in time");
+    private Response deadlinePassed(final Forwarded r) {
+        return responder.outcomeUnknown(r.kind, "no response from the control leader before the deadline");
     }
 
     /** Ends a request that was not sent, with a refusal. */
     public void unsent(final ControlRequest request) {
         final Forwarded r = forwarded.remove(request.requestId());
         if (r != null) {
-            responder.respond(r.from, r.requestId, responder.unavailable("no session to the control master"));
+            responder.respond(r.from, r.requestId, responder.unavailable("no connection to the control leader"));
         }
     }
 
@@ -99,7 +99,9 @@
         forwarded.values().removeIf(r -> {
             if (r.leader == node) {
                 responder.respond(
-                        r.from, r.requestId, responder.lost(r.kind, "the session with the control master broke"));
+                        r.from,
+                        r.requestId,
+                        responder.outcomeUnknown(r.kind, "the connection to the control leader broke"));
             }
             return r.leader == node;
         });
--- a/coordination/src/main/java/brookpath/coordination/node/control/GroupMoveDriver.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/GroupMoveDriver.java
@@ -13,8 +13,8 @@
 import java.util.TreeMap;
 
 /**
- * Drives the moves of topic groups that {@link MovePlan} decides, and returns leaderships to the members that rank
- * first. Orders to the groups' members are repeated until they have taken effect; nothing here is replicated.
+ * Carries out the moves of topic groups that {@link MovePlan} decides, and returns leaderships to the highest-ranking
+ * members. Orders to the groups' members are repeated until they have taken effect; nothing here is replicated.
  */
 public final class GroupMoveDriver {
     /** The request ID of a request without a reply. */
@@ -22,73 +22,73 @@
 
     private final ControlView view;
     private final ConfigurationLeaseGranter leases;
-    private final int copies;
+    private final int replicas;
     private final TimingBounds timing;
     private final Actions out;
-    private long nextMove = Long.MIN_VALUE / 2;
-    /** The inputs of the last plan of moves; a change of either makes a new plan. */
+    private long nextPlanAt = Long.MIN_VALUE / 2;
+    /** The inputs of the last plan; moves are planned anew as soon as either changes. */
     private long plannedVersion = -1;
 
     private Set<Integer> plannedLost = Set.of();
-    private long nextSwitchover = Long.MIN_VALUE / 2;
+    private long nextSwitchoverAt = Long.MIN_VALUE / 2;
     /** The node that last reported that it leads the group, by group ID. */
-    private final TreeMap<Integer, Integer> leaders = new TreeMap<>();
+    private final TreeMap<Integer, Integer> reportedLeaders = new TreeMap<>();
 
-    /** @param copies the number of replicas of each group */
+    /** @param replicas the number of replicas of each group */
     public GroupMoveDriver(
             final ControlView view,
             final ConfigurationLeaseGranter leases,
-            final int copies,
+            final int replicas,
             final TimingBounds timing,
             final Actions out) {
         this.view = view;
         this.leases = leases;
-        this.copies = copies;
+        this.replicas = replicas;
         this.timing = timing;
         this.out = out;
     }
 
     /** Records the report of a node that it leads a group. */
     public void onLeaderReported(final int group, final int node) {
-        leaders.put(group, node);
+        reportedLeaders.put(group, node);
     }
 
     /** Discards all state when the leadership ends; a successor rebuilds its own. */
     public void clear() {
-        leaders.clear();
+        reportedLeaders.clear();
         plannedLost = Set.of();
     }
 
     /** Orders the moves that are due, and at most one switchover. */
-    public void orderDue(final long now) {
+    public void orderDueMoves(final long now) {
         final ClusterMetadata metadata = view.metadata();
         final StorageFailureDetector detector =
                 new StorageFailureDetector(timing, metadata, leases.storageNodesHeardAt(), now);
         final Set<Integer> lost = detector.lost(leases.leadingSince(), plannedLost);
-        if (now < nextMove && metadata.version() == plannedVersion && lost.equals(plannedLost)) {
+        if (now < nextPlanAt && metadata.version() == plannedVersion && lost.equals(plannedLost)) {
             return;
         }
-        nextMove = now + timing.heartbeat();
+        nextPlanAt = now + timing.heartbeat();
         plannedVersion = metadata.version();
         recordLost(lost);
         final MovePlan.StorageLiveness liveness =
                 new MovePlan.StorageLiveness(detector.alive(), leases.steadyStorageNodes(now), lost);
-        MovePlan.next(metadata, liveness, copies).forEach(m -> order(metadata, m));
-        if (now >= nextSwitchover) {
+        MovePlan.next(metadata, liveness, replicas).forEach(m -> order(metadata, m));
+        if (now >= nextSwitchoverAt) {
             switchover(metadata, now);
         }
     }
 
     private void switchover(final ClusterMetadata metadata, final long now) {
-        final MovePlan.Switchover s = MovePlan.switchover(metadata, leaders, leases.steadyStorageNodes(now));
+        final MovePlan.Switchover s = MovePlan.switchover(metadata, reportedLeaders, leases.steadyStorageNodes(now));
         if (s == null) {
             return;
         }
         // One at a time, with an interval between them: a failed leadership transfer interrupts its group briefly
-        nextSwitchover = now + timing.recoverMs() / 2;
-        leaders.remove(s.group());
-        out.note("group " + s.group() + ": asks node " + s.from() + " to hand over to node " + s.to()
-                + ", which ranks first");
+        nextSwitchoverAt = now + timing.recoverMs() / 2;
+        reportedLeaders.remove(s.group());
+        out.note("group " + s.group() + ": requesting a leadership transfer from node " + s.from() + " to node "
+                + s.to() + ", the highest-ranking member");
         final byte[] body =
                 PackedBuffer.writer().putLong(s.group()).putLong(s.to()).toByteArray();
         out.send(s.from(), ControlRequestKind.HANDOVER.request(NO_REPLY, body));
@@ -97,7 +97,7 @@
     private void recordLost(final Set<Integer> lost) {
         if (!lost.equals(plannedLost)) {
             plannedLost = lost;
-            out.note("storage machines taken for gone: " + lost);
+            out.note("storage nodes considered lost: " + lost);
         }
     }
 
--- a/coordination/src/main/java/brookpath/coordination/node/control/PendingRequests.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/PendingRequests.java
@@ -11,15 +11,15 @@
 import java.util.List;
 
 /**
- * Requests that the control leader has accepted and not responded to yet. A response is sent only after a majority has
+ * Requests that the control leader has received and not responded to yet. A response is sent only after a majority has
  * confirmed the leadership in a heartbeat round that began after the request arrived (a read index), so that no
  * response is older than its request.
  */
 public final class PendingRequests {
     private static final int MAX_PENDING = 1_024;
 
-    /** Computes a response from the replicated state. It is called at each event until it returns one. */
-    public interface Answer {
+    /** Computes a response from the replicated state; called at each event until it returns one. */
+    public interface ResponseSource {
         /** The response as the state is now, or null while it is not known yet. */
         Response at(Time time);
     }
@@ -31,7 +31,7 @@
             long term,
             long arrivedAt,
             long deadline,
-            Answer answer) {}
+            ResponseSource responseSource) {}
 
     private final GroupMachine group;
     private final TimingBounds timing;
@@ -39,7 +39,7 @@
     private final Actions out;
     private final List<Pending> pending = new ArrayList<>();
     /** When the last extra round of heartbeats was requested. */
-    private long askedAt = Long.MIN_VALUE / 2;
+    private long roundRequestedAt = Long.MIN_VALUE / 2;
 
     public PendingRequests(
             final GroupMachine group, final TimingBounds timing, final ControlResponder responder, final Actions out) {
@@ -67,58 +67,59 @@
             final int from,
             final ControlRequest request,
             final ControlRequestKind kind,
-            final Answer answer,
+            final ResponseSource responseSource,
             final Time time) {
         final long now = time.mono();
         if (pending.size() >= MAX_PENDING) {
-            responder.respond(from, request.requestId(), responder.unavailable("too many requests are under way"));
+            responder.respond(from, request.requestId(), responder.unavailable("too many requests are pending"));
             return;
         }
-        final long deadline = (kind.isWrite() ? timing.opDeadline() : timing.readDeadline()) * 9 / 10;
-        pending.add(new Pending(from, request.requestId(), kind, group.term(), now, now + deadline, answer));
-        step(time);
+        final long timeLimit = (kind.isWrite() ? timing.opDeadline() : timing.readDeadline()) * 9 / 10;
+        pending.add(new Pending(from, request.requestId(), kind, group.term(), now, now + timeLimit, responseSource));
+        completeReady(time);
     }
 
     /** Sends the responses that are possible now, and ends the requests whose deadline has passed. */
-    public void step(final Time time) {
-        pending.removeIf(p -> answered(p, time));
+    public void completeReady(final Time time) {
+        pending.removeIf(p -> complete(p, time));
         if (pending.stream().anyMatch(p -> !group.majoritySince(p.arrivedAt))) {
-            askMajority(time.mono());
+            requestHeartbeatRound(time.mono());
         }
     }
 
     /**
-     * The next periodic heartbeat may be far off, so an extra round of heartbeats is sent: one at a time for all
+     * Requests an extra round of heartbeats, since the next periodic one may be far off; one round at a time serves all
      * requests.
      */
-    private void askMajority(final long now) {
+    private void requestHeartbeatRound(final long now) {
         // Only a bounded number of heartbeats is remembered, and a reply to a forgotten one does not count
-        if (group.majoritySince(askedAt) || now - askedAt >= timing.heartbeat() / 4) {
-            askedAt = now;
+        if (group.majoritySince(roundRequestedAt) || now - roundRequestedAt >= timing.heartbeat() / 4) {
+            roundRequestedAt = now;
             out.heartbeatNow();
         }
     }
 
-    private boolean answered(final Pending p, final Time time) {
+    /** Responds if the outcome is known or the deadline has passed; returns whether it did. */
+    private boolean complete(final Pending p, final Time time) {
         final long now = time.mono();
         if (p.term != group.term() || now >= p.deadline) {
-            responder.respond(p.from, p.requestId, responder.lost(p.kind, "not settled in time"));
+            responder.respond(p.from, p.requestId, responder.outcomeUnknown(p.kind, "no outcome before the deadline"));
             return true;
         }
         if (!group.mayAct(now) || !group.majoritySince(p.arrivedAt)) {
             return false;
         }
-        final Response response = p.answer.at(time);
+        final Response response = p.responseSource.at(time);
         if (response != null) {
             responder.respondBefore(p.deadline, p.kind, p.from, p.requestId, response);
         }
         return response != null;
     }
 
-    /** Ends all requests: this process is no longer the control leader. */
-    public void end() {
-        pending.forEach(
-                p -> responder.respond(p.from, p.requestId, responder.lost(p.kind, "the control master stepped down")));
+    /** Fails all requests, since this process is no longer the control leader. */
+    public void failAll() {
+        pending.forEach(p -> responder.respond(
+                p.from, p.requestId, responder.outcomeUnknown(p.kind, "the control leader stepped down")));
         pending.clear();
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/control/StorageRetirementHandler.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/StorageRetirementHandler.java
@@ -23,26 +23,26 @@
 public final class StorageRetirementHandler {
     /** The storage node that an order names, by its number or by its name. */
     private sealed interface Target {
-        NodeInfo in(ClusterMetadata metadata);
+        NodeInfo findIn(ClusterMetadata metadata);
 
-        Retirement retired(ControlState state, long position);
+        Retirement findRetirement(ControlState state, long position);
     }
 
     private record ByNumber(int node) implements Target {
         @Override
-        public NodeInfo in(final ClusterMetadata metadata) {
+        public NodeInfo findIn(final ClusterMetadata metadata) {
             return metadata.node(node);
         }
 
         @Override
-        public Retirement retired(final ControlState state, final long position) {
-            return state.retirements().numbered(node, position);
+        public Retirement findRetirement(final ControlState state, final long position) {
+            return state.retirements().byNumber(node, position);
         }
     }
 
     private record ByName(String name) implements Target {
         @Override
-        public NodeInfo in(final ClusterMetadata metadata) {
+        public NodeInfo findIn(final ClusterMetadata metadata) {
             return metadata.nodes().stream()
                     .filter(n -> n.name().equals(name))
                     .findFirst()
@@ -50,8 +50,8 @@
         }
 
         @Override
-        public Retirement retired(final ControlState state, final long position) {
-            return state.retirements().named(name, position);
+        public Retirement findRetirement(final ControlState state, final long position) {
+            return state.retirements().byName(name, position);
         }
     }
 
@@ -71,96 +71,105 @@
         this.pending = pending;
     }
 
-    /** Retires the storage node of a number, or cancels its retirement. */
+    /** Retires the storage node with the number in the request, or cancels its retirement. */
     public void retire(final int from, final ControlRequest request, final Time time) {
         final PackedBuffer in = PackedBuffer.reader(request.body());
         final Target target = new ByNumber((int) in.getLong());
-        take(from, request, ControlRequestKind.RETIRE, target, in.getLong() == 1, time);
+        appendAndRespond(from, request, ControlRequestKind.RETIRE, target, in.getLong() == 1, time);
     }
 
-    /** Retires the storage node of a name. */
+    /** Retires the storage node with the name in the request. */
     public void retireNamed(final int from, final ControlRequest request, final Time time) {
-        take(from, request, ControlRequestKind.RETIRE_NAMED, new ByName(new String(request.body(), UTF_8)), true, time);
+        appendAndRespond(
+                from,
+                request,
+                ControlRequestKind.RETIRE_NAMED,
+                new ByName(new String(request.body(), UTF_8)),
+                true,
+                time);
     }
 
-    private void take(
+    private void appendAndRespond(
             final int from,
             final ControlRequest request,
             final ControlRequestKind kind,
             final Target target,
-            final boolean on,
+            final boolean retiring,
             final Time time) {
-        append(target, on, time);
-        pending.add(from, request, kind, at -> answer(target, on, at), time);
+        append(target, retiring, time);
+        pending.add(from, request, kind, at -> response(target, retiring, at), time);
     }
 
-    /** Whether this cluster metadata, which is at this position of the log, reflects the order. */
-    private boolean done(final ClusterMetadata metadata, final long position, final Target target, final boolean on) {
-        final NodeInfo node = target.in(metadata);
+    /** Whether the cluster metadata at this position of the log reflects the order. */
+    private boolean reflects(
+            final ClusterMetadata metadata, final long position, final Target target, final boolean retiring) {
+        final NodeInfo node = target.findIn(metadata);
         return node != null
-                ? metadata.retiring().contains(node.node()) == on
-                : on && target.retired(view.state(), position) != null;
+                ? metadata.retiring().contains(node.node()) == retiring
+                : retiring && target.findRetirement(view.state(), position) != null;
     }
 
-    private boolean appended(final Target target, final boolean on) {
-        return done(view.newestMetadata(), Long.MAX_VALUE, target, on);
+    private boolean appended(final Target target, final boolean retiring) {
+        return reflects(view.newestMetadata(), Long.MAX_VALUE, target, retiring);
     }
 
-    /** Appends the order unless the log has it already or it cannot be executed at present. */
-    private void append(final Target target, final boolean on, final Time time) {
+    /** Appends the order unless the log already reflects it or it cannot be executed at present. */
+    private void append(final Target target, final boolean retiring, final Time time) {
         final ClusterMetadata metadata = view.newestMetadata();
-        final NodeInfo node = target.in(metadata);
-        if (node == null || appended(target, on)) {
+        final NodeInfo node = target.findIn(metadata);
+        if (node == null || appended(target, retiring)) {
             return;
         }
-        final MovePlan.Retirement plan = plan(metadata, node.node(), on, time);
+        final MovePlan.Retirement plan = plan(metadata, node.node(), retiring, time);
         if (plan.findings().isEmpty()) {
-            group.append(LogRecord.CONTROL, ControlState.metadataBody(plan.then()), time.mono(), time.wall());
+            group.append(LogRecord.CONTROL, ControlState.metadataBody(plan.metadata()), time.mono(), time.wall());
         }
     }
 
     private MovePlan.Retirement plan(
-            final ClusterMetadata metadata, final int node, final boolean on, final Time time) {
-        return MovePlan.retire(metadata, node, on, leases.aliveStorageNodes(time.mono()));
+            final ClusterMetadata metadata, final int node, final boolean retiring, final Time time) {
+        return MovePlan.retire(metadata, node, retiring, leases.aliveStorageNodes(time.mono()));
     }
 
-    private Response answer(final Target target, final boolean on, final Time time) {
-        if (done(view.metadata(), group.committed(), target, on)) {
-            return new Response(ResponseStatus.ACCEPTED, 0, "{\"outcome\":\"" + (on ? "retiring" : "kept") + "\"}");
+    private Response response(final Target target, final boolean retiring, final Time time) {
+        if (reflects(view.metadata(), group.committed(), target, retiring)) {
+            return new Response(
+                    ResponseStatus.ACCEPTED, 0, "{\"outcome\":\"" + (retiring ? "retiring" : "kept") + "\"}");
         }
-        append(target, on, time);
-        // A refusal is final, so that it must follow from committed state, not from nodes that have not polled yet
+        append(target, retiring, time);
+        // A refusal is final, so it must follow from committed state, and not from nodes merely not having polled yet
         final boolean settled =
-                view.newestMetadata().version() == view.metadata().version() && leases.hasHeardAll(time.mono());
-        return appended(target, on) || !settled ? null : refusal(target, on, time);
+                view.newestMetadata().version() == view.metadata().version() && leases.hasHeardFromAll(time.mono());
+        return appended(target, retiring) || !settled ? null : refusal(target, retiring, time);
     }
 
-    private Response refusal(final Target target, final boolean on, final Time time) {
-        final NodeInfo node = target.in(view.metadata());
+    private Response refusal(final Target target, final boolean retiring, final Time time) {
+        final NodeInfo node = target.findIn(view.metadata());
         if (node == null && target instanceof ByName) {
-            return unknown();
+            return unknownNode();
         }
         final int number = target instanceof ByNumber t ? t.node : node.node();
         return ControlResponder.refused(
-                ResponseStatus.CONFLICT, plan(view.metadata(), number, on, time).findings());
+                ResponseStatus.CONFLICT,
+                plan(view.metadata(), number, retiring, time).findings());
     }
 
-    private static Response unknown() {
+    private static Response unknownNode() {
         return new Response(ResponseStatus.NOT_FOUND, 0, "{\"outcome\":\"unknown\"}");
     }
 
-    /** Whether a retiring node has no replica any more, by the committed cluster metadata. */
+    /** Responds whether a retiring node no longer has replicas, by the committed cluster metadata. */
     public Response retired(final String name) {
         final ClusterMetadata metadata = view.metadata();
         final Target target = new ByName(name);
-        if (!done(metadata, group.committed(), target, true)) {
-            return unknown();
+        if (!reflects(metadata, group.committed(), target, true)) {
+            return unknownNode();
         }
-        final NodeInfo node = target.in(metadata);
+        final NodeInfo node = target.findIn(metadata);
         final int number = node != null
                 ? node.node()
-                : target.retired(view.state(), group.committed()).node();
-        // Where another machine has the number now, the retired one has been removed
+                : target.findRetirement(view.state(), group.committed()).node();
+        // If another machine has the node number now, the retired one has been removed
         final boolean replaced = node == null && metadata.node(number) != null;
         final boolean holds =
                 metadata.groups().stream().anyMatch(g -> g.membership().holds(number));
--- a/coordination/src/main/java/brookpath/coordination/placement/MovePlan.java
+++ b/coordination/src/main/java/brookpath/coordination/placement/MovePlan.java
@@ -14,18 +14,20 @@
 import java.util.Set;
 
 /**
- * Decides which replicas and leaderships are to move. The control leader calls it periodically; the planner calls it
- * too, without effect. The result is derived from the cluster metadata alone, so that any control leader continues what
- * another began; no state of a move is kept but the memberships themselves.
+ * Decides which replicas and leaderships are to move. The control leader calls it periodically; the planning tool calls
+ * it too, to preview moves. Apart from the liveness of the nodes, the result is derived from the cluster metadata
+ * alone, so that any control leader continues what another began; the memberships are the only state of a move.
  */
 public final class MovePlan {
-    /** The most groups whose replicas move at the same time, to bound the load on the others. */
+    /** The most groups whose replicas move at the same time, to bound the load on the other groups. */
     public static final int MAX_CONCURRENT_MOVES = 4;
 
-    /** Weighs a replica in a zone that has none yet against the load of single nodes. */
+    /** The gain from one more zone, where the gain from a difference in load between two nodes is that of replicas. */
     private static final int ZONE_GAIN = 100;
 
-    /** Makes a replica whose zone has another one of the group leave before any that is alone in its zone. */
+    /**
+     * Ensures that a replica that shares its zone with another of the group is removed before one alone in its zone.
+     */
     private static final int SHARED_ZONE_SCORE = 10_000;
 
     private static final int NO_NODE = 0;
@@ -33,16 +35,16 @@
     /**
      * A move of one replica of the group from one node to another.
      *
-     * @param repair the node that leaves is considered lost
+     * @param repair whether the move restores a replica that the group is missing or that is considered lost
      */
-    public record Move(int group, int from, NodeInfo to, String why, boolean repair) {
-        Move(final int group, final int from, final NodeInfo to, final String why) {
-            this(group, from, to, why, false);
+    public record Move(int group, int from, NodeInfo to, String reason, boolean repair) {
+        Move(final int group, final int from, final NodeInfo to, final String reason) {
+            this(group, from, to, reason, false);
         }
 
         @Override
         public String toString() {
-            return "group " + group + ": a copy from node " + from + " to node " + to.node() + ", " + why;
+            return "group " + group + ": a replica from node " + from + " to node " + to.node() + ", " + reason;
         }
     }
 
@@ -55,14 +57,14 @@
      */
     public record StorageLiveness(Set<Integer> alive, Set<Integer> steady, Set<Integer> lost) {}
 
-    /** A transfer of the group's leadership to a member that ranks higher. */
+    /** A transfer of the group's leadership to its highest-ranking member. */
     public record Switchover(int group, int from, int to) {}
 
     /**
-     * The result of retiring a storage node, or of cancelling that: the resulting cluster metadata, or the findings
-     * against it.
+     * The plan to retire a storage node or to cancel its retirement: the resulting cluster metadata, and the findings
+     * that rule it out, if any.
      */
-    public record Retirement(ClusterMetadata then, List<Finding> findings) {}
+    public record Retirement(ClusterMetadata metadata, List<Finding> findings) {}
 
     private MovePlan() {}
 
@@ -71,28 +73,28 @@
             final ClusterMetadata metadata, final int node, final boolean on, final Set<Integer> alive) {
         final List<Finding> findings = new ArrayList<>();
         if (metadata.node(node) == null) {
-            findings.add(new Finding("/storages/" + node, "no such storage machine"));
+            findings.add(new Finding("/storages/" + node, "no such storage node"));
         }
         final List<Integer> retiring = new ArrayList<>(metadata.retiring());
         retiring.remove((Integer) node);
         if (on) {
             retiring.add(node);
         }
-        final ClusterMetadata then = metadata.with(metadata.nodes(), metadata.groups(), retiring);
+        final ClusterMetadata result = metadata.with(metadata.nodes(), metadata.groups(), retiring);
         for (final GroupInfo g : metadata.groups()) {
             if (on
                     && Membership.find(g.members(), node) != null
-                    && Placement.replacementFor(then, g, node, alive) == null) {
+                    && Placement.replacementFor(result, g, node, alive) == null) {
                 findings.add(new Finding(
                         "/groups/" + g.id(),
-                        "no live storage machine can take the place of node " + node
-                                + "; the group would have fewer copies than it was founded with"));
+                        "no live storage node can replace node " + node
+                                + "; the group would have fewer replicas than it was founded with"));
             }
         }
-        return new Retirement(then, findings);
+        return new Retirement(result, findings);
     }
 
-    /** The cluster metadata after one step of a move by the group's leader; null where the move is complete. */
+    /** The cluster metadata after one step of a move by the group's leader; null if the move is complete. */
     public static ClusterMetadata after(final ClusterMetadata metadata, final Move m) {
         final GroupInfo g = metadata.groups().get(m.group());
         final Member from = Membership.find(g.members(), m.from());
@@ -106,28 +108,28 @@
 
     /** The moves that are due, one step each, where no node is considered lost. */
     public static List<Move> next(
-            final ClusterMetadata metadata, final Set<Integer> alive, final Set<Integer> steady, final int copies) {
-        return next(metadata, new StorageLiveness(alive, steady, Set.of()), copies);
+            final ClusterMetadata metadata, final Set<Integer> alive, final Set<Integer> steady, final int replicas) {
+        return next(metadata, new StorageLiveness(alive, steady, Set.of()), replicas);
     }
 
     /** The moves that are due, one step each. */
-    public static List<Move> next(final ClusterMetadata metadata, final StorageLiveness liveness, final int copies) {
+    public static List<Move> next(final ClusterMetadata metadata, final StorageLiveness liveness, final int replicas) {
         final List<Move> moves = new ArrayList<>();
-        // Moves in progress are completed first, else a change of plans would leave partly moved replicas in many
-        // groups
+        // Moves in progress are completed first; otherwise, if the plan changed, many groups would be left with partly
+        // moved replicas
         for (final GroupInfo g : metadata.groups()) {
-            if (g.founded() && underWay(g, copies)) {
-                final Move m = continueMove(metadata, g, liveness, copies);
+            if (g.founded() && isMoving(g, replicas)) {
+                final Move m = continueMove(metadata, g, liveness, replicas);
                 if (m != null) {
                     moves.add(m);
                 }
             }
         }
-        // A group with too few replicas has priority over one whose replica only has to move
-        begin(metadata, liveness, copies, liveness.lost, moves);
-        begin(metadata, liveness, copies, metadata.retiring(), moves);
+        // Groups that lack or lost a replica take priority over those with a replica on a retiring node
+        beginMoves(metadata, liveness, replicas, liveness.lost, moves);
+        beginMoves(metadata, liveness, replicas, metadata.retiring(), moves);
         if (moves.isEmpty()) {
-            final Move m = spread(metadata, liveness.steady, copies);
+            final Move m = rebalance(metadata, liveness.steady, replicas);
             if (m != null) {
                 moves.add(m);
             }
@@ -135,57 +137,62 @@
         return moves;
     }
 
-    private static void begin(
+    private static void beginMoves(
             final ClusterMetadata metadata,
             final StorageLiveness liveness,
-            final int copies,
-            final Collection<Integer> leavers,
+            final int replicas,
+            final Collection<Integer> nodesToLeave,
             final List<Move> moves) {
         for (final GroupInfo g : metadata.groups()) {
-            final int leaving = leaving(g, leavers);
-            final boolean begun = underWay(g, copies) || moves.stream().anyMatch(m -> m.group() == g.id());
-            final boolean wanted = leaving != 0 || g.members().size() < copies;
-            if (moves.size() < MAX_CONCURRENT_MOVES && g.founded() && !begun && wanted) {
-                final NodeInfo to = Placement.replacementFor(planned(metadata, moves), g, leaving, liveness.alive);
+            final int leaving = findLeaving(g, nodesToLeave);
+            final boolean alreadyMoving =
+                    isMoving(g, replicas) || moves.stream().anyMatch(m -> m.group() == g.id());
+            final boolean needsReplica = leaving != 0 || g.members().size() < replicas;
+            if (moves.size() < MAX_CONCURRENT_MOVES && g.founded() && !alreadyMoving && needsReplica) {
+                final NodeInfo to =
+                        Placement.replacementFor(withMovesBegun(metadata, moves), g, leaving, liveness.alive);
                 if (to != null) {
-                    moves.add(leave(liveness, g, leaving, to));
+                    moves.add(replaceLeaving(liveness, g, leaving, to));
                 }
             }
         }
     }
 
     /**
-     * The cluster metadata as if the moves had begun, so that nodes about to receive a replica count as more loaded.
+     * The cluster metadata as if the first step of the moves had been taken, so that the load of a node includes the
+     * replicas that it is about to receive.
      */
-    private static ClusterMetadata planned(final ClusterMetadata metadata, final List<Move> moves) {
-        ClusterMetadata then = metadata;
+    private static ClusterMetadata withMovesBegun(final ClusterMetadata metadata, final List<Move> moves) {
+        ClusterMetadata result = metadata;
         for (final Move m : moves) {
-            final ClusterMetadata next = after(then, m);
-            then = next == null ? then : next;
+            final ClusterMetadata next = after(result, m);
+            result = next == null ? result : next;
         }
-        return then;
+        return result;
     }
 
-    private static Move leave(final StorageLiveness liveness, final GroupInfo g, final int leaving, final NodeInfo to) {
+    private static Move replaceLeaving(
+            final StorageLiveness liveness, final GroupInfo g, final int leaving, final NodeInfo to) {
         if (leaving == 0) {
-            return new Move(g.id(), 0, to, "it is a copy short", true);
+            return new Move(g.id(), 0, to, "it has too few replicas", true);
         }
         final boolean repair = liveness.lost.contains(leaving);
-        return new Move(g.id(), leaving, to, "node " + leaving + (repair ? " is gone" : " retires"), repair);
+        return new Move(
+                g.id(), leaving, to, "node " + leaving + (repair ? " is considered lost" : " is retiring"), repair);
     }
 
-    private static boolean underWay(final GroupInfo g, final int copies) {
-        return g.members().size() > copies || !g.membership().learners().isEmpty();
+    private static boolean isMoving(final GroupInfo g, final int replicas) {
+        return g.members().size() > replicas || !g.membership().learners().isEmpty();
     }
 
-    /** The voter to be removed: a lost one before a retiring one; 0 for none. */
-    private static int leaving(final ClusterMetadata metadata, final GroupInfo g, final StorageLiveness liveness) {
-        final int gone = leaving(g, liveness.lost);
-        return gone != 0 ? gone : leaving(g, metadata.retiring());
+    /** The voter to be removed: a lost one before a retiring one; 0 if there is none. */
+    private static int findLeaving(final ClusterMetadata metadata, final GroupInfo g, final StorageLiveness liveness) {
+        final int lost = findLeaving(g, liveness.lost);
+        return lost != 0 ? lost : findLeaving(g, metadata.retiring());
     }
 
-    private static int leaving(final GroupInfo g, final Collection<Integer> leavers) {
-        for (final int node : leavers) {
+    private static int findLeaving(final GroupInfo g, final Collection<Integer> nodesToLeave) {
+        for (final int node : nodesToLeave) {
             if (Membership.find(g.members(), node) != null) {
                 return node;
             }
@@ -194,29 +201,31 @@
     }
 
     /**
-     * The next step for a group with a learner, or with one voter too many: the learner becomes a voter, then the
-     * leaving voter is removed. A learner that leaves itself is removed first. Null where the step has to wait.
+     * The next step for a group with a learner or with one voter too many: first the learner is promoted to a voter,
+     * then the leaving voter is removed. A learner on a lost or retiring node is removed before that. Null if the step
+     * has to wait.
      */
     private static Move continueMove(
-            final ClusterMetadata metadata, final GroupInfo g, final StorageLiveness liveness, final int copies) {
+            final ClusterMetadata metadata, final GroupInfo g, final StorageLiveness liveness, final int replicas) {
         for (final Member learner : g.membership().learners()) {
             final boolean lost = liveness.lost.contains(learner.node());
             if (lost || metadata.retiring().contains(learner.node())) {
                 final NodeInfo stays = metadata.node(g.members().get(0).node());
-                return new Move(g.id(), learner.node(), stays, "it learns, and leaves before it is done", lost);
+                return new Move(
+                        g.id(), learner.node(), stays, "its learner is on a node that is lost or retiring", lost);
             }
         }
-        final int leaving = leaving(metadata, g, liveness);
-        if (g.members().size() > copies) {
+        final int leaving = findLeaving(metadata, g, liveness);
+        if (g.members().size() > replicas) {
             return removeExtraReplica(metadata, g, leaving);
         }
-        final Move promotion = continueWithLearner(metadata, g, liveness, leaving, copies);
+        final Move promotion = continueWithLearner(metadata, g, liveness, leaving, replicas);
         if (promotion != null) {
             return promotion;
         }
-        final boolean wanted = leaving != NO_NODE || g.members().size() < copies;
-        final NodeInfo to = !wanted ? null : Placement.replacementFor(metadata, g, leaving, liveness.alive);
-        return to == null ? null : leave(liveness, g, leaving, to);
+        final boolean needsReplica = leaving != NO_NODE || g.members().size() < replicas;
+        final NodeInfo to = !needsReplica ? null : Placement.replacementFor(metadata, g, leaving, liveness.alive);
+        return to == null ? null : replaceLeaving(liveness, g, leaving, to);
     }
 
     private static Move removeExtraReplica(final ClusterMetadata metadata, final GroupInfo g, final int leaving) {
@@ -226,27 +235,28 @@
                 .filter(n -> n != from)
                 .findFirst()
                 .orElseThrow());
-        return new Move(g.id(), from, stays, "it has a copy more than it needs");
+        return new Move(g.id(), from, stays, "it has one replica too many");
     }
 
-    /** The next step for the first learner that is alive; null where there is none. */
+    /** The next step for the first learner that is alive; null if there is none. */
     private static Move continueWithLearner(
             final ClusterMetadata metadata,
             final GroupInfo g,
             final StorageLiveness liveness,
             final int leaving,
-            final int copies) {
+            final int replicas) {
         for (final Member learner : g.membership().learners()) {
             final NodeInfo to = metadata.node(learner.node());
             if (to == null || !liveness.alive.contains(to.node())) {
                 continue;
             }
-            if (g.members().size() < copies) {
-                return new Move(g.id(), NO_NODE, to, "it is a copy short, and node " + to.node() + " learns it", true);
+            if (g.members().size() < replicas) {
+                return new Move(
+                        g.id(), NO_NODE, to, "it has too few replicas, and node " + to.node() + " is a learner", true);
             }
             final int from = leaving != NO_NODE ? leaving : mostLoaded(metadata, g.members());
             return new Move(
-                    g.id(), from, to, "node " + to.node() + " learns it already", liveness.lost.contains(leaving));
+                    g.id(), from, to, "node " + to.node() + " is a learner already", liveness.lost.contains(leaving));
         }
         return null;
     }
@@ -261,9 +271,9 @@
         int best = 0;
         int bestScore = -1;
         for (final Member m : members) {
-            final boolean zoneTwice =
+            final boolean sharesZone =
                     members.stream().filter(o -> o.zone().equals(m.zone())).count() > 1;
-            final int score = load(metadata, m.node()) + (zoneTwice ? SHARED_ZONE_SCORE : 0);
+            final int score = load(metadata, m.node()) + (sharesZone ? SHARED_ZONE_SCORE : 0);
             if (score > bestScore) {
                 bestScore = score;
                 best = m.node();
@@ -273,19 +283,20 @@
     }
 
     /**
-     * One move that reduces the imbalance between two nodes by two replicas, and makes the spread over zones no worse;
-     * null where there is none.
+     * A move that spreads the group over more zones, or one between two nodes whose loads differ by two replicas or
+     * more; never one that spreads the group over fewer zones. Null if there is none.
      */
-    private static Move spread(final ClusterMetadata metadata, final Set<Integer> steady, final int copies) {
+    private static Move rebalance(final ClusterMetadata metadata, final Set<Integer> steady, final int replicas) {
         Move best = null;
-        // A difference of one would only change sides, so that such moves would alternate endlessly
+        // Moving a replica between nodes that differ by one only reverses the difference, so such moves would alternate
+        // forever
         int bestGain = 1;
         for (final GroupInfo g : metadata.groups()) {
-            if (!isMovable(g, steady, copies)) {
+            if (!isMovable(g, steady, replicas)) {
                 continue;
             }
             for (final NodeInfo to : metadata.nodes()) {
-                if (!mayTake(metadata, g, to, steady)) {
+                if (!canReceive(metadata, g, to, steady)) {
                     continue;
                 }
                 for (final Member from : g.members()) {
@@ -293,7 +304,7 @@
                     final int gain = load(metadata, from.node()) - load(metadata, to.node()) + ZONE_GAIN * zones;
                     if (zones >= 0 && gain > bestGain) {
                         bestGain = gain;
-                        best = new Move(g.id(), from.node(), to, spreadReason(metadata, from, to, zones));
+                        best = new Move(g.id(), from.node(), to, rebalanceReason(metadata, from, to, zones));
                     }
                 }
             }
@@ -301,14 +312,14 @@
         return best;
     }
 
-    /** Whether all members are present; while one is missing, no replica is moved just for an even spread. */
-    private static boolean isMovable(final GroupInfo g, final Set<Integer> steady, final int copies) {
+    /** Whether all members are present and steady; otherwise no replica is moved merely for balance. */
+    private static boolean isMovable(final GroupInfo g, final Set<Integer> steady, final int replicas) {
         return g.founded()
-                && g.members().size() == copies
+                && g.members().size() == replicas
                 && steady.containsAll(g.members().stream().map(Member::node).toList());
     }
 
-    private static boolean mayTake(
+    private static boolean canReceive(
             final ClusterMetadata metadata, final GroupInfo g, final NodeInfo to, final Set<Integer> steady) {
         return steady.contains(to.node())
                 && !metadata.retiring().contains(to.node())
@@ -319,10 +330,10 @@
         return zones(g, from.node(), to.zone()) - zones(g, NO_NODE, "");
     }
 
-    private static String spreadReason(
+    private static String rebalanceReason(
             final ClusterMetadata metadata, final Member from, final NodeInfo to, final int zonesGained) {
         return zonesGained > 0
-                ? "its copies lie in fewer zones than they could"
+                ? "its replicas are in fewer zones than possible"
                 : "node " + from.node() + " holds " + load(metadata, from.node()) + " groups, node " + to.node() + " "
                         + load(metadata, to.node());
     }
@@ -337,8 +348,8 @@
     }
 
     /**
-     * The first group whose leader is not its highest-ranking member, though that one is steady; null where all leaders
-     * follow the weights.
+     * The switchover for the first group whose highest-ranking member is steady and not the leader; null if there is no
+     * such group.
      */
     public static Switchover switchover(
             final ClusterMetadata metadata, final Map<Integer, Integer> leaders, final Set<Integer> steady) {
@@ -359,7 +370,8 @@
     }
 
     /**
-     * The member of the greatest weight that does not retire, of equal weights the highest node number; null for none.
+     * The member with the greatest weight that is not retiring, of equal weights that with the highest node number;
+     * null if there is none.
      */
     private static Member highestRanked(final ClusterMetadata metadata, final GroupInfo g) {
         Member first = null;
--- a/coordination/src/main/java/brookpath/coordination/placement/Placement.java
+++ b/coordination/src/main/java/brookpath/coordination/placement/Placement.java
@@ -11,22 +11,22 @@
 import java.util.List;
 import java.util.Set;
 
-/** Spreads groups over storage nodes: members in different zones where there are enough, leaders spread by weight. */
+/** Assigns groups to storage nodes: members in different zones if there are enough, leaders spread by their weights. */
 public final class Placement {
     private static final int[] WEIGHTS = {90, 60, 30, 25, 20, 15, 10};
 
     private Placement() {}
 
-    /** The first placement of this many groups, each with the given number of replicas. */
-    public static List<GroupInfo> initial(final List<NodeInfo> storages, final int groups, final int copies) {
-        final List<NodeInfo> sorted = new ArrayList<>(storages);
+    /** The initial placement of this many groups, each with the given number of replicas. */
+    public static List<GroupInfo> initial(final List<NodeInfo> storageNodes, final int groups, final int replicas) {
+        final List<NodeInfo> sorted = new ArrayList<>(storageNodes);
         sorted.sort(Comparator.comparingInt(NodeInfo::node));
-        final List<GroupInfo> placed = new ArrayList<>();
+        final List<GroupInfo> placements = new ArrayList<>();
         for (int g = 0; g < groups; g++) {
             final List<NodeInfo> chosen = new ArrayList<>();
-            // First one node of each zone, then the remaining ones, with another start for each group
+            // First one node of each zone, then any of the others; each group starts at another node
             for (int round = 0; round < 2; round++) {
-                for (int i = 0; i < sorted.size() && chosen.size() < copies; i++) {
+                for (int i = 0; i < sorted.size() && chosen.size() < replicas; i++) {
                     final NodeInfo n = sorted.get((g + i) % sorted.size());
                     final boolean zoneTaken =
                             chosen.stream().anyMatch(c -> c.zone().equals(n.zone()));
@@ -40,12 +40,12 @@
                 members.add(new Member(
                         chosen.get(i).node(), WEIGHTS[i], chosen.get(i).zone()));
             }
-            placed.add(new GroupInfo(g, false, new Membership(1, List.copyOf(members), List.of())));
+            placements.add(new GroupInfo(g, false, new Membership(1, List.copyOf(members), List.of())));
         }
-        return placed;
+        return placements;
     }
 
-    /** The storage node that best replaces another in a group; null where none can. */
+    /** The storage node that is the best replacement for another in a group; null if there is none. */
     public static NodeInfo replacementFor(
             final ClusterMetadata metadata, final GroupInfo g, final int leaving, final Set<Integer> alive) {
         NodeInfo best = null;
@@ -62,7 +62,7 @@
             final int load = (int) metadata.groups().stream()
                     .filter(o -> o.membership().holds(n.node()))
                     .count();
-            // An existing learner is kept, else the group would get two
+            // An existing learner is preferred, otherwise the group would get a second one
             final int score = load
                     + (sameZone ? 10_000 : 0)
                     - (Membership.find(g.membership().learners(), n.node()) != null ? 100_000 : 0);
@@ -74,7 +74,7 @@
         return best;
     }
 
-    /** The group ID of a topic. A space that guarantees one order over all its topics maps to one group. */
+    /** The group ID of a topic. All topics of a space that guarantees one order across them map to the same group. */
     public static int groupOf(final String topic, final Configuration.Space space, final int groups) {
         int h = 0x811c9dc5;
         final String hashed = space.one() ? space.name() : topic;
--- a/coordination/src/main/java/brookpath/coordination/placement/StorageFailureDetector.java
+++ b/coordination/src/main/java/brookpath/coordination/placement/StorageFailureDetector.java
@@ -8,8 +8,9 @@
 import java.util.TreeSet;
 
 /**
- * Decides which storage nodes are lost, from when each last polled the control leader. It considers none lost while
- * half of them or more are silent, for then this controller is more likely partitioned itself.
+ * Decides which storage nodes are considered lost, from the time of each node's last poll of the control leader. No
+ * node is considered lost while half of them or more are silent, since this controller itself is then more likely to be
+ * partitioned.
  */
 public final class StorageFailureDetector {
     private final TimingBounds timing;
@@ -52,17 +53,17 @@
      */
     public Set<Integer> lost(final long leadingSince, final Set<Integer> lostBefore) {
         final Set<Integer> alive = alive();
-        final Set<Integer> judged = holders();
-        judged.addAll(alive);
-        if (2 * alive.size() <= judged.size()) {
+        final Set<Integer> monitored = replicaHolders();
+        monitored.addAll(alive);
+        if (2 * alive.size() <= monitored.size()) {
             return Set.of();
         }
         final long listeningSince = leadingSince + timing.configurationDeadline();
-        final boolean early = anyEmpty(alive);
+        final boolean hasSpare = hasSpareNode(alive);
         final Set<Integer> lost = new TreeSet<>();
-        for (final int node : holders()) {
+        for (final int node : replicaHolders()) {
             final long last = Math.max(heardAt.getOrDefault(node, listeningSince), listeningSince);
-            final long bound = early || lostBefore.contains(node) ? timing.replacedAfter() : timing.goneAfter();
+            final long bound = hasSpare || lostBefore.contains(node) ? timing.replacedAfter() : timing.goneAfter();
             if (now - last > bound) {
                 lost.add(node);
             }
@@ -70,19 +71,20 @@
         return lost;
     }
 
-    private Set<Integer> holders() {
-        final Set<Integer> holders = new HashSet<>();
+    private Set<Integer> replicaHolders() {
+        final Set<Integer> replicaHolders = new HashSet<>();
         for (final ClusterMetadata.GroupInfo group : metadata.groups()) {
-            group.members().forEach(m -> holders.add(m.node()));
-            group.membership().learners().forEach(m -> holders.add(m.node()));
+            group.members().forEach(m -> replicaHolders.add(m.node()));
+            group.membership().learners().forEach(m -> replicaHolders.add(m.node()));
         }
-        return holders;
+        return replicaHolders;
     }
 
-    /** Whether a live node has no replicas; such a spare can be filled early at no cost. */
-    private boolean anyEmpty(final Set<Integer> alive) {
-        final Set<Integer> holders = holders();
+    /** Whether a live node has no replicas; such a spare node can receive replicas early at no cost. */
+    private boolean hasSpareNode(final Set<Integer> alive) {
+        final Set<Integer> replicaHolders = replicaHolders();
         return alive.stream()
-                .anyMatch(n -> !holders.contains(n) && !metadata.retiring().contains(n));
+                .anyMatch(
+                        n -> !replicaHolders.contains(n) && !metadata.retiring().contains(n));
     }
 }
--- a/testing/src/test/java/brookpath/testing/ControlStateTest.java
+++ b/testing/src/test/java/brookpath/testing/ControlStateTest.java
@@ -95,7 +95,7 @@
         state.load(buffer.toByteArray());
         assertNull(state.outcomes().of("refused"));
         assertEquals(state.outcomes().of("taken"), new Outcome(4, 77, 2));
-        assertNotNull(state.retirements().named("storage-11", 5));
+        assertNotNull(state.retirements().byName("storage-11", 5));
     }
 
     @Test
@@ -105,19 +105,19 @@
         state.apply(record(2, metadata(2, List.of(leaving, staying), List.of(11))));
         state.apply(record(3, metadata(3, List.of(staying), List.of())));
         for (final ControlState s : List.of(state, reloaded(state))) {
-            assertNull(s.retirements().named("storage-11", 1));
-            assertNotNull(s.retirements().named("storage-11", 2));
-            assertNotNull(s.retirements().numbered(11, 3));
-            assertNull(s.retirements().named("storage-12", 3));
+            assertNull(s.retirements().byName("storage-11", 1));
+            assertNotNull(s.retirements().byName("storage-11", 2));
+            assertNotNull(s.retirements().byNumber(11, 3));
+            assertNull(s.retirements().byName("storage-12", 3));
         }
         // why: addresses are used again, and so the numbers that follow from them
         final NodeInfo other = new NodeInfo(11, "a", "sim:11", "storage-21");
         state.apply(record(4, metadata(4, List.of(staying, other), List.of())));
-        assertNotNull(state.retirements().named("storage-11", 4));
-        assertNull(state.retirements().named("storage-21", 4));
+        assertNotNull(state.retirements().byName("storage-11", 4));
+        assertNull(state.retirements().byName("storage-21", 4));
         final NodeInfo again = new NodeInfo(19, "a", "sim:19", "storage-11");
         state.apply(record(5, metadata(5, List.of(staying, again), List.of())));
-        assertNull(state.retirements().named("storage-11", 5));
+        assertNull(state.retirements().byName("storage-11", 5));
     }
 
     @Test
--- a/testing/src/test/java/brookpath/testing/sim/GroupRepairScene.java
+++ b/testing/src/test/java/brookpath/testing/sim/GroupRepairScene.java
@@ -219,7 +219,7 @@
 
     long judgedAt() {
         return cluster.notes().stream()
-                .filter(n -> n.contains("taken for gone: [1"))
+                .filter(n -> n.contains("considered lost: [1"))
                 .mapToLong(n -> Long.parseLong(n.substring(0, n.indexOf(' '))))
                 .findFirst()
                 .orElse(Long.MAX_VALUE / 4);
--- a/testing/src/test/java/brookpath/testing/sim/GroupRepairTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/GroupRepairTest.java
@@ -154,7 +154,7 @@
             }
             scene.run(10_000);
             assertEquals(scene.versions(), versions, "seed " + seed + ": copies moved:\n" + scene.notes());
-            assertFalse(scene.notes().contains("taken for gone: [1"), "seed " + seed + ":\n" + scene.notes());
+            assertFalse(scene.notes().contains("considered lost: [1"), "seed " + seed + ":\n" + scene.notes());
             scene.cluster.restart(leader);
             scene.readBack("seed " + seed);
         });
--- a/tools/src/main/java/brookpath/tools/plan/RetirementPlan.java
+++ b/tools/src/main/java/brookpath/tools/plan/RetirementPlan.java
@@ -31,7 +31,7 @@
         if (report.isRefused()) {
             return;
         }
-        final ClusterMetadata end = reportSteps(retirement.then());
+        final ClusterMetadata end = reportSteps(retirement.metadata());
         for (final NodeInfo storageNode : end.nodes()) {
             report.print("then node " + storageNode.node() + " in zone " + storageNode.zone() + " holds "
                     + groupsOn(storageNode.node(), end) + " groups, held "
@@ -63,7 +63,7 @@
     }
 
     private static String describe(final GroupInfo group, final MovePlan.Move move) {
-        return "group " + group.id() + ": " + describeStep(group.membership(), move) + "; " + move.why();
+        return "group " + group.id() + ": " + describeStep(group.membership(), move) + "; " + move.reason();
     }
 
     private static String describeStep(final Membership membership, final MovePlan.Move move) {
