--- a/coordination/src/main/java/brookpath/coordination/TimingBounds.java
+++ b/coordination/src/main/java/brookpath/coordination/TimingBounds.java
@@ -27,16 +27,16 @@
     }
 
     /** The detection time: a peer that has missed two replies in a row is down. */
-    public long down() {
+    public long detectionTime() {
         return 2 * heartbeat();
     }
 
     /**
-     * How long a leader may act after it sent a heartbeat that a majority answered. Shorter than {@link #down}, for
-     * which an answer binds the voter.
+     * How long a leader may act after it sent a heartbeat that a majority answered. Shorter than
+     * {@link #detectionTime}, for which an answer binds the voter.
      */
-    public long lease() {
-        return down() * 4 / 5;
+    public long leaderLease() {
+        return detectionTime() * 4 / 5;
     }
 
     /** One heartbeat period. A pull for which there is nothing new stays pending without this limit. */
@@ -50,7 +50,7 @@
     }
 
     /** How long a candidate waits for votes before its attempt has failed. */
-    public long goDeadline() {
+    public long voteDeadline() {
         return heartbeat();
     }
 
@@ -113,16 +113,16 @@
      * A storage node that the control leader has not heard from for this long is considered lost, and its replicas are
      * rebuilt elsewhere. A live one polls about once in half of it.
      */
-    public long goneAfter() {
+    public long lostAfter() {
         return 2 * configurationHold();
     }
 
     /**
-     * The bound in place of {@link #goneAfter} while an empty storage node is available: the time for which a poll
+     * The bound in place of {@link #lostAfter} while an empty storage node is available: the time for which a poll
      * stays pending, plus the detection time.
      */
-    public long replacedAfter() {
-        return configurationHold() + down();
+    public long lostAfterWithSpare() {
+        return configurationHold() + detectionTime();
     }
 
     /** A listening session to which nothing was sent for this long gets a keep-alive line. */
@@ -136,12 +136,12 @@
     }
 
     /** How much longer history is kept than the space's keeping time, for clients that return after an outage. */
-    public long keepMargin() {
+    public long retentionMargin() {
         return recoverMs;
     }
 
     /** A change request that has no answer from the control leader after this has an unknown outcome. */
-    public long opDeadline() {
+    public long changeRequestDeadline() {
         return changeMs * 3 / 2;
     }
 
@@ -151,22 +151,22 @@
     }
 
     /** How long the total of a usage window waits after the window's end for groups that could not close it. */
-    public long straggle() {
+    public long usageGracePeriod() {
         return recoverMs / 3;
     }
 
     /** The pause before a write that found the disk full is retried. */
-    public long diskPause() {
+    public long diskRetryDelay() {
         return heartbeat();
     }
 
     /** A member whose disk has completed no write for this long does not stand, and transfers its leadership. */
-    public long diskPatience() {
+    public long diskStallTimeout() {
         return deliverMs * 3 / 4;
     }
 
     /** How long a caller waits for its session and topics before that counts as late. */
-    public long callerPatience() {
+    public long callerWaitLimit() {
         return deliverMs / 5;
     }
 
--- a/coordination/src/main/java/brookpath/coordination/configuration/Configuration.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/Configuration.java
@@ -45,23 +45,23 @@
 
     /**
      * @param prefix topics whose names begin with it belong to this space, unless a longer prefix matches
-     * @param keepingMs how long history is kept, in milliseconds
-     * @param one whether the space guarantees one order over all its topics
+     * @param retentionMs how long history is kept, in milliseconds
+     * @param oneOrder whether the space guarantees one order over all its topics
      * @param open whether callers without a key may use it
      * @param answerMs how long callers wait for the response to a publish, in milliseconds; 0 where that is unknown
      */
     public record Space(
-            String name, String prefix, long keepingMs, boolean one, int replSize, boolean open, long answerMs) {
+            String name, String prefix, long retentionMs, boolean oneOrder, int replSize, boolean open, long answerMs) {
         /** A space that needs a key, whose prefix is its name and a slash. */
-        public Space(final String name, final long keepingMs, final boolean one, final int replSize) {
-            this(name, name + "/", keepingMs, one, replSize, false, 0);
+        public Space(final String name, final long retentionMs, final boolean oneOrder, final int replSize) {
+            this(name, name + "/", retentionMs, oneOrder, replSize, false, 0);
         }
     }
 
     /** A tenant and the spaces that its keys give access to. */
     public record Tenant(String name, Set<String> spaces) {
         /** Whether the tenant's keys give access to the space of this name. */
-        public boolean uses(final String space) {
+        public boolean hasAccessTo(final String space) {
             return spaces.contains(space) || spaces.contains(ALL);
         }
     }
--- a/coordination/src/main/java/brookpath/coordination/configuration/ConfigurationClient.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/ConfigurationClient.java
@@ -42,9 +42,9 @@
     private Configuration configuration = Configuration.NONE;
     private ClusterMetadata metadata = ClusterMetadata.NONE;
     /** The encoded documents as received, to which later deltas apply. */
-    private byte[] configurationBytes = VersionUpdates.NO_NEWS;
+    private byte[] configurationBytes = VersionUpdates.NO_UPDATE;
 
-    private byte[] metadataBytes = VersionUpdates.NO_NEWS;
+    private byte[] metadataBytes = VersionUpdates.NO_UPDATE;
     private boolean known;
     /** Whether a delta did not apply, so that the next reply must carry both documents in full. */
     private boolean wantsWhole;
@@ -185,11 +185,11 @@
     public void restore(final ClusterMetadata kept) {
         metadata = kept;
         metadataBytes = kept.save();
-        suggest(kept.controllers());
+        addControllers(kept.controllers());
     }
 
     /** Adds controllers that may be polled, from a log that may be outdated. */
-    public void suggest(final List<ClusterMetadata.NodeInfo> more) {
+    public void addControllers(final List<ClusterMetadata.NodeInfo> more) {
         final List<Integer> all = new ArrayList<>(controllers);
         more.stream()
                 .map(ClusterMetadata.NodeInfo::node)
--- a/coordination/src/main/java/brookpath/coordination/configuration/ConfigurationReader.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/ConfigurationReader.java
@@ -130,7 +130,7 @@
         final boolean one = order.equals("one");
         final int replSize = replSize(item, at);
         final Space before = present.spaces().get(name);
-        if (before != null && before.one() != one) {
+        if (before != null && before.oneOrder() != one) {
             find(at + "/order", "cannot change while the space \"" + name + "\" exists");
         }
         final String prefix = prefix(item, at, name, nameByPrefix);
--- a/coordination/src/main/java/brookpath/coordination/configuration/Finding.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/Finding.java
@@ -12,12 +12,12 @@
     }
 
     /** The findings as a JSON array. */
-    public static String json(final List<Finding> findings) {
-        return array(findings).build().toString();
+    public static String toJson(final List<Finding> findings) {
+        return toJsonArray(findings).build().toString();
     }
 
     /** The same finding with its place below a prefix, as part of a larger document. */
-    public static JsonArrayBuilder array(final List<Finding> findings) {
+    public static JsonArrayBuilder toJsonArray(final List<Finding> findings) {
         final JsonArrayBuilder arr = Json.createArrayBuilder();
         findings.forEach(
                 f -> arr.add(Json.createObjectBuilder().add("place", f.place).add("what", f.what)));
--- a/coordination/src/main/java/brookpath/coordination/configuration/PackedConfiguration.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/PackedConfiguration.java
@@ -44,10 +44,10 @@
     }
 
     private static void putSpace(final PackedBuffer buffer, final Space space) {
-        final long flags = (space.one() ? ONE_ORDER : 0) | (space.open() ? OPEN : 0);
+        final long flags = (space.oneOrder() ? ONE_ORDER : 0) | (space.open() ? OPEN : 0);
         buffer.putString(space.name())
                 .putString(space.prefix())
-                .putLong(space.keepingMs())
+                .putLong(space.retentionMs())
                 .putLong((long) space.replSize() << FLAG_BITS | flags)
                 .putLong(space.answerMs());
     }
@@ -89,12 +89,12 @@
     private static Space getSpace(final PackedBuffer in) {
         final String name = in.getString();
         final String prefix = in.getString();
-        final long keepingMs = in.getLong();
+        final long retentionMs = in.getLong();
         final long replicasAndFlags = in.getLong();
         return new Space(
                 name,
                 prefix,
-                keepingMs,
+                retentionMs,
                 (replicasAndFlags & ONE_ORDER) != 0,
                 (int) (replicasAndFlags >> FLAG_BITS),
                 (replicasAndFlags & OPEN) != 0,
--- a/coordination/src/main/java/brookpath/coordination/configuration/StoredConfiguration.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/StoredConfiguration.java
@@ -38,7 +38,7 @@
     }
 
     /** The document as the operator sent it. */
-    public byte[] doc() {
+    public byte[] document() {
         return document;
     }
 
--- a/coordination/src/main/java/brookpath/coordination/configuration/VersionUpdates.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/VersionUpdates.java
@@ -12,7 +12,7 @@
  */
 public final class VersionUpdates {
     /** The update for a follower that has the newest version already. */
-    public static final byte[] NO_NEWS = new byte[0];
+    public static final byte[] NO_UPDATE = new byte[0];
 
     /** The version of a document that does not exist yet, which no delta can be based on. */
     private static final long NO_DOCUMENT = 0;
@@ -27,7 +27,7 @@
     private long bytes;
 
     /** Sets the newest version, which is sent from now on; a known version changes nothing. */
-    public void newest(final long version, final byte[] document) {
+    public void setNewest(final long version, final byte[] document) {
         if (version == NO_DOCUMENT || documents.containsKey(version)) {
             return;
         }
@@ -40,14 +40,14 @@
     }
 
     /** Whether this version is the newest. */
-    public boolean has(final long version) {
+    public boolean isNewest(final long version) {
         return !documents.isEmpty() && documents.lastKey() == version;
     }
 
-    /** The update from the follower's version to the newest; {@link #NO_NEWS} where it has that or a later one. */
-    public byte[] since(final long version) {
+    /** The update from the follower's version to the newest; {@link #NO_UPDATE} where it has that or a later one. */
+    public byte[] updateFrom(final long version) {
         return documents.isEmpty() || version >= documents.lastKey()
-                ? NO_NEWS
+                ? NO_UPDATE
                 : updates.computeIfAbsent(version, this::update);
     }
 
--- a/coordination/src/main/java/brookpath/coordination/controllog/ControlState.java
+++ b/coordination/src/main/java/brookpath/coordination/controllog/ControlState.java
@@ -79,7 +79,7 @@
             final long sum,
             final long version,
             final byte[] doc) {
-        final byte[] delta = Delta.between(newest.doc(), doc);
+        final byte[] delta = Delta.between(newest.document(), doc);
         return delta.length < doc.length
                 ? configurationBody(CONFIGURATION_DELTA, changeId, sum, version, delta)
                 : configurationBody(CONFIGURATION, changeId, sum, version, doc);
@@ -219,7 +219,7 @@
     /** The document of a record that holds a delta to the preceding one in the log. */
     private byte[] followingNewest(final LogRecord logRecord, final byte[] delta) {
         try {
-            return Delta.apply(configurationAt(Long.MAX_VALUE).doc(), delta);
+            return Delta.apply(configurationAt(Long.MAX_VALUE).document(), delta);
         } catch (final Delta.MismatchException ex) {
             // The records before this one determine the base, and each has its own checksum
             throw new IllegalStateException(
@@ -282,7 +282,7 @@
                 .all()
                 .forEach(s -> buffer.putLong(s.index())
                         .putLong(s.value().version())
-                        .putBytes(s.value().doc()));
+                        .putBytes(s.value().document()));
         buffer.putLong(metadatas.all().size());
         metadatas
                 .all()
--- a/coordination/src/main/java/brookpath/coordination/group/GroupStateMachine.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupStateMachine.java
@@ -162,7 +162,7 @@
     private void leadOn(final long now) {
         if (voteStore.highestTermSeen() > voteStore.term()) {
             stepDown("epoch " + voteStore.highestTermSeen() + " seen");
-        } else if (now - roleState.leaderSince() > timing.down() && !lease.majorityAnswers(now)) {
+        } else if (now - roleState.leaderSince() > timing.detectionTime() && !lease.majorityAnswers(now)) {
             stepDown("no majority answers");
         } else {
             advance(now);
--- a/coordination/src/main/java/brookpath/coordination/group/LeaderElection.java
+++ b/coordination/src/main/java/brookpath/coordination/group/LeaderElection.java
@@ -134,7 +134,7 @@
 
     private long backoff() {
         final int attempts = Math.min(MAX_BACKOFF_ATTEMPTS, failedAttempts);
-        return (long) (timing.goDeadline() * (MIN_BACKOFF + random.nextDouble() * attempts));
+        return (long) (timing.voteDeadline() * (MIN_BACKOFF + random.nextDouble() * attempts));
     }
 
     /** Stands where that is due and there is no obstacle. */
@@ -157,7 +157,7 @@
         }
         final long write = voteStore.vote(term, self);
         votes.clear();
-        attemptEndsAt = now + timing.goDeadline();
+        attemptEndsAt = now + timing.voteDeadline();
         roleState.becomeCandidate("stands for epoch " + term);
         final VoteReply ownVote = new VoteReply(group, term, true, term, "own vote");
         final VoteRequest request = new VoteRequest(
@@ -195,7 +195,7 @@
         if (mayHavePromised(self, now)) {
             return "it has just started";
         }
-        if (diskLag(now) > timing.diskPatience()) {
+        if (diskLag(now) > timing.diskStallTimeout()) {
             return "its disk takes nothing";
         }
         return "";
@@ -242,8 +242,8 @@
         if (failedAttempts >= DEFERRING_ATTEMPTS) {
             return false;
         }
-        if (now - deferUntil > timing.down()) {
-            deferUntil = now + better * timing.goDeadline();
+        if (now - deferUntil > timing.detectionTime()) {
+            deferUntil = now + better * timing.voteDeadline();
         }
         return now < deferUntil;
     }
@@ -260,7 +260,7 @@
      * @param reported a voter that has reported so by other means than its heartbeats
      */
     private boolean mayHavePromised(final int reported, final long now) {
-        return now - startedAt <= timing.down() && !allOthersLeadNothing(reported, now);
+        return now - startedAt <= timing.detectionTime() && !allOthersLeadNothing(reported, now);
     }
 
     /**
@@ -361,7 +361,7 @@
         // why: a vote that is forgotten after a crash could be given twice
         final long write = voteStore.vote(term, candidate);
         roleState.becomeFollower();
-        nextAttempt = now + timing.down();
+        nextAttempt = now + timing.detectionTime();
         roleState.explain("voted for " + candidate + " in epoch " + term);
         deferredMessages.add(write, candidate, new VoteReply(group, term, true, term, "granted"), now);
     }
--- a/coordination/src/main/java/brookpath/coordination/group/LeaderLease.java
+++ b/coordination/src/main/java/brookpath/coordination/group/LeaderLease.java
@@ -61,7 +61,7 @@
 
     /** Whether these voters would grant the lease now. */
     boolean held(final List<Member> voters, final long now) {
-        return majoritySince(voters, now - timing.lease());
+        return majoritySince(voters, now - timing.leaderLease());
     }
 
     /** Whether a majority has answered heartbeats of this leadership that were sent at this time or later. */
@@ -79,7 +79,7 @@
 
     /** Whether the node has answered a heartbeat of this leadership that was sent within the lease. */
     boolean answered(final int node, final long now) {
-        return answeredSince(node, now - timing.lease());
+        return answeredSince(node, now - timing.leaderLease());
     }
 
     private boolean answeredSince(final int node, final long since) {
@@ -108,13 +108,13 @@
     }
 
     private boolean answersLately(final int node, final long now) {
-        return peers.up(node) && now - peers.row(node).answeredSentAt() <= 2 * timing.down();
+        return peers.up(node) && now - peers.row(node).answeredSentAt() <= 2 * timing.detectionTime();
     }
 
     /** Another member is asked to take over; this leader does not act until that has been tried. */
     void transfer(final long now) {
         // why: the voters will not wait for this lease to end
-        transferringUntil = now + timing.down() + timing.goDeadline();
+        transferringUntil = now + timing.detectionTime() + timing.voteDeadline();
     }
 
     /** Whether another member was asked to take over, and may still do so. */
--- a/coordination/src/main/java/brookpath/coordination/group/LeadershipTransfer.java
+++ b/coordination/src/main/java/brookpath/coordination/group/LeadershipTransfer.java
@@ -92,7 +92,7 @@
     void transferIfDiskStalls(final long now) {
         // why: without a majority among the others none of them can win, and this leader should continue
         final boolean othersCanElect = peers.active(membership.voters(), now) >= membership.majority();
-        if (election.diskLag(now) > timing.diskPatience() && othersCanElect) {
+        if (election.diskLag(now) > timing.diskStallTimeout() && othersCanElect) {
             toAny(now);
         }
     }
--- a/coordination/src/main/java/brookpath/coordination/group/LogFetcher.java
+++ b/coordination/src/main/java/brookpath/coordination/group/LogFetcher.java
@@ -73,7 +73,7 @@
                 && !recovery.isLost()
                 && roleState.leader() != PeerView.NOBODY
                 && peers.up(roleState.leader())
-                && now - behindSince <= timing.down();
+                && now - behindSince <= timing.detectionTime();
     }
 
     /** This follower is no longer known to be in sync. */
--- a/coordination/src/main/java/brookpath/coordination/group/Voter.java
+++ b/coordination/src/main/java/brookpath/coordination/group/Voter.java
@@ -48,7 +48,7 @@
         if (!roleState.isLeader()) {
             voteStore.observe(request.term());
         }
-        decide(new PendingRequest(candidate, request, now + timing.goDeadline()), now);
+        decide(new PendingRequest(candidate, request, now + timing.voteDeadline()), now);
     }
 
     /** Looks again at the request that is not decided yet. */
--- a/coordination/src/main/java/brookpath/coordination/heartbeat/HeartbeatMonitor.java
+++ b/coordination/src/main/java/brookpath/coordination/heartbeat/HeartbeatMonitor.java
@@ -65,14 +65,14 @@
     }
 
     /** Sets the peers to exchange heartbeats with; other nodes are answered, but are not in the table. */
-    public void peers(final Set<Integer> nodes) {
+    public void setPeers(final Set<Integer> nodes) {
         peers.keySet().retainAll(nodes);
         nodes.forEach(n -> peers.computeIfAbsent(n, k -> new Peer()));
         publishTable();
     }
 
     /** Sets the entries that the next heartbeats and answers carry. */
-    public void own(final List<HeartbeatEntry> entries) {
+    public void setOwnEntries(final List<HeartbeatEntry> entries) {
         if (entries != own) {
             own = entries;
             ownById = byGroup(entries);
@@ -173,7 +173,7 @@
     private boolean onReply(final Peer peer, final Heartbeat heartbeat, final long now) {
         final Sent sent = peer == null ? null : peer.sent.get(heartbeat.id());
         // why: a reply that took longer than the detection time does not show that the peer is up now
-        if (sent == null || now - sent.at > Math.max(timing.down(), 2 * period)) {
+        if (sent == null || now - sent.at > Math.max(timing.detectionTime(), 2 * period)) {
             return false;
         }
         final boolean changed = learn(peer, heartbeat, now);
@@ -216,7 +216,7 @@
                         peer.answeredOwn,
                         peer.heardAt,
                         peer.entries)));
-        table = new HeartbeatTable(rows, period <= timing.heartbeat() ? timing.down() : 5 * period / 2);
+        table = new HeartbeatTable(rows, period <= timing.heartbeat() ? timing.detectionTime() : 5 * period / 2);
     }
 
     private static Map<Integer, HeartbeatEntry> byGroup(final List<HeartbeatEntry> entries) {
--- a/coordination/src/main/java/brookpath/coordination/heartbeat/StatusHandoff.java
+++ b/coordination/src/main/java/brookpath/coordination/heartbeat/StatusHandoff.java
@@ -22,12 +22,12 @@
      * Any thread: requests a heartbeat without waiting for the period. True where no request was pending, so that the
      * listener has to be woken.
      */
-    public boolean wish() {
+    public boolean requestHeartbeat() {
         return wished.compareAndSet(false, true);
     }
 
     /** Listener thread, before {@link #entries()}: whether a heartbeat was requested since the last call. */
-    public boolean takeWish() {
+    public boolean takeHeartbeatRequest() {
         return wished.compareAndSet(true, false);
     }
 
--- a/coordination/src/main/java/brookpath/coordination/metadata/ClusterMetadata.java
+++ b/coordination/src/main/java/brookpath/coordination/metadata/ClusterMetadata.java
@@ -52,7 +52,7 @@
         }
 
         /** The same process on the machine of this identity. */
-        public NodeInfo on(final long newMachine) {
+        public NodeInfo withMachine(final long newMachine) {
             return new NodeInfo(node, zone, address, name, newMachine);
         }
 
--- a/coordination/src/main/java/brookpath/coordination/metadata/FleetClock.java
+++ b/coordination/src/main/java/brookpath/coordination/metadata/FleetClock.java
@@ -20,12 +20,12 @@
      * @param wall the node's wall clock, in milliseconds since the epoch
      * @param mono this process's monotonic clock at that moment, in milliseconds
      */
-    public void hear(final int node, final long wall, final long mono) {
+    public void update(final int node, final long wall, final long mono) {
         ahead.put(node, wall - mono);
     }
 
     /** Removes the clocks of all other nodes. */
-    public void keep(final Set<Integer> nodes) {
+    public void retainOnly(final Set<Integer> nodes) {
         ahead.keySet().retainAll(nodes);
     }
 
@@ -35,13 +35,13 @@
     }
 
     /** Whether enough clocks are known that a single wrong one cannot be the median. */
-    public boolean known() {
+    public boolean isKnown() {
         return ahead.size() >= ENOUGH;
     }
 
     /**
      * The fleet's time at a moment of this process's monotonic clock, in milliseconds since the epoch; call only where
-     * it is {@link #known}.
+     * it is {@link #isKnown}.
      */
     public long wall(final long mono) {
         final long[] sorted = ahead.values().stream().mapToLong(Long::longValue).toArray();
--- a/coordination/src/main/java/brookpath/coordination/node/ControllerNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/ControllerNode.java
@@ -141,7 +141,7 @@
             group.configure(founders, 1, true, time.mono());
         }
         // All controllers in the settings may have been replaced, but the log names their successors
-        client.suggest(view.newestMetadata().controllers());
+        client.addControllers(view.newestMetadata().controllers());
         return out.drain();
     }
 
--- a/coordination/src/main/java/brookpath/coordination/node/Node.java
+++ b/coordination/src/main/java/brookpath/coordination/node/Node.java
@@ -30,7 +30,7 @@
     protected Node(final int self, final TimingBounds timing) {
         this.self = self;
         this.timing = timing;
-        promises = new HeartbeatPromises(timing.down());
+        promises = new HeartbeatPromises(timing.detectionTime());
     }
 
     /**
--- a/coordination/src/main/java/brookpath/coordination/node/control/ConfigurationChangeHandler.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ConfigurationChangeHandler.java
@@ -122,7 +122,7 @@
             return refused(
                     ResponseStatus.INVALID,
                     reading.configuration().changeId(),
-                    "\"findings\":" + Finding.json(reading.findings()));
+                    "\"findings\":" + Finding.toJson(reading.findings()));
         }
         return reading.configuration().basedOn() == newest.version()
                 ? null
--- a/coordination/src/main/java/brookpath/coordination/node/control/ConfigurationLeaseGranter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ConfigurationLeaseGranter.java
@@ -161,13 +161,13 @@
         // A lease that a predecessor granted may be about to expire, so that the first poll is answered at once. A
         // storage node accepts nothing until it knows the clock
         if (!hasUpdate
-                && (p.clockSent || !clock.known())
+                && (p.clockSent || !clock.isKnown())
                 && p.leaseEnds != Long.MIN_VALUE
                 && now - p.pendingSince < timing.configurationHold()) {
             return;
         }
         p.pendingSince = NOT_PENDING;
-        p.clockSent = clock.known();
+        p.clockSent = clock.isKnown();
         p.leaseEnds = now + timing.configurationLease();
         out.send(
                 p.via,
@@ -177,19 +177,19 @@
                         self,
                         group.term(),
                         configuration.version(),
-                        configurationUpdates.since(p.last.configurationVersion()),
+                        configurationUpdates.updateFrom(p.last.configurationVersion()),
                         metadata.version(),
-                        metadataUpdates.since(p.last.metadataVersion()),
+                        metadataUpdates.updateFrom(p.last.metadataVersion()),
                         p.last.node(),
-                        clock.known() ? clock.wall(now) : 0));
+                        clock.isKnown() ? clock.wall(now) : 0));
     }
 
     private void noteVersions(final StoredConfiguration configuration, final ClusterMetadata metadata) {
-        if (!configurationUpdates.has(configuration.version())) {
-            configurationUpdates.newest(configuration.version(), configuration.packed());
+        if (!configurationUpdates.isNewest(configuration.version())) {
+            configurationUpdates.setNewest(configuration.version(), configuration.packed());
         }
-        if (!metadataUpdates.has(metadata.version())) {
-            metadataUpdates.newest(metadata.version(), metadata.save());
+        if (!metadataUpdates.isNewest(metadata.version())) {
+            metadataUpdates.setNewest(metadata.version(), metadata.save());
         }
     }
 
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlLeader.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlLeader.java
@@ -104,11 +104,11 @@
         if (group.tellsMembers()) {
             members.advance(table, leases.observers(now), controllerZones(), now, time.wall());
         }
-        clock.hear(self, time.wall(), now);
+        clock.update(self, time.wall(), now);
         leases.answerPending(now);
         final Set<Integer> heard = new HashSet<>(leases.nodes());
         heard.add(self);
-        clock.keep(heard);
+        clock.retainOnly(heard);
         pending.step(time);
     }
 
@@ -143,7 +143,7 @@
 
     /** Handles a poll, and replies now or once there is an update; called only for a leader that may act. */
     public void onPoll(final int from, final ConfigurationPoll poll, final Time time) {
-        clock.hear(poll.node(), poll.wall(), time.mono());
+        clock.update(poll.node(), poll.wall(), time.mono());
         leases.onPoll(from, poll, time.mono());
         pending.step(time);
     }
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlRequestHandler.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlRequestHandler.java
@@ -124,7 +124,7 @@
         if (stored.version() == 0) {
             return new Response(ResponseStatus.NOT_FOUND, 0, "{\"version\":0}");
         }
-        final String document = new String(stored.doc(), UTF_8);
+        final String document = new String(stored.document(), UTF_8);
         return new Response(
                 ResponseStatus.OK, 0, "{\"version\":" + stored.version() + ",\"document\":" + document + "}");
     }
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlResponder.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlResponder.java
@@ -78,6 +78,6 @@
 
     /** A refusal with the findings on an invalid request; retrying it is no use. */
     public static Response refused(final ResponseStatus status, final List<Finding> findings) {
-        return new Response(status, 0, "{\"outcome\":\"refused\",\"findings\":" + Finding.json(findings) + "}");
+        return new Response(status, 0, "{\"outcome\":\"refused\",\"findings\":" + Finding.toJson(findings) + "}");
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/control/ForwardedRequests.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ForwardedRequests.java
@@ -44,7 +44,7 @@
             return false;
         }
         final ControlRequestKind kind = ControlRequestKind.of(request.kind());
-        final long deadline = now + (kind.isWrite() ? timing.opDeadline() : timing.readDeadline());
+        final long deadline = now + (kind.isWrite() ? timing.changeRequestDeadline() : timing.readDeadline());
         final long id = ids.getAsLong();
         forwarded.put(id, new Forwarded(request.requestId(), from, leader, kind, deadline));
         // The kind as it was received, so that kinds of a newer version are forwarded too
--- a/coordination/src/main/java/brookpath/coordination/node/control/PendingRequests.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/PendingRequests.java
@@ -74,7 +74,7 @@
             responder.respond(from, request.requestId(), responder.unavailable("too many requests are under way"));
             return;
         }
-        final long deadline = (kind.isWrite() ? timing.opDeadline() : timing.readDeadline()) * 9 / 10;
+        final long deadline = (kind.isWrite() ? timing.changeRequestDeadline() : timing.readDeadline()) * 9 / 10;
         pending.add(new Pending(from, request.requestId(), kind, group.term(), now, now + deadline, answer));
         step(time);
     }
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/CatchUpFetcher.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/CatchUpFetcher.java
@@ -52,7 +52,7 @@
     /** Retries fetches without a timely reply, and those that had no member to read from. */
     void retryIfOverdue(final Session session, final GroupSubscription subscription, final long now) {
         final boolean underWay = !subscription.fetches.isEmpty();
-        if (subscription.live || (underWay && now - subscription.fetchSentAt <= timing.down())) {
+        if (subscription.live || (underWay && now - subscription.fetchSentAt <= timing.detectionTime())) {
             return;
         }
         if (underWay) {
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/GatewayAddresses.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/GatewayAddresses.java
@@ -44,7 +44,7 @@
         request = ids.getAsLong();
         awaited = true;
         askedAt = now;
-        awaitedUntil = now + timing.down();
+        awaitedUntil = now + timing.detectionTime();
         out.send(controlLeader, ControlRequestKind.GATEWAYS.request(request, new byte[0]));
     }
 
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/PublishForwarder.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/PublishForwarder.java
@@ -211,7 +211,7 @@
         final boolean notLeader = reply.outcome() == PublishOutcome.NOT_LEADER;
         final boolean namesAnother = reply.leaderHint() != 0 && reply.leaderHint() != from;
         if (notLeader && namesAnother && !queue.isHinted(reply.leaderHint())) {
-            queue.followHint(reply.leaderHint(), now + timing.down());
+            queue.followHint(reply.leaderHint(), now + timing.detectionTime());
         } else {
             if (notLeader) {
                 queue.dropHint();
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/SessionOverflow.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/SessionOverflow.java
@@ -38,7 +38,7 @@
         if (!named || processors == 0) {
             return NONE;
         }
-        final long windowMs = timing.callerPatience();
+        final long windowMs = timing.callerWaitLimit();
         return new SessionOverflow((int) (processors * windowMs / SESSION_PROCESSOR_MS), windowMs);
     }
 
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/StartupRedirect.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/StartupRedirect.java
@@ -32,7 +32,7 @@
     public static StartupRedirect of(
             final double processors, final List<String> seedGateways, final String self, final TimingBounds timing) {
         final boolean besideController = seedGateways.contains(self);
-        final boolean startsInTime = processors == 0 || START_PROCESSOR_MS / processors <= timing.callerPatience();
+        final boolean startsInTime = processors == 0 || START_PROCESSOR_MS / processors <= timing.callerWaitLimit();
         return besideController || startsInTime ? NONE : new StartupRedirect(seedGateways);
     }
 
--- a/coordination/src/main/java/brookpath/coordination/node/storage/GroupStateReporter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/GroupStateReporter.java
@@ -43,7 +43,7 @@
         if (info != null
                 && !info.founded()
                 && group.mayAct(now)
-                && foundedReportTimes.isDue(group.id(), timing.down(), now)) {
+                && foundedReportTimes.isDue(group.id(), timing.detectionTime(), now)) {
             foundedReportTimes.sent(group.id(), now);
             send(ControlRequestKind.FOUNDED, PackedBuffer.writer().putLong(group.id()));
         }
--- a/coordination/src/main/java/brookpath/coordination/node/storage/HistoryRetention.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/HistoryRetention.java
@@ -31,6 +31,6 @@
         // why: before the first configuration the retention of a space is unknown, so that nothing is trimmed
         return client.configuration().version() == 0
                 ? Long.MAX_VALUE
-                : space == null ? timing.keepMargin() : space.keepingMs() + timing.keepMargin();
+                : space == null ? timing.retentionMargin() : space.retentionMs() + timing.retentionMargin();
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/storage/UsageWindowReporter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/UsageWindowReporter.java
@@ -52,7 +52,7 @@
 
     /** Reports the counts of the committed closed windows that are not acknowledged yet. */
     public void report(final GroupMachine group, final long now) {
-        if (!group.mayAct(now) || !reportTimes.isDue(group.id(), timing.down(), now)) {
+        if (!group.mayAct(now) || !reportTimes.isDue(group.id(), timing.detectionTime(), now)) {
             return;
         }
         final TopicState state = TopicGroups.stateOf(group);
--- a/coordination/src/main/java/brookpath/coordination/node/usage/UsageReporter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/usage/UsageReporter.java
@@ -125,7 +125,7 @@
 
     /** Totals the next window once all groups have closed it, or the time allowed for late groups is over. */
     public void total(final ClusterMetadata metadata, final Set<String> tenants, final Time time) {
-        if (closedWindows.isEmpty() || metadata.groups().isEmpty() || !clock.known()) {
+        if (closedWindows.isEmpty() || metadata.groups().isEmpty() || !clock.isKnown()) {
             return;
         }
         final long last = view.state().lastWindow();
@@ -136,7 +136,7 @@
                         .min()
                         .orElse(0);
         final boolean all = isClosedByAll(metadata, window);
-        if (!all && clock.wall(time.mono()) < (window + 1) * timing.windowMs() + timing.straggle()) {
+        if (!all && clock.wall(time.mono()) < (window + 1) * timing.windowMs() + timing.usageGracePeriod()) {
             return;
         }
         final byte[] record = ControlState.usageBody(window, totals(window, tenants, last >= 0), includedUpTo(window));
@@ -254,7 +254,7 @@
             // leader that is still the newest succeeds later
             case FENCED -> timing.recoverMs();
             case NOT_SENT, THROTTLED, FAILED, UNKNOWN ->
-                Math.min(timing.recoverMs() / 4, timing.down() << Math.min(attempts, MAX_DOUBLINGS));
+                Math.min(timing.recoverMs() / 4, timing.detectionTime() << Math.min(attempts, MAX_DOUBLINGS));
         };
     }
 
--- a/coordination/src/main/java/brookpath/coordination/placement/Placement.java
+++ b/coordination/src/main/java/brookpath/coordination/placement/Placement.java
@@ -77,7 +77,7 @@
     /** The group ID of a topic. A space that guarantees one order over all its topics maps to one group. */
     public static int groupOf(final String topic, final Configuration.Space space, final int groups) {
         int h = 0x811c9dc5;
-        final String hashed = space.one() ? space.name() : topic;
+        final String hashed = space.oneOrder() ? space.name() : topic;
         for (int i = 0; i < hashed.length(); i++) {
             h = (h ^ hashed.charAt(i)) * 0x01000193;
         }
--- a/coordination/src/main/java/brookpath/coordination/placement/StorageFailureDetector.java
+++ b/coordination/src/main/java/brookpath/coordination/placement/StorageFailureDetector.java
@@ -36,7 +36,7 @@
     public Set<Integer> alive() {
         final Set<Integer> alive = new HashSet<>();
         heardAt.forEach((node, at) -> {
-            if (now - at <= timing.goneAfter()) {
+            if (now - at <= timing.lostAfter()) {
                 alive.add(node);
             }
         });
@@ -62,7 +62,7 @@
         final Set<Integer> lost = new TreeSet<>();
         for (final int node : holders()) {
             final long last = Math.max(heardAt.getOrDefault(node, listeningSince), listeningSince);
-            final long bound = early || lostBefore.contains(node) ? timing.replacedAfter() : timing.goneAfter();
+            final long bound = early || lostBefore.contains(node) ? timing.lostAfterWithSpare() : timing.lostAfter();
             if (now - last > bound) {
                 lost.add(node);
             }
--- a/coordination/src/main/java/brookpath/coordination/route/RouteFinder.java
+++ b/coordination/src/main/java/brookpath/coordination/route/RouteFinder.java
@@ -82,7 +82,7 @@
         if (space == null) {
             return refused(ResponseStatus.FORBIDDEN, 0, UNKNOWN_SPACE, "no space has a topic of this name");
         }
-        if (tenant != null && !tenant.uses(space.name())) {
+        if (tenant != null && !tenant.hasAccessTo(space.name())) {
             return refused(
                     ResponseStatus.FORBIDDEN, 0, "topic", "space \"" + space.name() + "\" is not among the tenant's");
         }
--- a/programs/src/main/java/brookpath/programs/boot/DataFolder.java
+++ b/programs/src/main/java/brookpath/programs/boot/DataFolder.java
@@ -24,7 +24,7 @@
             return new DataFolder(RandomNumbers.identity(), null, List.of());
         }
         final FolderDisk disk = new FolderDisk(Path.of(plan.dataFolder()));
-        final long retryPauseMs = plan.timing().diskPause();
+        final long retryPauseMs = plan.timing().diskRetryDelay();
         final MachineIdentity identity =
                 retryWhileDiskIsFull(retryPauseMs, () -> MachineIdentity.of(disk, RandomNumbers.identity()));
         if (identity.finding() != null) {
--- a/programs/src/main/java/brookpath/programs/boot/ProcessAssembly.java
+++ b/programs/src/main/java/brookpath/programs/boot/ProcessAssembly.java
@@ -42,7 +42,7 @@
     public static ProcessAssembly of(final ProcessPlan plan, final Host.Poster poster) {
         final Time now = SystemClock.now();
         final DataFolder dataFolder = DataFolder.open(plan);
-        final NodeInfo self = plan.self().on(dataFolder.machineIdentity());
+        final NodeInfo self = plan.self().withMachine(dataFolder.machineIdentity());
         final Node node = createNode(plan, self);
         node.bornAt(plan.startedAtMs());
         dataFolder.entries().forEach(entry -> node.replay(entry, now));
--- a/programs/src/main/java/brookpath/programs/settings/SettingsReader.java
+++ b/programs/src/main/java/brookpath/programs/settings/SettingsReader.java
@@ -222,7 +222,7 @@
                 source.number(SettingsKeys.CHANGE_MS, bounds),
                 source.number(SettingsKeys.WINDOW_MS, bounds));
         // why: the control plane's own failover must fit well inside the lease that it grants
-        final long failoverMs = timing.down() + 2 * timing.goDeadline() + timing.configurationHold();
+        final long failoverMs = timing.detectionTime() + 2 * timing.voteDeadline() + timing.configurationHold();
         if (failoverMs > timing.configurationLease()) {
             source.rejectAt(
                     SettingsKeys.CHANGE_MS.place(),
--- a/programs/src/main/java/brookpath/programs/settings/SettingsWatch.java
+++ b/programs/src/main/java/brookpath/programs/settings/SettingsWatch.java
@@ -148,7 +148,7 @@
                 .add("changesTaken", changesAdopted.get())
                 .add("segmentBytes", current.segmentBytes())
                 .add("platform", current.platformUrl())
-                .add("keptOut", Finding.array(findings))
+                .add("keptOut", Finding.toJsonArray(findings))
                 .build()
                 .toString();
     }
--- a/testing/src/main/java/brookpath/testing/fuzz/FuzzMember.java
+++ b/testing/src/main/java/brookpath/testing/fuzz/FuzzMember.java
@@ -74,7 +74,7 @@
         observed = new Observed(GroupMachine.FOLLOWER, observed.reason(), observed.committed());
         out = new Actions();
         heartbeatOut = new Actions();
-        final HeartbeatPromises promises = new HeartbeatPromises(context.timing.down());
+        final HeartbeatPromises promises = new HeartbeatPromises(context.timing.detectionTime());
         heartbeats = new HeartbeatMonitor(context.timing, context.timing.heartbeat(), promises);
         peers = null;
         group = new GroupMachine(
@@ -197,7 +197,7 @@
         others.remove(id);
         if (!others.equals(peers)) {
             peers = others;
-            heartbeats.peers(others);
+            heartbeats.setPeers(others);
         }
     }
 
@@ -212,7 +212,7 @@
     private void publishHeartbeatEntries() {
         if (context.now() >= entriesLagUntil) {
             entriesLagUntil = context.now() + lagMs();
-            heartbeats.own(group.membership().holds(id) ? List.of(group.entry(context.now())) : List.of());
+            heartbeats.setOwnEntries(group.membership().holds(id) ? List.of(group.entry(context.now())) : List.of());
         }
     }
 
--- a/testing/src/main/java/brookpath/testing/model/Choices.java
+++ b/testing/src/main/java/brookpath/testing/model/Choices.java
@@ -12,7 +12,7 @@
 final class Choices {
     static final int TICK = (int) TimingBounds.DEFAULT.tick();
     static final int HEARTBEAT = (int) TimingBounds.DEFAULT.heartbeat();
-    static final int DOWN = (int) TimingBounds.DEFAULT.down() + 2 * TICK;
+    static final int DOWN = (int) TimingBounds.DEFAULT.detectionTime() + 2 * TICK;
 
     /** Two clocks differ by less than the detection time and the lease do. */
     private static final int MOST_SKEW = 50;
--- a/testing/src/main/java/brookpath/testing/model/ModelMember.java
+++ b/testing/src/main/java/brookpath/testing/model/ModelMember.java
@@ -63,9 +63,9 @@
         entriesAtStart = entries.size();
         out = new Actions();
         heartbeatOut = new Actions();
-        final HeartbeatPromises promises = new HeartbeatPromises(TimingBounds.DEFAULT.down());
+        final HeartbeatPromises promises = new HeartbeatPromises(TimingBounds.DEFAULT.detectionTime());
         heartbeats = new HeartbeatMonitor(TimingBounds.DEFAULT, TimingBounds.DEFAULT.heartbeat(), promises);
-        heartbeats.peers(others);
+        heartbeats.setPeers(others);
         group = machine(promises, out);
         replay(group, entries.size(), now);
         group.bornAt(now);
@@ -86,7 +86,8 @@
 
     /** What a restart right now would find on the synced part of the disk. */
     GroupMachine durable() {
-        final GroupMachine machine = machine(new HeartbeatPromises(TimingBounds.DEFAULT.down()), new Actions());
+        final GroupMachine machine =
+                machine(new HeartbeatPromises(TimingBounds.DEFAULT.detectionTime()), new Actions());
         replay(machine, syncedEntries, 0);
         return machine;
     }
--- a/testing/src/main/java/brookpath/testing/model/ModelWorld.java
+++ b/testing/src/main/java/brookpath/testing/model/ModelWorld.java
@@ -264,7 +264,7 @@
     }
 
     private void event(final ModelMember m, final Runnable event) {
-        m.heartbeats.own(List.of(m.group.entry(clock(m))));
+        m.heartbeats.setOwnEntries(List.of(m.group.entry(clock(m))));
         event.run();
         obey(m);
         invariants.afterEvent(m);
@@ -287,7 +287,7 @@
             heartbeatNow |= action instanceof Action.HeartbeatNow;
         }
         if (heartbeatNow) {
-            m.heartbeats.own(List.of(m.group.entry(clock(m))));
+            m.heartbeats.setOwnEntries(List.of(m.group.entry(clock(m))));
             m.heartbeats.heartbeatNow(clock(m), m.heartbeatOut);
             obey(m);
         }
--- a/testing/src/main/java/brookpath/testing/sim/LeaderWatch.java
+++ b/testing/src/main/java/brookpath/testing/sim/LeaderWatch.java
@@ -71,7 +71,7 @@
         final Long since = lastActedAt.put(group, now);
         if (since != null && now - since > PERIOD_MS) {
             leaderlessMs.add(now - since);
-            if (now - since > cluster.timing.lease() + 2 * cluster.timing.down()) {
+            if (now - since > cluster.timing.leaderLease() + 2 * cluster.timing.detectionTime()) {
                 cluster.note(0, "group " + group + " had no acting leader for " + (now - since) + " ms", false);
             }
         }
--- a/testing/src/main/java/brookpath/testing/sim/ProcessHeartbeats.java
+++ b/testing/src/main/java/brookpath/testing/sim/ProcessHeartbeats.java
@@ -35,7 +35,7 @@
         peers = Set.of();
         tableLags = false;
         entriesLag = false;
-        handoff.takeWish();
+        handoff.takeHeartbeatRequest();
         out.drain();
     }
 
@@ -67,14 +67,14 @@
         final Set<Integer> now = process.node.heartbeatPeers();
         if (!now.equals(peers)) {
             peers = now;
-            monitor.peers(now);
+            monitor.setPeers(now);
         }
     }
 
     /** The state thread asks for a heartbeat without waiting for the period. */
     void requestHeartbeat() {
         publishEntries();
-        handoff.wish();
+        handoff.requestHeartbeat();
         takeEntriesNowOrLate();
         send();
     }
@@ -128,8 +128,8 @@
     }
 
     private void takeEntries() {
-        final boolean requested = handoff.takeWish();
-        monitor.own(handoff.entries());
+        final boolean requested = handoff.takeHeartbeatRequest();
+        monitor.setOwnEntries(handoff.entries());
         if (requested) {
             monitor.heartbeatNow(process.mono(), out);
         }
--- a/testing/src/main/java/brookpath/testing/sim/ProcessLog.java
+++ b/testing/src/main/java/brookpath/testing/sim/ProcessLog.java
@@ -122,7 +122,7 @@
         }
         if (!allWritten) {
             cluster.count("writes that found the disk full");
-            process.after(cluster.timing.diskPause(), () -> write(takePending()));
+            process.after(cluster.timing.diskRetryDelay(), () -> write(takePending()));
         } else if (!process.frozen()) {
             writePending();
         }
--- a/testing/src/test/java/brookpath/coordination/group/LeaderLeaseTest.java
+++ b/testing/src/test/java/brookpath/coordination/group/LeaderLeaseTest.java
@@ -32,8 +32,8 @@
     /** A member of three, all of whom are heard, which has won the term and not committed anything. */
     private void lead() {
         out.drain();
-        monitor = new HeartbeatMonitor(TIMING, TIMING.heartbeat(), new HeartbeatPromises(TIMING.down()));
-        monitor.peers(Set.of(2, 3));
+        monitor = new HeartbeatMonitor(TIMING, TIMING.heartbeat(), new HeartbeatPromises(TIMING.detectionTime()));
+        monitor.setPeers(Set.of(2, 3));
         peers = new PeerView(GROUP, SELF);
         roleState = new RoleState(SELF);
         final GroupMembership membership = new GroupMembership(SELF);
@@ -55,7 +55,7 @@
     /** Sends a heartbeat with one own entry, which the node answers with another. */
     private void exchange(final int node, final HeartbeatEntry own, final HeartbeatEntry answer, final long now) {
         out.drain();
-        monitor.own(List.of(own));
+        monitor.setOwnEntries(List.of(own));
         monitor.heartbeatNow(now, out);
         for (final Action action : out.drain()) {
             if (action instanceof Action.Send send && send.node() == node) {
@@ -81,15 +81,15 @@
         assertFalse(lease.held(0), "nobody has answered");
         answered(2, 0);
         assertTrue(lease.held(0));
-        assertTrue(lease.held(TIMING.lease()));
-        assertFalse(lease.held(TIMING.lease() + 1));
+        assertTrue(lease.held(TIMING.leaderLease()));
+        assertFalse(lease.held(TIMING.leaderLease() + 1));
         assertTrue(lease.answered(2, 0));
         assertFalse(lease.answered(3, 0));
     }
 
     @Test
     public void endsBeforeTheVotersAreFreeToElectAnother() {
-        assertTrue(TIMING.lease() < TIMING.down());
+        assertTrue(TIMING.leaderLease() < TIMING.detectionTime());
     }
 
     @Test
@@ -130,7 +130,7 @@
         answered(2, 0);
         lease.transfer(0);
         assertFalse(lease.mayAct(0));
-        final long tried = TIMING.down() + TIMING.goDeadline();
+        final long tried = TIMING.detectionTime() + TIMING.voteDeadline();
         answered(2, tried);
         assertTrue(lease.mayAct(tried), "it goes on once that has failed");
     }
--- a/testing/src/test/java/brookpath/platform/control/ConfigurationTranslatorTest.java
+++ b/testing/src/test/java/brookpath/platform/control/ConfigurationTranslatorTest.java
@@ -42,17 +42,17 @@
         final Configuration configuration = reading.configuration();
         assertEquals(configuration.version(), 7);
         assertEquals(configuration.topicsPerSession(), 200);
-        assertEquals(configuration.spaceOf("kafi810.2f").keepingMs(), 35_000);
+        assertEquals(configuration.spaceOf("kafi810.2f").retentionMs(), 35_000);
         assertEquals(configuration.spaceOf("kafi810.2f").answerMs(), 1_500);
         assertTrue(configuration.spaceOf("kalo181.x").open()
                 && !configuration.spaceOf("kafi810.x").open());
-        assertTrue(configuration.tenantOf("9wu3fexd9dnn2ctnfzs9").uses("r-2"));
+        assertTrue(configuration.tenantOf("9wu3fexd9dnn2ctnfzs9").hasAccessTo("r-2"));
         final String readBack = "{\"version\":7,\"document\":"
                 + new String(ConfigurationTranslator.toChange(GOOD.getBytes(UTF_8), 0), UTF_8) + "}";
         assertEquals(new String(ConfigurationTranslator.toConfiguration(readBack), UTF_8), GOOD);
         final byte[] sent = PackedConfiguration.encode(configuration);
         assertFalse(new String(sent, UTF_8).contains("TargetLatencyMs"));
-        assertEquals(PackedConfiguration.decode(sent).spaceOf("kafi810.2f").keepingMs(), 35_000);
+        assertEquals(PackedConfiguration.decode(sent).spaceOf("kafi810.2f").retentionMs(), 35_000);
     }
 
     @Test
--- a/testing/src/test/java/brookpath/testing/HeartbeatMonitorTest.java
+++ b/testing/src/test/java/brookpath/testing/HeartbeatMonitorTest.java
@@ -30,7 +30,7 @@
     @BeforeMethod
     public void begin() {
         out = new Actions();
-        monitor = new HeartbeatMonitor(TIMING, TIMING.heartbeat(), new HeartbeatPromises(TIMING.down()));
+        monitor = new HeartbeatMonitor(TIMING, TIMING.heartbeat(), new HeartbeatPromises(TIMING.detectionTime()));
     }
 
     /**
@@ -39,7 +39,7 @@
      */
     @Test
     public void eachSessionThatBeginsCostsOneHeartbeat() {
-        monitor.peers(peers());
+        monitor.setPeers(peers());
         for (final int node : peers()) {
             monitor.heartbeatTo(node, NOW, out);
             assertEquals(receivers(), List.of(node));
@@ -50,7 +50,7 @@
 
     @Test
     public void itsReplyShowsThatThePeerIsUp() {
-        monitor.peers(Set.of(1));
+        monitor.setPeers(Set.of(1));
         assertFalse(monitor.table().up(1));
         monitor.heartbeatTo(1, NOW, out);
         final Heartbeat sent = sent(out.drain().get(0));
@@ -63,7 +63,7 @@
     /** Only the periodic rounds tell whether a peer has missed replies. */
     @Test
     public void oneWithoutAReplyIsNoMiss() {
-        monitor.peers(Set.of(1));
+        monitor.setPeers(Set.of(1));
         monitor.tick(NOW, out);
         final Heartbeat sent = sent(out.drain().get(0));
         monitor.onHeartbeat(1, new Heartbeat(true, sent.id(), sent.stamp(), 0, false, List.of()), NOW, out);
--- a/testing/src/test/java/brookpath/testing/MachineIdentityTest.java
+++ b/testing/src/test/java/brookpath/testing/MachineIdentityTest.java
@@ -119,19 +119,19 @@
         assertTrue(other.replaces(STORAGE));
         assertTrue(STORAGE.replaces(other));
         assertFalse(STORAGE.replaces(STORAGE));
-        assertFalse(other.replaces(STORAGE.on(NodeInfo.UNKNOWN_MACHINE)));
-        assertFalse(other.on(NodeInfo.UNKNOWN_MACHINE).replaces(STORAGE));
+        assertFalse(other.replaces(STORAGE.withMachine(NodeInfo.UNKNOWN_MACHINE)));
+        assertFalse(other.withMachine(NodeInfo.UNKNOWN_MACHINE).replaces(STORAGE));
         assertFalse(new NodeInfo(12, "a", "x:1", "two", 78).replaces(STORAGE));
         assertNull(MachineIdentity.of(new FaultyDisk(), 1).finding());
     }
 
     @Test
     public void aNameOutlivesALostDiskButNotAMachineWithoutOne() {
-        assertFalse(STORAGE.on(78).replaces(STORAGE), "the same name with an empty disk is the same machine");
+        assertFalse(STORAGE.withMachine(78).replaces(STORAGE), "the same name with an empty disk is the same machine");
         final NodeInfo unnamed = new NodeInfo(11, "a", "x:1", "", 77);
-        assertTrue(unnamed.on(78).replaces(unnamed), "without names the identity alone decides");
+        assertTrue(unnamed.withMachine(78).replaces(unnamed), "without names the identity alone decides");
         assertFalse(unnamed.replaces(unnamed));
-        assertTrue(unnamed.on(78).replaces(STORAGE));
+        assertTrue(unnamed.withMachine(78).replaces(STORAGE));
         assertFalse(unnamed.replaces(STORAGE), "the same identity is the same machine, whatever its name");
     }
 }
--- a/testing/src/test/java/brookpath/testing/PublishForwarderTest.java
+++ b/testing/src/test/java/brookpath/testing/PublishForwarderTest.java
@@ -55,8 +55,8 @@
     @BeforeMethod
     public void begin() {
         out = new Actions();
-        heartbeats = new HeartbeatMonitor(TIMING, TIMING.heartbeat(), new HeartbeatPromises(TIMING.down()));
-        heartbeats.peers(Set.of(ONE, TWO));
+        heartbeats = new HeartbeatMonitor(TIMING, TIMING.heartbeat(), new HeartbeatPromises(TIMING.detectionTime()));
+        heartbeats.setPeers(Set.of(ONE, TWO));
         ids = FIRST_ID;
         now = 1_000;
         sent.clear();
--- a/testing/src/test/java/brookpath/testing/StatusHandoffTest.java
+++ b/testing/src/test/java/brookpath/testing/StatusHandoffTest.java
@@ -34,10 +34,10 @@
                 handoff.publish(NEW);
             }
             if (step == wishedAt) {
-                handoff.wish();
+                handoff.requestHeartbeat();
             }
             if (step % 2 == 0 == wishFirst) {
-                wish = handoff.takeWish();
+                wish = handoff.takeHeartbeatRequest();
             } else {
                 read = handoff.entries();
             }
--- a/testing/src/test/java/brookpath/testing/StorageFailureDetectorTest.java
+++ b/testing/src/test/java/brookpath/testing/StorageFailureDetectorTest.java
@@ -18,7 +18,7 @@
     private static final TimingBounds TIMING = TimingBounds.DEFAULT;
     private static final long LONG_AGO = 0;
     private static final long NOW = 100_000;
-    private static final long SILENT = NOW - TIMING.goneAfter() - 1;
+    private static final long SILENT = NOW - TIMING.lostAfter() - 1;
 
     private static final List<NodeInfo> NODES = List.of(
             new NodeInfo(11, "a", "x"),
@@ -41,7 +41,7 @@
 
     @Test
     public void anEmptyMachineThatWaitsMakesItSooner() {
-        final long silent = NOW - TIMING.replacedAfter() - 1;
+        final long silent = NOW - TIMING.lostAfterWithSpare() - 1;
         assertEquals(gone(Map.of(11, silent, 12, NOW, 13, NOW, 14, NOW), LONG_AGO), Set.of());
         assertEquals(gone(Map.of(11, silent, 12, NOW, 13, NOW, 14, NOW, 15, NOW), LONG_AGO), Set.of(11));
     }
@@ -49,7 +49,7 @@
     @Test
     public void aNewControlLeaderWaitsUntilAllHaveHadTimeToFindIt() {
         final Map<Integer, Long> heardAt = Map.of(12, NOW, 13, NOW, 14, NOW);
-        final long justEnough = NOW - TIMING.configurationDeadline() - TIMING.goneAfter();
+        final long justEnough = NOW - TIMING.configurationDeadline() - TIMING.lostAfter();
         assertEquals(gone(heardAt, justEnough), Set.of());
         assertEquals(gone(heardAt, justEnough - 1), Set.of(11));
     }
--- a/testing/src/test/java/brookpath/testing/StoredDataTest.java
+++ b/testing/src/test/java/brookpath/testing/StoredDataTest.java
@@ -127,7 +127,7 @@
         golden.assertHolds(
                 name + ", configuration",
                 "version " + stored.version() + " of " + stored.configuration().changeId() + ", document "
-                        + sha256(List.of(stored.doc())));
+                        + sha256(List.of(stored.document())));
         final ClusterMetadata metadata = state.metadataAt(group.endIndex());
         golden.assertHolds(
                 name + ", cluster",
--- a/testing/src/test/java/brookpath/testing/sim/ConfigurationUpdatesTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ConfigurationUpdatesTest.java
@@ -141,13 +141,13 @@
         final byte[] body = ControlState.configurationBody(state.configurationAt(1), "two", 2, 2, second);
         assertTrue(body.length < 200, "a record of " + body.length + " bytes");
         state.apply(record(2, body));
-        assertEquals(state.configurationAt(1).doc(), first);
-        assertEquals(state.configurationAt(2).doc(), second);
+        assertEquals(state.configurationAt(1).document(), first);
+        assertEquals(state.configurationAt(2).document(), second);
         final ControlState loaded = new ControlState();
         loaded.load(state.save());
-        assertEquals(loaded.configurationAt(2).doc(), second);
+        assertEquals(loaded.configurationAt(2).document(), second);
         loaded.apply(record(3, ControlState.configurationBody(loaded.configurationAt(2), "three", 3, 3, first)));
-        assertEquals(loaded.configurationAt(3).doc(), first);
+        assertEquals(loaded.configurationAt(3).document(), first);
     }
 
     private static LogRecord record(final long index, final byte[] body) {
@@ -157,28 +157,28 @@
     @Test
     public void updatesAreFromWhatTheFollowerHas() throws Delta.MismatchException {
         final VersionUpdates updates = new VersionUpdates();
-        assertEquals(updates.since(0), VersionUpdates.NO_NEWS);
+        assertEquals(updates.updateFrom(0), VersionUpdates.NO_UPDATE);
         for (int version = 1; version <= 40; version++) {
-            updates.newest(version, encoded(version));
+            updates.setNewest(version, encoded(version));
         }
-        assertEquals(updates.since(40), VersionUpdates.NO_NEWS);
-        assertEquals(updates.since(41), VersionUpdates.NO_NEWS);
-        assertFalse(DeltaBase.isEmpty(updates.since(39)));
-        assertEquals(Delta.apply(encoded(39), updates.since(39)), encoded(40));
-        assertEquals(Delta.apply(encoded(25), updates.since(25)), encoded(40));
-        assertTrue(DeltaBase.isEmpty(updates.since(24)), "a version that is told no more");
-        assertTrue(DeltaBase.isEmpty(updates.since(-1)), "a follower that knows nothing");
+        assertEquals(updates.updateFrom(40), VersionUpdates.NO_UPDATE);
+        assertEquals(updates.updateFrom(41), VersionUpdates.NO_UPDATE);
+        assertFalse(DeltaBase.isEmpty(updates.updateFrom(39)));
+        assertEquals(Delta.apply(encoded(39), updates.updateFrom(39)), encoded(40));
+        assertEquals(Delta.apply(encoded(25), updates.updateFrom(25)), encoded(40));
+        assertTrue(DeltaBase.isEmpty(updates.updateFrom(24)), "a version that is told no more");
+        assertTrue(DeltaBase.isEmpty(updates.updateFrom(-1)), "a follower that knows nothing");
         updates.clear();
-        assertEquals(updates.since(1), VersionUpdates.NO_NEWS);
+        assertEquals(updates.updateFrom(1), VersionUpdates.NO_UPDATE);
     }
 
     @Test
     public void nothingIsADifferenceFromADocumentThatDidNotExist() {
         final VersionUpdates updates = new VersionUpdates();
-        updates.newest(0, encoded(0));
-        assertEquals(updates.since(-1), VersionUpdates.NO_NEWS);
-        updates.newest(1, encoded(1));
-        assertTrue(DeltaBase.isEmpty(updates.since(0)), "whoever has no document got a difference from one");
+        updates.setNewest(0, encoded(0));
+        assertEquals(updates.updateFrom(-1), VersionUpdates.NO_UPDATE);
+        updates.setNewest(1, encoded(1));
+        assertTrue(DeltaBase.isEmpty(updates.updateFrom(0)), "whoever has no document got a difference from one");
     }
 
     @Test
@@ -194,11 +194,11 @@
     @Test
     public void largeVersionsAreFewButTheNewestStays() throws Delta.MismatchException {
         final VersionUpdates updates = new VersionUpdates();
-        updates.newest(1, new byte[2_700_000]);
-        updates.newest(2, new byte[2_800_000]);
-        assertTrue(DeltaBase.isEmpty(updates.since(1)));
-        updates.newest(3, new byte[5_000_000]);
-        assertEquals(Delta.apply(new byte[0], updates.since(2)), new byte[5_000_000]);
+        updates.setNewest(1, new byte[2_700_000]);
+        updates.setNewest(2, new byte[2_800_000]);
+        assertTrue(DeltaBase.isEmpty(updates.updateFrom(1)));
+        updates.setNewest(3, new byte[5_000_000]);
+        assertEquals(Delta.apply(new byte[0], updates.updateFrom(2)), new byte[5_000_000]);
     }
 
     private static byte[] encoded(final int version) {
--- a/testing/src/test/java/brookpath/testing/sim/ControlReadsTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ControlReadsTest.java
@@ -207,7 +207,7 @@
         for (final SimulatedProcess lost : List.of(follower, leader)) {
             cutFrom(lost);
             cutTo(lost);
-            cluster.run(cluster.now() + 2 * cluster.timing.down() + cluster.timing.heartbeat());
+            cluster.run(cluster.now() + 2 * cluster.timing.detectionTime() + cluster.timing.heartbeat());
             for (final Asked asked : List.of(
                     askConfiguration(lost), askChange(lost, document(1, "cut-" + lost.id)), askRetire(lost, 11))) {
                 cluster.run(cluster.now() + 20);
--- a/testing/src/test/java/brookpath/testing/sim/JoinedSessionsTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/JoinedSessionsTest.java
@@ -223,7 +223,8 @@
         final SimulatedProcess leaving = leader();
         final long asked = cluster.now();
         assertEquals(ask(leaving.id, NodeRequest.GracefulShutdown::new).status(), 200);
-        assertTrue(cluster.now() - asked < cluster.timing.down(), "it took " + (cluster.now() - asked) + " ms");
+        assertTrue(
+                cluster.now() - asked < cluster.timing.detectionTime(), "it took " + (cluster.now() - asked) + " ms");
         // why: it leaves once another is elected, which then opens its term
         cluster.run(cluster.now() + 50);
         assertTrue(leader() != leaving);
--- a/testing/src/test/java/brookpath/testing/sim/LaggingGatewayTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/LaggingGatewayTest.java
@@ -36,7 +36,9 @@
     public Object[][] lags() {
         final TimingBounds timing = TimingBounds.DEFAULT;
         return new Object[][] {
-            {timing.down() / 2}, {timing.down() + 50}, {timing.longPollTimeout() + timing.heartbeat() + 50}
+            {timing.detectionTime() / 2},
+            {timing.detectionTime() + 50},
+            {timing.longPollTimeout() + timing.heartbeat() + 50}
         };
     }
 
--- a/testing/src/test/java/brookpath/testing/sim/RestartOfEverythingTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/RestartOfEverythingTest.java
@@ -32,7 +32,7 @@
             loseAllPower();
             cluster.processes.values().forEach(cluster::restart);
             final long restartedAt = cluster.now();
-            runUntilLed(cluster.timing.down());
+            runUntilLed(cluster.timing.detectionTime());
             assertNotNull(
                     actingLeader(),
                     "seed " + seed + ": no leader within " + (cluster.now() - restartedAt) + " ms; "
@@ -52,12 +52,12 @@
             final SimulatedProcess promising = others(leader).get(0);
             final SimulatedProcess candidate = others(leader).get(1);
             cutBetween(leader, candidate);
-            cluster.run(cluster.now() + 3 * cluster.timing.down());
+            cluster.run(cluster.now() + 3 * cluster.timing.detectionTime());
             assertTrue(group(leader).mayAct(leader.mono()), "seed " + seed + ": it acts on the other's promise");
             cluster.kill(promising, true);
             cluster.restart(promising);
             cutBetween(leader, promising);
-            final long until = cluster.now() + 4 * cluster.timing.down();
+            final long until = cluster.now() + 4 * cluster.timing.detectionTime();
             while (cluster.now() < until) {
                 cluster.run(cluster.now() + STEP_MS);
                 assertAtMostOneActs(seed);
@@ -80,9 +80,9 @@
             loseAllPower();
             wiped.disk.wipe();
             cluster.processes.values().forEach(cluster::restart);
-            runUntilLed(cluster.timing.down());
+            runUntilLed(cluster.timing.detectionTime());
             assertEquals(actingLeader(), null, "seed " + seed);
-            runUntilLed(3 * cluster.timing.down());
+            runUntilLed(3 * cluster.timing.detectionTime());
             assertNotNull(actingLeader(), "seed " + seed);
         }
     }
--- a/testing/src/test/java/brookpath/testing/sim/RestartWithoutControlPlaneTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/RestartWithoutControlPlaneTest.java
@@ -36,7 +36,7 @@
             startCallers();
             loseAllPower();
             cluster.storages.forEach(id -> cluster.restart(cluster.processes.get(id)));
-            cluster.run(cluster.now() + DETECTION_TIMES_UNTIL_LED * cluster.timing.down());
+            cluster.run(cluster.now() + DETECTION_TIMES_UNTIL_LED * cluster.timing.detectionTime());
             for (int group = 0; group < GROUPS; group++) {
                 assertNotNull(actingLeader(group), "seed " + seed + ", group " + group + ": " + cluster.notes());
             }
@@ -63,7 +63,7 @@
         cluster.run(cluster.now() + 2_000);
         loseAllPower();
         cluster.storages.forEach(id -> cluster.restart(cluster.processes.get(id)));
-        cluster.run(cluster.now() + DETECTION_TIMES_UNTIL_LED * cluster.timing.down());
+        cluster.run(cluster.now() + DETECTION_TIMES_UNTIL_LED * cluster.timing.detectionTime());
         for (int group = 0; group < GROUPS; group++) {
             assertNull(((StorageNode) retired.node).group(group));
         }
@@ -81,7 +81,7 @@
         loseAllPower();
         wiped.disk.wipe();
         cluster.storages.forEach(id -> cluster.restart(cluster.processes.get(id)));
-        cluster.run(cluster.now() + 2 * DETECTION_TIMES_UNTIL_LED * cluster.timing.down());
+        cluster.run(cluster.now() + 2 * DETECTION_TIMES_UNTIL_LED * cluster.timing.detectionTime());
         for (int group = 0; group < GROUPS; group++) {
             assertNull(((StorageNode) wiped.node).group(group));
             assertNotNull(actingLeader(group), "group " + group + ": " + cluster.notes());
--- a/testing/src/test/java/brookpath/testing/sim/StartupRedirectTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/StartupRedirectTest.java
@@ -68,7 +68,7 @@
         openAll(LIMIT + 1);
         cluster.run(cluster.now() + TIMING.heartbeat());
         assertEquals(moves(), List.of());
-        cluster.run(cluster.now() + TIMING.callerPatience());
+        cluster.run(cluster.now() + TIMING.callerWaitLimit());
         final List<Response> responses = openAll(4 * LIMIT);
         cluster.run(cluster.now() + TIMING.heartbeat());
         final long takenIn =
@@ -83,7 +83,7 @@
         begin(true);
         for (int burst = 0; burst < 3; burst++) {
             openAll(LIMIT);
-            cluster.run(cluster.now() + TIMING.callerPatience());
+            cluster.run(cluster.now() + TIMING.callerWaitLimit());
         }
         assertEquals(moves(), List.of());
     }
@@ -94,7 +94,7 @@
         begin(false);
         for (int burst = 0; burst < 2; burst++) {
             openAll(4 * LIMIT);
-            cluster.run(cluster.now() + TIMING.callerPatience());
+            cluster.run(cluster.now() + TIMING.callerWaitLimit());
         }
         assertEquals(moves(), List.of());
     }
--- a/transport/src/main/java/brookpath/transport/http/GatewayResource.java
+++ b/transport/src/main/java/brookpath/transport/http/GatewayResource.java
@@ -139,7 +139,7 @@
 
     private static Response refused(final PublishBody.RefusedException ex) {
         final Status status = ex.tooLarge() ? Status.REQUEST_ENTITY_TOO_LARGE : Status.BAD_REQUEST;
-        final String json = "{\"outcome\":\"refused\",\"findings\":" + Finding.json(ex.findings()) + "}";
+        final String json = "{\"outcome\":\"refused\",\"findings\":" + Finding.toJson(ex.findings()) + "}";
         return new Response(status.getStatusCode(), 0, json);
     }
 }
--- a/transport/src/main/java/brookpath/transport/loop/DiskLoop.java
+++ b/transport/src/main/java/brookpath/transport/loop/DiskLoop.java
@@ -46,7 +46,7 @@
         writer = new DiskWriter(writeAheadLog);
         retryMs = timing.recoverMs() / RETRIES_PER_RECOVERY;
         scrubPeriodMs = RECOVERIES_PER_SCRUB * timing.recoverMs();
-        diskFullPauseMs = timing.diskPause();
+        diskFullPauseMs = timing.diskRetryDelay();
     }
 
     /** Any thread: has an action written after all those before it. */
--- a/transport/src/main/java/brookpath/transport/loop/HeartbeatLoop.java
+++ b/transport/src/main/java/brookpath/transport/loop/HeartbeatLoop.java
@@ -73,7 +73,7 @@
 
     /** Requests a round of heartbeats without waiting for its period. */
     void requestHeartbeat() {
-        if (status.wish()) {
+        if (status.requestHeartbeat()) {
             inbox.add(WAKE_UP);
         }
     }
@@ -110,7 +110,7 @@
                 final long nowMs = SystemClock.monotonicMs();
                 if (peers != knownPeers) {
                     knownPeers = peers;
-                    monitor.peers(knownPeers);
+                    monitor.setPeers(knownPeers);
                 }
                 if (round(monitor, received, nowMs, out)) {
                     events.requestTick();
@@ -134,8 +134,8 @@
     @SuppressWarnings("ReferenceEquality") // why: WAKE_UP is a sentinel, compared by identity
     private boolean round(
             final HeartbeatMonitor monitor, final ReceivedHeartbeat received, final long nowMs, final Actions out) {
-        final boolean heartbeatRequested = status.takeWish();
-        monitor.own(status.entries());
+        final boolean heartbeatRequested = status.takeHeartbeatRequest();
+        monitor.setOwnEntries(status.entries());
         boolean changed = false;
         if (received != null && received != WAKE_UP) {
             changed = process(monitor, received, nowMs, out);
