--- a/coordination/src/main/java/brookpath/coordination/controllog/ControlState.java
+++ b/coordination/src/main/java/brookpath/coordination/controllog/ControlState.java
@@ -79,7 +79,7 @@
             final long checksum,
             final long version,
             final byte[] document) {
-        final byte[] delta = Delta.between(newest.doc(), document);
+        final byte[] delta = Delta.between(newest.document(), document);
         return delta.length < document.length
                 ? configurationBody(CONFIGURATION_DELTA, changeId, checksum, version, delta)
                 : configurationBody(CONFIGURATION, changeId, checksum, version, document);
@@ -221,7 +221,7 @@
     /** The document of a record that holds a delta to the preceding one in the log. */
     private byte[] applyDelta(final LogRecord logRecord, final byte[] delta) {
         try {
-            return Delta.apply(configurationAt(Long.MAX_VALUE).doc(), delta);
+            return Delta.apply(configurationAt(Long.MAX_VALUE).document(), delta);
         } catch (final Delta.MismatchException ex) {
             // The records before this one determine the base, and each has its own checksum
             throw new IllegalStateException(
@@ -284,7 +284,7 @@
                 .all()
                 .forEach(s -> buffer.putLong(s.index())
                         .putLong(s.value().version())
-                        .putBytes(s.value().doc()));
+                        .putBytes(s.value().document()));
         buffer.putLong(metadatas.all().size());
         metadatas
                 .all()
--- a/coordination/src/main/java/brookpath/coordination/node/control/ConfigurationLeaseGranter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ConfigurationLeaseGranter.java
@@ -162,13 +162,13 @@
         // is
         // the poll of a process that has not been sent the clock, since a storage node accepts nothing until it has it
         if (!hasUpdate
-                && (p.clockSent || !clock.known())
+                && (p.clockSent || !clock.isKnown())
                 && p.leaseEnds != Long.MIN_VALUE
                 && now - p.pendingSince < timing.configurationHold()) {
             return;
         }
         p.pendingSince = NOT_PENDING;
-        p.clockSent = clock.known();
+        p.clockSent = clock.isKnown();
         p.leaseEnds = now + timing.configurationLease();
         out.send(
                 p.replyTo,
@@ -178,19 +178,19 @@
                         self,
                         group.term(),
                         configuration.version(),
-                        configurationUpdates.since(p.last.configurationVersion()),
+                        configurationUpdates.updateFrom(p.last.configurationVersion()),
                         metadata.version(),
-                        metadataUpdates.since(p.last.metadataVersion()),
+                        metadataUpdates.updateFrom(p.last.metadataVersion()),
                         p.last.node(),
-                        clock.known() ? clock.wall(now) : 0));
+                        clock.isKnown() ? clock.wall(now) : 0));
     }
 
     private void recordVersions(final StoredConfiguration configuration, final ClusterMetadata metadata) {
-        if (!configurationUpdates.has(configuration.version())) {
-            configurationUpdates.newest(configuration.version(), configuration.packed());
+        if (!configurationUpdates.isNewest(configuration.version())) {
+            configurationUpdates.setNewest(configuration.version(), configuration.packed());
         }
-        if (!metadataUpdates.has(metadata.version())) {
-            metadataUpdates.newest(metadata.version(), metadata.save());
+        if (!metadataUpdates.isNewest(metadata.version())) {
+            metadataUpdates.setNewest(metadata.version(), metadata.save());
         }
     }
 
--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlResponder.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlResponder.java
@@ -80,6 +80,6 @@
 
     /** A refusal with the findings on an invalid request, which it is no use to retry. */
     public static Response refused(final ResponseStatus status, final List<Finding> findings) {
-        return new Response(status, 0, "{\"outcome\":\"refused\",\"findings\":" + Finding.json(findings) + "}");
+        return new Response(status, 0, "{\"outcome\":\"refused\",\"findings\":" + Finding.toJson(findings) + "}");
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/node/control/PendingRequests.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/PendingRequests.java
@@ -74,7 +74,7 @@
             responder.respond(from, request.requestId(), responder.unavailable("too many requests are pending"));
             return;
         }
-        final long timeLimit = (kind.isWrite() ? timing.opDeadline() : timing.readDeadline()) * 9 / 10;
+        final long timeLimit = (kind.isWrite() ? timing.changeRequestDeadline() : timing.readDeadline()) * 9 / 10;
         pending.add(new Pending(from, request.requestId(), kind, group.term(), now, now + timeLimit, responseSource));
         completeReady(time);
     }
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/CatchUpFetcher.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/CatchUpFetcher.java
@@ -52,7 +52,7 @@
     /** Retries fetches that got no reply in time, and those for which no member could be read from. */
     void retryIfOverdue(final Session session, final GroupSubscription subscription, final long now) {
         final boolean inFlight = !subscription.fetches.isEmpty();
-        if (subscription.live || (inFlight && now - subscription.fetchSentAt <= timing.down())) {
+        if (subscription.live || (inFlight && now - subscription.fetchSentAt <= timing.detectionTime())) {
             return;
         }
         if (inFlight) {
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/GatewayAddresses.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/GatewayAddresses.java
@@ -44,7 +44,7 @@
         pendingId = ids.getAsLong();
         pending = true;
         requestedAt = now;
-        pendingUntil = now + timing.down();
+        pendingUntil = now + timing.detectionTime();
         out.send(controlLeader, ControlRequestKind.GATEWAYS.request(pendingId, new byte[0]));
     }
 
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/StartupRedirect.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/StartupRedirect.java
@@ -33,7 +33,7 @@
     public static StartupRedirect of(
             final double processors, final List<String> seedGateways, final String self, final TimingBounds timing) {
         final boolean isSeed = seedGateways.contains(self);
-        final boolean startsInTime = processors == 0 || START_CPU_MS / processors <= timing.callerPatience();
+        final boolean startsInTime = processors == 0 || START_CPU_MS / processors <= timing.callerWaitLimit();
         return isSeed || startsInTime ? NONE : new StartupRedirect(seedGateways);
     }
 
--- a/coordination/src/main/java/brookpath/coordination/placement/StorageFailureDetector.java
+++ b/coordination/src/main/java/brookpath/coordination/placement/StorageFailureDetector.java
@@ -37,7 +37,7 @@
     public Set<Integer> alive() {
         final Set<Integer> alive = new HashSet<>();
         heardAt.forEach((node, at) -> {
-            if (now - at <= timing.goneAfter()) {
+            if (now - at <= timing.lostAfter()) {
                 alive.add(node);
             }
         });
@@ -63,7 +63,7 @@
         final Set<Integer> lost = new TreeSet<>();
         for (final int node : replicaHolders()) {
             final long last = Math.max(heardAt.getOrDefault(node, listeningSince), listeningSince);
-            final long bound = hasSpare || lostBefore.contains(node) ? timing.replacedAfter() : timing.goneAfter();
+            final long bound = hasSpare || lostBefore.contains(node) ? timing.lostAfterWithSpare() : timing.lostAfter();
             if (now - last > bound) {
                 lost.add(node);
             }
--- a/testing/src/test/java/brookpath/testing/sim/JoinedSessionsTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/JoinedSessionsTest.java
@@ -228,7 +228,7 @@
         final long requestedAt = cluster.now();
         assertEquals(ask(leaving.id, NodeRequest.GracefulShutdown::new).status(), 200);
         assertTrue(
-                cluster.now() - requestedAt < cluster.timing.down(),
+                cluster.now() - requestedAt < cluster.timing.detectionTime(),
                 "the shutdown took " + (cluster.now() - requestedAt) + " ms");
         // the node shuts down once another is elected, which acts only after it has opened its term
         cluster.run(cluster.now() + 50);
