--- a/coordination/src/main/java/brookpath/coordination/node/control/ControlRequestHandler.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ControlRequestHandler.java
@@ -87,8 +87,7 @@
             // Refused before anything is appended, so that the refusal is certain. A configuration change is not
             // refused
             // here, because it may repeat one that is in progress
-            responder.respond(
-                    from, request.requestId(), responder.unavailable("too many records await replication"));
+            responder.respond(from, request.requestId(), responder.unavailable("too many records await replication"));
             return;
         }
         switch (kind) {
--- a/coordination/src/main/java/brookpath/coordination/node/control/ForwardedRequests.java
+++ b/coordination/src/main/java/brookpath/coordination/node/control/ForwardedRequests.java
@@ -99,7 +99,9 @@
         forwarded.values().removeIf(r -> {
             if (r.leader == node) {
                 responder.respond(
-                        r.from, r.requestId, responder.outcomeUnknown(r.kind, "the connection to the control leader broke"));
+                        r.from,
+                        r.requestId,
+                        responder.outcomeUnknown(r.kind, "the connection to the control leader broke"));
             }
             return r.leader == node;
         });
--- a/coordination/src/main/java/brookpath/coordination/node/usage/UsageReporter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/usage/UsageReporter.java
@@ -158,7 +158,8 @@
      *
      * @param hasEarlier whether there is an earlier total, so that counts of earlier windows are late
      */
-    private List<ControlState.TenantUsage> totals(final long window, final Set<String> tenants, final boolean hasEarlier) {
+    private List<ControlState.TenantUsage> totals(
+            final long window, final Set<String> tenants, final boolean hasEarlier) {
         final TreeMap<String, TenantTotal> totals = new TreeMap<>();
         tenants.forEach(tenant -> totals.put(tenant, new TenantTotal()));
         closedWindows.forEach((id, reported) -> {
--- a/testing/src/main/java/brookpath/testing/model/ModelMember.java
+++ b/testing/src/main/java/brookpath/testing/model/ModelMember.java
@@ -86,7 +86,8 @@
 
     /** What a restart right now would find on the synced part of the disk. */
     GroupMachine durable() {
-        final GroupMachine machine = machine(new HeartbeatPromises(TimingBounds.DEFAULT.detectionTime()), new Actions());
+        final GroupMachine machine =
+                machine(new HeartbeatPromises(TimingBounds.DEFAULT.detectionTime()), new Actions());
         replay(machine, syncedEntries, 0);
         return machine;
     }
--- a/testing/src/test/java/brookpath/testing/sim/JoinedSessionsTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/JoinedSessionsTest.java
@@ -100,7 +100,8 @@
         }
         cluster.run(cluster.now() + 300);
         assertEquals(deliveredSequences(first), List.of(1L, 2L, 3L));
-        final String cursor = Cursor.encodePosition(delivered(first).get(1).logRecord().index());
+        final String cursor =
+                Cursor.encodePosition(delivered(first).get(1).logRecord().index());
         cluster.kill(cluster.processes.get(31), true);
         assertEquals(publish(32, 4).status(), 200);
         final long second = open(33, "key-members");
--- a/testing/src/test/java/brookpath/testing/sim/LaggingGatewayTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/LaggingGatewayTest.java
@@ -37,7 +37,9 @@
     public Object[][] lags() {
         final TimingBounds timing = TimingBounds.DEFAULT;
         return new Object[][] {
-            {timing.detectionTime() / 2}, {timing.detectionTime() + 50}, {timing.longPollTimeout() + timing.heartbeat() + 50}
+            {timing.detectionTime() / 2},
+            {timing.detectionTime() + 50},
+            {timing.longPollTimeout() + timing.heartbeat() + 50}
         };
     }
 
