--- a/coordination/src/main/java/brookpath/coordination/node/gateway/FeedFetcher.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/FeedFetcher.java
@@ -48,9 +48,8 @@
             return;
         }
         final boolean inFlight = !feed.fetches.isEmpty();
-        // a working source replies within the long-poll timeout; one that does not is avoided even before its
-        // heartbeats
-        // are missed
+        // a working source replies within the long-poll timeout; one that does not is avoided before its missed
+        // heartbeats show that it is down
         final boolean overdue = inFlight && now - feed.fetchSentAt > timing.longPollTimeout() + timing.heartbeat();
         if (inFlight && !overdue && feed.sentTopicsVersion == feed.topicsVersion) {
             return;
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/FetchSources.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/FetchSources.java
@@ -34,7 +34,7 @@
         avoidedUntil.remove(node);
     }
 
-    /** Removes the failures that no longer count. */
+    /** Removes the nodes whose avoidance period has ended. */
     void expire(final long now) {
         avoidedUntil.values().removeIf(until -> now >= until);
     }
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/GatewayAddresses.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/GatewayAddresses.java
@@ -17,7 +17,7 @@
     private final Actions out;
     private List<String> addresses = List.of();
     private boolean pending;
-    /** The request ID of the pending request for the addresses. */
+    /** The ID of the pending request for the addresses. */
     private long pendingId;
 
     private long pendingUntil;
--- a/coordination/src/main/java/brookpath/coordination/node/gateway/SessionRegistry.java
+++ b/coordination/src/main/java/brookpath/coordination/node/gateway/SessionRegistry.java
@@ -73,8 +73,7 @@
         final Feed feed = feeds.get(subscription.group);
         for (final String topic : subscription.topics()) {
             if (feed.remove(topic, session.id)) {
-                // a fetch in flight may still return records of the topic, which is harmless; the next does not request
-                // it
+                // a fetch in flight may still return records of the topic, which is harmless
                 feed.topicsVersion = ids.getAsLong();
             }
         }
