--- a/coordination/src/main/java/brookpath/coordination/group/DeferredMessages.java
+++ b/coordination/src/main/java/brookpath/coordination/group/DeferredMessages.java
@@ -3,12 +3,12 @@
 import brookpath.coordination.message.PeerMessage;
 import java.util.ArrayDeque;
 
-/** Messages that are sent only once a write is synced, in the order of their writes. */
+/** Messages that must not be sent before a write is synced, in the order of those writes. */
 final class DeferredMessages {
     /**
-     * A message and the write that it waits for.
+     * A message and the number of the write that must be synced before it is sent.
      *
-     * @param since when it began to wait, in milliseconds of the steady clock
+     * @param since when it was queued, in milliseconds of the steady clock
      */
     record Deferred(long write, int node, PeerMessage message, long since) {}
 
@@ -19,12 +19,15 @@
         queue.add(new Deferred(write, node, message, now));
     }
 
-    /** Takes the next message whose write is synced, null for none; all writes up to this number are synced. */
+    /**
+     * Removes and returns the next message whose write is synced, null for none; {@code syncedWrite} is the newest
+     * synced write.
+     */
     Deferred poll(final long syncedWrite) {
         return queue.isEmpty() || queue.peek().write > syncedWrite ? null : queue.poll();
     }
 
-    /** How long the oldest message has waited, in milliseconds; 0 for none. */
+    /** How long the oldest message has been queued, in milliseconds; 0 for none. */
     long lag(final long now) {
         return queue.isEmpty() ? 0 : now - queue.peek().since;
     }
--- a/coordination/src/main/java/brookpath/coordination/group/GroupEntryKind.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupEntryKind.java
@@ -9,11 +9,11 @@
 enum GroupEntryKind {
     /** One record of the group's log. */
     RECORD(1),
-    /** The log ends at this index; what followed is dropped. */
+    /** The log was truncated: it ends at this index. */
     TRUNCATE(2),
     /** The current term and the vote given in it, 0 for none. */
     VOTE(3),
-    /** The replica is initialised; 1 where it has lost its log and has to be rebuilt, else 0. */
+    /** The replica is initialised; the value is 1 where it has lost its log and has to be rebuilt, else 0. */
     INITIALISED(4),
     /** A complete snapshot of the group's log, which replaces everything before it. */
     SNAPSHOT(5);
--- a/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
@@ -13,10 +13,10 @@
 import java.util.function.Supplier;
 
 /**
- * One member of one replication group, as other modules call it: elections by terms and votes, a log that followers
- * pull from the leader, a commit rule with a floor of replicas, a lease for the leader, and the recovery of a member
- * that has lost its disk. Takes (event, now) and adds actions; it has no clock and no I/O. Times are of the steady
- * clock, in milliseconds, unless they are called wall. Not thread-safe: the owner of the group calls it from one
+ * One member of one replication group, and the API of this package: elections by terms and votes, a log that followers
+ * pull from the leader, a commit rule with a minimum number of replicas, a lease for the leader, and the recovery of a
+ * member that has lost its disk. Takes (event, now) and adds actions; it has no clock and no I/O. Times are of the
+ * steady clock, in milliseconds, unless they are called wall. Not thread-safe: the owner of the group calls it from one
  * thread.
  */
 public final class GroupMachine {
@@ -40,8 +40,8 @@
     /**
      * A follower with an empty log; {@link #replay} restores what is on disk, {@link #configure} sets the members.
      *
-     * @param toleratedLosses how many replicas may be lost at once without the loss of a committed record
-     * @param seed of the random back-off between elections
+     * @param toleratedLosses how many replicas may be lost at once without losing a committed record
+     * @param seed seeds the random back-off between elections
      */
     public GroupMachine(
             final int id,
@@ -58,7 +58,7 @@
         machine = new GroupStateMachine(id, self, timing, toleratedLosses, seed, states, promises, out);
     }
 
-    // ---- what others may read
+    // ---- queries
 
     /** The group's id. */
     public int id() {
@@ -70,7 +70,7 @@
         return machine.roleState.role().code();
     }
 
-    /** The term that this member is in. */
+    /** The current term of this member. */
     public long term() {
         return machine.voteStore.term();
     }
@@ -95,62 +95,61 @@
         return machine.log.syncedIndex();
     }
 
-    /** The index at which this leader opened its term, 0 while it leads nothing. */
+    /** The index of the record with which this leader opened its term, 0 while it is not the leader. */
     public long openIndex() {
         return machine.roleState.openIndex();
     }
 
-    /** The version of the membership that counts now. */
+    /** The version of the membership in effect. */
     public int groupVersion() {
         return machine.membership.version();
     }
 
-    /** The members that vote. */
+    /** The voters. */
     public List<Member> members() {
         return machine.membership.voters();
     }
 
-    /** The membership that counts now. */
+    /** The membership in effect. */
     public Membership membership() {
         return machine.membership.current();
     }
 
-    /** Whether the log itself holds a membership, so that the members need not be given from outside. */
+    /** Whether the log holds a membership, so that none has to be configured from outside. */
     public boolean hasMembershipInLog() {
         return machine.log.baseMembership() != null || machine.log.newestMembershipRecord() != null;
     }
 
-    /** Whether the newest membership is committed, so that a next step may follow. */
+    /** Whether the newest membership is committed, so that the next change may follow. */
     public boolean membershipSettled() {
         return machine.membershipChange.isSettled();
     }
 
-    /** The index up to which a learner's replica is known to be synced; -1 where nothing is known. */
+    /** The index up to which a learner's replica is known to be synced; -1 where that is unknown. */
     public long learnerSyncedIndex(final int node) {
         return machine.progress.ofLearner(node);
     }
 
     /**
-     * The index up to which a voter's replica is known to be synced, as the leader counts it; -1 where nothing is
-     * known.
+     * The index up to which a voter's replica is known to be synced, as the leader counts it; -1 where that is unknown.
      */
     public long voterSyncedIndex(final int node) {
         return machine.progress.ofVoter(node);
     }
 
-    /** The index of the newest membership record; 0 where the log keeps none. */
+    /** The index of the newest membership record; 0 where the log holds none. */
     public long membershipIndex() {
         return machine.membership.index();
     }
 
-    /** Whether nothing is in progress that needs timer events, so that they may come less often. */
+    /** Whether nothing in progress depends on timer events, so that they may be less frequent. */
     public boolean isIdle() {
         return machine.roleState.isLeader()
                 ? machine.roleState.openIndex() > 0 && machine.log.committedIndex() == endIndex()
                 : machine.roleState.isFollower() && machine.roleState.leader() != 0 && !lost();
     }
 
-    /** The state after the last record, committed or not. */
+    /** The state after the last record, whether or not that is committed. */
     public LogState live() {
         return machine.log.live();
     }
@@ -160,12 +159,12 @@
         return machine.log.base();
     }
 
-    /** Whether this replica does not count and is to be rebuilt from another. */
+    /** Whether this replica is lost or damaged: it does not count and has to be rebuilt from another. */
     public boolean lost() {
         return machine.recovery.isLost();
     }
 
-    /** Why the last transition happened, for the status page. */
+    /** The reason of the last transition, for the status page. */
     public String why() {
         return machine.roleState.reason();
     }
@@ -180,17 +179,19 @@
         return machine.log.logRecord(index);
     }
 
-    /** How many replicas a committed record has at least. */
+    /** The minimum number of replicas that hold a committed record. */
     public int floor() {
         return floor(members().size());
     }
 
-    /** How many replicas a committed record has at least, in a group with this number of voters. */
+    /** The minimum number of replicas that hold a committed record, in a group with this number of voters. */
     public int floor(final int voters) {
         return Quorums.floor(voters, toleratedLosses);
     }
 
-    /** Whether the node, a voter or a learner, is this leader itself or has answered it within the lease. */
+    /**
+     * Whether the node, a voter or a learner, is this leader itself or has answered its heartbeats within the lease.
+     */
     public boolean answersWithinLease(final int node, final long now) {
         return node == self || machine.lease.answered(node, now);
     }
@@ -206,14 +207,14 @@
     }
 
     /**
-     * Whether this member may act as the leader now: it holds the lease and has committed a record of its term. To be
-     * checked again immediately before each response.
+     * Whether this member may act as the leader now: it holds the lease and has committed a record of its term. The
+     * caller checks this again immediately before each response.
      */
     public boolean mayAct(final long now) {
         return machine.lease.mayAct(now);
     }
 
-    /** Whether a follower has all that the leader which it hears has committed; for a leader, {@link #mayAct}. */
+    /** Whether a follower holds everything that its leader has committed; for a leader, {@link #mayAct}. */
     public boolean inSync(final long now) {
         return machine.isInSync(now);
     }
@@ -237,17 +238,17 @@
                 machine.membership.weight(self));
     }
 
-    /** Why this member did not stand for election at its last check, empty for no obstacle. */
+    /** Why this member did not stand for election at its last check, empty where nothing prevented it. */
     public String obstacle() {
         return machine.election.obstacle();
     }
 
-    /** Whether a majority has answered heartbeats of this leadership that were sent at this time or later. */
+    /** Whether a majority has answered heartbeats that this leader sent in its term, at this time or later. */
     public boolean majoritySince(final long since) {
         return machine.lease.majoritySince(since);
     }
 
-    /** Whether so many bytes wait for this member's own disk that nothing more is to be appended. */
+    /** Whether so many bytes are not yet synced to this member's own disk that nothing more may be appended. */
     public boolean diskBacklogged() {
         return machine.log.syncBacklogged();
     }
@@ -260,7 +261,7 @@
     // ---- set-up and recovery
 
     /**
-     * Restores the group from an entry on disk, at the start; the caller has read the group's id from it.
+     * Replays an entry that is on disk, at startup; the caller has already read the group's id from it.
      *
      * @throws IllegalStateException where its kind is unknown or a record does not follow the last one
      */
@@ -284,7 +285,7 @@
         machine.log.recovered();
     }
 
-    /** Everything of this group, for the snapshot that begins a segment, as entries to replay. */
+    /** The complete state of this group as entries to replay, for the snapshot at the start of a segment. */
     public List<byte[]> checkpoint() {
         final List<byte[]> entries = new ArrayList<>();
         entries.add(machine.voteStore.entry());
@@ -298,25 +299,27 @@
         return entries;
     }
 
-    /** Founds the control group explicitly: this empty member is new, and has not lost its disk. */
+    /** Marks this empty member as a founding one of the control group: it is new, and has not lost its disk. */
     public void found() {
         machine.recovery.initialise(false);
     }
 
-    /** Sets when this process started, by the steady clock; promises of an earlier run were made before that. */
+    /**
+     * Sets when this process started, by the steady clock; promises of its former incarnation were made before that.
+     */
     public void startedAt(final long now) {
         machine.election.startedAt(now);
     }
 
-    /** Sets the membership as of the placement, with voters alone. */
+    /** Sets the membership that the placement gives, without learners. */
     public void configure(final List<Member> newMembers, final int version, final boolean isFounded, final long now) {
         configure(new Membership(version, newMembers, List.of()), isFounded, now);
     }
 
     /**
-     * Sets the membership as of the placement; one in the log counts unless it is older.
+     * Sets the membership that the placement gives; a membership in the log takes precedence unless it is older.
      *
-     * @param isFounded whether the group was founded before, so that an empty disk is a lost one
+     * @param isFounded whether the group was founded before, so that an empty disk means a lost replica
      */
     public void configure(final Membership placed, final boolean isFounded, final long now) {
         machine.configure(placed, isFounded, now);
@@ -324,7 +327,7 @@
 
     // ---- events
 
-    /** Handles a timer event: takes the newest heartbeat table, and does what is due. */
+    /** Handles a timer event: takes the newest heartbeat table, and takes the steps that are due. */
     public void tick(final long now, final HeartbeatTable table) {
         machine.tick(now, table);
     }
@@ -339,7 +342,7 @@
         machine.on(from, message, now);
     }
 
-    /** The session to the node is lost; a pull that was sent to it is not waited for any longer. */
+    /** The session to the node is lost; a pull in flight to it is given up. */
     public void sessionLost(final int node) {
         machine.fetcher.sessionLost(node);
     }
@@ -349,30 +352,32 @@
         return machine.append(kind, body, now, wall);
     }
 
-    /** Appends one step of a membership change as a record. False, and nothing is done, where it is not safe now. */
+    /**
+     * Appends one step of a membership change as a record; returns false, and does nothing, where that is not safe now.
+     */
     public boolean change(final Membership next, final long now, final long wall) {
         return machine.change(next, now, wall);
     }
 
     /**
-     * Prepares this member to leave: it no longer stands, and transfers its leadership to a voter with the complete
-     * log. True once it leads nothing.
+     * Prepares this member to leave: it no longer stands for election, and transfers its leadership to a voter with the
+     * complete log. True once it is not the leader.
      */
     public boolean withdraw(final long now) {
         return machine.transfer.withdraw(now);
     }
 
     /**
-     * Manual switchover: asks a voter with the complete log to stand, and does not act until that has been tried.
-     * False, and nothing is done, where that is not possible.
+     * Asks a voter with the complete log to take over, and does not act as the leader until that has succeeded or timed
+     * out. Returns false, and does nothing, where a transfer is not possible.
      */
     public boolean transferLeadership(final int to, final long now) {
-        return machine.transfer.to(to, now);
+        return machine.transfer.transferTo(to, now);
     }
 
     /**
-     * Whether the record is undamaged. Where not, this replica does not count and is repaired from another, and nothing
-     * of it is served.
+     * Whether the record is undamaged. Where it is not, this replica no longer counts, serves nothing and is repaired
+     * from another.
      */
     public boolean isIntact(final long index) {
         return machine.isIntact(index);
--- a/coordination/src/main/java/brookpath/coordination/group/GroupMembership.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupMembership.java
@@ -9,9 +9,9 @@
 import java.util.List;
 
 /**
- * The members of a group as this member knows them. The newest membership in the log counts as soon as it is there,
- * committed or not; without one, that which the group was founded with. Not thread-safe: the group's state thread owns
- * it.
+ * The members of a group as this member knows them. The newest membership in the log is in effect as soon as it is
+ * appended, committed or not; without one, the membership from the placement is. Not thread-safe: the group's state
+ * thread owns it.
  */
 final class GroupMembership {
     /** The weight of a node that is no voter. */
@@ -26,7 +26,7 @@
         this.self = self;
     }
 
-    /** Sets the membership as of the placement; {@link #refresh} decides whether it counts. */
+    /** Sets the membership that the placement gives; {@link #refresh} decides whether it takes effect. */
     void place(final Membership newPlaced) {
         placed = newPlaced;
     }
@@ -40,29 +40,29 @@
             current = Membership.load(PackedBuffer.reader(newest.body()));
             index = newest.index();
         }
-        // why: a placement holds committed memberships only, so a newer one takes precedence over a log that is behind
+        // a placement holds committed memberships only, so a newer one takes precedence over a log that is behind
         if (placed.version() > current.version()) {
             current = placed;
             index = 0;
         }
     }
 
-    /** The membership that counts now. */
+    /** The membership in effect. */
     Membership current() {
         return current;
     }
 
-    /** The index of that membership's record, 0 where the log does not keep it. */
+    /** The index of that membership's record, 0 where the log does not hold it. */
     long index() {
         return index;
     }
 
-    /** Its version; each change makes the next one. */
+    /** The version of the membership in effect; each change increments it. */
     int version() {
         return current.version();
     }
 
-    /** The members that vote. */
+    /** The voters. */
     List<Member> voters() {
         return current.voters();
     }
@@ -77,24 +77,24 @@
         return holds(self);
     }
 
-    /** Whether the node votes. */
+    /** Whether the node is a voter. */
     boolean isVoter(final int node) {
         return weight(node) >= 0;
     }
 
-    /** Whether this member votes. */
+    /** Whether this member is a voter. */
     boolean selfIsVoter() {
         return isVoter(self);
     }
 
-    /** Whether the node replicates the log without a vote. */
+    /** Whether the node is a learner, which replicates the log without a vote. */
     boolean isLearner(final int node) {
         return Membership.find(current.learners(), node) != null;
     }
 
     /**
-     * Whether a message is handled here. This membership may be older or newer than the sender's: a candidate is judged
-     * by its term and log alone, and counts the vote by its own membership; a leader is followed by its term.
+     * Whether this member handles the message. Its membership may be older or newer than the sender's: a candidate is
+     * judged by its term and log alone, and counts the vote by its own membership; a leader is recognised by its term.
      */
     boolean concerns(final int from, final PeerMessage message) {
         if (message instanceof PullReply) {
@@ -116,19 +116,19 @@
         return NO_VOTER;
     }
 
-    /** Whether the first of two voters ranks above the second in an election where their logs are equal. */
+    /** Whether the first of two voters takes precedence over the second in an election where their logs are equal. */
     boolean outranks(final int one, final int other) {
         final int weightOfOne = weight(one);
         final int weightOfOther = weight(other);
         return weightOfOne > weightOfOther || (weightOfOne == weightOfOther && one > other);
     }
 
-    /** How many voters are a majority. */
+    /** The smallest number of voters that is a majority. */
     int majority() {
         return Quorums.majority(current.voters().size());
     }
 
-    /** How many replicas a committed record has at least. */
+    /** The minimum number of replicas that hold a committed record. */
     int floor(final int toleratedLosses) {
         return Quorums.floor(current.voters().size(), toleratedLosses);
     }
--- a/coordination/src/main/java/brookpath/coordination/group/GroupRole.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupRole.java
@@ -4,11 +4,11 @@
 
 /** A member's role in its group; the code is sent with each heartbeat. */
 public enum GroupRole {
-    /** Pulls the log; knows a leader or waits for one. */
+    /** Pulls the log from the leader, or waits for a leader. */
     FOLLOWER(HeartbeatEntry.FOLLOWER),
-    /** Has asked for votes in a new term. */
+    /** Requests votes in a new term. */
     CANDIDATE(HeartbeatEntry.CANDIDATE),
-    /** Has won its term; acts only while it holds the lease. */
+    /** Has won the election of its term; acts only while it holds the lease. */
     LEADER(HeartbeatEntry.LEADER);
 
     private final int code;
@@ -17,7 +17,7 @@
         this.code = code;
     }
 
-    /** The number on the wire. */
+    /** The code on the wire. */
     public int code() {
         return code;
     }
--- a/coordination/src/main/java/brookpath/coordination/group/GroupStateMachine.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupStateMachine.java
@@ -15,8 +15,8 @@
 import java.util.function.Supplier;
 
 /**
- * Takes the events of one group's member, timers, synced writes and messages, and carries out the transitions of its
- * role; each rule is in the class that bears its name. It has no clock and no I/O: what is to be done is added to the
+ * Handles the events of one group's member (timers, synced writes and messages), and carries out the transitions of its
+ * role; each rule is in the class named after it. It has no clock and no I/O: what is to be done is added to the
  * actions. Not thread-safe: the group's state thread owns it.
  */
 final class GroupStateMachine {
@@ -90,29 +90,31 @@
         membershipChange = new MembershipChange(self, toleratedLosses, membership, log, lease, progress);
     }
 
-    /** Sets the membership as of the placement. */
+    /** Sets the membership that the placement gives. */
     void configure(final Membership placed, final boolean founded, final long now) {
         membership.place(placed);
         refreshMembership();
         election.configure(founded, now);
-        // why: an empty folder of a founded group has lost its log; it must not vote as if it had never had one
+        // an empty data directory in a founded group means that the log is lost: the member may have forgotten a vote
         recovery.initialise(founded);
     }
 
-    /** Whether a leader may act, or a follower has all that the leader which it hears has committed. */
+    /** Whether a leader may act, or a follower holds everything that its leader has committed. */
     boolean isInSync(final long now) {
         return roleState.isLeader() ? lease.mayAct(now) : fetcher.isInSync(now);
     }
 
-    /** Adopts the newest membership of the log or the placement. */
+    /** Adopts the newest membership, from the log or from the placement. */
     private void refreshMembership() {
         membership.refresh(log);
-        // why: the record that removes a member must not end at that member, which could then neither stand nor help
-        // another with an older log
+        // otherwise the record that removes a member could reach that member alone, which could then neither stand for
+        // election nor vote for another with an older log
         appender.dropPendingOfOthers();
     }
 
-    /** Appends one step of a membership change as a record. False, and nothing is done, where it is not safe now. */
+    /**
+     * Appends one step of a membership change as a record; returns false, and does nothing, where that is not safe now.
+     */
     boolean change(final Membership next, final long now, final long wall) {
         if (!membershipChange.isAllowed(next, now)) {
             return false;
@@ -125,25 +127,25 @@
         return true;
     }
 
-    /** Handles a timer event: takes the newest heartbeat table, and does what is due. */
+    /** Handles a timer event: takes the newest heartbeat table, and takes the steps that are due. */
     void tick(final long now, final HeartbeatTable table) {
         peers.update(table);
         if (!membership.selfIsVoter()) {
-            followOnly(now);
+            tickNonVoter(now);
             return;
         }
         observeTerms(now);
         voter.decidePending(now);
         if (roleState.isLeader()) {
-            leadOn(now);
+            tickLeader(now);
         }
         election.expire(now);
-        hearLeader(now);
-        if (roleState.isFollower() && roleState.leader() == PeerView.NOBODY) {
-            fetcher.outOfSync();
-            election.standIfDue(now);
+        updateLeader(now);
+        if (roleState.isFollower() && roleState.leader() == PeerView.NO_NODE) {
+            fetcher.markOutOfSync();
+            election.standForElectionIfDue(now);
         }
-        fetcher.watchLeader(now);
+        fetcher.trackLag(now);
         sweepLog();
         fetcher.pull(now);
         appender.trimIfDue(now);
@@ -158,50 +160,52 @@
         }
     }
 
-    /** Steps down where another may lead by now, else commits what can be committed. */
-    private void leadOn(final long now) {
+    /** Steps down where another member may be the leader by now, else commits what can be committed. */
+    private void tickLeader(final long now) {
         if (voteStore.highestTermSeen() > voteStore.term()) {
-            stepDown("epoch " + voteStore.highestTermSeen() + " seen");
+            stepDown("saw term " + voteStore.highestTermSeen());
         } else if (now - roleState.leaderSince() > timing.down() && !lease.majorityAnswers(now)) {
-            stepDown("no majority answers");
+            stepDown("no majority answers heartbeats");
         } else {
             advance(now);
             transfer.transferIfDiskStalls(now);
         }
     }
 
-    /** Adopts the leader that the heartbeats report; a leader without its lease has none. */
-    private void hearLeader(final long now) {
-        final int heard = roleState.isLeader() ? ownLeadership(now) : liveLeader(now);
+    /** Updates the leader from the heartbeats; a leader that does not hold its lease knows none. */
+    private void updateLeader(final long now) {
+        final int heard = roleState.isLeader() ? selfIfLeaseHeld(now) : reportedLeader(now);
         if (heard == roleState.leader()) {
             return;
         }
-        roleState.hear(heard);
-        if (roleState.hearsOtherLeader()) {
+        roleState.setLeader(heard);
+        if (roleState.hasOtherLeader()) {
             election.onLeaderHeard();
         } else {
-            // why: the others do not stand while anybody reports a live leader, so they are notified at once
+            // the others do not stand for election while any member reports a leader, so they are notified at once
             out.heartbeatNow();
         }
         fetcher.cancel();
     }
 
-    private int ownLeadership(final long now) {
-        return lease.held(now) ? self : PeerView.NOBODY;
+    private int selfIfLeaseHeld(final long now) {
+        return lease.held(now) ? self : PeerView.NO_NODE;
     }
 
-    /** A learner replicates the log; a node that is no member does nothing and follows no leader. */
-    private void followOnly(final long now) {
+    /**
+     * Handles a timer event of a learner, which replicates the log, or of a node that is not a member, which does not.
+     */
+    private void tickNonVoter(final long now) {
         if (roleState.isLeader()) {
-            stepDown("is no voter any more");
+            stepDown("no longer a voter");
         }
         roleState.becomeFollower();
         if (membership.holdsSelf()) {
-            roleState.hear(liveLeader(now));
+            roleState.setLeader(reportedLeader(now));
             fetcher.pull(now);
         } else {
-            roleState.hear(PeerView.NOBODY);
-            fetcher.outOfSync();
+            roleState.setLeader(PeerView.NO_NODE);
+            fetcher.markOutOfSync();
         }
     }
 
@@ -246,11 +250,11 @@
         }
     }
 
-    /** The leader transfers its leadership to this member. */
+    /** Handles the leader's request that this member take over. */
     private void onTimeoutNow(final int from, final PeerMessage.TimeoutNow order, final long now) {
         final boolean ofOwnLeader = from == roleState.leader() && order.term() == voteStore.term();
         if (roleState.isFollower() && ofOwnLeader && !recovery.isLost() && !log.hasUnsynced()) {
-            election.stand(now, true);
+            election.standForElection(now, true);
         }
     }
 
@@ -271,12 +275,12 @@
         }
         voteStore.observe(m.termSeen());
         if (election.wins(from, m)) {
-            lead(now);
+            becomeLeader(now);
         }
     }
 
-    /** Begins the leadership after a won election. */
-    private void lead(final long now) {
+    /** Begins the leadership after winning an election. */
+    private void becomeLeader(final long now) {
         election.win(now);
         fetcher.dropReceived();
         progress.clear();
@@ -286,7 +290,7 @@
         out.milestone("group " + group + ": " + roleState.reason() + ", log to " + log.endIndex() + ", committed "
                 + log.committedIndex() + election.waitedFor());
         out.heartbeatNow();
-        // why: records of earlier terms count as committed only once a record of this one is
+        // records of earlier terms are committed only together with a record of this one
         append(LogRecord.OPEN, new byte[0], now, 0);
     }
 
@@ -295,14 +299,15 @@
         appender.dropPending();
         progress.clearVoters();
         fetcher.cancel();
-        fetcher.outOfSync();
+        fetcher.markOutOfSync();
         out.note("group " + group + ": " + roleState.reason());
         out.heartbeatNow();
     }
 
-    /** The leader that the heartbeats report, 0 for none. */
-    private int liveLeader(final long now) {
-        // why: a learner may have raised its term before it was removed, when no voter took note of it
+    /** The leader that the heartbeats report, {@link PeerView#NO_NODE} for none. */
+    private int reportedLeader(final long now) {
+        // a learner may have raised its term in an election that it lost before it was removed as a voter; no voter has
+        // noted that term
         return peers.leader(membership.selfIsVoter() ? voteStore.term() : log.endTerm(), now);
     }
 
@@ -346,8 +351,7 @@
                 progress.committable(membership.floor(toleratedLosses), roleState.openIndex(), voteStore.term());
         if (index > log.committedIndex()) {
             if (log.committedIndex() < roleState.openIndex()) {
-                // why: a process that only watches is notified at once that reads are served here, not with its own
-                // next heartbeat
+                // observers are notified at once that reads are served here, rather than with their own next heartbeat
                 out.heartbeatNow();
             }
             log.commit(index);
@@ -358,25 +362,25 @@
     // ---- repair
 
     /**
-     * Whether the record is undamaged. Where not, this replica does not count and is repaired from another, and nothing
-     * of it is served.
+     * Whether the record is undamaged. Where it is not, this replica no longer counts, serves nothing and is repaired
+     * from another.
      */
     boolean isIntact(final long index) {
         if (log.logRecord(index).isIntact()) {
             return true;
         }
         if (!recovery.isLost()) {
-            recovery.damage();
+            recovery.markDamaged();
             fetcher.replaceLog();
             if (roleState.isLeader()) {
                 stepDown("record " + index + " is damaged");
             }
-            out.note("group " + group + ": record " + index + " is damaged; the copy is mended");
+            out.note("group " + group + ": record " + index + " is damaged; the replica is being repaired");
         }
         return false;
     }
 
-    /** Finds damaged records that no read has met. */
+    /** Finds damaged records that no read has encountered. */
     private void sweepLog() {
         final long damagedIndex = sweep.nextDamaged();
         if (damagedIndex != LogSweep.NONE) {
--- a/coordination/src/main/java/brookpath/coordination/group/LeaderElection.java
+++ b/coordination/src/main/java/brookpath/coordination/group/LeaderElection.java
@@ -9,16 +9,16 @@
 import java.util.TreeSet;
 
 /**
- * The election of a group's leader: when this member stands, which candidate it votes for, and when it has won. A
- * member stands only where no leader is heard and no other that answers has a newer log; among equal logs the lower
- * ranks defer to the higher ones for a few attempts. Times are of the steady clock, in milliseconds. Not thread-safe:
- * the group's state thread owns it.
+ * The election of a group's leader: when this member stands for election, which candidate it votes for, and when it has
+ * won. A member stands only where no leader is reported and no other that answers has a newer log; among members with
+ * equal logs the lower-ranked defer to the higher-ranked for a few attempts. Times are of the steady clock, in
+ * milliseconds. Not thread-safe: the group's state thread owns it.
  */
 final class LeaderElection {
-    /** The refusal of a member that may still be bound by a promise of its former incarnation. */
+    /** The reason of a refusal by a member that may still be bound by a promise of its former incarnation. */
     static final String JUST_STARTED = "just started";
 
-    /** After so many failed attempts a member no longer defers to a higher rank. */
+    /** After this many failed attempts a member no longer defers to a higher-ranked one. */
     private static final int DEFERRING_ATTEMPTS = 3;
 
     private static final int MAX_BACKOFF_ATTEMPTS = 4;
@@ -48,7 +48,7 @@
     private int failedAttempts;
     private long deferUntil = NEVER / 2;
     private String obstacle = "";
-    /** What this member waited for before it stood last; empty where it stood at once. */
+    /** What delayed this member's last candidacy; empty where nothing did. */
     private String lastObstacle = "";
 
     LeaderElection(
@@ -80,55 +80,56 @@
         this.random = random;
     }
 
-    /** Sets when the process started; promises of an earlier run were made before that. */
+    /** Sets when the process started; promises of its former incarnation were made before that. */
     void startedAt(final long now) {
         startedAt = now;
     }
 
     /**
-     * The member is configured: whether its group was founded before, and when the process started if that is unknown.
+     * Configures the member; the process counts as started now if its start time is unknown.
+     *
+     * @param isFounded whether the group was founded before
      */
     void configure(final boolean isFounded, final long now) {
         founded = isFounded;
         if (startedAt == NEVER) {
             startedAt = now;
         }
-        // why: a member that has voted in a term is bound by no leader of an earlier one, also after a restart
+        // a member that has voted in a term is bound by no leader of an earlier one, not even after a restart
         promises.raise(group, voteStore.term(), self, true, now);
     }
 
-    /** This member is about to leave and no longer stands. */
+    /** This member is about to leave and no longer stands for election. */
     void withdraw() {
         withdrawn = true;
     }
 
-    /** Why this member did not stand for election at its last check, empty for no obstacle. */
+    /** Why this member did not stand for election at its last check, empty where nothing prevented it. */
     String obstacle() {
         return obstacle;
     }
 
-    /** What this member waited for before it stood last, for a log line; empty for nothing. */
+    /** What delayed this member's last candidacy, as the end of a log line; empty where nothing did. */
     String waitedFor() {
-        return lastObstacle.isEmpty() ? "" : "; waited before: " + lastObstacle;
+        return lastObstacle.isEmpty() ? "" : "; candidacy was delayed: " + lastObstacle;
     }
 
-    // ---- standing
+    // ---- standing for election
 
-    /** Another member leads the group, so a later election begins afresh. */
+    /** Another member leads the group, so failed attempts no longer count. */
     void onLeaderHeard() {
         failedAttempts = 0;
     }
 
     /**
-     * Ends a candidacy whose time has run out; the next one starts after a random back-off that grows with each
-     * attempt.
+     * Ends a candidacy that has timed out; the next one starts after a random back-off that grows with each attempt.
      */
     void expire(final long now) {
         if (roleState.isCandidate() && now >= attemptEndsAt) {
             failedAttempts++;
             nextAttempt = now + backoff();
             roleState.becomeFollower();
-            roleState.explain("go for epoch " + voteStore.term() + " lost");
+            roleState.explain("lost the election of term " + voteStore.term());
         }
     }
 
@@ -137,28 +138,28 @@
         return (long) (timing.goDeadline() * (MIN_BACKOFF + random.nextDouble() * attempts));
     }
 
-    /** Stands where that is due and there is no obstacle. */
-    void standIfDue(final long now) {
-        if (now >= nextAttempt && mayStand(now)) {
-            stand(now, false);
+    /** Stands for election where the back-off is over and nothing prevents it. */
+    void standForElectionIfDue(final long now) {
+        if (now >= nextAttempt && mayStandForElection(now)) {
+            standForElection(now, false);
         }
     }
 
     /**
      * Requests votes in a new term, once this member's own vote is synced.
      *
-     * @param manual the leader itself has asked this member to take over
+     * @param manual whether the leader has asked this member to take over
      */
-    void stand(final long now, final boolean manual) {
+    void standForElection(final long now, final boolean manual) {
         final long term = voteStore.highestTermSeen() + 1;
         if (!promises.raise(group, term, self, manual, now)) {
-            obstacle = "it has just answered a master's beat";
+            obstacle = "it has just answered a leader's heartbeat";
             return;
         }
         final long write = voteStore.vote(term, self);
         votes.clear();
         attemptEndsAt = now + timing.goDeadline();
-        roleState.becomeCandidate("stands for epoch " + term);
+        roleState.becomeCandidate("stands for election in term " + term);
         final VoteReply ownVote = new VoteReply(group, term, true, term, "own vote");
         final VoteRequest request = new VoteRequest(
                 group,
@@ -174,7 +175,7 @@
         }
     }
 
-    private boolean mayStand(final long now) {
+    private boolean mayStandForElection(final long now) {
         final String own = ownObstacle(now);
         final String found = own.isEmpty() ? peerObstacle(now) : own;
         if (found.isEmpty() && !obstacle.isEmpty()) {
@@ -187,16 +188,16 @@
     /** The obstacle in this member's own state, empty for none. */
     private String ownObstacle(final long now) {
         if (recovery.isLost() || !recovery.isInitialised()) {
-            return "its copy is being rebuilt";
+            return "its replica is being rebuilt";
         }
         if (withdrawn) {
             return "it is about to leave";
         }
-        if (mayHavePromised(self, now)) {
+        if (mayBeBoundByPromise(self, now)) {
             return "it has just started";
         }
         if (diskLag(now) > timing.diskPatience()) {
-            return "its disk takes nothing";
+            return "its disk completes no writes";
         }
         return "";
     }
@@ -204,20 +205,20 @@
     /** The obstacle in what the other voters report, empty for none. */
     private String peerObstacle(final long now) {
         int answering = 1;
-        int better = 0;
+        int higherRanked = 0;
         for (final Member voter : membership.voters()) {
             final HeartbeatEntry entry = peers.entry(voter.node(), now);
             if (entry == null || entry.sync() == SyncState.LOST.code()) {
                 continue;
             }
             if (entry.role() == GroupRole.LEADER.code() && entry.term() >= voteStore.term()) {
-                return "node " + voter.node() + " is the master";
+                return "node " + voter.node() + " is the leader";
             }
-            if (entry.leaderHeard() != PeerView.NOBODY && entry.leaderHeard() != self) {
-                return "node " + voter.node() + " hears master " + entry.leaderHeard();
+            if (entry.leaderHeard() != PeerView.NO_NODE && entry.leaderHeard() != self) {
+                return "node " + voter.node() + " reports leader " + entry.leaderHeard();
             }
-            // why: one that is heard but does not answer is down; waiting for its longer log might never end, and the
-            // voters' own logs decide anyway
+            // a node that is heard but does not answer counts as down: waiting for its newer log might never end, and
+            // the voters compare their own logs with the candidate's anyway
             if (!peers.up(voter.node())) {
                 continue;
             }
@@ -226,24 +227,26 @@
             }
             answering++;
             if (endsAsOwnLog(entry.endIndex(), entry.endTerm()) && membership.outranks(voter.node(), self)) {
-                better++;
+                higherRanked++;
             }
         }
         if (answering < votesNeeded()) {
             return "only " + answering + " of " + votesNeeded() + " answer";
         }
-        return better > 0 && defers(better, now) ? "gives a higher rank a head start" : "";
+        return higherRanked > 0 && defers(higherRanked, now) ? "defers to a higher-ranked member" : "";
     }
 
     /**
-     * Whether the lower rank still gives the higher ones a head start; by their ranks all know which one should win.
+     * Whether this member still defers to higher-ranked ones, so that members with equal logs do not split the vote.
+     *
+     * @param higherRanked how many members with an equal log rank higher
      */
-    private boolean defers(final int better, final long now) {
+    private boolean defers(final int higherRanked, final long now) {
         if (failedAttempts >= DEFERRING_ATTEMPTS) {
             return false;
         }
         if (now - deferUntil > timing.down()) {
-            deferUntil = now + better * timing.goDeadline();
+            deferUntil = now + higherRanked * timing.goDeadline();
         }
         return now < deferUntil;
     }
@@ -253,46 +256,46 @@
     }
 
     /**
-     * Whether a leader may still act on a promise of this member's former incarnation: one that answered a heartbeat
-     * just before the restart. It may not once the detection time is over, or once all other voters have reported since
-     * the start that they lead nothing.
+     * Whether a leader may still act on a promise of this member's former incarnation, made by the answer to a
+     * heartbeat just before the restart. It no longer may once the detection time is over, or once all other voters
+     * have reported since the start that they are not the leader.
      *
-     * @param reported a voter that has reported so by other means than its heartbeats
+     * @param reported a voter that has reported so by other means than its heartbeats; this member for none
      */
-    private boolean mayHavePromised(final int reported, final long now) {
-        return now - startedAt <= timing.down() && !allOthersLeadNothing(reported, now);
+    private boolean mayBeBoundByPromise(final int reported, final long now) {
+        return now - startedAt <= timing.down() && !allOthersReportNoLeadership(reported, now);
     }
 
     /**
      * Whether each other voter has reported to this incarnation that it does not lead the group. A leader that held a
-     * promise of the former incarnation has then stepped down or been started again, for a later leadership counts only
+     * promise of the former incarnation has then stepped down or restarted, since a later leadership counts only
      * answers to its own heartbeats. Equal last terms and group versions mean equal memberships, so no leader is
-     * missing among the voters that are asked.
+     * missing among the voters that are checked.
      */
-    private boolean allOthersLeadNothing(final int reported, final long now) {
-        // why: after a restart of all members nobody is bound, and waiting for the detection time would only keep the
-        // callers out for as long
+    private boolean allOthersReportNoLeadership(final int reported, final long now) {
+        // after a restart of all members none is bound, and waiting for the detection time would only prolong the
+        // outage
         for (final Member voter : membership.voters()) {
             final int node = voter.node();
-            if (node != self && node != reported && !leadsNothing(peers.entry(node, now))) {
+            if (node != self && node != reported && !reportsNoLeadership(peers.entry(node, now))) {
                 return false;
             }
         }
         return true;
     }
 
-    private boolean isOfEqualLog(final VoteRequest request) {
+    private boolean endsInSameTermAndVersion(final VoteRequest request) {
         return request.groupVersion() == membership.version() && request.endTerm() == log.syncedTerm();
     }
 
-    /** @param entry what a voter has reported to this incarnation, null for nothing */
-    private boolean leadsNothing(final HeartbeatEntry entry) {
+    /** @param entry what a voter has reported to this incarnation, null where it has not reported */
+    private boolean reportsNoLeadership(final HeartbeatEntry entry) {
         return entry != null
                 && entry.role() != GroupRole.LEADER.code()
                 && entry.sync() != SyncState.LOST.code()
                 && entry.groupVersion() == membership.version()
                 && entry.endTerm() == log.syncedTerm()
-                && (entry.leaderHeard() == PeerView.NOBODY || entry.leaderHeard() == self);
+                && (entry.leaderHeard() == PeerView.NO_NODE || entry.leaderHeard() == self);
     }
 
     /** How long the oldest write that this member waits for has been pending, in milliseconds. */
@@ -303,8 +306,8 @@
     // ---- voting
 
     /**
-     * Why this member does not vote for the candidate, null where it may. Where null, the term is raised for the
-     * promises.
+     * Why this member does not vote for the candidate, null where it may. If it may, the promises are raised to the
+     * request's term.
      */
     String refusal(final int candidate, final VoteRequest request, final long now) {
         final String own = refusalByState(candidate, request, now);
@@ -316,32 +319,32 @@
             return byLog;
         }
         final boolean free = promises.raise(group, request.term(), candidate, request.manual(), now);
-        return free ? null : "has just answered a master's beat";
+        return free ? null : "has just answered a leader's heartbeat";
     }
 
     private String refusalByState(final int candidate, final VoteRequest request, final long now) {
         if (recovery.isDiskLost() || !recovery.isInitialised()) {
-            return "copy is being rebuilt";
+            return "replica is being rebuilt";
         }
-        // why: the request itself reports that the candidate leads nothing
-        final int reported = isOfEqualLog(request) ? candidate : self;
-        if (mayHavePromised(reported, now)) {
+        // the request itself shows that the candidate is not the leader
+        final int reported = endsInSameTermAndVersion(request) ? candidate : self;
+        if (mayBeBoundByPromise(reported, now)) {
             return JUST_STARTED;
         }
         if (request.groupVersion() < membership.version() && request.endTerm() <= log.syncedTerm()) {
             return "older group version";
         }
         if (!voteStore.mayVote(request.term(), candidate)) {
-            return "epoch " + voteStore.term() + " is taken";
+            return "already entered term " + voteStore.term();
         }
         if (roleState.isLeader() && (!request.manual() || !lease.transferring(now))) {
-            return "master lives";
+            return "is the leader";
         }
         return null;
     }
 
     private String refusalByLog(final int candidate, final VoteRequest request, final long now) {
-        // why: the table's indexes may be stale; the voter's own log as it is now is what counts
+        // the heartbeat table's indexes may be stale, so the voter compares with its own log as it is now
         if (RaftLog.newer(log.syncedTerm(), log.syncedIndex(), request.endTerm(), request.endIndex())) {
             return "own log is newer";
         }
@@ -349,26 +352,26 @@
                 && membership.outranks(self, candidate)
                 && request.attempts() < DEFERRING_ATTEMPTS
                 && !request.manual()
-                && mayStand(now)) {
+                && mayStandForElection(now)) {
             nextAttempt = now;
-            return "ranks higher and stands itself";
+            return "ranks higher and stands for election itself";
         }
         return null;
     }
 
-    /** Votes for the candidate, which {@link #refusal} has accepted; the reply waits until the vote is synced. */
+    /** Votes for the candidate, which {@link #refusal} has accepted; the reply is sent once the vote is synced. */
     void grant(final int candidate, final long term, final long now) {
-        // why: a vote that is forgotten after a crash could be given twice
+        // a vote that is lost in a crash could be given twice
         final long write = voteStore.vote(term, candidate);
         roleState.becomeFollower();
         nextAttempt = now + timing.down();
-        roleState.explain("voted for " + candidate + " in epoch " + term);
+        roleState.explain("voted for " + candidate + " in term " + term);
         deferredMessages.add(write, candidate, new VoteReply(group, term, true, term, "granted"), now);
     }
 
     // ---- winning
 
-    /** Counts a vote; true where this candidate has won with it. */
+    /** Counts a vote; true where this candidate has won the election with it. */
     boolean wins(final int voter, final VoteReply reply) {
         if (!roleState.isCandidate() || reply.term() != voteStore.term() || !reply.granted()) {
             return false;
@@ -379,12 +382,12 @@
 
     /** Makes this member the leader; its term opens with the next record of the log. */
     void win(final long now) {
-        final String reason = "won epoch " + voteStore.term() + " with votes of " + votes;
+        final String reason = "won term " + voteStore.term() + " with the votes of " + votes;
         roleState.becomeLeader(log.endIndex() + 1, reason, now);
         failedAttempts = 0;
     }
 
-    /** A majority; all voters where the group is being founded. */
+    /** The number of votes that wins: a majority, or all voters while the group is being founded. */
     private int votesNeeded() {
         return founded ? membership.majority() : membership.voters().size();
     }
--- a/coordination/src/main/java/brookpath/coordination/group/LeaderLease.java
+++ b/coordination/src/main/java/brookpath/coordination/group/LeaderLease.java
@@ -6,9 +6,9 @@
 import java.util.List;
 
 /**
- * The lease under which a leader acts: a majority has answered a heartbeat of this leadership that was sent within the
- * lease, and each voter that answered votes for no other candidate for longer than that. Times are of the steady clock,
- * in milliseconds. Not thread-safe: the group's state thread owns it.
+ * The lease under which a leader acts: a majority has answered a heartbeat that this leader sent in its term, within
+ * the length of the lease, and each voter that answered votes for no other candidate for longer than that. Times are of
+ * the steady clock, in milliseconds. Not thread-safe: the group's state thread owns it.
  */
 final class LeaderLease {
     private static final long NEVER = Long.MIN_VALUE;
@@ -64,7 +64,7 @@
         return majoritySince(voters, now - timing.lease());
     }
 
-    /** Whether a majority has answered heartbeats of this leadership that were sent at this time or later. */
+    /** Whether a majority has answered heartbeats that this leader sent in its term, at this time or later. */
     boolean majoritySince(final long since) {
         return majoritySince(membership.voters(), since);
     }
@@ -77,7 +77,7 @@
         return answered >= Quorums.majority(voters.size());
     }
 
-    /** Whether the node has answered a heartbeat of this leadership that was sent within the lease. */
+    /** Whether the node has answered a heartbeat that this leader sent in its term, within the length of the lease. */
     boolean answered(final int node, final long now) {
         return answeredSince(node, now - timing.lease());
     }
@@ -89,7 +89,8 @@
         }
         final HeartbeatEntry sent = row.answeredOwn().get(group);
         final HeartbeatEntry theirs = row.entries().get(group);
-        // why: only a heartbeat of this leadership binds the one who answered it, and only a voter can be bound
+        // only a heartbeat that was sent as the leader of this term binds the voter that answered it, and not one with
+        // a lost replica or in a later term
         return sent != null
                 && sent.role() == GroupRole.LEADER.code()
                 && sent.term() == voteStore.term()
@@ -98,31 +99,31 @@
                 && theirs.term() <= voteStore.term();
     }
 
-    /** Whether a majority answers heartbeats at all, without which a leader steps down. */
+    /** Whether a majority answers heartbeats at all; where not, the leader steps down. */
     boolean majorityAnswers(final long now) {
         int answering = 1;
         for (final Member voter : membership.voters()) {
-            answering += voter.node() != self && answersLately(voter.node(), now) ? 1 : 0;
+            answering += voter.node() != self && answeredRecently(voter.node(), now) ? 1 : 0;
         }
         return answering >= membership.majority();
     }
 
-    private boolean answersLately(final int node, final long now) {
+    private boolean answeredRecently(final int node, final long now) {
         return peers.up(node) && now - peers.row(node).answeredSentAt() <= 2 * timing.down();
     }
 
-    /** Another member is asked to take over; this leader does not act until that has been tried. */
+    /** Another member is asked to take over; this leader does not act until that has succeeded or timed out. */
     void transfer(final long now) {
-        // why: the voters will not wait for this lease to end
+        // the voters elect the other without waiting for this lease to end
         transferringUntil = now + timing.down() + timing.goDeadline();
     }
 
-    /** Whether another member was asked to take over, and may still do so. */
+    /** Whether another member was asked to take over, and may still win the election. */
     boolean transferring(final long now) {
         return now < transferringUntil;
     }
 
-    /** A new leadership begins. */
+    /** Forgets a transfer of an earlier leadership. */
     void reset() {
         transferringUntil = NEVER;
     }
--- a/coordination/src/main/java/brookpath/coordination/group/LeadershipTransfer.java
+++ b/coordination/src/main/java/brookpath/coordination/group/LeadershipTransfer.java
@@ -5,7 +5,7 @@
 import brookpath.coordination.message.PeerMessage.TimeoutNow;
 
 /**
- * Transfers the leadership to a voter that has the complete log: on an operator's order, where the leader is about to
+ * Transfers the leadership to a voter that has the complete log: at an operator's request, where the leader is about to
  * leave, and where its disk completes no writes. Not thread-safe: the group's state thread owns it.
  */
 final class LeadershipTransfer {
@@ -50,11 +50,12 @@
     }
 
     /**
-     * Asks a voter that has the complete log to stand; this leader does not act until that has been tried.
+     * Asks a voter that has the complete log to take over; this leader does not act until that has succeeded or timed
+     * out.
      *
      * @return false, and nothing is done, where this member may not act as the leader or the voter lacks records
      */
-    boolean to(final int node, final long now) {
+    boolean transferTo(final int node, final long now) {
         if (!lease.mayAct(now)
                 || node == self
                 || !membership.isVoter(node)
@@ -62,38 +63,41 @@
             return false;
         }
         lease.transfer(now);
-        roleState.explain("hands over to " + node);
+        roleState.explain("transfers the leadership to " + node);
         out.send(node, new TimeoutNow(group, voteStore.term()));
         return true;
     }
 
-    /** Transfers to the first voter that can take over, unless a transfer is in progress. */
-    private void toAny(final long now) {
+    /** Transfers the leadership to the first voter that can take over, unless a transfer is in progress. */
+    private void transferToAny(final long now) {
         if (lease.transferring(now)) {
             return;
         }
         for (final Member voter : membership.voters()) {
-            if (to(voter.node(), now)) {
+            if (transferTo(voter.node(), now)) {
                 return;
             }
         }
     }
 
-    /** This member is about to leave: it no longer stands, and transfers its leadership. True once it leads nothing. */
+    /**
+     * This member is about to leave: it no longer stands for election, and transfers its leadership. True once it is
+     * not the leader.
+     */
     boolean withdraw(final long now) {
         election.withdraw();
         if (roleState.isLeader()) {
-            toAny(now);
+            transferToAny(now);
         }
         return !roleState.isLeader();
     }
 
     /** A leader whose disk completes no writes transfers to a voter with the complete log, if there is one. */
     void transferIfDiskStalls(final long now) {
-        // why: without a majority among the others none of them can win, and this leader should continue
+        // without a majority among the others none of them can win, so this leader continues
         final boolean othersCanElect = peers.active(membership.voters(), now) >= membership.majority();
         if (election.diskLag(now) > timing.diskPatience() && othersCanElect) {
-            toAny(now);
+            transferToAny(now);
         }
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/group/LogAppender.java
+++ b/coordination/src/main/java/brookpath/coordination/group/LogAppender.java
@@ -12,13 +12,13 @@
 
 /**
  * The sending side of log replication: answers the pulls of other members with records, with an earlier index to try
- * where the logs differ, or with a snapshot. A pull for which there is nothing new stays pending until there is. Not
- * thread-safe: the group's state thread owns it.
+ * where the logs differ, or with a snapshot. A pull stays pending while there is nothing new to send. Not thread-safe:
+ * the group's state thread owns it.
  */
 final class LogAppender {
     /**
-     * The most bytes of records in one reply, but for the last record: a slow link must not keep the heartbeats behind
-     * it for long.
+     * A reply ends with the record that reaches this many bytes: on a slow link a larger reply would delay the
+     * heartbeats behind it for too long.
      */
     private static final int REPLY_BYTES = 64 << 10;
 
@@ -38,7 +38,7 @@
     private final TreeMap<Integer, Pull> pending = new TreeMap<>();
     private long nextTrim = Long.MIN_VALUE;
 
-    /** @param intact whether the record at an index is undamaged; where not, nothing of this log is served */
+    /** @param intact whether the record at an index is undamaged; a log with a damaged record is not served */
     LogAppender(
             final int group,
             final TimingBounds timing,
@@ -63,25 +63,25 @@
         snapshotSender = new SnapshotSender(timing.recoverMs());
     }
 
-    // ---- what a pull acknowledges
+    // ---- acknowledgements
 
-    /** Whether the puller's log differs from this one though both have the same term at the index of its end. */
+    /** Whether the sender's log differs from this one although both have the same term at the sender's synced index. */
     boolean differs(final Pull pull) {
         return !pull.lost() && endsInThisLog(pull) && log.digestAt(pull.syncedIndex()) != pull.chain();
     }
 
     /** Replaces the complete log of a member whose log differs from this leader's. */
     void replaceLog(final int node, final Pull pull, final long now) {
-        // why: the same (term, index) must mean the same log; where it does not, the replica does not count and the
-        // complete log is sent
+        // equal (term, index) must mean equal logs; where they do not, the replica does not count and is replaced by
+        // the complete log
         progress.forget(node);
         pending.remove(node);
-        out.note("group " + group + ": the copy of node " + node + " differs at or before " + pull.syncedIndex()
-                + " and is sent whole");
+        out.note("group " + group + ": the replica of node " + node + " differs at or before " + pull.syncedIndex()
+                + " and is replaced");
         sendSnapshot(node, pull, standing(now), now);
     }
 
-    /** Records what a pull acknowledges of the puller's replica; true where a voter's replica may have grown. */
+    /** Records how far a pull acknowledges the sender's replica; true where a voter's progress may have advanced. */
     boolean acknowledge(final int node, final Pull pull) {
         if (!membership.isVoter(node)) {
             acknowledgeLearner(node, pull);
@@ -96,15 +96,16 @@
                 && pull.syncedIndex() <= log.endIndex()
                 && endsInThisLog(pull);
         if (ofThisLog) {
-            // why: the same (term, index) means the same log up to there, so the replica holds everything before it too
+            // equal (term, index) means equal logs up to there, so the replica holds everything before it too
             progress.voterSynced(node, pull.syncedIndex());
         }
         return ofThisLog;
     }
 
     private void acknowledgeLearner(final int node, final Pull pull) {
-        // why: a learner's replica is tracked to see when it may vote, and counts for nothing until then; one that
-        // stood in vain in a later term, before it was removed, may not vote in this one
+        // a learner's progress is tracked to know when it may become a voter, and does not count for commits until
+        // then; a learner that entered a later term, as an unsuccessful candidate before it was removed as a voter, may
+        // not vote in this term
         progress.forgetVoter(node);
         final boolean mayVote = !pull.lost() && pull.term() <= voteStore.term();
         progress.learnerSynced(node, mayVote && endsInThisLog(pull) ? pull.syncedIndex() : ReplicaProgress.UNKNOWN);
@@ -129,12 +130,12 @@
         pending.entrySet().removeIf(entry -> reply(entry.getKey(), entry.getValue(), now));
     }
 
-    /** Forgets the pending pulls of nodes that are no longer members. */
+    /** Drops the pending pulls of nodes that are no longer members. */
     void dropPendingOfOthers() {
         pending.keySet().removeIf(node -> !membership.holds(node));
     }
 
-    /** Forgets all pending pulls; their senders retry. */
+    /** Drops all pending pulls; their senders retry. */
     void dropPending() {
         pending.clear();
     }
@@ -155,7 +156,7 @@
     }
 
     private SourceStanding standing(final long now) {
-        // why: only a leader that has opened its term knows everything that was committed before it
+        // only a leader that has committed a record of its own term knows everything that was committed before
         if (lease.mayAct(now)) {
             return SourceStanding.ACTING_LEADER;
         }
@@ -181,16 +182,16 @@
             records.add(log.logRecord(index));
             bytes += log.logRecord(index).bytes().length;
         }
-        if (records.isEmpty() && !tellsCommitted(pull, standing) && pull.term() >= voteStore.term()) {
+        if (records.isEmpty() && !needsCommittedIndex(pull, standing) && pull.term() >= voteStore.term()) {
             return false;
         }
         send(node, pull, PullReplyKind.RECORDS, standing, 0, records);
         return true;
     }
 
-    /** Whether the puller does not know yet up to where the log is committed. */
-    private boolean tellsCommitted(final Pull pull, final SourceStanding standing) {
-        // why: a member that rebuilds its replica has to learn the committed index from an acting leader, also where no
+    /** Whether the sender of the pull does not know the current committed index yet. */
+    private boolean needsCommittedIndex(final Pull pull, final SourceStanding standing) {
+        // a member that rebuilds its replica has to learn the committed index from an acting leader, even where no
         // records follow
         return pull.committed() == Pull.UNKNOWN
                 ? standing == SourceStanding.ACTING_LEADER
@@ -222,13 +223,15 @@
 
     // ---- snapshots
 
-    /** Sends the next part of this log's snapshot, which is built for the first receiver and kept for the others. */
+    /**
+     * Sends the next part of a snapshot of this log, which is built for the first receiver and reused for the others.
+     */
     private void sendSnapshot(final int node, final Pull pull, final SourceStanding standing, final long now) {
         if (!snapshotSender.serves(pull.snapshotSum(), Math.min(pull.syncedIndex(), log.endIndex()))) {
-            if (!isWholeLogIntact()) {
+            if (!isCompleteLogIntact()) {
                 return;
             }
-            snapshotSender.hold(log.snapshot(), log.endIndex(), now);
+            snapshotSender.keep(log.snapshot(), log.endIndex(), now);
         }
         final SnapshotSender.Part part = snapshotSender.part(pull.snapshotSum(), pull.snapshotOffset(), now);
         out.send(
@@ -250,7 +253,7 @@
                         part.offset()));
     }
 
-    private boolean isWholeLogIntact() {
+    private boolean isCompleteLogIntact() {
         for (long index = log.baseIndex() + 1; index <= log.endIndex(); index++) {
             if (!intact.test(index)) {
                 return false;
@@ -259,13 +262,13 @@
         return true;
     }
 
-    /** The log is replaced or truncated, so the snapshot that is kept is no longer of it. */
+    /** Drops the cached snapshot: the log is replaced or truncated. */
     void dropSnapshot() {
         snapshotSender.drop();
     }
 
     /**
-     * Trims the log once a heartbeat period, but not beyond the end of a snapshot that is kept: its receivers continue
+     * Trims the log once per heartbeat period, but not beyond the end of the cached snapshot: its receivers continue
      * from there.
      */
     void trimIfDue(final long now) {
--- a/coordination/src/main/java/brookpath/coordination/group/LogFetcher.java
+++ b/coordination/src/main/java/brookpath/coordination/group/LogFetcher.java
@@ -8,12 +8,12 @@
 import brookpath.state.record.LogRecord;
 
 /**
- * The receiving side of log replication: pulls the log from the leader, or from a follower that hears it, appends what
- * is sent, and knows whether this follower is in sync. Replies of older terms and older memberships are rejected. Times
- * are of the steady clock, in milliseconds. Not thread-safe: the group's state thread owns it.
+ * The receiving side of log replication: pulls the log from the leader, or from a follower that hears the leader,
+ * appends the records, and tracks whether this follower is in sync. Replies of older terms and older memberships are
+ * rejected. Times are of the steady clock, in milliseconds. Not thread-safe: the group's state thread owns it.
  */
 final class LogFetcher {
-    private static final long WHOLE_LOG = -1;
+    private static final long COMPLETE_LOG = -1;
     private static final long NEVER = Long.MAX_VALUE;
 
     private final int group;
@@ -66,23 +66,24 @@
 
     // ---- whether this follower is in sync
 
-    /** Whether this follower has all that the leader which it hears has committed. */
+    /** Whether this follower holds everything that its leader has committed. */
     boolean isInSync(final long now) {
-        // why: a follower that hears its leader but is not heard gets no further records, and would not notice
+        // a follower that hears its leader but cannot reach it gets no further records, which it notices only by the
+        // checks of the connection and of the lag
         return inSync
                 && !recovery.isLost()
-                && roleState.leader() != PeerView.NOBODY
+                && roleState.leader() != PeerView.NO_NODE
                 && peers.up(roleState.leader())
                 && now - behindSince <= timing.down();
     }
 
     /** This follower is no longer known to be in sync. */
-    void outOfSync() {
+    void markOutOfSync() {
         inSync = false;
     }
 
-    /** Notes since when the leader has reported a higher committed index than the one here. */
-    void watchLeader(final long now) {
+    /** Tracks since when the leader has reported a higher committed index than this log's. */
+    void trackLag(final long now) {
         final HeartbeatEntry entry = peers.entry(roleState.leader(), now);
         if (entry == null || entry.committed() <= log.committedIndex()) {
             behindSince = NEVER;
@@ -93,43 +94,43 @@
 
     // ---- pulling
 
-    /** Stops waiting for the pull in flight, if there is one. */
+    /** Gives up the pull in flight, if there is one. */
     void cancel() {
         pulling = false;
     }
 
-    /** The session to the node is lost, and so may be the pull that was sent to it. */
+    /** The session to the node is lost, and with it perhaps the pull in flight. */
     void sessionLost(final int node) {
         if (source == node) {
             cancel();
         }
     }
 
-    /** Whether the complete log is to be replaced by a snapshot. */
+    /** Whether the complete log has to be replaced by a snapshot. */
     boolean isSnapshotWanted() {
         return snapshotWanted;
     }
 
-    /** The log here is damaged: only a snapshot repairs it. */
+    /** This log is damaged: only a snapshot can repair it. */
     void replaceLog() {
         dropReceived();
         snapshotWanted = true;
         inSync = false;
     }
 
-    /** Forgets the parts of a snapshot that were received. */
+    /** Drops the parts of a snapshot that were received. */
     void dropReceived() {
         snapshotReceiver.reset();
     }
 
-    /** Sends a pull for what follows this log, unless one is in flight. */
+    /** Sends a pull for the records that follow this log, unless one is in flight. */
     void pull(final long now) {
         if (roleState.isLeader() || membership.voters().isEmpty() || log.hasUnsynced()) {
             return;
         }
         final int newSource = chooseSource(now);
-        final boolean asked = pulling && newSource == source && now - pulledAt < timing.pullDeadline();
-        if (newSource != PeerView.NOBODY && !asked) {
+        final boolean alreadyPulling = pulling && newSource == source && now - pulledAt < timing.pullDeadline();
+        if (newSource != PeerView.NO_NODE && !alreadyPulling) {
             source = newSource;
             send(now);
         }
@@ -144,7 +145,7 @@
                         group,
                         membership.version(),
                         voteStore.term(),
-                        snapshotWanted ? WHOLE_LOG : log.endIndex() + 1,
+                        snapshotWanted ? COMPLETE_LOG : log.endIndex() + 1,
                         log.endTerm(),
                         log.syncedIndex(),
                         log.syncedTerm(),
@@ -155,47 +156,46 @@
                         snapshotReceiver.offset()));
     }
 
-    /** The leader while it can be reached; else a follower that still hears it. */
+    /** The leader where it can be reached, else a follower that is in sync and hears it. */
     private int chooseSource(final long now) {
-        if (roleState.leader() != PeerView.NOBODY && peers.up(roleState.leader())) {
+        if (roleState.leader() != PeerView.NO_NODE && peers.up(roleState.leader())) {
             return roleState.leader();
         }
         for (final Member voter : membership.voters()) {
             final HeartbeatEntry entry = peers.entry(voter.node(), now);
             if (entry != null
                     && peers.up(voter.node())
-                    && entry.leaderHeard() != PeerView.NOBODY
+                    && entry.leaderHeard() != PeerView.NO_NODE
                     && entry.leaderHeard() != self
                     && entry.sync() == SyncState.IN_SYNC.code()
                     && entry.term() >= voteStore.term()) {
                 return voter.node();
             }
         }
-        return PeerView.NOBODY;
+        return PeerView.NO_NODE;
     }
 
     // ---- replies
 
     /**
-     * Takes a reply to a pull.
+     * Handles a reply to a pull.
      *
-     * @return true where the log may have changed, so that what waits for it may proceed
+     * @return true where the log may have changed, so that what depends on it may proceed
      */
     boolean onReply(final int from, final PullReply reply, final long now) {
-        // why: fencing: a sender that acts for an older term or an older membership is ignored, however late its reply
+        // fencing: a reply from an older term or an older membership is ignored, however late it arrives
         if (isOlderTerm(reply) || isOlderGroup(reply) || roleState.isLeader() || from != source) {
             return false;
         }
         enterTerm(reply.term());
         pulling = false;
         final PullReplyKind kind = PullReplyKind.ofCode(reply.kind());
-        // why: a late reply refers to a log that may have grown since; truncating by it would remove acknowledged
-        // records
+        // a late reply refers to an earlier state of this log; truncating by it would remove acknowledged records
         if (kind != PullReplyKind.RECORDS && !isOfThisLog(reply)) {
             pull(now);
             return false;
         }
-        return take(kind, from, reply, now);
+        return apply(kind, from, reply, now);
     }
 
     private boolean isOlderTerm(final PullReply reply) {
@@ -203,8 +203,9 @@
     }
 
     /**
-     * Whether the reply is older than a membership that its sender must know: one that is committed, or that was made
-     * in this term. A membership record of an earlier leader that was never committed need not be known to this one.
+     * Whether the reply is older than a membership that its sender must know: one that is committed, or that was
+     * appended in this term. The leader of this term need not know a membership record of an earlier leader that was
+     * never committed.
      */
     private boolean isOlderGroup(final PullReply reply) {
         return reply.term() == voteStore.term()
@@ -228,16 +229,16 @@
     }
 
     /** Applies the reply; false where it is rejected and nothing was changed. */
-    private boolean take(final PullReplyKind kind, final int from, final PullReply reply, final long now) {
+    private boolean apply(final PullReplyKind kind, final int from, final PullReply reply, final long now) {
         return switch (kind) {
-            case SNAPSHOT -> takeSnapshotPart(from, reply, now);
-            case MISMATCH -> takeMismatch(from, reply);
-            case RECORDS -> takeRecords(reply, now);
+            case SNAPSHOT -> applySnapshotPart(from, reply, now);
+            case MISMATCH -> applyMismatch(from, reply);
+            case RECORDS -> applyRecords(reply, now);
         };
     }
 
-    private boolean takeSnapshotPart(final int from, final PullReply reply, final long now) {
-        if (reply.snapshot().length == 0 || (SourceStanding.FOLLOWER.is(reply) && !mayTakeFollowersLog())) {
+    private boolean applySnapshotPart(final int from, final PullReply reply, final long now) {
+        if (reply.snapshot().length == 0 || (SourceStanding.FOLLOWER.is(reply) && !mayAdoptFollowersLog())) {
             return false;
         }
         final byte[] snapshot = snapshotReceiver.take(reply);
@@ -253,16 +254,16 @@
         return true;
     }
 
-    private boolean mayTakeFollowersLog() {
-        // why: a follower's log may lack records for which this replica was counted; a damaged replica is repaired from
-        // the leader
+    private boolean mayAdoptFollowersLog() {
+        // a follower's log may lack records that were committed with this replica counted; a damaged replica is
+        // therefore repaired from the leader only
         if (recovery.isDamaged()) {
             return false;
         }
         return recovery.isLost() || snapshotWanted || log.endIndex() == 0 || log.committedIndex() == 0;
     }
 
-    private boolean takeMismatch(final int from, final PullReply reply) {
+    private boolean applyMismatch(final int from, final PullReply reply) {
         if (SourceStanding.FOLLOWER.is(reply)) {
             return false;
         }
@@ -273,16 +274,16 @@
             return true;
         }
         if (agreed < log.committedIndex()) {
-            out.error("group " + group + ": master " + from + " lacks accepted records after " + agreed);
+            out.error("group " + group + ": leader " + from + " lacks committed records after " + agreed);
             return false;
         }
         dropTransfers();
         log.truncate(agreed);
-        explain("diverged tail cut to " + agreed);
+        explain("truncated a diverged tail after " + agreed);
         return true;
     }
 
-    /** Drops the snapshots in transfer, in and out: they are not of the log as it is from here on. */
+    /** Drops the incoming and outgoing snapshots, which do not match the log after this change. */
     private void dropTransfers() {
         appender.dropSnapshot();
         dropReceived();
@@ -293,10 +294,10 @@
         out.note("group " + group + ": " + reason);
     }
 
-    private boolean takeRecords(final PullReply reply, final long now) {
+    private boolean applyRecords(final PullReply reply, final long now) {
         dropReceived();
-        // why: a late reply may belong to a log that was truncated since; what was appended afterwards must not become
-        // committed by it
+        // a late reply may refer to records that were truncated since; it must not commit what was appended in their
+        // place
         if (reply.askedIndex() < log.baseIndex()
                 || reply.askedIndex() > log.endIndex()
                 || log.termAt(reply.askedIndex()) != reply.askedTerm()) {
@@ -317,7 +318,7 @@
         return true;
     }
 
-    /** This log equals the source's up to the index. */
+    /** Commits what the reply allows: this log equals the source's up to the index. */
     private void onMatched(final long matchedIndex, final PullReply reply, final long now) {
         final boolean complete = matchedIndex >= reply.committed();
         log.commit(Math.min(reply.committed(), matchedIndex));
@@ -326,7 +327,7 @@
         }
         inSync = complete;
         if (SourceStanding.ACTING_LEADER.is(reply) && recovery.needsTarget()) {
-            recovery.target(reply.committed());
+            recovery.setTarget(reply.committed());
         }
         appender.answerPending(now);
     }
--- a/coordination/src/main/java/brookpath/coordination/group/LogState.java
+++ b/coordination/src/main/java/brookpath/coordination/group/LogState.java
@@ -3,33 +3,33 @@
 import brookpath.state.record.LogRecord;
 
 /**
- * The state that follows from a group's log alone, so that replicas with equal logs have equal states. Not thread-safe:
- * the group's state thread owns it.
+ * The state machine of a group: its state depends on the log alone, so replicas with equal logs have equal states. Not
+ * thread-safe: the group's state thread owns it.
  */
 public interface LogState {
-    /** Applies the next record of the log, which need not be committed yet. */
+    /** Applies the next record of the log, which may not be committed yet. */
     void apply(LogRecord logRecord);
 
-    /** The record is no longer kept in the log; its effect on the state stays. */
+    /** The record was trimmed from the log; its effect on the state remains. */
     void trimmed(LogRecord logRecord);
 
-    /** The complete state as bytes, for a snapshot. */
+    /** Serializes the complete state for a snapshot. */
     byte[] save();
 
-    /** Replaces the state by one that {@link #save} has returned. */
+    /** Replaces the state by one that {@link #save} has serialized. */
     void load(byte[] saved);
 
-    /** Everything up to the position is committed; what only an older position needs may be dropped. */
+    /** The log is committed up to the index; data that only an earlier index needs may be dropped. */
     default void committed(final long index) {
-        // why: most states keep nothing by position
+        // most states keep no data per index
     }
 
     /**
-     * Whether a replica still keeps a committed record in memory for followers that lag.
+     * Whether a replica still keeps a committed record in memory, for followers that lag.
      *
-     * @param now by the steady clock, as {@link LogRecord#learnedAt}
+     * @param now of the steady clock, as {@link LogRecord#learnedAt}
      * @param newerRecords how many records follow it
-     * @param newerBytes how many bytes those have
+     * @param newerBytes the total size of those records
      */
     boolean keeps(LogRecord logRecord, long now, int newerRecords, long newerBytes);
 }
--- a/coordination/src/main/java/brookpath/coordination/group/LogSweep.java
+++ b/coordination/src/main/java/brookpath/coordination/group/LogSweep.java
@@ -1,6 +1,6 @@
 package brookpath.coordination.group;
 
-/** Checks a few records of a log at a time, in a cycle, to find damaged records that no read has met. */
+/** Checks a few records of a log at a time, in a cycle, to find damaged records that no read has encountered. */
 final class LogSweep {
     /** No record is damaged. */
     static final long NONE = 0;
@@ -28,7 +28,7 @@
         return NONE;
     }
 
-    /** Begins again: the log was replaced. */
+    /** Restarts from the base of the log, after the log was replaced. */
     void restart() {
         position = 0;
     }
--- a/coordination/src/main/java/brookpath/coordination/group/Membership.java
+++ b/coordination/src/main/java/brookpath/coordination/group/Membership.java
@@ -4,17 +4,19 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The members of a group in one of its versions. Learners replicate the log, but neither vote nor count. Immutable. */
+/**
+ * One version of a group's membership. Learners replicate the log, but neither vote nor count for commits. Immutable.
+ */
 public record Membership(int version, List<Member> voters, List<Member> learners) {
-    /** No members, in version 0: before a group is configured. */
+    /** No members, in version 0: the membership of a group that is not configured yet. */
     public static final Membership NONE = new Membership(0, List.of(), List.of());
 
-    /** The membership as bytes, for a log record or a snapshot. */
+    /** Serializes the membership for a log record or a snapshot. */
     public byte[] save() {
         return buffer(PackedBuffer.writer()).toByteArray();
     }
 
-    /** Appends the membership to the buffer, and returns the buffer. */
+    /** Appends the serialized membership to the buffer, and returns the buffer. */
     public PackedBuffer buffer(final PackedBuffer buffer) {
         buffer.putLong(version);
         for (final List<Member> list : List.of(voters, learners)) {
@@ -37,7 +39,7 @@
         return List.copyOf(list);
     }
 
-    /** The node's member in the list, null where it has none. */
+    /** The member of the list with this node number, null for none. */
     public static Member find(final List<Member> list, final int node) {
         return list.stream().filter(m -> m.node() == node).findFirst().orElse(null);
     }
@@ -47,22 +49,22 @@
         return list.stream().filter(m -> find(from, m.node()) == null).toList();
     }
 
-    /** The next version, with this learner in addition. */
+    /** The next version, with this learner added. */
     public Membership withLearner(final Member m) {
         return new Membership(version + 1, voters, with(learners, m));
     }
 
-    /** The next version, without this learner. */
+    /** The next version, with this learner removed. */
     public Membership withoutLearner(final int node) {
         return new Membership(version + 1, voters, without(learners, node));
     }
 
-    /** The next version, with this learner as a voter. */
+    /** The next version, with this learner promoted to a voter. */
     public Membership promoted(final Member m) {
         return new Membership(version + 1, with(voters, m), without(learners, m.node()));
     }
 
-    /** The next version, without this voter. */
+    /** The next version, with this voter removed. */
     public Membership withoutVoter(final int node) {
         return new Membership(version + 1, without(voters, node), learners);
     }
@@ -83,8 +85,8 @@
     }
 
     /**
-     * The next single step on the way from one node to another, or null where nothing is left to do. A learner that
-     * leaves is removed at once.
+     * The next single step of moving a replica from one node to another, or null where the move is complete. A leaving
+     * learner is removed at once.
      */
     public Membership step(final int from, final Member to) {
         if (find(learners, from) != null) {
@@ -100,10 +102,10 @@
     }
 
     /**
-     * The next single step on the way from a lost node to another, or null where nothing is left to do. The lost one
-     * leaves before the learner becomes a voter, so that no majority ever counts on the learner being up.
+     * The next single step of replacing a lost node by another, or null where the replacement is complete. The lost
+     * voter is removed before the learner is promoted, so that no majority ever depends on the learner being up.
      *
-     * @param from 0 where a voter is missing and none leaves
+     * @param from the lost node; 0 where a voter is missing and none has to be removed
      */
     public Membership repairStep(final int from, final Member to) {
         final Member learner = find(learners, to.node());
--- a/coordination/src/main/java/brookpath/coordination/group/MembershipChange.java
+++ b/coordination/src/main/java/brookpath/coordination/group/MembershipChange.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * Whether a membership may follow the present one: one voter at a time, once the step before is committed, and only
- * while nothing committed rests on a replica that leaves. docs/design/control-membership.md has the reasons.
+ * Whether a membership may follow the present one: one voter at a time, once the previous change is committed, and only
+ * where no committed record depends on a replica that is removed. docs/design/control-membership.md has the reasons.
  */
 final class MembershipChange {
     private final int self;
@@ -29,14 +29,15 @@
         this.progress = progress;
     }
 
-    /** Whether the newest membership is committed, so that a next step may follow. */
+    /** Whether the newest membership is committed, so that the next change may follow. */
     boolean isSettled() {
         return membership.index() <= log.committedIndex();
     }
 
-    /** Whether this leader may append the membership now. */
+    /** Whether this leader may append a record with this membership now. */
     boolean isAllowed(final Membership next, final long now) {
-        // why: mayAct stands for a committed record of this term, without which a predecessor's change may be open
+        // mayAct implies a committed record of this term, without which a change by an earlier leader may still be
+        // pending
         if (!lease.mayAct(now) || !isSettled() || next.version() != membership.version() + 1) {
             return false;
         }
@@ -48,7 +49,7 @@
         if (joining.stream().anyMatch(m -> progress.ofLearner(m.node()) < log.committedIndex())) {
             return false;
         }
-        // why: what is committed must not rest on the replica of the one that leaves
+        // committed records must not depend on the replica of the voter that is removed
         return progress.replicasOfCommitted(next.voters())
                         >= Quorums.floor(next.voters().size(), toleratedLosses)
                 && lease.held(next.voters(), now);
--- a/coordination/src/main/java/brookpath/coordination/group/MembershipDriver.java
+++ b/coordination/src/main/java/brookpath/coordination/group/MembershipDriver.java
@@ -6,76 +6,78 @@
 import java.util.TreeMap;
 
 /**
- * Carries out the control leader's orders on the groups that this node leads: one membership record at a time, the next
- * one as soon as the one before is committed. Takes (event, now); it has no clock and no I/O. Not thread-safe: the
+ * Executes the control leader's orders on the groups that this node leads: one membership record at a time, the next
+ * one as soon as the previous one is committed. Takes (event, now); it has no clock and no I/O. Not thread-safe: the
  * state thread owns it.
  */
 public final class MembershipDriver {
-    /** An order that is not repeated within so many heartbeat periods is dropped. */
-    private static final int ORDER_LASTS_HEARTBEATS = 6;
-    /** The most extra heartbeats in a period while a learner's first answer is awaited. */
+    /** An order that is not repeated within this many heartbeat periods is dropped. */
+    private static final int ORDER_EXPIRY_HEARTBEATS = 6;
+    /** The maximum number of extra heartbeats per period while a learner's first answer is awaited. */
     private static final int EXTRA_HEARTBEATS = 8;
-    /** The rank of a replica that replaces no other. */
+    /** The rank in elections of a replica that replaces no other. */
     private static final int SPARE_WEIGHT = 30;
 
     /**
-     * @param atVersion the membership that this order may be applied to: its own, or what it has made of that so far
+     * An order in progress.
+     *
+     * @param atVersion the group version that the order applies to: its own, or that of its newest step
      */
-    private record Running(MoveOrder order, int atVersion, long expiresAt) {}
+    private record ActiveOrder(MoveOrder order, int atVersion, long expiresAt) {}
 
     private final int self;
     private final TimingBounds timing;
-    private final TreeMap<Integer, Running> running = new TreeMap<>();
+    private final TreeMap<Integer, ActiveOrder> activeOrders = new TreeMap<>();
     private long nextHeartbeat = Long.MIN_VALUE;
 
-    /** Starts without orders; {@code self} is this node's number. */
+    /** Creates a driver without orders; {@code self} is this node's number. */
     public MembershipDriver(final int self, final TimingBounds timing) {
         this.self = self;
         this.timing = timing;
     }
 
-    /** Takes an order; one that was made for another membership is ignored, unless it repeats the one in progress. */
+    /** Accepts an order; one for another group version is ignored, unless it repeats the order in progress. */
     public void order(final MoveOrder order, final GroupMachine group, final long now) {
-        final Running before = running.get(group.id());
+        final ActiveOrder before = activeOrders.get(group.id());
         final int version = group.membership().version();
-        final long expiresAt = now + ORDER_LASTS_HEARTBEATS * timing.heartbeat();
+        final long expiresAt = now + ORDER_EXPIRY_HEARTBEATS * timing.heartbeat();
         if (order.groupVersion() == version) {
-            running.put(group.id(), new Running(order, version, expiresAt));
-        } else if (before != null && before.order.sameMove(order)) {
-            running.put(group.id(), new Running(before.order, before.atVersion, expiresAt));
+            activeOrders.put(group.id(), new ActiveOrder(order, version, expiresAt));
+        } else if (before != null && before.order.isSameMove(order)) {
+            activeOrders.put(group.id(), new ActiveOrder(before.order, before.atVersion, expiresAt));
         }
     }
 
     /**
      * Appends the next membership record of the order in progress, where that is due and safe.
      *
-     * @return true where the step waits for an answer to a heartbeat, so that one should be sent now
+     * @return true where the step waits for an answer to a heartbeat, so that a heartbeat should be sent now
      */
     public boolean drive(final GroupMachine group, final HeartbeatTable table, final long now, final long wall) {
-        final Running run = running.get(group.id());
-        if (run == null || !group.mayAct(now) || !group.membershipSettled()) {
+        final ActiveOrder active = activeOrders.get(group.id());
+        if (active == null || !group.mayAct(now) || !group.membershipSettled()) {
             return false;
         }
         final Membership present = group.membership();
-        final Membership next = next(present, run.order);
-        if (now >= run.expiresAt || run.atVersion != present.version() || next == null) {
-            running.remove(group.id());
+        final Membership next = next(present, active.order);
+        if (now >= active.expiresAt || active.atVersion != present.version() || next == null) {
+            activeOrders.remove(group.id());
             return false;
         }
-        if (!allowed(group, present, next, run.order, table, now)) {
-            return wantsHeartbeat(group, run.order, now);
+        if (!isAllowed(group, present, next, active.order, table, now)) {
+            return needsHeartbeat(group, active.order, now);
         }
-        if (run.order.from() == self && !next.holds(self)) {
+        if (active.order.from() == self && !next.holds(self)) {
             transferLeadership(group, next, now);
             return false;
         }
         if (group.change(next, now, wall)) {
-            running.put(group.id(), new Running(run.order, next.version(), run.expiresAt));
+            activeOrders.put(group.id(), new ActiveOrder(active.order, next.version(), active.expiresAt));
         }
         return false;
     }
 
-    private boolean wantsHeartbeat(final GroupMachine group, final MoveOrder order, final long now) {
+    private boolean needsHeartbeat(final GroupMachine group, final MoveOrder order, final long now) {
         final boolean waits =
                 group.learnerSyncedIndex(order.to()) >= group.committed() && !group.answersWithinLease(order.to(), now);
         if (!waits || now < nextHeartbeat) {
@@ -92,7 +94,7 @@
         return order.repair() ? present.repairStep(order.from(), joining) : present.step(order.from(), joining);
     }
 
-    private static boolean allowed(
+    private static boolean isAllowed(
             final GroupMachine group,
             final Membership present,
             final Membership next,
@@ -100,14 +102,15 @@
             final HeartbeatTable table,
             final long now) {
         if (next.learners().size() > present.learners().size()) {
-            // why: the control leader may be cut off from a machine that this group's leader hears well
+            // a repair is void while this group's leader hears the node, since the control leader alone may be cut off
+            // from it
             return !order.repair() || !table.up(order.from());
         }
         if (next.voters().size() == present.voters().size()) {
             return true;
         }
-        // why: a majority of the new voters must answer before they count, else the step itself ends this leadership
-        if (following(group, next.voters(), now)
+        // a majority of the new voters must answer before they count, or the step itself would end this leadership
+        if (countAnswering(group, next.voters(), now)
                 < Quorums.majority(next.voters().size())) {
             return false;
         }
@@ -116,29 +119,32 @@
                 : mayRemove(group, next, order, table.up(order.from()), now);
     }
 
-    private static long following(final GroupMachine group, final List<Member> voters, final long now) {
+    private static long countAnswering(final GroupMachine group, final List<Member> voters, final long now) {
         return voters.stream()
                 .filter(m -> group.answersWithinLease(m.node(), now))
                 .count();
     }
 
-    /** A learner becomes a voter once it has all that is committed and, except in a repair, all new voters answer. */
+    /**
+     * A learner is promoted once it has everything that is committed and, except in a repair, all new voters answer.
+     */
     private static boolean mayPromote(
             final GroupMachine group, final Membership next, final MoveOrder order, final long now) {
-        final boolean ready = ready(group, order.to(), now);
+        final boolean ready = isReady(group, order.to(), now);
         return ready
                 && (order.repair()
-                        || following(group, next.voters(), now) == next.voters().size());
+                        || countAnswering(group, next.voters(), now)
+                                == next.voters().size());
     }
 
-    private static boolean ready(final GroupMachine group, final int learner, final long now) {
+    private static boolean isReady(final GroupMachine group, final int learner, final long now) {
         return group.learnerSyncedIndex(learner) >= group.committed() && group.answersWithinLease(learner, now);
     }
 
     /**
-     * A voter may be removed once every committed record is on enough of those that stay. One that is up is removed
-     * only once all of these answer and have synced the present membership, for until then its replica may be needed;
-     * where its successor is still a learner, only once that has all that is committed.
+     * A voter may be removed once enough of the remaining voters hold every committed record. A voter that is up is
+     * removed only once all remaining voters answer and have synced the present membership, since its replica may be
+     * needed until then. Where its successor is still a learner, it is removed only once that has everything committed.
      */
     private static boolean mayRemove(
             final GroupMachine group,
@@ -155,7 +161,7 @@
             return false;
         }
         if (Membership.find(next.learners(), order.to()) != null) {
-            return ready(group, order.to(), now);
+            return isReady(group, order.to(), now);
         }
         return !leaverUp
                 || staying.stream()
--- a/coordination/src/main/java/brookpath/coordination/group/MembershipPlan.java
+++ b/coordination/src/main/java/brookpath/coordination/group/MembershipPlan.java
@@ -10,12 +10,12 @@
 import java.util.stream.Collectors;
 
 /**
- * Decides which single step a group's membership takes next: dead voters are replaced by synced learners, the group is
- * filled up to its target, and voters are spread over zones. A pure function; docs/design/control-membership.md has the
+ * Decides the next single step of a group's membership: dead voters are replaced by synced learners, the group grows to
+ * its target size, and voters are spread over zones. A pure function; docs/design/control-membership.md has the
  * reasons.
  */
 public final class MembershipPlan {
-    /** Fewer voters than this tolerate no loss, so none is removed without a replacement. */
+    /** A group with fewer voters tolerates no loss, so no voter is removed below this number without a replacement. */
     private static final int MIN_VOTERS = 3;
 
     private static final int WEIGHT = 50;
@@ -23,21 +23,21 @@
     /**
      * A process that could be a member, as the leader sees it.
      *
-     * @param quietMs how long nothing has been heard of it
-     * @param synced it answers, and its replica holds all that is committed
-     * @param steady it has answered for long without a break
+     * @param quietMs for how long nothing has been heard from it
+     * @param synced whether it answers, and its replica holds everything that is committed
+     * @param steady whether it has answered for a long time without interruption
      */
     public record Candidate(int node, String zone, long quietMs, boolean synced, boolean steady) {}
 
     /**
-     * The bounds of the plan.
+     * The targets and time limits of the plan.
      *
-     * @param voters how many voters the group is to have
-     * @param replaceAfterMs a voter that is quiet for longer is replaced
-     * @param forgetAfterMs a learner that is quiet for longer is dropped
+     * @param voters the target number of voters
+     * @param replaceAfterMs a voter that is silent for longer is replaced
+     * @param forgetAfterMs a learner that is silent for longer is removed
      */
     public record Limits(int voters, long replaceAfterMs, long forgetAfterMs) {
-        /** The number of voters that tolerates so many losses, three at least. */
+        /** The number of voters that tolerates this many losses, at least three. */
         public static int votersFor(final int toleratedLosses) {
             return Math.max(MIN_VOTERS, 2 * toleratedLosses + 1);
         }
@@ -59,10 +59,10 @@
     }
 
     /**
-     * The next membership, or null where nothing is to be done.
+     * The next membership, or null where no change is needed.
      *
-     * @param self the leader, which is never removed
-     * @param candidates all members, and all others that are heard
+     * @param self this node, the leader, which is never removed
+     * @param candidates all members, and all other nodes that are heard
      */
     public static Membership next(
             final Membership present, final int self, final Limits limits, final List<Candidate> candidates) {
@@ -78,7 +78,7 @@
             return present.promoted(replacement);
         }
         if (quietVoter() != null && isEven() && present.voters().size() > MIN_VOTERS) {
-            // why: a dead voter beside an odd number of others only raises the majority
+            // besides an odd number of other voters a dead one only raises the majority
             return present.withoutVoter(quietVoter().node());
         }
         final Membership learners = changedLearners();
@@ -101,7 +101,7 @@
         return present.learners().stream().map(this::of).toList();
     }
 
-    /** The voter that has been quiet longest, null where none is too quiet. */
+    /** The voter that has been silent longest, null where none has been for longer than {@code replaceAfterMs}. */
     private Candidate quietVoter() {
         return voters().stream()
                 .filter(c -> c.node() != self && c.quietMs() > limits.replaceAfterMs())
@@ -110,8 +110,8 @@
     }
 
     /**
-     * The voter to remove from a group with too many: a dead one, else the newest that shares its zone, else the
-     * newest.
+     * The voter to remove from a group with too many: a dead one, else the newest that shares its zone with another,
+     * else the newest.
      */
     private int surplusVoter() {
         if (quietVoter() != null) {
@@ -129,7 +129,7 @@
         return voters().stream().filter(c -> c.zone().equals(zone)).count();
     }
 
-    /** The learner to make a voter: one that is synced, in a zone with the fewest live voters; null for none. */
+    /** The learner to promote: one that is synced, in the zone with the fewest live voters; null for none. */
     private Member bestLearner() {
         final Map<String, Long> living = voters().stream()
                 .filter(c -> c.quietMs() <= limits.replaceAfterMs())
@@ -147,8 +147,8 @@
     }
 
     /**
-     * Adds all nodes that are heard as learners and drops learners that have been silent for long; null where nothing
-     * changes.
+     * Adds all nodes that are heard as learners, and removes learners that have been silent for longer than
+     * {@code forgetAfterMs}; null where nothing changes.
      */
     private Membership changedLearners() {
         final List<Member> learners = new ArrayList<>();
@@ -168,7 +168,8 @@
     }
 
     /**
-     * Where all voters are healthy and two share a zone, a learner of another zone joins; one of the two then leaves.
+     * Where all voters are steady and two share a zone, promotes a learner of another zone; one of the two is removed
+     * in the next step.
      */
     private Membership spread() {
         final Set<String> zones = new HashSet<>();
--- a/coordination/src/main/java/brookpath/coordination/group/MoveOrder.java
+++ b/coordination/src/main/java/brookpath/coordination/group/MoveOrder.java
@@ -3,13 +3,13 @@
 import brookpath.state.record.PackedBuffer;
 
 /**
- * The control leader's order to a group's leader: a replica moves from one node to another.
+ * The control leader's order to a group's leader to move a replica from one node to another.
  *
- * @param groupVersion the membership that the order was made for; it is void on any other
+ * @param groupVersion the version of the membership that the order applies to; it is void on any other
  * @param repair the leaving node is considered lost, so the order is void while the group's leader hears it
  */
 public record MoveOrder(int group, int groupVersion, int from, int to, String zone, boolean repair) {
-    /** The order as bytes, for the body of a control request. */
+    /** Serializes the order for the body of a control request. */
     public byte[] save() {
         return PackedBuffer.writer()
                 .putLong(group)
@@ -33,8 +33,8 @@
                 in.getLong() == 1);
     }
 
-    /** Whether the other order asks for the same move, if perhaps as of another membership. */
-    boolean sameMove(final MoveOrder other) {
+    /** Whether the other order is for the same move, perhaps on another membership. */
+    boolean isSameMove(final MoveOrder other) {
         return from == other.from && to == other.to;
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/group/PeerView.java
+++ b/coordination/src/main/java/brookpath/coordination/group/PeerView.java
@@ -5,12 +5,12 @@
 import java.util.List;
 
 /**
- * What the heartbeats report of one group's other members. Entries that are older than two heartbeats count for
- * nothing. Not thread-safe: the group's state thread owns it; the table itself is an immutable snapshot.
+ * What the heartbeats report about the other members of one group. Entries older than two heartbeats are ignored. Not
+ * thread-safe: the group's state thread owns it; the table itself is an immutable snapshot.
  */
 final class PeerView {
     /** No node. */
-    static final int NOBODY = 0;
+    static final int NO_NODE = 0;
 
     private final int group;
     private final int self;
@@ -21,17 +21,17 @@
         this.self = self;
     }
 
-    /** Takes the newest table. */
+    /** Adopts the newest heartbeat table. */
     void update(final HeartbeatTable newTable) {
         table = newTable;
     }
 
-    /** What the node last reported of this group, null where that is too old or where the node is this member. */
+    /** What the node last reported about this group, null where that is too old or the node is this member. */
     HeartbeatEntry entry(final int node, final long now) {
         return node == self ? null : table.fresh(node, group, now);
     }
 
-    /** The node's row, null where it was never a peer. */
+    /** The node's row in the heartbeat table, null where it was never a peer. */
     HeartbeatTable.Row row(final int node) {
         return table.row(node);
     }
@@ -41,7 +41,7 @@
         return table.up(node);
     }
 
-    /** Whether the node answers, and its replica counts. */
+    /** Whether the node answers heartbeats, and its replica is not lost. */
     boolean active(final int node, final long now) {
         final HeartbeatEntry entry = entry(node, now);
         return entry != null && entry.sync() != SyncState.LOST.code() && up(node);
@@ -57,13 +57,14 @@
     }
 
     /**
-     * The node that reports to lead the group in the highest term that is not below the given one, else
-     * {@link #NOBODY}.
+     * The node that reports itself as the leader of the group in the highest term, but none below the given one; else
+     * {@link #NO_NODE}.
      */
     int leader(final long lowestTerm, final long now) {
-        int leader = NOBODY;
+        int leader = NO_NODE;
         long best = lowestTerm;
-        // why: a membership here that was never committed may lack the node that leads the group by now
+        // all nodes are considered: this member's newest membership may never be committed, and may lack the present
+        // leader
         for (final HeartbeatTable.Row row : table.rows()) {
             final HeartbeatEntry entry = entry(row.node(), now);
             if (entry != null && entry.role() == GroupRole.LEADER.code() && entry.term() >= best) {
--- a/coordination/src/main/java/brookpath/coordination/group/PullReplyKind.java
+++ b/coordination/src/main/java/brookpath/coordination/group/PullReplyKind.java
@@ -2,9 +2,9 @@
 
 import brookpath.coordination.message.PeerMessage.PullReply;
 
-/** What a reply to a pull holds; the code is on the wire. */
+/** The content of a reply to a pull; the code is on the wire. */
 enum PullReplyKind {
-    /** The records that follow, perhaps none. */
+    /** The requested records, perhaps none. */
     RECORDS(PullReply.RECORDS),
     /** The logs differ before the requested index; the reply names an earlier one to try. */
     MISMATCH(PullReply.MISMATCH),
@@ -19,7 +19,7 @@
         this.code = code;
     }
 
-    /** The number on the wire. */
+    /** The code on the wire. */
     int code() {
         return code;
     }
--- a/coordination/src/main/java/brookpath/coordination/group/RaftLog.java
+++ b/coordination/src/main/java/brookpath/coordination/group/RaftLog.java
@@ -8,17 +8,17 @@
 import java.util.function.Supplier;
 
 /**
- * One member's replica of a group's log: the records after a base, the state that follows from them, and how far they
- * are synced and committed. Indexes are consecutive and begin at 1; the base stands for all records that were trimmed.
+ * One member's replica of a group's log: the records after a base, the state that they result in, and how far they are
+ * synced and committed. Indexes are consecutive and begin at 1; the base replaces all records that were trimmed.
  *
  * <p>Invariants: {@code baseIndex <= committedIndex}; a record that is committed is never truncated; equal digests at
  * an index mean equal logs up to there. Not thread-safe: the group's state thread owns it.
  */
 final class RaftLog {
-    /** Beyond so many bytes that the member's own disk has not synced, a leader accepts nothing more. */
+    /** A leader with more unsynced bytes than this on its own disk accepts no further records. */
     private static final int MAX_UNSYNCED_BYTES = 1 << 20;
 
-    /** The log is trimmed in steps of so many records or bytes, so that the list is not shifted for each record. */
+    /** The log is trimmed in steps of this many records or bytes, so that the list is not shifted for each record. */
     private static final int TRIM_RECORDS = 64;
 
     private static final int TRIM_BYTES = 64 << 10;
@@ -36,7 +36,7 @@
     private long baseIndex;
     private long baseTerm;
     private long baseDigest;
-    /** The newest membership among the trimmed records, null for none. */
+    /** The newest membership in the trimmed records, null for none. */
     private Membership baseMembership;
 
     private LogState base;
@@ -52,8 +52,8 @@
     private long unsyncedBytes;
 
     /**
-     * @param states makes the empty state that an empty log stands for
-     * @param membershipChanged run after each change of the log that may change the newest membership in it
+     * @param states creates the state of an empty log
+     * @param membershipChanged run after each change of the log that may change its newest membership
      */
     RaftLog(final int group, final Supplier<LogState> states, final Runnable membershipChanged, final Actions out) {
         this.group = group;
@@ -130,7 +130,7 @@
         return index < baseIndex || index > endIndex() ? -1 : digests.get((int) (index - baseIndex - 1));
     }
 
-    /** The wall-clock stamp of the last record in milliseconds, 0 where none is kept. */
+    /** The wall-clock time stamp of the last record in milliseconds, 0 where the log holds none. */
     long lastStamp() {
         return records.isEmpty() ? 0 : records.get(records.size() - 1).stamp();
     }
@@ -142,7 +142,7 @@
 
     // ---- appending and syncing
 
-    /** Appends a record and writes it. */
+    /** Appends a record and writes it to disk. */
     void append(final LogRecord logRecord) {
         replay(logRecord);
         final long write = out.write(
@@ -151,14 +151,14 @@
     }
 
     /**
-     * Appends a record that is on disk.
+     * Appends a record that is on disk already.
      *
      * @throws IllegalStateException where it does not follow the last one
      */
     void replay(final LogRecord logRecord) {
         if (logRecord.index() != endIndex() + 1) {
             throw new IllegalStateException(
-                    "group " + group + ": record " + logRecord.index() + " after " + endIndex());
+                    "group " + group + ": record " + logRecord.index() + " does not follow " + endIndex());
         }
         digests.add(digest(digests.isEmpty() ? baseDigest : digests.get(digests.size() - 1), logRecord));
         records.add(logRecord);
@@ -179,7 +179,7 @@
         unsyncedBytes += size;
     }
 
-    /** All writes up to this number are synced. */
+    /** Notes that all writes up to this number are synced. */
     void synced(final long write) {
         while (!unsynced.isEmpty() && unsynced.peek().write <= write) {
             final Unsynced done = unsynced.poll();
@@ -193,22 +193,22 @@
         syncedIndex = endIndex();
     }
 
-    /** Whether writes of this log are pending. */
+    /** Whether any write of this log is not synced yet. */
     boolean hasUnsynced() {
         return !unsynced.isEmpty();
     }
 
-    /** How long the oldest write of this log has been pending, in milliseconds; 0 for none. */
+    /** How long the oldest unsynced write of this log has been pending, in milliseconds; 0 for none. */
     long syncLag(final long now) {
         return unsynced.isEmpty() ? 0 : now - unsynced.peek().since;
     }
 
-    /** Whether so many bytes wait for this member's own disk that nothing more is to be appended. */
+    /** Whether so many bytes are not yet synced to this member's own disk that nothing more may be appended. */
     boolean syncBacklogged() {
         return unsyncedBytes > MAX_UNSYNCED_BYTES;
     }
 
-    /** The log is known to be committed up to the index; a lower one than before changes nothing. */
+    /** Raises the committed index; a lower one than before changes nothing. */
     void commit(final long index) {
         if (index > committedIndex) {
             committedIndex = index;
@@ -218,13 +218,13 @@
 
     // ---- truncating and trimming
 
-    /** Drops all records after the index and writes that. */
+    /** Drops all records after the index, and writes the truncation to disk. */
     void truncate(final long index) {
         replayTruncate(index);
         out.write(GroupEntryKind.TRUNCATE.entry(group).putLong(index).toByteArray());
     }
 
-    /** Drops all records after the index, which is on disk already. */
+    /** Drops all records after the index, by a truncation that is on disk already. */
     void replayTruncate(final long index) {
         records.subList((int) (index - baseIndex), records.size()).clear();
         digests.subList((int) (index - baseIndex), digests.size()).clear();
@@ -242,7 +242,7 @@
     /**
      * Moves the base over the records that the state no longer keeps, where there are enough of them.
      *
-     * @param limit records after this index stay; those that are not synced and committed stay anyway
+     * @param limit records after this index are kept, as are all that are not both synced and committed
      */
     void trim(final long limit, final long now) {
         final long last = Math.min(limit, Math.min(committedIndex, syncedIndex));
@@ -282,7 +282,7 @@
 
     // ---- membership records
 
-    /** The newest record with a membership that is kept, null for none. */
+    /** The newest membership record after the base, null for none. */
     LogRecord newestMembershipRecord() {
         for (int i = records.size() - 1; i >= 0; i--) {
             if (records.get(i).kind() == LogRecord.MEMBERS) {
@@ -292,14 +292,14 @@
         return null;
     }
 
-    /** The newest membership among the trimmed records, null for none. */
+    /** The newest membership in the trimmed records, null for none. */
     Membership baseMembership() {
         return baseMembership;
     }
 
     // ---- snapshots
 
-    /** The complete log as bytes: the state at the base, and the records after it. */
+    /** Serializes the complete log: the state at the base, and the records after it. */
     byte[] snapshot() {
         final PackedBuffer buffer = PackedBuffer.writer()
                 .putLong(baseIndex)
@@ -314,7 +314,7 @@
         return buffer.toByteArray();
     }
 
-    /** Replaces the complete log by a snapshot and writes it; nothing but its base counts as synced yet. */
+    /** Replaces the complete log by a snapshot and writes that to disk; only its base counts as synced until then. */
     void install(final byte[] snapshot, final long now) {
         replaySnapshot(snapshot, now);
         syncedIndex = baseIndex;
--- a/coordination/src/main/java/brookpath/coordination/group/ReplicaProgress.java
+++ b/coordination/src/main/java/brookpath/coordination/group/ReplicaProgress.java
@@ -6,8 +6,8 @@
 import java.util.TreeMap;
 
 /**
- * How far the group's replicas are known to be synced, as their leader counts it, and the rule by which that commits
- * the log. Not thread-safe: the group's state thread owns it.
+ * How far the group's replicas are known to be synced, as the leader counts it, and the commit rule. Not thread-safe:
+ * the group's state thread owns it.
  */
 final class ReplicaProgress {
     /** Nothing is known of the replica. */
@@ -25,12 +25,12 @@
         this.log = log;
     }
 
-    /** Forgets what was acknowledged by voters. */
+    /** Forgets the progress of all voters. */
     void clearVoters() {
         voters.clear();
     }
 
-    /** Forgets everything: a new leadership begins. */
+    /** Forgets the progress of all replicas: a new leadership begins. */
     void clear() {
         voters.clear();
         learners.clear();
@@ -41,7 +41,7 @@
         voters.merge(node, index, Math::max);
     }
 
-    /** A learner has synced the leader's log up to the index, {@link #UNKNOWN} where it may not vote. */
+    /** A learner has synced the leader's log up to the index; {@link #UNKNOWN} where it may not become a voter. */
     void learnerSynced(final int node, final long index) {
         learners.put(node, index);
     }
@@ -76,7 +76,7 @@
         return replicas;
     }
 
-    /** How many of these members, some of whom may be learners yet, have synced all that is committed. */
+    /** How many of these members, some of which may still be learners, have synced everything that is committed. */
     int replicasOfCommitted(final List<Member> members) {
         int replicas = 0;
         for (final Member member : members) {
@@ -97,14 +97,14 @@
      */
     long committable(final int needed, final long openIndex, final long term) {
         final long index = syncedByAtLeast(needed);
-        // why: records of earlier terms count as committed only once a record of this one is
+        // records of earlier terms are committed only together with a record of this one
         if (index > log.committedIndex() && index >= openIndex && log.termAt(index) == term) {
             return index;
         }
         return log.committedIndex();
     }
 
-    /** The highest index up to which at least so many voters have synced the log. */
+    /** The highest index up to which at least this many voters have synced the log. */
     private long syncedByAtLeast(final int needed) {
         final List<Member> members = membership.voters();
         final long[] synced = new long[members.size()];
--- a/coordination/src/main/java/brookpath/coordination/group/ReplicaRecovery.java
+++ b/coordination/src/main/java/brookpath/coordination/group/ReplicaRecovery.java
@@ -3,10 +3,10 @@
 import brookpath.coordination.action.Actions;
 
 /**
- * Whether this member's replica counts. A replica is lost where its disk was found empty though the group was founded:
- * it must not vote until it is rebuilt, for it does not know its former votes. A replica is damaged where the content
- * of a record is: the vote and the end of the log are still known, so the member may vote. Not thread-safe: the group's
- * state thread owns it.
+ * Whether this member's replica counts. A replica is lost where its disk was found empty although the group was
+ * founded: the member must not vote until the replica is rebuilt, since it does not know its former votes. A replica is
+ * damaged where the content of a record is: the vote and the end of the log are still known, so the member may vote.
+ * Not thread-safe: the group's state thread owns it.
  */
 final class ReplicaRecovery {
     private static final long UNKNOWN = -1;
@@ -18,9 +18,9 @@
     private boolean initialised;
     private boolean diskLost;
     private boolean damaged;
-    /** Up to where the log has to be synced for the replica to count again. */
+    /** The index up to which the log has to be synced for the replica to count again. */
     private long target = UNKNOWN;
-    /** The write that records that this replica is rebuilt, until it is synced. */
+    /** The number of the write that records the rebuilt replica, until that is synced. */
     private long rebuiltWrite = NO_WRITE;
 
     ReplicaRecovery(final int group, final RaftLog log, final Actions out) {
@@ -29,7 +29,7 @@
         this.out = out;
     }
 
-    /** Whether it is known if this replica was lost; before that the member may neither vote nor stand. */
+    /** Whether it is known if this replica was lost; before that the member may neither vote nor stand for election. */
     boolean isInitialised() {
         return initialised;
     }
@@ -44,7 +44,7 @@
         return damaged;
     }
 
-    /** Whether this replica does not count and is to be rebuilt from another. */
+    /** Whether this replica is lost or damaged: it does not count and has to be rebuilt from another. */
     boolean isLost() {
         return diskLost || damaged;
     }
@@ -55,7 +55,7 @@
         diskLost = lost;
     }
 
-    /** The first start on this disk: writes whether it was lost. */
+    /** Writes whether the replica was lost, on the first start with this disk. */
     void initialise(final boolean lost) {
         if (!initialised) {
             replay(lost);
@@ -73,45 +73,45 @@
     }
 
     /** A record was found damaged. */
-    void damage() {
+    void markDamaged() {
         damaged = true;
         target = UNKNOWN;
     }
 
-    /** Whether the index that the log has to reach is still to be learnt from an acting leader. */
+    /** Whether the index that the log has to reach still has to be learnt from an acting leader. */
     boolean needsTarget() {
         return isLost() && target == UNKNOWN;
     }
 
     /** An acting leader has committed the log up to the index, so the rebuilt replica has to reach it. */
-    void target(final long committedIndex) {
+    void setTarget(final long committedIndex) {
         target = committedIndex;
     }
 
     /**
-     * All writes up to this number are synced.
+     * Notes that all writes up to this number are synced.
      *
-     * @param snapshotWanted a complete snapshot is still to come
+     * @param snapshotWanted whether a complete snapshot is still to be received
      * @return why the replica counts again, null where nothing has changed
      */
     String synced(final long number, final boolean snapshotWanted) {
         String reason = null;
         if (damaged && !diskLost && !snapshotWanted && !log.hasUnsynced()) {
-            // why: it has forgotten no vote, so the leader's log, complete and synced, makes its replica as good as
-            // that of any other follower
+            // the member has lost no vote, so once the leader's complete log is synced its replica counts like any
+            // other follower's
             damaged = false;
-            reason = "copy mended up to " + log.syncedIndex();
+            reason = "replica repaired up to " + log.syncedIndex();
         }
         if (isLost() && reachedTarget() && rebuiltWrite == NO_WRITE) {
             rebuiltWrite = out.write(entry(false));
         }
-        // why: once others are notified that this replica counts, it must count after a crash, too
+        // once others are notified that this replica counts, it must also count after a crash
         if (rebuiltWrite > NO_WRITE && number >= rebuiltWrite) {
             rebuiltWrite = NO_WRITE;
             diskLost = false;
             damaged = false;
             target = UNKNOWN;
-            reason = "copy rebuilt up to " + log.syncedIndex();
+            reason = "replica rebuilt up to " + log.syncedIndex();
         }
         return reason;
     }
--- a/coordination/src/main/java/brookpath/coordination/group/RoleState.java
+++ b/coordination/src/main/java/brookpath/coordination/group/RoleState.java
@@ -1,15 +1,15 @@
 package brookpath.coordination.group;
 
 /**
- * The one owner of a member's role in its group: follower, candidate or leader, and which member it sees as the leader.
- * Each transition records its reason. Not thread-safe: the group's state thread owns it.
+ * Owns a member's role in its group: follower, candidate or leader, and which member it considers the leader. Each
+ * transition records its reason. Not thread-safe: the group's state thread owns it.
  */
 final class RoleState {
     private final int self;
     private GroupRole role = GroupRole.FOLLOWER;
     private long openIndex;
     private long leaderSince;
-    private int leader = PeerView.NOBODY;
+    private int leader = PeerView.NO_NODE;
     private String reason = "started";
 
     RoleState(final int self) {
@@ -33,19 +33,19 @@
     }
 
     /**
-     * The leader as this member sees it; {@link PeerView#NOBODY} where it hears none, and while its own lease has run
-     * out.
+     * The leader as this member sees it; {@link PeerView#NO_NODE} where none is reported, and for a leader whose lease
+     * has run out.
      */
     int leader() {
         return leader;
     }
 
-    /** Whether another member is heard as the leader. */
-    boolean hearsOtherLeader() {
-        return leader != PeerView.NOBODY && leader != self;
+    /** Whether this member considers another one the leader. */
+    boolean hasOtherLeader() {
+        return leader != PeerView.NO_NODE && leader != self;
     }
 
-    /** The index at which this leader opened its term, 0 while it leads nothing. */
+    /** The index of the record with which this leader opened its term, 0 while it is not the leader. */
     long openIndex() {
         return openIndex;
     }
@@ -66,7 +66,7 @@
     }
 
     /** Sets the leader that the heartbeats report. */
-    void hear(final int newLeader) {
+    void setLeader(final int newLeader) {
         leader = newLeader;
     }
 
@@ -81,7 +81,7 @@
         reason = newReason;
     }
 
-    /** Has won an election, and opens its term with the record at the index. */
+    /** Becomes the leader after winning an election, and opens its term with the record at the index. */
     void becomeLeader(final long newOpenIndex, final String newReason, final long now) {
         role = GroupRole.LEADER;
         openIndex = newOpenIndex;
@@ -90,11 +90,11 @@
         reason = newReason;
     }
 
-    /** No longer leads. */
+    /** Becomes a follower after having been the leader. */
     void stepDown(final String newReason) {
         role = GroupRole.FOLLOWER;
         openIndex = 0;
-        leader = PeerView.NOBODY;
+        leader = PeerView.NO_NODE;
         reason = newReason;
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/group/SnapshotChecksum.java
+++ b/coordination/src/main/java/brookpath/coordination/group/SnapshotChecksum.java
@@ -4,13 +4,12 @@
 import java.util.zip.CRC32C;
 
 /**
- * The checksum that identifies a snapshot. A snapshot begins with its base position, so the checksum covers that as
- * well.
+ * The checksum that identifies a snapshot. A snapshot begins with its base index, so the checksum covers that as well.
  */
 final class SnapshotChecksum {
     private SnapshotChecksum() {}
 
-    /** Never 0, which stands for no snapshot. */
+    /** The checksum of the snapshot; never 0, which means no snapshot. */
     static long of(final byte[] snapshot) {
         final CRC32 high = new CRC32();
         high.update(snapshot);
--- a/coordination/src/main/java/brookpath/coordination/group/SnapshotReceiver.java
+++ b/coordination/src/main/java/brookpath/coordination/group/SnapshotReceiver.java
@@ -5,8 +5,8 @@
 import java.io.ByteArrayOutputStream;
 
 /**
- * The receiving side of a full sync: collects the parts of one snapshot. It survives a lost session and a change of the
- * source; a part of another snapshot restarts it.
+ * The receiving side of a full sync: collects the parts of one snapshot. The transfer continues after a lost session or
+ * a change of the source; a part of another snapshot restarts it.
  */
 final class SnapshotReceiver {
     private long sum;
@@ -23,7 +23,7 @@
         return received.size();
     }
 
-    /** Takes one part; returns the snapshot once it is complete and its checksum fits, else null. */
+    /** Adds one part; returns the snapshot once it is complete and its checksum matches, else null. */
     byte[] take(final PullReply part) {
         if (part.snapshotSum() != sum || part.snapshotTotal() != total) {
             reset();
@@ -38,9 +38,9 @@
             return null;
         }
         final byte[] snapshot = received.toByteArray();
-        final boolean whole = snapshot.length == total && SnapshotChecksum.of(snapshot) == sum;
+        final boolean complete = snapshot.length == total && SnapshotChecksum.of(snapshot) == sum;
         reset();
-        return whole ? snapshot : null;
+        return complete ? snapshot : null;
     }
 
     /** Drops the parts that were received. */
--- a/coordination/src/main/java/brookpath/coordination/group/SnapshotSender.java
+++ b/coordination/src/main/java/brookpath/coordination/group/SnapshotSender.java
@@ -3,13 +3,13 @@
 import java.util.Arrays;
 
 /**
- * The sending side of a full sync: one snapshot of the group, built once and sent in parts to all receivers. It is
- * dropped when no part was requested for a while, or when the log that it was made of is truncated.
+ * The sending side of a full sync: caches one snapshot of the group, which is sent in parts to all receivers. It is
+ * dropped when no part was requested for {@code keepMs}, or when the log that it was made of is truncated or replaced.
  */
 final class SnapshotSender {
     /**
-     * The size of the largest part. A link of 2.8 Mbit/s carries one in 94 ms, a fifth of the default detection time,
-     * so the heartbeats behind it come in time.
+     * The maximum size of a part. A link of 2.8 Mbit/s transfers it in 94 ms, a fifth of the default detection time, so
+     * the heartbeats behind it arrive in time.
      */
     static final int PART_BYTES = 32 << 10;
 
@@ -20,33 +20,37 @@
     private byte[] snapshot;
     private long sum;
     private long endIndex;
-    private long askedAt;
+    private long lastRequestAt;
 
     /** @param keepMs how long a snapshot is kept after its last request, in milliseconds */
     SnapshotSender(final long keepMs) {
         this.keepMs = keepMs;
     }
 
-    /** Keeps a new snapshot in place of any other. */
-    void hold(final byte[] newSnapshot, final long newEndIndex, final long now) {
+    /** Caches a new snapshot, in place of any other. */
+    void keep(final byte[] newSnapshot, final long newEndIndex, final long now) {
         snapshot = newSnapshot;
         sum = SnapshotChecksum.of(newSnapshot);
         endIndex = newEndIndex;
-        askedAt = now;
+        lastRequestAt = now;
     }
 
     /**
-     * Whether the snapshot that is kept serves a receiver: one that has begun to receive it, or whose log ends no later
-     * than the snapshot, so that it loses no records by it.
+     * Whether the cached snapshot is suitable for a receiver: one that has begun to receive it, or whose log ends no
+     * later than the snapshot, so that it loses no records.
      */
-    boolean serves(final long askedSum, final long receiverEndIndex) {
-        return snapshot != null && ((askedSum != 0 && askedSum == sum) || receiverEndIndex <= endIndex);
+    boolean serves(final long requestedSum, final long receiverEndIndex) {
+        return snapshot != null && ((requestedSum != 0 && requestedSum == sum) || receiverEndIndex <= endIndex);
     }
 
-    /** The next part for a receiver that has so many bytes of that snapshot; the first part where it has another. */
-    Part part(final long askedSum, final long askedOffset, final long now) {
-        askedAt = now;
-        final int from = askedSum == sum && askedOffset > 0 && askedOffset < snapshot.length ? (int) askedOffset : 0;
+    /**
+     * The next part for a receiver that has this many bytes of the snapshot; the first part where it has another one.
+     */
+    Part part(final long requestedSum, final long requestedOffset, final long now) {
+        lastRequestAt = now;
+        final int from = requestedSum == sum && requestedOffset > 0 && requestedOffset < snapshot.length
+                ? (int) requestedOffset
+                : 0;
         final int to = Math.min(snapshot.length, from + PART_BYTES);
         return new Part(sum, snapshot.length, from, Arrays.copyOfRange(snapshot, from, to));
     }
@@ -56,14 +60,14 @@
         return snapshot == null ? Long.MAX_VALUE : endIndex;
     }
 
-    /** Drops the snapshot where no part was requested for a while. */
+    /** Drops the snapshot where no part was requested for {@code keepMs}. */
     void expire(final long now) {
-        if (snapshot != null && now - askedAt > keepMs) {
+        if (snapshot != null && now - lastRequestAt > keepMs) {
             drop();
         }
     }
 
-    /** Drops the snapshot; the next receiver needs a new one. */
+    /** Drops the snapshot, so that a new one is built for the next receiver. */
     void drop() {
         snapshot = null;
         sum = 0;
--- a/coordination/src/main/java/brookpath/coordination/group/SourceStanding.java
+++ b/coordination/src/main/java/brookpath/coordination/group/SourceStanding.java
@@ -2,7 +2,7 @@
 
 import brookpath.coordination.message.PeerMessage.PullReply;
 
-/** The standing of the member that answers a pull; the code is on the wire. */
+/** The role of the member that answers a pull, and whether it acts as the leader; the code is on the wire. */
 enum SourceStanding {
     /** A follower that is in sync. */
     FOLLOWER(PullReply.FOLLOWER),
@@ -17,12 +17,12 @@
         this.code = code;
     }
 
-    /** The number on the wire. */
+    /** The code on the wire. */
     int code() {
         return code;
     }
 
-    /** Whether the reply was sent with this standing. */
+    /** Whether the sender of the reply had this standing. */
     boolean is(final PullReply reply) {
         return reply.standing() == code;
     }
--- a/coordination/src/main/java/brookpath/coordination/group/SyncState.java
+++ b/coordination/src/main/java/brookpath/coordination/group/SyncState.java
@@ -2,11 +2,11 @@
 
 /** The state of a member's replica; the code is sent with each heartbeat. */
 public enum SyncState {
-    /** It has all that its leader has committed. */
+    /** It has everything that its leader has committed. */
     IN_SYNC(0),
-    /** It is behind. */
+    /** It lags behind its leader. */
     CATCHING_UP(1),
-    /** It has lost its log and counts for nothing until it is rebuilt. */
+    /** It has lost its log, and does not count until it is rebuilt. */
     LOST(2);
 
     private final int code;
@@ -15,7 +15,7 @@
         this.code = code;
     }
 
-    /** The number on the wire. */
+    /** The code on the wire. */
     public int code() {
         return code;
     }
--- a/coordination/src/main/java/brookpath/coordination/group/VoteStore.java
+++ b/coordination/src/main/java/brookpath/coordination/group/VoteStore.java
@@ -3,17 +3,17 @@
 import brookpath.coordination.action.Actions;
 
 /**
- * The current term and the vote given in it. Each change is written before any message may depend on it: the caller
- * sends its message only once the returned write is synced, since a vote that is forgotten in a crash could be given
+ * The current term and the vote given in it. Each change is written to disk before any message depends on it: the
+ * caller sends its message only once the returned write is synced, since a vote that is lost in a crash could be given
  * twice. Not thread-safe: the group's state thread owns it.
  */
 final class VoteStore {
-    private static final int NOBODY = 0;
+    private static final int NO_CANDIDATE = 0;
 
     private final int group;
     private final Actions out;
     private long term;
-    private int votedFor = NOBODY;
+    private int votedFor = NO_CANDIDATE;
     private long highestTermSeen;
 
     VoteStore(final int group, final Actions out) {
@@ -21,22 +21,22 @@
         this.out = out;
     }
 
-    /** The term that this member is in. */
+    /** The current term of this member. */
     long term() {
         return term;
     }
 
-    /** The highest term that any member was seen in; this member need not have entered it. */
+    /** The highest term that any member was seen in; this member may not have entered it. */
     long highestTermSeen() {
         return Math.max(term, highestTermSeen);
     }
 
-    /** Takes note of the term of another member. */
+    /** Notes the term of another member. */
     void observe(final long otherTerm) {
         highestTermSeen = Math.max(highestTermSeen, otherTerm);
     }
 
-    /** Whether no other candidate has this member's vote in the term, and no later term was entered. */
+    /** Whether this member may vote for the candidate: it has entered no later term, nor this one without that vote. */
     boolean mayVote(final long candidateTerm, final int candidate) {
         return candidateTerm > term || (candidateTerm == term && votedFor == candidate);
     }
@@ -51,22 +51,22 @@
         return out.write(entry());
     }
 
-    /** Enters a later term that another member leads, without a vote. */
+    /** Enters a later term, in which another member is the leader already, without a vote. */
     void enter(final long newTerm) {
-        vote(newTerm, NOBODY);
+        vote(newTerm, NO_CANDIDATE);
     }
 
-    /** Restores a term and a vote that are on disk. */
+    /** Restores a term and a vote from disk. */
     void replay(final long newTerm, final int candidate) {
         term = newTerm;
         votedFor = candidate;
         observe(newTerm);
     }
 
-    /** A record of this term is on disk; a later term than the member's own is entered with it. */
+    /** Enters the term of a record on disk where that is later than the current term. */
     void replayRecordOf(final long recordTerm) {
         if (recordTerm > term) {
-            replay(recordTerm, NOBODY);
+            replay(recordTerm, NO_CANDIDATE);
         }
     }
 
--- a/coordination/src/main/java/brookpath/coordination/group/Voter.java
+++ b/coordination/src/main/java/brookpath/coordination/group/Voter.java
@@ -8,8 +8,8 @@
 
 /**
  * Answers the vote requests of candidates, by the rules of {@link LeaderElection}. A request that this member cannot
- * decide yet, since it has just started, stays pending until the others have reported or the candidate's attempt is
- * over. Times are of the steady clock, in milliseconds. Not thread-safe: the group's state thread owns it.
+ * decide yet, since it has just started, stays pending until the other members have reported or the candidate's attempt
+ * is over. Times are of the steady clock, in milliseconds. Not thread-safe: the group's state thread owns it.
  */
 final class Voter {
     /** @param deadline when the candidate's attempt is over */
@@ -25,7 +25,7 @@
     /** The newest request that is not decided yet; null for none. */
     private PendingRequest pending;
 
-    /** @param stepDown ends this member's own leadership, for a reason */
+    /** @param stepDown ends this member's own leadership; takes the reason */
     Voter(
             final int group,
             final TimingBounds timing,
@@ -51,7 +51,7 @@
         decide(new PendingRequest(candidate, request, now + timing.goDeadline()), now);
     }
 
-    /** Looks again at the request that is not decided yet. */
+    /** Re-evaluates the pending request. */
     void decidePending(final long now) {
         final PendingRequest undecided = pending;
         pending = null;
@@ -60,25 +60,25 @@
         }
     }
 
-    private void decide(final PendingRequest asked, final long now) {
-        final String refusal = election.refusal(asked.candidate, asked.request, now);
-        if (LeaderElection.JUST_STARTED.equals(refusal) && now < asked.deadline) {
-            // why: after a restart of all members the candidate is often the first that has heard all others; a refusal
+    private void decide(final PendingRequest candidacy, final long now) {
+        final String refusal = election.refusal(candidacy.candidate, candidacy.request, now);
+        if (LeaderElection.JUST_STARTED.equals(refusal) && now < candidacy.deadline) {
+            // after a restart of all members the candidate is often the first that has heard from all others; a refusal
             // would cost it the whole attempt and a back-off
-            pending = asked;
+            pending = candidacy;
         } else if (refusal == null) {
-            grant(asked, now);
+            grant(candidacy, now);
         } else {
             out.send(
-                    asked.candidate,
-                    new VoteReply(group, asked.request.term(), false, voteStore.highestTermSeen(), refusal));
+                    candidacy.candidate,
+                    new VoteReply(group, candidacy.request.term(), false, voteStore.highestTermSeen(), refusal));
         }
     }
 
-    private void grant(final PendingRequest asked, final long now) {
+    private void grant(final PendingRequest candidacy, final long now) {
         if (roleState.isLeader()) {
-            stepDown.accept("node " + asked.candidate + " takes over");
+            stepDown.accept("node " + candidacy.candidate + " takes over");
         }
-        election.grant(asked.candidate, asked.request.term(), now);
+        election.grant(candidacy.candidate, candidacy.request.term(), now);
     }
 }
--- a/testing/src/main/java/brookpath/testing/sim/SimulatedCluster.java
+++ b/testing/src/main/java/brookpath/testing/sim/SimulatedCluster.java
@@ -214,7 +214,7 @@
         if (notes.size() > MAX_NOTES) {
             notes.poll();
         }
-        if (text.contains("won epoch")) {
+        if (text.contains("won term")) {
             count(node <= 3 ? "control elections" : "topic elections");
         }
         if (text.contains("diverged tail")) {
--- a/testing/src/test/java/brookpath/coordination/group/CountingState.java
+++ b/testing/src/test/java/brookpath/coordination/group/CountingState.java
@@ -3,7 +3,7 @@
 import brookpath.state.record.LogRecord;
 import brookpath.state.record.PackedBuffer;
 
-/** A log state that counts the records that it was given, and keeps as many in memory as it is told to. */
+/** A log state that counts the applied records, and keeps the newest {@code keptRecords} in memory. */
 final class CountingState implements LogState {
     private final int keptRecords;
     private long applied;
@@ -28,7 +28,7 @@
 
     @Override
     public void trimmed(final LogRecord logRecord) {
-        // the count stays
+        // trimming does not change the count
     }
 
     @Override
--- a/testing/src/test/java/brookpath/coordination/group/LeaderLeaseTest.java
+++ b/testing/src/test/java/brookpath/coordination/group/LeaderLeaseTest.java
@@ -15,7 +15,7 @@
 import java.util.Set;
 import org.testng.annotations.Test;
 
-/** When a leader may act: only on heartbeats of this leadership that a majority has answered lately. */
+/** A leader may act only while a majority has recently answered heartbeats that it sent as the leader of its term. */
 public final class LeaderLeaseTest {
     private static final int GROUP = 4;
     private static final int SELF = 1;
@@ -29,8 +29,8 @@
     private RaftLog log;
     private LeaderLease lease;
 
-    /** A member of three, all of whom are heard, which has won the term and not committed anything. */
-    private void lead() {
+    /** Sets up a leader of three members that hears both others, has won its term and has committed nothing. */
+    private void becomeLeader() {
         out.drain();
         monitor = new HeartbeatMonitor(TIMING, TIMING.heartbeat(), new HeartbeatPromises(TIMING.down()));
         monitor.peers(Set.of(2, 3));
@@ -52,7 +52,7 @@
         return new HeartbeatEntry(GROUP, 1, term, role.code(), sync.code(), 1, 0, 0, 0, 0, 50);
     }
 
-    /** Sends a heartbeat with one own entry, which the node answers with another. */
+    /** Sends a heartbeat with the entry {@code own}, which the node answers with the entry {@code answer}. */
     private void exchange(final int node, final HeartbeatEntry own, final HeartbeatEntry answer, final long now) {
         out.drain();
         monitor.own(List.of(own));
@@ -76,9 +76,9 @@
     }
 
     @Test
-    public void isHeldFromAMajoritysAnswerForItsLength() {
-        lead();
-        assertFalse(lease.held(0), "nobody has answered");
+    public void isHeldForItsLengthAfterAMajorityHasAnswered() {
+        becomeLeader();
+        assertFalse(lease.held(0), "the lease is held though no voter has answered");
         answered(2, 0);
         assertTrue(lease.held(0));
         assertTrue(lease.held(TIMING.lease()));
@@ -88,13 +88,13 @@
     }
 
     @Test
-    public void endsBeforeTheVotersAreFreeToElectAnother() {
+    public void expiresBeforeTheVotersAreFreeToElectAnother() {
         assertTrue(TIMING.lease() < TIMING.down());
     }
 
     @Test
-    public void anAnswerToAHeartbeatFromBeforeThisLeadershipDoesNotCount() {
-        lead();
+    public void anAnswerToAHeartbeatSentBeforeThisLeadershipDoesNotCount() {
+        becomeLeader();
         final HeartbeatEntry follower = entry(GroupRole.FOLLOWER, TERM, SyncState.IN_SYNC);
         exchange(2, entry(GroupRole.CANDIDATE, TERM, SyncState.IN_SYNC), follower, 0);
         assertFalse(lease.held(0));
@@ -104,7 +104,7 @@
 
     @Test
     public void anAnswerFromALaterTermOrALostReplicaDoesNotCount() {
-        lead();
+        becomeLeader();
         final HeartbeatEntry leader = entry(GroupRole.LEADER, TERM, SyncState.IN_SYNC);
         exchange(2, leader, entry(GroupRole.FOLLOWER, TERM + 1, SyncState.IN_SYNC), 0);
         assertFalse(lease.held(0));
@@ -114,7 +114,7 @@
 
     @Test
     public void aLeaderActsOnlyOnceARecordOfItsTermIsCommitted() {
-        lead();
+        becomeLeader();
         answered(2, 0);
         assertFalse(lease.mayAct(0));
         log.commit(1);
@@ -125,13 +125,13 @@
 
     @Test
     public void aLeaderThatHasAskedAnotherToTakeOverDoesNotAct() {
-        lead();
+        becomeLeader();
         log.commit(1);
         answered(2, 0);
         lease.transfer(0);
         assertFalse(lease.mayAct(0));
-        final long tried = TIMING.down() + TIMING.goDeadline();
-        answered(2, tried);
-        assertTrue(lease.mayAct(tried), "it goes on once that has failed");
+        final long transferTimedOut = TIMING.down() + TIMING.goDeadline();
+        answered(2, transferTimedOut);
+        assertTrue(lease.mayAct(transferTimedOut), "the leader does not act again after a failed transfer");
     }
 }
--- a/testing/src/test/java/brookpath/coordination/group/RaftLogTest.java
+++ b/testing/src/test/java/brookpath/coordination/group/RaftLogTest.java
@@ -11,7 +11,10 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** What is in a member's log, how far it is synced and committed, and what cuts, trims and snapshots leave of it. */
+/**
+ * The contents of a member's log, how far it is synced and committed, and the effect of truncating, trimming and
+ * snapshots.
+ */
 public final class RaftLogTest {
     private static final int GROUP = 4;
     private static final int KEPT_RECORDS = 10;
@@ -43,7 +46,7 @@
     }
 
     @Test
-    public void onlyWhatIsSyncedCountsAsSynced() {
+    public void theSyncedIndexFollowsTheSyncedWrites() {
         final RaftLog log = log();
         append(log, 1, 2);
         final long write = out.writes();
@@ -58,7 +61,7 @@
     }
 
     @Test
-    public void aRecordThatDoesNotFollowIsRefused() {
+    public void aRecordThatDoesNotFollowTheLastOneIsRejected() {
         final RaftLog log = log();
         append(log, 1, 1);
         assertThrows(IllegalStateException.class, () -> log.append(logRecord(3, 1)));
@@ -67,7 +70,7 @@
     }
 
     @Test
-    public void aCutDropsTheRecordsAndTheirEffect() {
+    public void truncatingDropsTheRecordsAndTheirEffect() {
         final RaftLog log = log();
         append(log, 1, 3);
         syncAll(log);
@@ -75,7 +78,7 @@
         log.truncate(2);
         assertEquals(log.endIndex(), 2);
         assertEquals(log.syncedIndex(), 2);
-        assertFalse(log.hasUnsynced(), "no write of what was cut is waited for");
+        assertFalse(log.hasUnsynced(), "a write of a truncated record is still pending");
         assertEquals(applied(log.live()), 2);
         assertEquals(log.termAt(3), -1);
         append(log, 3, 1);
@@ -94,19 +97,19 @@
         assertEquals(one.digestAt(3), same.digestAt(3));
         assertEquals(one.digestAt(1), other.digestAt(1));
         assertNotEquals(one.digestAt(3), other.digestAt(3));
-        assertEquals(one.digestAt(4), -1, "the log does not reach as far");
+        assertEquals(one.digestAt(4), -1, "the log does not contain the index");
     }
 
     @Test
-    public void trimmingLeavesWhatIsNotCommittedAndWhatTheStateKeeps() {
+    public void trimmingKeepsUncommittedRecordsAndThoseThatTheStateKeeps() {
         final RaftLog log = log();
         append(log, 1, 200);
         syncAll(log);
         log.trim(Long.MAX_VALUE, 0);
-        assertEquals(log.baseIndex(), 0, "nothing is committed");
+        assertEquals(log.baseIndex(), 0, "uncommitted records were trimmed");
         log.commit(150);
         log.trim(120, 0);
-        assertEquals(log.baseIndex(), 120, "no further than the limit");
+        assertEquals(log.baseIndex(), 120, "not trimmed exactly up to the limit");
         log.commit(200);
         final long digest = log.digestAt(200);
         log.trim(Long.MAX_VALUE, 0);
@@ -119,7 +122,7 @@
     }
 
     @Test
-    public void aSnapshotBringsTheWholeLogButCountsAsSyncedOnlyOnceItIs() {
+    public void anInstalledSnapshotCountsAsSyncedOnlyOnceItsWriteIs() {
         final RaftLog source = log();
         append(source, 1, 200);
         syncAll(source);
@@ -138,7 +141,7 @@
     }
 
     @Test
-    public void theNewestMembershipIsFoundInTheLogAndBelowItsBase() {
+    public void theNewestMembershipIsFoundInTheLogAndInTheTrimmedRecords() {
         final RaftLog log = log();
         final Membership membership = new Membership(2, List.of(new Member(1, 50, "a")), List.of());
         log.append(LogRecord.of(1, 1, 1_000, LogRecord.MEMBERS, membership.save(), 0));
--- a/testing/src/test/java/brookpath/coordination/group/ReplicaProgressTest.java
+++ b/testing/src/test/java/brookpath/coordination/group/ReplicaProgressTest.java
@@ -7,12 +7,12 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** The commit rule: enough replicas, and a record of the leader's own term. */
+/** The commit rule: enough synced replicas, and a record of the leader's own term. */
 public final class ReplicaProgressTest {
     private static final int SELF = 1;
     private static final int NEEDED = 2;
     private static final long OWN_TERM = 3;
-    /** Where the leader opened its term. */
+    /** The index of the record with which the leader opened its term. */
     private static final long OPEN_INDEX = 4;
 
     private final Actions out = new Actions();
@@ -20,8 +20,11 @@
     private RaftLog log;
     private ReplicaProgress progress;
 
-    /** A leader of three voters and a learner: three records of an earlier term, two of its own, all synced here. */
-    private void lead() {
+    /**
+     * Sets up a leader of three voters and a learner, with three records of an earlier term and two of its own, all
+     * synced.
+     */
+    private void becomeLeader() {
         membership = new GroupMembership(SELF);
         log = new RaftLog(0, () -> new CountingState(0), () -> {}, out);
         final List<Member> voters = List.of(member(1), member(2), member(3));
@@ -45,16 +48,17 @@
 
     @Test
     public void aRecordOnTooFewReplicasIsNotCommitted() {
-        lead();
+        becomeLeader();
         assertEquals(committable(), 0);
         progress.voterSynced(2, 5);
         assertEquals(committable(), 5);
-        assertEquals(progress.committable(3, OPEN_INDEX, OWN_TERM), 0, "where all three are needed");
+        assertEquals(
+                progress.committable(3, OPEN_INDEX, OWN_TERM), 0, "committable though all three replicas are needed");
     }
 
     @Test
     public void recordsOfEarlierTermsAreCommittedOnlyWithOneOfTheOwnTerm() {
-        lead();
+        becomeLeader();
         progress.voterSynced(2, 3);
         assertEquals(committable(), 0);
         progress.voterSynced(2, 4);
@@ -63,7 +67,7 @@
 
     @Test
     public void aLearnersReplicaCommitsNothing() {
-        lead();
+        becomeLeader();
         progress.learnerSynced(4, 5);
         assertEquals(committable(), 0);
         assertEquals(progress.replicas(5), 1);
@@ -71,8 +75,8 @@
     }
 
     @Test
-    public void whatTheLeadersOwnDiskHasNotSyncedNeedsTheOthers() {
-        lead();
+    public void aRecordThatTheLeaderHasNotSyncedNeedsBothOtherVoters() {
+        becomeLeader();
         log.append(LogRecord.of(6, OWN_TERM, 0, LogRecord.OPEN, new byte[0], 0));
         progress.voterSynced(2, 6);
         assertEquals(committable(), 5);
@@ -81,8 +85,8 @@
     }
 
     @Test
-    public void aLateAcknowledgementTakesNothingBackButALostReplicaDoes() {
-        lead();
+    public void aLateAcknowledgementDoesNotLowerTheProgressButALostReplicaDoes() {
+        becomeLeader();
         progress.voterSynced(2, 5);
         progress.voterSynced(2, 4);
         assertEquals(progress.ofVoter(2), 5);
@@ -92,8 +96,8 @@
     }
 
     @Test
-    public void replicasOfWhatIsCommittedCountAMemberThatJoins() {
-        lead();
+    public void replicasOfCommittedRecordsIncludeALearnerThatJoins() {
+        becomeLeader();
         progress.voterSynced(2, 5);
         log.commit(committable());
         final List<Member> next = List.of(member(1), member(2), member(3), member(4));
--- a/testing/src/test/java/brookpath/coordination/group/VoteStoreTest.java
+++ b/testing/src/test/java/brookpath/coordination/group/VoteStoreTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** One vote a term, written before it may be told. */
+/** A member votes once per term, and writes the vote before it is sent. */
 public final class VoteStoreTest {
     private static final int GROUP = 4;
 
@@ -25,18 +25,18 @@
     public void givesOneVoteInATerm() {
         final VoteStore store = store();
         store.vote(3, 7);
-        assertTrue(store.mayVote(3, 7), "the same candidate may ask again");
+        assertTrue(store.mayVote(3, 7), "the vote is not repeated for the same candidate");
         assertFalse(store.mayVote(3, 8));
         assertFalse(store.mayVote(2, 7));
         assertTrue(store.mayVote(4, 8));
     }
 
     @Test
-    public void aTermThatWasEnteredWithoutAVoteLeavesNoVoteToACandidateOfIt() {
+    public void aTermEnteredWithoutAVoteAllowsNoVoteInIt() {
         final VoteStore store = store();
         store.enter(5);
         assertEquals(store.term(), 5);
-        assertFalse(store.mayVote(5, 7), "its leader is elected already");
+        assertFalse(store.mayVote(5, 7), "votes in a term whose leader is elected already");
         assertTrue(store.mayVote(6, 7));
     }
 
@@ -52,7 +52,7 @@
     }
 
     @Test
-    public void aRestartKnowsTermAndVote() {
+    public void termAndVoteSurviveARestart() {
         final VoteStore store = store();
         store.vote(3, 7);
         final PackedBuffer entry = PackedBuffer.reader(store.entry());
@@ -70,13 +70,13 @@
         final VoteStore store = store();
         store.replay(3, 7);
         store.replayRecordOf(3);
-        assertTrue(store.mayVote(3, 7), "a record of the same term takes no vote back");
+        assertTrue(store.mayVote(3, 7), "a record of the same term removed the vote");
         store.replayRecordOf(4);
         assertEquals(store.term(), 4);
     }
 
     @Test
-    public void aHigherTermThatWasSeenIsNotEntered() {
+    public void observingAHigherTermDoesNotEnterIt() {
         final VoteStore store = store();
         store.vote(3, 7);
         store.observe(9);
--- a/testing/src/test/java/brookpath/testing/MembershipPlanTest.java
+++ b/testing/src/test/java/brookpath/testing/MembershipPlanTest.java
@@ -16,9 +16,9 @@
 import java.util.SplittableRandom;
 import org.testng.annotations.Test;
 
-/** The plan alone: which step it names for what the leader sees. */
+/** The membership plan: which step it proposes for the nodes as the leader sees them. */
 public final class MembershipPlanTest {
-    private static final long QUIET = 2_001;
+    private static final long SILENT_MS = 2_001;
     private static final Limits THREE = new Limits(3, 2_000, 10_000);
     private static final Limits FIVE = new Limits(5, 2_000, 10_000);
 
@@ -32,16 +32,16 @@
         return new Membership(7, voters, learners);
     }
 
-    private static Candidate well(final int node, final String zone) {
+    private static Candidate healthy(final int node, final String zone) {
         return new Candidate(node, zone, 0, true, true);
     }
 
-    private static Candidate well(final int node) {
-        return well(node, "z" + node);
+    private static Candidate healthy(final int node) {
+        return healthy(node, "z" + node);
     }
 
-    private static Candidate quiet(final int node) {
-        return new Candidate(node, "z" + node, QUIET, false, false);
+    private static Candidate silent(final int node) {
+        return new Candidate(node, "z" + node, SILENT_MS, false, false);
     }
 
     private static Membership next(final Membership group, final Limits limits, final Candidate... seen) {
@@ -53,20 +53,20 @@
     }
 
     @Test
-    public void nothingIsDoneWhereAllAreWell() {
+    public void noStepWhereAllNodesAreHealthy() {
         final Membership group = group(members(1, 2, 3), members(4));
-        assertNull(next(group, THREE, well(1), well(2), well(3), well(4)));
-        final Candidate barelyHeard = new Candidate(2, "z2", 2_000, false, false);
-        assertNull(next(group, THREE, well(1), barelyHeard, well(3), well(4)));
+        assertNull(next(group, THREE, healthy(1), healthy(2), healthy(3), healthy(4)));
+        final Candidate silentUpToTheLimit = new Candidate(2, "z2", 2_000, false, false);
+        assertNull(next(group, THREE, healthy(1), silentUpToTheLimit, healthy(3), healthy(4)));
     }
 
     @Test
     public void aDeadVoterIsReplacedInTwoSteps() {
         final Membership group = group(members(1, 2, 3), members(4));
-        final Membership first = next(group, THREE, well(1), quiet(2), well(3), well(4));
+        final Membership first = next(group, THREE, healthy(1), silent(2), healthy(3), healthy(4));
         assertEquals(nodes(first.voters()), List.of(1, 2, 3, 4));
         assertTrue(first.learners().isEmpty() && first.version() == 8);
-        final Membership second = next(first, THREE, well(1), quiet(2), well(3), well(4));
+        final Membership second = next(first, THREE, healthy(1), silent(2), healthy(3), healthy(4));
         assertEquals(nodes(second.voters()), List.of(1, 3, 4));
         assertEquals(second.version(), 9);
     }
@@ -75,24 +75,25 @@
     public void aDeadVoterStaysWhileNoLearnerIsSynced() {
         final Membership group = group(members(1, 2, 3), members(4));
         final Candidate behind = new Candidate(4, "z4", 0, false, false);
-        assertNull(next(group, THREE, well(1), quiet(2), well(3), behind));
-        assertNull(next(group(members(1, 2, 3), List.of()), THREE, well(1), quiet(2), well(3)));
+        assertNull(next(group, THREE, healthy(1), silent(2), healthy(3), behind));
+        assertNull(next(group(members(1, 2, 3), List.of()), THREE, healthy(1), silent(2), healthy(3)));
     }
 
     @Test
-    public void whoeverIsHeardCopiesTheLogAndWhoIsGoneDoesNoMore() {
+    public void aNewNodeBecomesALearnerAndAGoneLearnerIsRemoved() {
         final Membership group = group(members(1, 2, 3), members(4));
         final Candidate gone = new Candidate(4, "z4", 10_001, false, false);
         final Candidate heard = new Candidate(5, "z5", 0, false, false);
-        final Membership then = next(group, THREE, well(1), well(2), well(3), gone, heard);
+        final Membership then = next(group, THREE, healthy(1), healthy(2), healthy(3), gone, heard);
         assertEquals(nodes(then.learners()), List.of(5));
         assertEquals(then.voters(), group.voters());
     }
 
     @Test
-    public void theReplacementComesFromAZoneOfItsOwn() {
+    public void theReplacementComesFromAZoneWithoutALiveVoter() {
         final Membership group = group(members(1, 2, 3), members(4, 5));
-        final Membership then = next(group, THREE, well(1), quiet(2), well(3), well(4, "z1"), well(5, "z2"));
+        final Membership then =
+                next(group, THREE, healthy(1), silent(2), healthy(3), healthy(4, "z1"), healthy(5, "z2"));
         assertEquals(nodes(then.voters()), List.of(1, 2, 3, 5));
     }
 
@@ -103,54 +104,54 @@
         assertEquals(Limits.votersFor(2), 5);
         Membership group = group(members(1, 2, 3), members(4, 5));
         for (int i = 0; i < 2; i++) {
-            group = next(group, FIVE, well(1), well(2), well(3), well(4), well(5));
+            group = next(group, FIVE, healthy(1), healthy(2), healthy(3), healthy(4), healthy(5));
             assertNotNull(group);
         }
         assertEquals(nodes(group.voters()), List.of(1, 2, 3, 4, 5));
-        assertNull(next(group, FIVE, well(1), well(2), well(3), well(4), well(5)));
+        assertNull(next(group, FIVE, healthy(1), healthy(2), healthy(3), healthy(4), healthy(5)));
     }
 
     @Test
     public void aDeadVoterThatOnlyRaisesTheMajorityIsRemoved() {
         final Membership group = group(members(1, 2, 3, 4), List.of());
-        final Membership then = next(group, FIVE, well(1), well(2), quiet(3), well(4));
+        final Membership then = next(group, FIVE, healthy(1), healthy(2), silent(3), healthy(4));
         assertEquals(nodes(then.voters()), List.of(1, 2, 4));
     }
 
     @Test
-    public void votersSpreadOverZonesOnceAllAreSteady() {
+    public void votersAreSpreadOverZonesOnceAllAreSteady() {
         final Membership group = group(members(1, 2, 3), members(4));
-        final Candidate sharing = well(3, "z1");
+        final Candidate sharing = healthy(3, "z1");
         final Candidate fresh = new Candidate(4, "z4", 0, true, false);
-        assertNull(next(group, THREE, well(1), well(2), sharing, fresh));
-        final Membership first = next(group, THREE, well(1), well(2), sharing, well(4));
+        assertNull(next(group, THREE, healthy(1), healthy(2), sharing, fresh));
+        final Membership first = next(group, THREE, healthy(1), healthy(2), sharing, healthy(4));
         assertEquals(nodes(first.voters()), List.of(1, 2, 3, 4));
-        final Membership second = next(first, THREE, well(1), well(2), sharing, well(4));
-        assertEquals(nodes(second.voters()), List.of(1, 2, 4), "the master itself, or a lonely zone, was removed");
-        assertNull(next(second, THREE, well(1), well(2), sharing, well(4)).learners().stream()
+        final Membership second = next(first, THREE, healthy(1), healthy(2), sharing, healthy(4));
+        assertEquals(nodes(second.voters()), List.of(1, 2, 4), "removed the leader, or the only voter of a zone");
+        assertNull(next(second, THREE, healthy(1), healthy(2), sharing, healthy(4)).learners().stream()
                 .filter(m -> m.node() != 3)
                 .findFirst()
                 .orElse(null));
     }
 
     @Test
-    public void eachStepIsSingleAndAllStepsEnd() {
+    public void eachStepChangesOneVoterAndTheStepsEnd() {
         final SplittableRandom random = new SplittableRandom(1);
         for (int run = 0; run < 2_000; run++) {
             final Limits limits = random.nextBoolean() ? THREE : FIVE;
-            final List<Candidate> seen = new ArrayList<>(List.of(well(1)));
+            final List<Candidate> seen = new ArrayList<>(List.of(healthy(1)));
             for (int node = 2; node <= 8; node++) {
                 final boolean up = random.nextInt(4) > 0;
                 seen.add(new Candidate(
                         node,
                         "z" + random.nextInt(4),
-                        up ? 0 : QUIET + random.nextInt(20_000),
+                        up ? 0 : SILENT_MS + random.nextInt(20_000),
                         up && random.nextInt(4) > 0,
                         up && random.nextBoolean()));
             }
             Membership group = group(members(1, 2, 3), members(4, 5));
             for (int step = 0; group != null; step++) {
-                assertTrue(step < 40, "no end: " + group + " for " + seen);
+                assertTrue(step < 40, "the steps do not end: " + group + " for " + seen);
                 final Membership next = MembershipPlan.next(group, 1, limits, seen);
                 if (next != null) {
                     final int joining =
--- a/testing/src/test/java/brookpath/testing/sim/FullSyncTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/FullSyncTest.java
@@ -11,19 +11,19 @@
 import java.util.Arrays;
 import org.testng.annotations.Test;
 
-/** A full sync of any size over a slow link, and what becomes of it when the session is lost half way. */
+/** A large full sync over a slow link keeps the heartbeats in time, and continues after a lost session. */
 public final class FullSyncTest {
     private static final int GROUP = 0;
     private static final int SLOW_BITS_PER_SECOND = 2_800_000;
     private static final int RECORDS = 2_000;
     private static final int RECORD_BYTES = 10 << 10;
-    /** What the link carries in its time, without loss: 20 MB at 350 kB a second take 59 s. */
+    /** The transfer time without loss: 20 MB at 350 kB/s take 59 s. */
     private static final long TRANSFER_MS = 59_000;
 
     private SimulatedCluster cluster;
 
     @Test
-    public void aLargeSnapshotGoesInPartsAndTheHeartbeatsComeBetweenThem() {
+    public void heartbeatsArriveBetweenThePartsOfALargeSnapshot() {
         final SimulatedProcess joiner = wipedMemberBehindASlowLink(21);
         final long from = cluster.now();
         long unheard = 0;
@@ -31,16 +31,16 @@
             cluster.run(cluster.now() + 10);
             unheard += cluster.now() > from + 3_000 && group(joiner).leaderHeard() == 0 ? 10 : 0;
         }
-        System.out.println("MEASURED full sync of 20 MB: " + (cluster.now() - from) + " ms, master unheard " + unheard);
+        System.out.println("MEASURED full sync of 20 MB: " + (cluster.now() - from) + " ms, leader unheard " + unheard);
         assertTrue(
                 !group(joiner).lost(),
                 "not rebuilt after " + 2 * TRANSFER_MS + " ms: " + group(joiner).why());
-        assertEquals(unheard, 0L, "the beats were kept by the image");
+        assertEquals(unheard, 0L, "the snapshot delayed the heartbeats");
         assertTrue(cluster.now() - from < TRANSFER_MS * 3 / 2, "took " + (cluster.now() - from) + " ms");
     }
 
     @Test
-    public void aTransferGoesOnWhereItWasAfterALostSession() {
+    public void aTransferContinuesAfterALostSession() {
         final SimulatedProcess joiner = wipedMemberBehindASlowLink(22);
         final long from = cluster.now();
         cluster.run(from + TRANSFER_MS / 2);
@@ -52,11 +52,11 @@
         }
         System.out.println("MEASURED full sync cut once for 5 s: " + (cluster.now() - from) + " ms");
         assertTrue(!group(joiner).lost(), "not rebuilt: " + group(joiner).why());
-        // why: begun again it would take the half that was there once more
+        // a transfer that restarted would send the first half again, and take half as long again
         assertTrue(cluster.now() - from < TRANSFER_MS * 5 / 4 + 5_000, "took " + (cluster.now() - from) + " ms");
     }
 
-    /** Without a machine that could take its place the member stays one, however long it is away. */
+    /** Retires the spare machine, so that a member that is away is not replaced. */
     private void retireSpare() {
         final SimulatedProcess spare = cluster.storages.stream()
                 .map(cluster.processes::get)
@@ -72,7 +72,7 @@
         cluster = ServingCluster.start(seed);
         retireSpare();
         final SimulatedProcess leader = leader();
-        // why: the log has to be trimmed, else the joiner takes it record by record
+        // the log has to be trimmed, or else the joining member pulls it record by record instead of a snapshot
         for (int i = 0; i < 200; i++) {
             append(leader, i, 10);
         }
--- a/testing/src/test/java/brookpath/testing/sim/LeaderElectionScenariosTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/LeaderElectionScenariosTest.java
@@ -8,7 +8,7 @@
 import brookpath.state.record.PackedBuffer;
 import org.testng.annotations.Test;
 
-/** A group changes its leader: after a partition, a freeze, and on request. */
+/** A group changes its leader: in a partition, after a freeze of the leader, and on request. */
 public final class LeaderElectionScenariosTest extends ClusterScenario {
     @Test
     public void oneWayPartitionOfTheLeaderElectsAnotherLeader() {
@@ -69,7 +69,7 @@
         final int g = groupOf("permits/t0");
         final SimulatedProcess leader = actingLeader(g);
         final SimulatedProcess to = followerOf(leader, g);
-        // why: what it hears no more cannot stop it, only its own word can
+        // the leader receives nothing any more, so only its own transfer can make it stop acting
         cluster.processes.keySet().forEach(id -> cluster.net.cut(id, leader.id));
         leader.run(p -> p.node.message(
                 1,
@@ -79,7 +79,8 @@
                         PackedBuffer.writer().putLong(g).putLong(to.id).toByteArray()),
                 p.time()));
         assertTrue(
-                millisUntilOtherLeader(g, leader, 300) < 300, "the requested follower did not become leader at once");
+                millisUntilOtherLeader(g, leader, 300) < 300,
+                "the requested follower did not become the leader within 300 ms");
         assertEquals(actingLeader(g), to);
         cluster.run(cluster.now() + 1_000);
         cluster.net.heal();
--- a/testing/src/test/java/brookpath/testing/sim/LogReplicationScenariosTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/LogReplicationScenariosTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** A follower takes only what its current leader sends for its own log. */
+/** A follower accepts only replies of its current leader that refer to its own log. */
 public final class LogReplicationScenariosTest extends ClusterScenario {
     @Test
     public void returningLeaderFollowsAndTruncatesItsUncommittedTail() {
@@ -47,10 +47,10 @@
         final long term = group(leader, g).term();
         cluster.freeze(leader, 5_000);
         final SimulatedProcess voter = awaitVoterOfANewerTerm(g, leader, term);
-        assertNotNull(voter, "nobody voted");
+        assertNotNull(voter, "no follower has voted in a newer term");
         final GroupMachine m = group(voter, g);
         final long end = m.endIndex();
-        // why: what the old leader had on its way, of its own term, fitting the end of this log exactly
+        // a reply of the old leader's term that was in flight and fits the end of this log exactly
         final LogRecord late = LogRecord.of(
                 end + 1,
                 term,
@@ -58,7 +58,7 @@
                 LogRecord.PUBLISH,
                 LogRecord.publishBody(9, 2, "members", "permits/t1", "late", "x"),
                 0);
-        // why: it may have asked the other follower last, when the leader did not answer any more
+        // the voter may have sent its last pull to the other follower, after the leader stopped answering
         for (final Member from : m.members()) {
             if (from.node() != voter.id) {
                 final PeerMessage.PullReply reply = replyOfALeader(
@@ -66,13 +66,13 @@
                 voter.run(p -> p.node.message(from.node(), reply, p.time()));
             }
         }
-        assertEquals(m.endIndex(), end, "a record of a fenced leader was taken");
+        assertEquals(m.endIndex(), end, "a record of a fenced leader was appended");
         cluster.run(cluster.now() + 6_000);
         assertNoViolationsAfterQuiescence();
     }
 
     @Test
-    public void replyThatFitsAnotherLogIsIgnored() {
+    public void replyThatRefersToAnotherLogIsIgnored() {
         begin(53);
         startCallers();
         final int g = groupOf("permits/t1");
@@ -83,8 +83,8 @@
         cluster.run(cluster.now() + 2_000);
         final long end = m.endIndex();
         final long committed = m.committed();
-        // why: it was asked for when this log was longer, or another; what it calls committed is not here
-        final LogRecord far = LogRecord.of(
+        // a reply to a pull from when this log was longer or different; its committed index is beyond this log
+        final LogRecord beyondEnd = LogRecord.of(
                 end + 6,
                 m.term(),
                 0,
@@ -93,7 +93,7 @@
                 0);
         for (final long asked : new long[] {end + 5, end}) {
             final PeerMessage.PullReply reply =
-                    replyOfALeader(g, m, m.term(), end + 6, asked, asked == end ? m.term() + 1 : m.term(), far);
+                    replyOfALeader(g, m, m.term(), end + 6, asked, asked == end ? m.term() + 1 : m.term(), beyondEnd);
             follower.run(p -> p.node.message(leader.id, reply, p.time()));
         }
         assertEquals(m.endIndex(), end);
@@ -101,9 +101,7 @@
         assertNoViolationsAfterQuiescence();
     }
 
-    /**
-     * A follower that has voted in a newer term and has not heard of that term's leader yet; null for none within 3 s.
-     */
+    /** A follower that has voted in a newer term and does not know that term's leader yet; null for none within 3 s. */
     private SimulatedProcess awaitVoterOfANewerTerm(
             final int group, final SimulatedProcess oldLeader, final long term) {
         for (int i = 0; i < 3_000; i++) {
--- a/testing/src/test/java/brookpath/testing/sim/ReplicaLossScenariosTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ReplicaLossScenariosTest.java
@@ -30,7 +30,7 @@
         }
         cluster.restart(follower);
         cluster.run(cluster.now() + 3_000);
-        assertTrue(group(follower, g).lost(), "an empty folder was taken for a first start");
+        assertTrue(group(follower, g).lost(), "an empty data directory was mistaken for a first start");
         cluster.net.heal();
         cluster.run(cluster.now() + 3_000);
         assertFalse(group(follower, g).lost());
@@ -62,7 +62,7 @@
                 .filter(n -> n != follower.id && cluster.processes.get(n) != actingLeader(g))
                 .findFirst()
                 .orElseThrow());
-        // why: now the rebuilt copy has to serve, with the sequences that it got whole
+        // the rebuilt replica has to serve now, with the sequence numbers that its snapshot contained
         cluster.callers.quiet = true;
         cluster.run(cluster.now() + 3_000);
         cluster.kill(actingLeader(g), true);
@@ -72,7 +72,9 @@
         cluster.restart(third);
         cluster.run(cluster.now() + 3_000);
         for (final SimulatedProcess p : List.of(follower, third)) {
-            assertTrue(((TopicState) group(p, g).live()).lookUp("permits/t0", "ana", 1) == -1, "sequences are gone");
+            assertTrue(
+                    ((TopicState) group(p, g).live()).lookUp("permits/t0", "ana", 1) == -1,
+                    "sequence numbers are lost");
         }
         assertNoViolationsAfterQuiescence();
     }
@@ -93,7 +95,7 @@
                 assertTrue(m.logRecord(index).isIntact(), "record " + index + " is still damaged");
             }
             assertTrue(cluster.counted("full syncs") > 0
-                    && cluster.notes().toString().contains("the copy is mended"));
+                    && cluster.notes().toString().contains("the replica is being repaired"));
             assertNoViolationsAfterQuiescence();
         }
     }
@@ -105,8 +107,8 @@
         final int g = groupOf("permits/t0");
         final SimulatedProcess follower = followerOf(actingLeader(g), g);
         cluster.kill(follower, false);
-        // why: a whole record with a good checksum, but not the one that the others have: only comparing copies can
-        // find it
+        // the record is intact by its checksum, but differs from the other replicas' record, so that only a comparison
+        // of replicas can detect it
         final StorageNode node = (StorageNode) follower.node;
         final LogRecord was = node.group(g).logRecord(node.group(g).committed());
         final byte[] body = was.body();
