--- a/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupMachine.java
@@ -307,8 +307,8 @@
     /**
      * Sets when this process started, by the steady clock; promises of its former incarnation were made before that.
      */
-    public void startedAt(final long now) {
-        machine.election.startedAt(now);
+    public void startedAt(final long startTime) {
+        machine.election.startedAt(startTime);
     }
 
     /** Sets the membership that the placement gives, without learners. */
--- a/coordination/src/main/java/brookpath/coordination/group/GroupStateMachine.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupStateMachine.java
@@ -163,7 +163,7 @@
     /** Steps down where another member may be the leader by now, else commits what can be committed. */
     private void tickLeader(final long now) {
         if (voteStore.highestTermSeen() > voteStore.term()) {
-            stepDown("saw term " + voteStore.highestTermSeen());
+            stepDown("term " + voteStore.highestTermSeen() + " seen");
         } else if (now - roleState.leaderSince() > timing.down() && !lease.majorityAnswers(now)) {
             stepDown("no majority answers heartbeats");
         } else {
--- a/coordination/src/main/java/brookpath/coordination/group/LeaderElection.java
+++ b/coordination/src/main/java/brookpath/coordination/group/LeaderElection.java
@@ -81,8 +81,8 @@
     }
 
     /** Sets when the process started; promises of its former incarnation were made before that. */
-    void startedAt(final long now) {
-        startedAt = now;
+    void startedAt(final long startTime) {
+        startedAt = startTime;
     }
 
     /**
@@ -129,7 +129,7 @@
             failedAttempts++;
             nextAttempt = now + backoff();
             roleState.becomeFollower();
-            roleState.explain("lost the election of term " + voteStore.term());
+            roleState.explain("election of term " + voteStore.term() + " lost");
         }
     }
 
@@ -335,7 +335,7 @@
             return "older group version";
         }
         if (!voteStore.mayVote(request.term(), candidate)) {
-            return "already entered term " + voteStore.term();
+            return "term " + voteStore.term() + " is already entered";
         }
         if (roleState.isLeader() && (!request.manual() || !lease.transferring(now))) {
             return "is the leader";
