--- a/coordination/src/main/java/brookpath/coordination/placement/MovePlan.java
+++ b/coordination/src/main/java/brookpath/coordination/placement/MovePlan.java
@@ -22,7 +22,7 @@
     /** The most groups whose replicas move at the same time, to bound the load on the other groups. */
     public static final int MAX_CONCURRENT_MOVES = 4;
 
-    /** The gain from one more zone, where the gain from a difference in load between two nodes is that of replicas. */
+    /** The gain of spreading a group over one more zone, in units of one replica of difference in load. */
     private static final int ZONE_GAIN = 100;
 
     /**
--- a/testing/src/test/java/brookpath/testing/ControlStateTest.java
+++ b/testing/src/test/java/brookpath/testing/ControlStateTest.java
@@ -16,10 +16,12 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** What the control state remembers of orders, by its records and by its saved form. */
+/**
+ * Outcomes of changes and retirements in the control state, as applied from records and as loaded from a saved state.
+ */
 public final class ControlStateTest {
-    private static final int KEPT_OUTCOMES = 4_096;
-    private static final int REFUSAL_OF_EARLIER_RELEASES = 2;
+    private static final int MAX_OUTCOMES = 4_096;
+    private static final int REFUSAL_RECORD = 2;
 
     private final NodeInfo leaving = new NodeInfo(11, "a", "sim:11", "storage-11");
     private final NodeInfo staying = new NodeInfo(12, "b", "sim:12", "storage-12");
@@ -46,9 +48,9 @@
     }
 
     @Test
-    public void theOutcomesOfTheNewestThousandsOfChangesAreKept() {
+    public void onlyTheOutcomesOfTheNewestChangesAreKept() {
         final ControlState state = new ControlState();
-        for (int i = 1; i <= KEPT_OUTCOMES + 1; i++) {
+        for (int i = 1; i <= MAX_OUTCOMES + 1; i++) {
             state.apply(record(i, change("change-" + i, i)));
         }
         for (final ControlState s : List.of(state, reloaded(state))) {
@@ -59,13 +61,13 @@
     }
 
     @Test
-    public void aRefusalOfAnEarlierReleaseIsReadAndSaysNothing() {
+    public void refusalRecordOfAnEarlierReleaseIsIgnored() {
         final ControlState state = new ControlState();
         state.apply(record(1, change("taken", 1)));
         state.apply(record(
                 2,
                 PackedBuffer.writer()
-                        .putLong(REFUSAL_OF_EARLIER_RELEASES)
+                        .putLong(REFUSAL_RECORD)
                         .putString("refused")
                         .putLong(78)
                         .putLong(422)
@@ -77,7 +79,7 @@
     }
 
     @Test
-    public void theSavedFormOfAnEarlierReleaseIsRead() {
+    public void savedStateOfAnEarlierReleaseIsLoaded() {
         final PackedBuffer buffer = PackedBuffer.writer().putLong(0);
         final ClusterMetadata metadata = new ClusterMetadata(
                 3, List.of(leaving, staying), List.of(), List.of(leaving.node()), List.of(), Membership.NONE);
@@ -99,7 +101,7 @@
     }
 
     @Test
-    public void aRetirementIsRememberedUntilTheMachineIsKeptOrAnotherBearsItsName() {
+    public void retirementIsKeptUntilItIsCancelledOrItsNameIsReused() {
         final ControlState state = new ControlState();
         state.apply(record(1, metadata(1, List.of(leaving, staying), List.of())));
         state.apply(record(2, metadata(2, List.of(leaving, staying), List.of(11))));
@@ -110,7 +112,7 @@
             assertNotNull(s.retirements().byNumber(11, 3));
             assertNull(s.retirements().byName("storage-12", 3));
         }
-        // why: addresses are used again, and so the numbers that follow from them
+        // Addresses are reused, and so are the node numbers that are derived from them
         final NodeInfo other = new NodeInfo(11, "a", "sim:11", "storage-21");
         state.apply(record(4, metadata(4, List.of(staying, other), List.of())));
         assertNotNull(state.retirements().byName("storage-11", 4));
@@ -121,11 +123,11 @@
     }
 
     @Test
-    public void aResponseIsGivenOnlyBeforeItsExpiry() {
-        final Response late = new Response(503, 500, "{}");
-        final Response fresh = new Response(200, 0, "{\"version\":1}").until(1_000, late);
-        assertEquals(fresh.at(999).status(), 200);
-        assertEquals(fresh.at(1_000), late);
-        assertEquals(late.at(Long.MAX_VALUE), late);
+    public void expiredResponseIsReplaced() {
+        final Response expired = new Response(503, 500, "{}");
+        final Response unexpired = new Response(200, 0, "{\"version\":1}").until(1_000, expired);
+        assertEquals(unexpired.at(999).status(), 200);
+        assertEquals(unexpired.at(1_000), expired);
+        assertEquals(expired.at(Long.MAX_VALUE), expired);
     }
 }
--- a/testing/src/test/java/brookpath/testing/MovePlanTest.java
+++ b/testing/src/test/java/brookpath/testing/MovePlanTest.java
@@ -20,15 +20,17 @@
 import org.testng.annotations.Test;
 
 /**
- * The plan of moves, driven to its end on random fleets: it ends, spreads, and never goes below the copies or back and
- * forth.
+ * Applies plans of moves to random fleets until no move is left: planning must terminate with balanced nodes, and must
+ * neither reduce the replicas of a group nor return to an earlier placement.
  */
 public final class MovePlanTest {
-    private static int load(final ClusterMetadata r, final int node) {
-        return (int) r.groups().stream().filter(g -> g.membership().holds(node)).count();
+    private static int load(final ClusterMetadata metadata, final int node) {
+        return (int) metadata.groups().stream()
+                .filter(g -> g.membership().holds(node))
+                .count();
     }
 
-    /** A random fleet and what became of it: its machines, those that are to be emptied, and the current placement. */
+    /** A random fleet: its storage nodes, those that are retiring, and the current placement. */
     private static final class RandomFleet {
         final long seed;
         final List<NodeInfo> nodes = new ArrayList<>();
@@ -42,29 +44,30 @@
             for (int i = 0; i < size; i++) {
                 nodes.add(new NodeInfo(11 + i, String.valueOf((char) ('a' + i % 4)), "x"));
             }
-            // why: founded on fewer machines than there are now, and one of them may be on its way out
-            final int founding = 3 + random.nextInt(size - 3);
+            // The groups were founded on fewer nodes than there are now, and one of those may be retiring
+            final int foundingNodes = 3 + random.nextInt(size - 3);
             final List<GroupInfo> groups =
-                    Placement.initial(nodes.subList(0, founding), 1 + random.nextInt(24), 3).stream()
+                    Placement.initial(nodes.subList(0, foundingNodes), 1 + random.nextInt(24), 3).stream()
                             .map(g -> new GroupInfo(g.id(), true, g.membership()))
                             .toList();
-            retiring = size > 4 && random.nextBoolean() ? List.of(11 + random.nextInt(founding)) : List.of();
+            retiring = size > 4 && random.nextBoolean() ? List.of(11 + random.nextInt(foundingNodes)) : List.of();
             metadata = new ClusterMetadata(1, nodes, groups, retiring);
         }
 
-        /** Applies plan after plan until none has a move; gives the number of plans. */
+        /** Applies plan after plan until none has a move; returns the number of plans. */
         int applyAllPlans() {
             final Set<Integer> all = new HashSet<>();
             nodes.forEach(node -> all.add(node.node()));
-            final Set<String> seen = new HashSet<>();
+            final Set<String> placementsSeen = new HashSet<>();
             int plans = 0;
             for (List<Move> moves = MovePlan.next(metadata, all, all, 3);
                     !moves.isEmpty();
                     moves = MovePlan.next(metadata, all, all, 3)) {
                 assertTrue(moves.size() <= MovePlan.MAX_CONCURRENT_MOVES, moves.toString());
                 moves.forEach(this::apply);
-                assertTrue(seen.add(placement()), "seed " + seed + " goes to and fro: " + moves);
-                assertTrue(++plans < 2_000, "seed " + seed + " does not end");
+                assertTrue(
+                        placementsSeen.add(placement()), "seed " + seed + " returns to an earlier placement: " + moves);
+                assertTrue(++plans < 2_000, "seed " + seed + " does not terminate");
             }
             return plans;
         }
@@ -83,7 +86,7 @@
             return text.toString();
         }
 
-        void assertSpread() {
+        void assertBalanced() {
             int least = Integer.MAX_VALUE;
             int most = 0;
             for (final NodeInfo node : nodes) {
@@ -97,7 +100,7 @@
             }
             assertTrue(
                     (nodes.size() > 4 && nodes.size() % 4 != 0) || most - least <= 1,
-                    "seed " + seed + ": from " + least + " to " + most + " groups a machine");
+                    "seed " + seed + ": from " + least + " to " + most + " groups per node");
             for (final GroupInfo g : metadata.groups()) {
                 assertEquals(g.members().stream().map(Member::zone).distinct().count(), 3, "seed " + seed + ": " + g);
             }
@@ -110,16 +113,16 @@
         for (long seed = 0; seed < 300; seed++) {
             final RandomFleet fleet = new RandomFleet(seed);
             plans += fleet.applyAllPlans();
-            fleet.assertSpread();
+            fleet.assertBalanced();
         }
-        assertTrue(plans > 2_000, "only " + plans + " steps");
+        assertTrue(plans > 2_000, "only " + plans + " plans");
     }
 
     @Test
-    public void aLeaderGoesBackToTheHighestRankOnlyWhereThatIsSteady() {
+    public void leadershipReturnsToTheHighestRankOnlyWhileItIsSteady() {
         final List<NodeInfo> nodes =
                 List.of(new NodeInfo(11, "a", "x"), new NodeInfo(12, "b", "x"), new NodeInfo(13, "c", "x"));
-        final ClusterMetadata r = new ClusterMetadata(
+        final ClusterMetadata metadata = new ClusterMetadata(
                 1,
                 nodes,
                 Placement.initial(nodes, 3, 3).stream()
@@ -127,10 +130,11 @@
                         .toList(),
                 List.of());
         assertEquals(
-                MovePlan.switchover(r, Map.of(0, 12, 1, 12, 2, 13), Set.of(11, 12, 13)),
+                MovePlan.switchover(metadata, Map.of(0, 12, 1, 12, 2, 13), Set.of(11, 12, 13)),
                 new MovePlan.Switchover(0, 12, 11));
-        assertNull(MovePlan.switchover(r, Map.of(0, 12, 1, 12, 2, 13), Set.of(12, 13)));
-        assertNull(MovePlan.switchover(r, Map.of(0, 11, 1, 12, 2, 13), Set.of(11, 12, 13)));
-        assertTrue(MovePlan.next(r, Set.of(11, 12, 13), Set.of(11, 12, 13), 3).isEmpty());
+        assertNull(MovePlan.switchover(metadata, Map.of(0, 12, 1, 12, 2, 13), Set.of(12, 13)));
+        assertNull(MovePlan.switchover(metadata, Map.of(0, 11, 1, 12, 2, 13), Set.of(11, 12, 13)));
+        assertTrue(MovePlan.next(metadata, Set.of(11, 12, 13), Set.of(11, 12, 13), 3)
+                .isEmpty());
     }
 }
--- a/testing/src/test/java/brookpath/testing/StorageFailureDetectorTest.java
+++ b/testing/src/test/java/brookpath/testing/StorageFailureDetectorTest.java
@@ -13,7 +13,7 @@
 import java.util.Set;
 import org.testng.annotations.Test;
 
-/** When a storage machine that is silent is taken for gone. */
+/** When a silent storage node is considered lost. */
 public final class StorageFailureDetectorTest {
     private static final TimingBounds TIMING = TimingBounds.DEFAULT;
     private static final long LONG_AGO = 0;
@@ -27,37 +27,37 @@
             new NodeInfo(14, "d", "x"));
     private static final List<GroupInfo> GROUPS = Placement.initial(NODES, 4, 3);
 
-    private static Set<Integer> gone(final Map<Integer, Long> heardAt, final long leadingSince) {
+    private static Set<Integer> lost(final Map<Integer, Long> heardAt, final long leadingSince) {
         final ClusterMetadata metadata = new ClusterMetadata(1, NODES, GROUPS, List.of());
         return new StorageFailureDetector(TIMING, metadata, heardAt, NOW).lost(leadingSince, Set.of());
     }
 
     @Test
-    public void aSilentMachineIsGoneOnlyAfterTheBound() {
-        assertEquals(gone(Map.of(11, SILENT, 12, NOW, 13, NOW, 14, NOW), LONG_AGO), Set.of(11));
-        assertEquals(gone(Map.of(11, SILENT + 1, 12, NOW, 13, NOW, 14, NOW), LONG_AGO), Set.of());
-        assertEquals(gone(Map.of(12, NOW, 13, NOW, 14, NOW), LONG_AGO), Set.of(11));
+    public void silentNodeIsLostOnlyAfterTheBound() {
+        assertEquals(lost(Map.of(11, SILENT, 12, NOW, 13, NOW, 14, NOW), LONG_AGO), Set.of(11));
+        assertEquals(lost(Map.of(11, SILENT + 1, 12, NOW, 13, NOW, 14, NOW), LONG_AGO), Set.of());
+        assertEquals(lost(Map.of(12, NOW, 13, NOW, 14, NOW), LONG_AGO), Set.of(11));
     }
 
     @Test
-    public void anEmptyMachineThatWaitsMakesItSooner() {
+    public void silentNodeIsLostSoonerWhileThereIsASpareNode() {
         final long silent = NOW - TIMING.replacedAfter() - 1;
-        assertEquals(gone(Map.of(11, silent, 12, NOW, 13, NOW, 14, NOW), LONG_AGO), Set.of());
-        assertEquals(gone(Map.of(11, silent, 12, NOW, 13, NOW, 14, NOW, 15, NOW), LONG_AGO), Set.of(11));
+        assertEquals(lost(Map.of(11, silent, 12, NOW, 13, NOW, 14, NOW), LONG_AGO), Set.of());
+        assertEquals(lost(Map.of(11, silent, 12, NOW, 13, NOW, 14, NOW, 15, NOW), LONG_AGO), Set.of(11));
     }
 
     @Test
-    public void aNewControlLeaderWaitsUntilAllHaveHadTimeToFindIt() {
+    public void newControlLeaderWaitsUntilAllNodesHaveHadTimeToFindIt() {
         final Map<Integer, Long> heardAt = Map.of(12, NOW, 13, NOW, 14, NOW);
         final long justEnough = NOW - TIMING.configurationDeadline() - TIMING.goneAfter();
-        assertEquals(gone(heardAt, justEnough), Set.of());
-        assertEquals(gone(heardAt, justEnough - 1), Set.of(11));
+        assertEquals(lost(heardAt, justEnough), Set.of());
+        assertEquals(lost(heardAt, justEnough - 1), Set.of(11));
     }
 
     @Test
-    public void withHalfOfThemSilentNobodyIsJudged() {
-        assertEquals(gone(Map.of(11, SILENT, 12, SILENT, 13, NOW, 14, NOW), LONG_AGO), Set.of());
-        assertEquals(gone(Map.of(13, NOW), LONG_AGO), Set.of());
-        assertEquals(gone(Map.of(), LONG_AGO), Set.of());
+    public void noNodeIsLostWhileHalfOfThemAreSilent() {
+        assertEquals(lost(Map.of(11, SILENT, 12, SILENT, 13, NOW, 14, NOW), LONG_AGO), Set.of());
+        assertEquals(lost(Map.of(13, NOW), LONG_AGO), Set.of());
+        assertEquals(lost(Map.of(), LONG_AGO), Set.of());
     }
 }
--- a/testing/src/test/java/brookpath/testing/sim/AddressReuseTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/AddressReuseTest.java
@@ -17,7 +17,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** A machine is told from the one that had its address, and its node number, before. */
+/** A machine is distinguished from the one that had its address and node number before. */
 public final class AddressReuseTest {
     private static final int ACCEPTED = 202;
     private static final int NOT_FOUND = 404;
@@ -57,8 +57,8 @@
                 .count();
     }
 
-    /** Empties a storage machine, and says which. */
-    private SimulatedProcess emptied(final long seed) {
+    /** Starts a cluster, retires a storage node and returns it once it has no replicas. */
+    private SimulatedProcess retireAndEmpty(final long seed) {
         cluster = ServingCluster.start(seed);
         final SimulatedProcess leaving = cluster.processes.get(cluster.storages.get(0));
         final byte[] order =
@@ -79,28 +79,28 @@
     }
 
     @Test
-    public void aNewMachineAtAnEmptiedOnesAddressIsNotLeaving() {
-        final SimulatedProcess process = emptied(71);
+    public void newMachineAtTheAddressOfARetiredOneIsNotRetiring() {
+        final SimulatedProcess process = retireAndEmpty(71);
         final Response before = operate("retired", name(process).getBytes(java.nio.charset.StandardCharsets.UTF_8));
         assertTrue(before.json().contains("\"empty\":true"), before.toString());
         final long former = metadata().node(process.id).machine();
         cluster.kill(process, true);
         process.disk.wipe();
         cluster.run(cluster.now() + 4_000);
-        assertEquals(metadata().retiring(), List.of(process.id), "gone is not replaced");
+        assertEquals(metadata().retiring(), List.of(process.id), "a node that is merely silent is no longer retiring");
         process.name = "another-machine";
         cluster.restart(process);
         cluster.run(cluster.now() + 4_000);
         assertNotEquals(metadata().node(process.id).machine(), former);
-        assertEquals(metadata().retiring(), List.of(), "the new machine is taken for the one that left");
+        assertEquals(metadata().retiring(), List.of(), "the new machine is taken for the retired one");
         final Response after = operate("retired", name(process).getBytes(java.nio.charset.StandardCharsets.UTF_8));
         assertEquals(after.status(), NOT_FOUND, "the new machine is reported as emptied: " + after);
         assertTrue(((StorageNode) process.node).client().leased(process.mono()));
     }
 
     @Test
-    public void aMachineThatLostItsDiskIsStillLeaving() {
-        final SimulatedProcess process = emptied(74);
+    public void machineThatLostItsDiskIsStillRetiring() {
+        final SimulatedProcess process = retireAndEmpty(74);
         final long former = metadata().node(process.id).machine();
         cluster.kill(process, true);
         process.disk.wipe();
@@ -108,14 +108,14 @@
         cluster.restart(process);
         cluster.run(cluster.now() + 4_000);
         assertNotEquals(metadata().node(process.id).machine(), former);
-        assertEquals(metadata().retiring(), List.of(process.id), "the order is forgotten with the disk");
+        assertEquals(metadata().retiring(), List.of(process.id), "the retirement was lost with the disk");
         final Response again = operate("retireNamed", name(process).getBytes(java.nio.charset.StandardCharsets.UTF_8));
         assertEquals(again.status(), ACCEPTED, "a repeat is refused: " + again);
     }
 
     @Test
-    public void aMachineThatOnlyRestartsIsStillLeaving() {
-        final SimulatedProcess process = emptied(72);
+    public void machineThatRestartsIsStillRetiring() {
+        final SimulatedProcess process = retireAndEmpty(72);
         final long machine = metadata().node(process.id).machine();
         cluster.kill(process, true);
         cluster.run(cluster.now() + 1_000);
@@ -127,7 +127,7 @@
     }
 
     @Test
-    public void aRepeatedRestartChangesNoMetadata() {
+    public void restartsDoNotChangeTheMetadata() {
         cluster = ServingCluster.start(73);
         final long version = metadata().version();
         final SimulatedProcess process = cluster.processes.get(cluster.storages.get(1));
--- a/testing/src/test/java/brookpath/testing/sim/ConfigurationUpdatesTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ConfigurationUpdatesTest.java
@@ -58,7 +58,7 @@
     }
 
     private long changed(final long basedOn, final String changeId, final int which, final int spaces) {
-        final Response response = settled(large(basedOn, changeId, which, spaces), changeId);
+        final Response response = awaitFinalResponse(large(basedOn, changeId, which, spaces), changeId);
         assertEquals(response.status(), 200, response.toString());
         return version(response);
     }
@@ -76,7 +76,7 @@
     @Test(dataProvider = "sizes")
     public void aStormOfChangesCarriesWhatChangedAndNotTheWhole(final int spaces) {
         begin(61);
-        long version = version(answered(askConfiguration(leader())).response);
+        long version = version(awaitResponse(askConfiguration(leader())).response);
         version = changed(version, "larger", 0, spaces);
         final long before = carried();
         final long from = cluster.now();
@@ -103,7 +103,7 @@
     @Test
     public void aConfigurationOfThousandsOfSpacesIsTakenAndGrowsOn() {
         begin(63);
-        long version = version(answered(askConfiguration(leader())).response);
+        long version = version(awaitResponse(askConfiguration(leader())).response);
         version = changed(version, "thousands", 0, MOST_SPACES);
         final long before = carried();
         version = changed(version, "one-more", 1, MOST_SPACES + 1);
@@ -117,7 +117,7 @@
     @Test
     public void aNewLeaderTellsFollowersOfVersionsThatItNeverTold() {
         begin(62);
-        long version = version(answered(askConfiguration(leader())).response);
+        long version = version(awaitResponse(askConfiguration(leader())).response);
         for (int i = 0; i < 6; i++) {
             version = changed(version, "before-" + i, i);
             cluster.kill(leader(), true);
--- a/testing/src/test/java/brookpath/testing/sim/ControlMembershipTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ControlMembershipTest.java
@@ -20,9 +20,9 @@
 import java.util.function.BooleanSupplier;
 import org.testng.annotations.Test;
 
-/** The control group changes its members while machines come, go and are cut off. */
+/** The control group changes its members while controllers join, fail and are cut off. */
 public final class ControlMembershipTest {
-    /** A new machine counts as lost for this long after its start, on the users' days. */
+    /** The users' simulated days count a new machine as lost for this long after its start. */
     private static final long CATCH_UP_MS = 4_000;
 
     /** The kind of a group's entry on disk that holds a term and a vote. */
@@ -70,11 +70,11 @@
         return nodes(membership().voters());
     }
 
-    /** Runs until the condition holds, and tells how long that took. */
+    /** Runs until the condition holds, and returns how long that took. */
     private long until(final String what, final long limit, final BooleanSupplier condition) {
         final long from = cluster.now();
         while (!condition.getAsBoolean()) {
-            assertTrue(cluster.now() < from + limit, what + " did not come in " + limit + " ms: " + lastNotes());
+            assertTrue(cluster.now() < from + limit, what + " did not happen within " + limit + " ms: " + lastNotes());
             cluster.run(cluster.now() + 1);
         }
         return cluster.now() - from;
@@ -85,8 +85,8 @@
         return String.join("\n", notes.subList(Math.max(0, notes.size() - 40), notes.size()));
     }
 
-    /** Sends a configuration through one controller after the other until it is acknowledged. */
-    private void acknowledged(final String changeId) {
+    /** Sends a configuration to one controller after the other until it is acknowledged. */
+    private void changeUntilAcknowledged(final String changeId) {
         final boolean[] done = new boolean[1];
         send(cluster.callers.operators.document(version, changeId, true), done, 0);
         until("the acknowledgement of " + changeId, ACKNOWLEDGED_WITHIN_MS, () -> done[0]);
@@ -113,11 +113,11 @@
                 from,
                 id -> new NodeRequest.Operate(id, ControlRequestKind.CONFIGURATION, new byte[0]),
                 r -> got[0] = r);
-        until("an answer", 4_000, () -> got[0] != null);
+        until("a response", 4_000, () -> got[0] != null);
         return got[0];
     }
 
-    private void readBackEverywhere() {
+    private void assertReadBackEverywhere() {
         for (final int id : cluster.controllers) {
             if (cluster.processes.get(id).alive) {
                 final Response r = read(cluster.processes.get(id));
@@ -140,39 +140,39 @@
         return cluster.addController(successor, old.zone, List.of(old.id, live));
     }
 
-    private void everybodyLosesPower() {
+    private void restartAllAfterPowerLoss() {
         final List<SimulatedProcess> all = List.copyOf(cluster.processes.values());
         all.forEach(p -> cluster.kill(p, true));
         cluster.run(cluster.now() + 1_000);
         all.stream().filter(p -> !p.goneForGood).forEach(cluster::restart);
-        until("a master", 10_000, () -> leader() != null);
+        until("a leader", 10_000, () -> leader() != null);
         cluster.run(cluster.now() + 3_000);
     }
 
     @Test
-    public void fourControllersReplacedOneAfterAnotherKeepAcknowledging() {
+    public void changesAreAcknowledgedWhileControllersAreReplaced() {
         for (long seed = 1; seed <= 6; seed++) {
             begin(seed);
             cluster.addController(4, "d", List.of(1, 2, 3));
             until("the fourth as a learner", 3_000, () -> membership().holds(4));
             for (int i = 0; i < 4; i++) {
                 final SimulatedProcess successor = replace(cluster.processes.get(1 + i), 5 + i);
-                acknowledged("while-" + i + "-is-replaced");
+                changeUntilAcknowledged("while-" + i + "-is-replaced");
                 cluster.run(cluster.now() + CATCH_UP_MS);
                 assertTrue(membership().holds(successor.id), lastNotes());
-                acknowledged("after-" + i + "-was-replaced");
+                changeUntilAcknowledged("after-" + i + "-was-replaced");
             }
             assertEquals(voters().size(), 3, "seed " + seed);
-            assertTrue(voters().first() > 4, "a machine that is gone still votes: " + voters());
-            readBackEverywhere();
-            everybodyLosesPower();
-            readBackEverywhere();
-            acknowledged("after-the-power-loss");
+            assertTrue(voters().first() > 4, "a replaced controller is still a voter: " + voters());
+            assertReadBackEverywhere();
+            restartAllAfterPowerLoss();
+            assertReadBackEverywhere();
+            changeUntilAcknowledged("after-the-power-loss");
         }
     }
 
     @Test
-    public void aSecondLossJustAfterTheSuccessorCaughtUpLeavesAMajority() {
+    public void secondLossAfterTheReplacementCaughtUpLeavesAMajority() {
         for (long seed = 1; seed <= 8; seed++) {
             for (final int controllers : new int[] {3, 4}) {
                 begin(seed);
@@ -182,19 +182,19 @@
                 }
                 final SimulatedProcess first = seed % 2 == 0 ? leader() : cluster.processes.get(voters().last());
                 final long startedAt = replace(first, 5).mono();
-                acknowledged("between-the-losses");
+                changeUntilAcknowledged("between-the-losses");
                 final SimulatedProcess fifth = cluster.processes.get(5);
                 cluster.run(cluster.now() + CATCH_UP_MS - (fifth.mono() - startedAt));
                 assertFalse(voters().contains(first.id), "seed " + seed + ": " + lastNotes());
                 cluster.kill(seed % 3 == 0 ? cluster.processes.get(voters().first()) : leader(), true);
-                acknowledged("after-the-second-loss");
-                readBackEverywhere();
+                changeUntilAcknowledged("after-the-second-loss");
+                assertReadBackEverywhere();
             }
         }
     }
 
     @Test
-    public void theWindowBetweenPromotionAndRemovalIsTwoLogRounds() {
+    public void removalFollowsThePromotionWithinTwoLogRounds() {
         for (long seed = 1; seed <= 20; seed++) {
             begin(seed);
             cluster.addController(4, "d", List.of(1, 2, 3));
@@ -212,7 +212,7 @@
     }
 
     @Test
-    public void anAnnouncedReplacementBringsTheNewOneFirst() {
+    public void gracefulReplacementAddsTheNewControllerFirst() {
         begin(31);
         for (int i = 0; i < 3; i++) {
             final SimulatedProcess leaving = cluster.processes.get(1 + i);
@@ -222,17 +222,17 @@
             cluster.run(cluster.now() + 1_000);
             cluster.kill(leaving, false);
             leaving.goneForGood = true;
-            acknowledged("as-" + leaving.id + "-leaves");
+            changeUntilAcknowledged("as-" + leaving.id + "-leaves");
             until("its replacement", CATCH_UP_MS, () -> !voters().contains(leaving.id) && voters().size() == 3);
         }
         assertEquals(voters(), new TreeSet<>(List.of(4, 5, 6)));
-        readBackEverywhere();
-        everybodyLosesPower();
-        readBackEverywhere();
+        assertReadBackEverywhere();
+        restartAllAfterPowerLoss();
+        assertReadBackEverywhere();
     }
 
-    /** As if it had stood in this term, heard by nobody who counts. */
-    private static void stoodInVain(final SimulatedProcess p, final long term) {
+    /** Stores a vote for itself in this term, as after an election in which no voter heard it. */
+    private static void storeLostCandidacy(final SimulatedProcess p, final long term) {
         group(p).replay(
                         PackedBuffer.reader(PackedBuffer.writer()
                                 .putLong(WRITTEN_VOTE)
@@ -250,16 +250,16 @@
     }
 
     @Test
-    public void aVoterThatWasCutOffNeitherDeposesNorServesOldState() {
+    public void voterThatWasCutOffNeitherDeposesTheLeaderNorServesStaleState() {
         for (long seed = 41; seed < 45; seed++) {
             begin(seed);
             cluster.addController(4, "d", List.of(1, 2, 3));
             cluster.run(cluster.now() + CATCH_UP_MS);
             final SimulatedProcess away = seed % 2 == 0 ? leader() : cluster.processes.get(voters().last());
             cut(away);
-            until("another master", 5_000, () -> leader() != null && leader() != away);
+            until("another leader", 5_000, () -> leader() != null && leader() != away);
             until("its replacement", CATCH_UP_MS, () -> voters().contains(4) && !voters().contains(away.id));
-            acknowledged("while-one-is-cut-off");
+            changeUntilAcknowledged("while-one-is-cut-off");
             for (int i = 0; i < 20; i++) {
                 assertFalse(read(away).status() == 200, "a controller that is cut off serves");
                 cluster.run(cluster.now() + 1_000);
@@ -267,24 +267,24 @@
             final SimulatedProcess before = leader();
             final long term = group(before).term();
             if (seed % 4 > 1) {
-                stoodInVain(away, term + 5);
+                storeLostCandidacy(away, term + 5);
             }
             cluster.net.heal();
             until(
                     "its return as a learner",
                     8_000,
                     () -> membership().learners().stream().anyMatch(m -> m.node() == away.id));
-            acknowledged("after-its-return");
+            changeUntilAcknowledged("after-its-return");
             cluster.run(cluster.now() + 3_000);
             assertEquals(leader(), before, lastNotes());
             assertEquals(group(before).term(), term, lastNotes());
             assertEquals(group(away).committed(), group(before).committed());
-            readBackEverywhere();
+            assertReadBackEverywhere();
         }
     }
 
     @Test
-    public void aFormerVoterFindsTheLeaderThoughAllItsPeersAreGone() {
+    public void formerVoterFindsTheLeaderAfterAllItsPeersWereReplaced() {
         begin(51);
         cluster.addController(4, "d", List.of(1, 2, 3));
         cluster.run(cluster.now() + CATCH_UP_MS);
@@ -298,27 +298,31 @@
                 cluster.run(cluster.now() + CATCH_UP_MS);
             }
         }
-        acknowledged("without-founders");
+        changeUntilAcknowledged("without-founders");
         cluster.restart(former);
         until(
                 "its return",
                 8_000,
                 () -> membership().holds(former.id)
                         && group(former).committed() == group(leader()).committed());
-        assertEquals(former.node.heartbeatPeers().size(), membership().voters().size(), "it still beats the dead");
-        readBackEverywhere();
+        assertEquals(
+                former.node.heartbeatPeers().size(),
+                membership().voters().size(),
+                "it still sends heartbeats to replaced controllers");
+        assertReadBackEverywhere();
     }
 
     @Test
-    public void aSecondFailureBetweenTheTwoStepsLosesNothing() {
+    public void failureBetweenPromotionAndRemovalLosesNothing() {
         for (long seed = 61; seed < 69; seed++) {
             begin(seed);
             cluster.addController(4, "d", List.of(1, 2, 3));
-            // why: the founders' zones are unknown, so the newcomer's is a further one, and it joins once all are
+            // The zones of the founding controllers are unknown, so the new one adds a zone and is promoted once all
+            // are
             // steady
             until("the promotion", 60_000, () -> voters().size() == 4);
             final SimulatedProcess leader = leader();
-            acknowledged("in-between");
+            changeUntilAcknowledged("in-between");
             final boolean diskLost = seed % 2 == 0;
             final SimulatedProcess target =
                     cluster.processes.get(nodes(membership().voters()).stream()
@@ -330,40 +334,40 @@
                 target.disk.wipe();
             }
             cluster.run(cluster.now() + 1_500);
-            acknowledged("after-it");
+            changeUntilAcknowledged("after-it");
             cluster.restart(target);
             cluster.run(cluster.now() + 3_000);
             until(
                     "an odd number of voters",
                     6_000,
                     () -> voters().size() == 3 && group(leader()).membershipSettled());
-            readBackEverywhere();
-            everybodyLosesPower();
-            readBackEverywhere();
+            assertReadBackEverywhere();
+            restartAllAfterPowerLoss();
+            assertReadBackEverywhere();
         }
     }
 
     @Test
-    public void withTwoToleratedLossesTheGroupGrowsToFive() {
+    public void groupGrowsToFiveVotersToTolerateTwoLosses() {
         cluster = new SimulatedCluster(71, FleetSize.SMALL, EnumSet.noneOf(Mutation.class));
         cluster.toleratedLosses = 2;
         cluster.run(4_000);
         version = 0;
-        acknowledged("first");
+        changeUntilAcknowledged("first");
         cluster.addController(4, "d", List.of(1));
         cluster.addController(5, "e", List.of(2));
         until("five voters", 5_000, () -> voters().size() == 5);
         until("their acceptance", 1_000, () -> group(leader()).membershipSettled());
-        acknowledged("with-five");
+        changeUntilAcknowledged("with-five");
         cluster.kill(leader(), true);
-        acknowledged("with-four");
+        changeUntilAcknowledged("with-four");
         cluster.kill(leader(), true);
-        acknowledged("with-three");
-        readBackEverywhere();
+        changeUntilAcknowledged("with-three");
+        assertReadBackEverywhere();
     }
 
     @Test
-    public void aCalmGroupChangesNothing() {
+    public void membershipIsStableWithoutFailures() {
         begin(81);
         cluster.addController(4, "d", List.of(1, 2, 3));
         cluster.run(cluster.now() + 60_000);
--- a/testing/src/test/java/brookpath/testing/sim/ControlScene.java
+++ b/testing/src/test/java/brookpath/testing/sim/ControlScene.java
@@ -16,35 +16,36 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** What the staged scenes of the control plane share: a small cluster in virtual time, and an operator. */
+/** Base class of scenario tests of the control plane: a small cluster in virtual time, and an operator. */
 abstract class ControlScene {
     private static final Pattern VERSION = Pattern.compile("\"version\":([0-9]+)");
 
     SimulatedCluster cluster;
 
-    /** An answer that may not have come yet. */
-    static final class Asked {
+    /** A request and its response, which may not have arrived yet. */
+    static final class PendingCall {
         final int node;
-        final long at;
+        final long sentAt;
         Response response;
-        long answeredAt;
+        long respondedAt;
 
-        Asked(final int node, final long at) {
+        PendingCall(final int node, final long sentAt) {
             this.node = node;
-            this.at = at;
+            this.sentAt = sentAt;
         }
 
         int status() {
             return response == null ? 0 : response.status();
         }
 
-        boolean unclear() {
+        /** Whether there is no response, or one that leaves the outcome open or refuses for the time being. */
+        boolean isUnsettled() {
             return status() <= 0 || status() >= 500;
         }
 
         @Override
         public String toString() {
-            return "node " + node + " asked at " + at + " said at " + answeredAt + ": " + response;
+            return "node " + node + " asked at " + sentAt + " responded at " + respondedAt + ": " + response;
         }
     }
 
@@ -52,7 +53,7 @@
         cluster = ServingCluster.start(seed);
     }
 
-    /** The process that acts as the control leader just now, null for none. */
+    /** The process that acts as the control leader at present; null if there is none. */
     SimulatedProcess actingLeader() {
         for (final int id : cluster.controllers) {
             final SimulatedProcess p = cluster.processes.get(id);
@@ -63,15 +64,16 @@
         return null;
     }
 
+    /** Runs the cluster until there is a control leader. */
     SimulatedProcess leader() {
         for (int i = 0; i < 1_000 && actingLeader() == null; i++) {
             cluster.run(cluster.now() + 10);
         }
-        assertNotNull(actingLeader(), "no control master within 10 s");
+        assertNotNull(actingLeader(), "no control leader within 10 s");
         return actingLeader();
     }
 
-    /** Members of the control group other than this one. */
+    /** The members of the control group other than this one. */
     List<SimulatedProcess> others(final SimulatedProcess p) {
         final List<SimulatedProcess> others = new ArrayList<>();
         cluster.controllers.forEach(id -> {
@@ -90,57 +92,57 @@
         return ((ControlState) group(p).live()).metadataAt(group(p).committed());
     }
 
-    void cutFrom(final SimulatedProcess p) {
+    void cutOutbound(final SimulatedProcess p) {
         others(p).forEach(o -> cluster.net.cut(p.id, o.id));
     }
 
-    void cutTo(final SimulatedProcess p) {
+    void cutInbound(final SimulatedProcess p) {
         others(p).forEach(o -> cluster.net.cut(o.id, p.id));
     }
 
-    /** Asks one process, and continues without waiting for the answer. */
-    Asked ask(final SimulatedProcess p, final String kind, final byte[] body) {
-        final Asked asked = new Asked(p.id, cluster.now());
+    /** Sends a request to one process, without waiting for the response. */
+    PendingCall ask(final SimulatedProcess p, final String kind, final byte[] body) {
+        final PendingCall call = new PendingCall(p.id, cluster.now());
         cluster.callers.ask(p, id -> new NodeRequest.Operate(id, ControlRequestKind.of(kind), body), r -> {
-            asked.response = r;
-            asked.answeredAt = cluster.now();
+            call.response = r;
+            call.respondedAt = cluster.now();
         });
-        return asked;
+        return call;
     }
 
-    Asked askConfiguration(final SimulatedProcess p) {
+    PendingCall askConfiguration(final SimulatedProcess p) {
         return ask(p, "spec", new byte[0]);
     }
 
-    Asked askChange(final SimulatedProcess p, final String document) {
+    PendingCall askChange(final SimulatedProcess p, final String document) {
         return ask(p, "change", document.getBytes(UTF_8));
     }
 
-    Asked askRetire(final SimulatedProcess p, final int node) {
+    PendingCall askRetire(final SimulatedProcess p, final int node) {
         return ask(p, "retire", PackedBuffer.writer().putLong(node).putLong(1).toByteArray());
     }
 
-    Asked askRetireNamed(final SimulatedProcess p, final String name) {
+    PendingCall askRetireNamed(final SimulatedProcess p, final String name) {
         return ask(p, "retireNamed", name.getBytes(UTF_8));
     }
 
-    /** Runs the cluster until the answer is there. */
-    Asked answered(final Asked asked) {
-        for (int i = 0; i < 800 && asked.response == null; i++) {
+    /** Runs the cluster until the response is there. */
+    PendingCall awaitResponse(final PendingCall call) {
+        for (int i = 0; i < 800 && call.response == null; i++) {
             cluster.run(cluster.now() + 5);
         }
-        assertNotNull(asked.response, "no response within 4 s");
-        return asked;
+        assertNotNull(call.response, "no response within 4 s");
+        return call;
     }
 
-    /** Sends the same change to any node until it gets a final answer. */
-    Response settled(final String document, final String changeId) {
+    /** Sends the same change to any node until it gets a final response. */
+    Response awaitFinalResponse(final String document, final String changeId) {
         final Response[] got = new Response[1];
         cluster.callers.operators.change(document, changeId, r -> got[0] = r);
         for (int i = 0; i < 6_000 && got[0] == null; i++) {
             cluster.run(cluster.now() + 5);
         }
-        assertNotNull(got[0], changeId + " has no final answer within 30 s");
+        assertNotNull(got[0], changeId + " has no final response within 30 s");
         return got[0];
     }
 
--- a/testing/src/test/java/brookpath/testing/sim/ControlStateSizeTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ControlStateSizeTest.java
@@ -21,65 +21,68 @@
 import org.testng.annotations.Test;
 
 /**
- * The control state keeps what is committed however much follows it, and stays small however many changes there were.
+ * The control state keeps the committed versions however many uncommitted ones follow, and stays small after any number
+ * of changes.
  */
 public final class ControlStateSizeTest {
-    private static final int CHANGES_BEYOND_ANY_BOUND = 40;
+    private static final int CHANGES_BEYOND_THE_BOUND = 40;
     private static final int MANY_CHANGES = 2_000;
     private static final int DOCUMENT_BYTES = 100 << 10;
-    /** One committed document, those not yet committed, the log kept for followers that lag, and the outcomes. */
+    /** One committed document, the uncommitted ones, the log kept for lagging followers, and the outcomes. */
     private static final int MAX_SNAPSHOT_BYTES = 3 << 20;
 
     private static final int MAX_LOG_BYTES = 2 << 20;
 
     @Test
-    public void theCommittedVersionStaysThoughManyNewerOnesWaitForCopies() {
+    public void committedVersionIsKeptWhileManyNewerOnesAwaitReplication() {
         final SimulatedCluster cluster = ServingCluster.start(11);
         final SimulatedProcess leader = controlLeader(cluster);
         final long committed = committedVersion(leader);
         assertTrue(committed > 0);
         for (final int id : cluster.controllers) {
             if (id != leader.id) {
-                // why: the followers answer heartbeats, so the leader leads on, but nothing that it appends reaches a
-                // disk
-                // there
+                // The followers answer heartbeats, so the leader keeps its leadership, but nothing that it appends
+                // reaches their disks
                 cluster.processes.get(id).syncMs = 1_000_000;
             }
         }
         final List<Response> responses = new ArrayList<>();
-        for (int i = 0; i < CHANGES_BEYOND_ANY_BOUND; i++) {
+        for (int i = 0; i < CHANGES_BEYOND_THE_BOUND; i++) {
             final String doc = cluster.callers.operators.document(committed + i, "waits-" + i, true);
             cluster.callers.ask(
                     leader,
                     id -> new NodeRequest.Operate(id, ControlRequestKind.CHANGE, doc.getBytes(UTF_8)),
                     responses::add);
             cluster.run(cluster.now() + 20);
-            assertEquals(committedVersion(leader), committed, "after " + (i + 1) + " changes that are not accepted");
+            assertEquals(committedVersion(leader), committed, "after " + (i + 1) + " changes that are not committed");
             assertTrue(committedMetadataVersion(leader) > 0, "no cluster metadata after " + (i + 1) + " changes");
         }
         assertTrue(
                 responses.stream().anyMatch(r -> r.status() == 503 && r.retryAfterMs() > 0),
-                "none was refused at once for the many that wait: " + responses);
+                "none was refused at once because of the uncommitted ones: " + responses);
         for (final int id : cluster.controllers) {
             cluster.processes.get(id).syncMs = 2;
         }
     }
 
     @Test
-    public void thousandsOfLargeChangesLeaveASmallLogAndASmallSnapshot() {
-        final ControllerNode node = alone();
+    public void logAndSnapshotStaySmallAfterThousandsOfLargeChanges() {
+        final ControllerNode node = startAlone();
         long mono = 0;
         for (int i = 0; i < 400; i++) {
             mono += 10;
-            obey(node, node.tick(time(mono), HeartbeatTable.EMPTY), mono);
+            execute(node, node.tick(time(mono), HeartbeatTable.EMPTY), mono);
         }
         assertEquals(node.group().role(), GroupMachine.LEADER, node.group().obstacle());
         int largest = 0;
         for (int i = 0; i < MANY_CHANGES; i++) {
             mono += 25;
             final byte[] doc = document(i);
-            obey(node, node.request(new NodeRequest.Operate(i + 1, ControlRequestKind.CHANGE, doc), time(mono)), mono);
-            obey(node, node.tick(time(mono + 20), HeartbeatTable.EMPTY), mono + 20);
+            execute(
+                    node,
+                    node.request(new NodeRequest.Operate(i + 1, ControlRequestKind.CHANGE, doc), time(mono)),
+                    mono);
+            execute(node, node.tick(time(mono + 20), HeartbeatTable.EMPTY), mono + 20);
             largest = Math.max(largest, logBytes(node.group()));
         }
         final ControlState state = (ControlState) node.group().live();
@@ -98,7 +101,7 @@
         return (head + "x".repeat(DOCUMENT_BYTES) + "\"}").getBytes(UTF_8);
     }
 
-    private static ControllerNode alone() {
+    private static ControllerNode startAlone() {
         final ControllerNode node = new ControllerNode(
                 1,
                 List.of(new Member(1, 50, "")),
@@ -107,15 +110,15 @@
                 1,
                 0,
                 Long.MAX_VALUE);
-        obey(node, node.start(true, time(0)), 0);
+        execute(node, node.start(true, time(0)), 0);
         return node;
     }
 
-    /** A disk that syncs at once. */
-    private static void obey(final ControllerNode node, final List<Action> actions, final long mono) {
+    /** Performs the writes among the actions, with a disk that syncs at once. */
+    private static void execute(final ControllerNode node, final List<Action> actions, final long mono) {
         for (final Action action : actions) {
             if (action instanceof Action.Write w) {
-                obey(node, node.synced(w.number(), time(mono)), mono);
+                execute(node, node.synced(w.number(), time(mono)), mono);
             }
         }
     }
--- a/testing/src/test/java/brookpath/testing/sim/OrderRepeatsTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/OrderRepeatsTest.java
@@ -14,14 +14,14 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** An order that was taken is acknowledged however often it is sent, and never refused. */
+/** An order that was accepted is acknowledged each time it is repeated, and never refused. */
 public final class OrderRepeatsTest extends ControlScene {
     private static final int LEAVING = 11;
     private static final String LEAVING_NAME = "machine-11";
 
     private void retireNamed(final String name) {
         for (int i = 0; i < 20; i++) {
-            if (answered(askRetireNamed(leader(), name)).status() == 202) {
+            if (awaitResponse(askRetireNamed(leader(), name)).status() == 202) {
                 return;
             }
             cluster.run(cluster.now() + 200);
@@ -29,7 +29,7 @@
         throw new AssertionError("the order was never acknowledged");
     }
 
-    private void untilEmpty(final int node) {
+    private void awaitEmpty(final int node) {
         for (int i = 0; i < 300; i++) {
             cluster.run(cluster.now() + 100);
             if (metadata(leader()).groups().stream()
@@ -45,13 +45,13 @@
     }
 
     @Test
-    public void aRetirementThatWasAcknowledgedOutlivesALossOfPower() {
+    public void acknowledgedRetirementSurvivesAPowerLoss() {
         begin(120);
         cluster.run(cluster.now() + 3_000);
         final SimulatedProcess leader = leader();
-        // why: the record is on no second disk for a while, though heartbeats are answered and the lease runs
+        // For a while no second disk has the record, though heartbeats are answered and the lease is valid
         others(leader).forEach(p -> p.syncMs = 400);
-        final Asked order = askRetire(leader, LEAVING);
+        final PendingCall order = askRetire(leader, LEAVING);
         for (int i = 0; i < 2_000 && order.response == null; i++) {
             cluster.run(cluster.now() + 1);
         }
@@ -67,41 +67,42 @@
     }
 
     @Test
-    public void aRetirementIsAcknowledgedAgainWhileItIsUnderWay() {
+    public void retirementIsAcknowledgedAgainWhileInProgress() {
         begin(121);
         cluster.run(cluster.now() + 3_000);
-        assertEquals(answered(askRetire(leader(), LEAVING)).status(), 202);
-        // why: now no live machine can take the copies, which must not turn the order into a refused one
+        assertEquals(awaitResponse(askRetire(leader(), LEAVING)).status(), 202);
+        // No live node can take the replicas now, for which the repeated order must not be refused
         cluster.kill(cluster.processes.get(12), false);
         cluster.kill(cluster.processes.get(13), false);
         cluster.run(cluster.now() + 4_000);
         for (int i = 0; i < 3; i++) {
-            final Asked again = answered(askRetire(cluster.processes.get(cluster.controllers.get(i)), LEAVING));
+            final PendingCall again =
+                    awaitResponse(askRetire(cluster.processes.get(cluster.controllers.get(i)), LEAVING));
             assertEquals(again.status(), 202, again.toString());
         }
     }
 
     @Test
-    public void aRetirementIsAcknowledgedAgainWhenTheMachineIsGone() {
+    public void retirementIsAcknowledgedAgainAfterTheNodeIsRemoved() {
         begin(122);
         cluster.run(cluster.now() + 3_000);
         retireNamed(LEAVING_NAME);
-        untilEmpty(LEAVING);
+        awaitEmpty(LEAVING);
         cluster.kill(cluster.processes.get(LEAVING), true);
         cluster.run(cluster.now() + 6_000);
-        forget(LEAVING);
+        removeFromMetadata(LEAVING);
         cluster.run(cluster.now() + 500);
-        assertEquals(metadata(leader()).node(LEAVING), null, "nothing was staged");
+        assertEquals(metadata(leader()).node(LEAVING), null, "the node was not removed");
         for (int round = 0; round < 2; round++) {
             for (final int id : cluster.controllers) {
                 final SimulatedProcess p = cluster.processes.get(id);
-                assertEquals(answered(askRetireNamed(p, LEAVING_NAME)).status(), 202);
-                final Asked state = answered(ask(p, "retired", LEAVING_NAME.getBytes(UTF_8)));
+                assertEquals(awaitResponse(askRetireNamed(p, LEAVING_NAME)).status(), 202);
+                final PendingCall state = awaitResponse(ask(p, "retired", LEAVING_NAME.getBytes(UTF_8)));
                 assertEquals(state.status(), 200, state.toString());
                 assertTrue(state.response.json().contains("true"), state.toString());
-                assertEquals(answered(askRetireNamed(p, "nobody")).status(), 404);
+                assertEquals(awaitResponse(askRetireNamed(p, "nobody")).status(), 404);
             }
-            // why: what is remembered must come back from the disks, and from another leader
+            // Retirements must survive a restart from disk, and a change of the leader
             cluster.controllers.forEach(id -> cluster.kill(cluster.processes.get(id), true));
             cluster.controllers.forEach(id -> cluster.restart(cluster.processes.get(id)));
             leader();
@@ -109,81 +110,82 @@
         }
     }
 
-    /** The cluster metadata names the machine no more. */
-    private void forget(final int node) {
+    /** Removes the node from the cluster metadata. */
+    private void removeFromMetadata(final int node) {
         final SimulatedProcess leader = leader();
-        final ClusterMetadata was = metadata(leader);
-        final List<GroupInfo> groups = was.groups();
-        final ClusterMetadata then = was.with(
-                was.nodes().stream().filter(n -> n.node() != node).toList(),
+        final ClusterMetadata current = metadata(leader);
+        final List<GroupInfo> groups = current.groups();
+        final ClusterMetadata next = current.with(
+                current.nodes().stream().filter(n -> n.node() != node).toList(),
                 groups,
-                was.retiring().stream().filter(n -> n != node).toList());
+                current.retiring().stream().filter(n -> n != node).toList());
         leader.run(p -> {
-            group(p).append(LogRecord.CONTROL, ControlState.metadataBody(then), p.mono(), cluster.now());
+            group(p).append(LogRecord.CONTROL, ControlState.metadataBody(next), p.mono(), cluster.now());
             return List.of();
         });
     }
 
     @Test
-    public void aLeaderThatHasNotHeardTheStorageMachinesYetRefusesNoRetirement() {
+    public void leaderThatHasNotHeardFromTheStorageNodesRefusesNoRetirement() {
         begin(123);
         cluster.run(cluster.now() + 3_000);
         cluster.kill(leader(), false);
         for (int i = 0; i < 2_000 && actingLeader() == null; i++) {
             cluster.run(cluster.now() + 1);
         }
-        final Asked order = askRetire(leader(), LEAVING);
+        final PendingCall order = askRetire(leader(), LEAVING);
         cluster.run(cluster.now() + 2_900);
-        assertTrue(order.status() == 202 || order.unclear(), order.toString());
+        assertTrue(order.status() == 202 || order.isUnsettled(), order.toString());
         cluster.run(cluster.now() + 3_000);
-        assertEquals(answered(askRetire(leader(), LEAVING)).status(), 202);
+        assertEquals(awaitResponse(askRetire(leader(), LEAVING)).status(), 202);
     }
 
     @Test
-    public void refusedDocumentsPushNoAcknowledgedChangeOut() {
+    public void refusedDocumentsEvictNoAcknowledgedChange() {
         begin(124);
         final String newest = document(1, "acknowledged");
-        assertEquals(settled(newest, "acknowledged").status(), 200);
+        assertEquals(awaitFinalResponse(newest, "acknowledged").status(), 200);
         int refused = 0;
         for (int batch = 0; batch < 100; batch++) {
-            final List<Asked> stale = new ArrayList<>();
+            final List<PendingCall> stale = new ArrayList<>();
             for (int i = 0; i < 50; i++) {
                 stale.add(askChange(leader(), document(0, "stale-" + batch + "-" + i)));
             }
-            for (final Asked asked : stale) {
-                refused += answered(asked).status() == 409 ? 1 : 0;
+            for (final PendingCall call : stale) {
+                refused += awaitResponse(call).status() == 409 ? 1 : 0;
             }
         }
         assertEquals(refused, 5_000);
         for (final int id : cluster.controllers) {
-            final Asked again = answered(askChange(cluster.processes.get(id), newest));
+            final PendingCall again = awaitResponse(askChange(cluster.processes.get(id), newest));
             assertEquals(again.status(), 200, again.toString());
             assertEquals(version(again.response), 2);
         }
     }
 
     @Test
-    public void refusalsLeaveNothingInTheControlLog() {
+    public void refusalsAreNotAppendedToTheControlLog() {
         begin(125);
         final SimulatedProcess leader = leader();
         final long end = group(leader).endIndex();
-        assertEquals(answered(askChange(leader, document(0, "stale"))).status(), 409);
+        assertEquals(awaitResponse(askChange(leader, document(0, "stale"))).status(), 409);
         final String odd = document(1, "odd").replace("\"sender\"", "\"sideways\"");
-        assertEquals(answered(askChange(leader, odd)).status(), 422);
+        assertEquals(awaitResponse(askChange(leader, odd)).status(), 422);
         assertEquals(group(leader).endIndex(), end, "a refusal was appended");
     }
 
     @Test
-    public void aChangeIsAcknowledgedAgainAfterHundredsOfOthers() {
+    public void changeIsAcknowledgedAgainAfterHundredsOfOthers() {
         begin(126);
         final String first = document(1, "early");
-        assertEquals(settled(first, "early").status(), 200);
+        assertEquals(awaitFinalResponse(first, "early").status(), 200);
         for (int i = 2; i < 302; i++) {
-            assertEquals(settled(document(i, "later-" + i), "later-" + i).status(), 200);
+            assertEquals(
+                    awaitFinalResponse(document(i, "later-" + i), "later-" + i).status(), 200);
         }
         for (int round = 0; round < 2; round++) {
             for (final int id : cluster.controllers) {
-                final Asked again = answered(askChange(cluster.processes.get(id), first));
+                final PendingCall again = awaitResponse(askChange(cluster.processes.get(id), first));
                 assertEquals(again.status(), 200, again.toString());
                 assertEquals(version(again.response), 2, again.toString());
             }
@@ -196,55 +198,56 @@
     }
 
     @Test
-    public void theSameChangeAtThreeNodesAtOnceMakesOneVersion() {
+    public void sameChangeSentToThreeNodesCreatesOneVersion() {
         for (long seed = 130; seed < 140; seed++) {
             begin(seed);
             final String document = document(1, "same");
-            final List<Asked> asked = new ArrayList<>();
-            cluster.controllers.forEach(id -> asked.add(askChange(cluster.processes.get(id), document)));
+            final List<PendingCall> calls = new ArrayList<>();
+            cluster.controllers.forEach(id -> calls.add(askChange(cluster.processes.get(id), document)));
             if (seed % 2 == 0) {
                 final SimulatedProcess leader = leader();
                 cluster.at(cluster.now() + (seed - 130) / 2, () -> cluster.kill(leader, true));
             }
             cluster.run(cluster.now() + 6_000);
-            for (final Asked a : asked) {
-                assertTrue(a.unclear() || (a.status() == 200 && version(a.response) == 2), "seed " + seed + ": " + a);
+            for (final PendingCall a : calls) {
+                assertTrue(
+                        a.isUnsettled() || (a.status() == 200 && version(a.response) == 2), "seed " + seed + ": " + a);
             }
-            final Response again = settled(document, "same");
+            final Response again = awaitFinalResponse(document, "same");
             assertEquals(again.status(), 200, "seed " + seed + ": " + again);
             assertEquals(version(again), 2);
             assertNoViolations();
         }
     }
 
-    /** Whenever the leader dies, one of the two is confirmed, now and later, and the other is not. */
+    /** At whichever step the leader crashes, exactly one of the two is confirmed, also when both are repeated. */
     @Test
-    public void ofTwoChangesOnOneVersionOneIsConfirmedThoughTheLeaderDiesAtAnyStep() {
+    public void oneOfTwoConflictingChangesIsConfirmedAtWhicheverStepTheLeaderCrashes() {
         for (int step = 0; step < 24; step++) {
             begin(200 + step);
             final List<String> documents = List.of(document(1, "left"), document(1, "right"));
             final SimulatedProcess leader = leader();
-            final int deathMs = step;
-            cluster.at(cluster.now() + deathMs, () -> cluster.kill(leader, true));
-            cluster.at(cluster.now() + deathMs + 2_000, () -> cluster.restart(leader));
-            final List<Asked> asked = new ArrayList<>();
-            // why: each is sent to all nodes at once, and again after the death, as after lost answers
+            final int crashAfterMs = step;
+            cluster.at(cluster.now() + crashAfterMs, () -> cluster.kill(leader, true));
+            cluster.at(cluster.now() + crashAfterMs + 2_000, () -> cluster.restart(leader));
+            final List<PendingCall> calls = new ArrayList<>();
+            // Each is sent to all nodes at once, and again after the crash, as callers do after lost responses
             for (int round = 0; round < 5; round++) {
                 for (final int id : cluster.controllers) {
-                    asked.add(askChange(cluster.processes.get(id), documents.get(id % 2)));
-                    asked.add(askChange(cluster.processes.get(id), documents.get(1 - id % 2)));
+                    calls.add(askChange(cluster.processes.get(id), documents.get(id % 2)));
+                    calls.add(askChange(cluster.processes.get(id), documents.get(1 - id % 2)));
                 }
                 cluster.run(cluster.now() + 700);
             }
             cluster.run(cluster.now() + 4_000);
-            final Response left = settled(documents.get(0), "left");
-            final Response right = settled(documents.get(1), "right");
+            final Response left = awaitFinalResponse(documents.get(0), "left");
+            final Response right = awaitFinalResponse(documents.get(1), "right");
             assertEquals(
                     List.of(200, 409),
                     List.of(Math.min(left.status(), right.status()), Math.max(left.status(), right.status())),
                     "step " + step);
             final String winner = left.status() == 200 ? "left" : "right";
-            for (final Asked a : asked) {
+            for (final PendingCall a : calls) {
                 final boolean confirmed = a.status() == 200;
                 final boolean refused = a.status() >= 400 && a.status() < 500;
                 final boolean aboutWinner =
@@ -256,53 +259,53 @@
         }
     }
 
-    /** A refusal is final, so the version that won must be one that no loss can take back. */
+    /** A refusal is final, so the version that won must be one that no failure can undo. */
     @Test
-    public void aRaceIsLostOnlyToAnCommittedVersion() {
+    public void changeIsRefusedOnlyForACommittedVersion() {
         begin(141);
         final SimulatedProcess leader = leader();
         others(leader).forEach(p -> p.syncMs = 400);
-        final Asked winner = askChange(leader, document(1, "winner"));
-        final Asked loser = askChange(leader, document(1, "loser"));
+        final PendingCall winner = askChange(leader, document(1, "winner"));
+        final PendingCall loser = askChange(leader, document(1, "loser"));
         cluster.run(cluster.now() + 5);
         final long appended = group(leader).endIndex();
         for (int i = 0; i < 200 && group(leader).committed() < appended; i++) {
-            assertNull(winner.response, "confirmed before it is accepted: " + winner);
-            assertNull(loser.response, "lost to a version that is not accepted: " + loser);
+            assertNull(winner.response, "confirmed before it is committed: " + winner);
+            assertNull(loser.response, "lost to a version that is not committed: " + loser);
             cluster.run(cluster.now() + 5);
         }
-        assertEquals(answered(winner).status(), 200);
-        assertEquals(answered(loser).status(), 409);
+        assertEquals(awaitResponse(winner).status(), 200);
+        assertEquals(awaitResponse(loser).status(), 409);
     }
 
-    /** No process that still has to take the change hides that its record is on one disk only. */
+    /** With no other process left to adopt the change, only the commit of its record can delay the confirmation. */
     @Test
-    public void aChangeIsConfirmedOnlyOnceItIsCommitted() {
+    public void changeIsConfirmedOnlyOnceItIsCommitted() {
         begin(142);
         cluster.storages.forEach(id -> cluster.kill(cluster.processes.get(id), false));
         cluster.gateways.forEach(id -> cluster.kill(cluster.processes.get(id), false));
         cluster.run(cluster.now() + 10_000);
         final SimulatedProcess leader = leader();
         others(leader).forEach(p -> p.syncMs = 400);
-        final Asked change = askChange(leader, document(1, "slow"));
+        final PendingCall change = askChange(leader, document(1, "slow"));
         cluster.run(cluster.now() + 5);
         final long appended = group(leader).endIndex();
         for (int i = 0; i < 200 && group(leader).committed() < appended; i++) {
-            assertNull(change.response, "confirmed before it is accepted: " + change);
+            assertNull(change.response, "confirmed before it is committed: " + change);
             cluster.run(cluster.now() + 5);
         }
-        assertEquals(answered(change).status(), 200);
+        assertEquals(awaitResponse(change).status(), 200);
     }
 
     @Test
-    public void twoChangesUnderOneIdNeverBothWin() {
+    public void onlyOneOfTwoDocumentsWithTheSameChangeIdIsAccepted() {
         begin(140);
         final String one = document(1, "twice");
         final String other = cluster.callers.operators.document(1, "twice", false);
-        final Asked first = askChange(leader(), one);
-        final Asked second = askChange(others(leader()).get(0), other);
+        final PendingCall first = askChange(leader(), one);
+        final PendingCall second = askChange(others(leader()).get(0), other);
         cluster.run(cluster.now() + 3_500);
-        assertEquals(answered(askChange(leader(), one)).status() == 200, first.status() == 200);
+        assertEquals(awaitResponse(askChange(leader(), one)).status() == 200, first.status() == 200);
         assertEquals(first.status() + second.status(), 200 + 409, first + " " + second);
     }
 }
--- a/testing/src/test/java/brookpath/testing/sim/PlacementScenariosTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/PlacementScenariosTest.java
@@ -26,7 +26,7 @@
                     PackedBuffer.writer().putLong(leaving.id).putLong(1).toByteArray(),
                     r -> assertEquals(r.status(), 202, r.toString()));
             if (seed % 2 == 1) {
-                // why: a move must outlast a change of the control leader and of a group's leader
+                // A move must continue across a change of the control leader and of a group's leader
                 crashControlLeaderAndAnotherMachine(leaving);
             }
             for (int i = 0; i < 300 && replicasOn(leaving) > 0; i++) {
@@ -56,7 +56,7 @@
         cluster.at(cluster.now() + 5_000, () -> cluster.restart(other));
     }
 
-    /** The three machines that remain are needed by every group. */
+    /** Every group needs the three nodes that remain. */
     private void assertSecondRetirementIsRejected(final SimulatedProcess retired) {
         final Response[] response = new Response[1];
         for (int i = 0; i < 20 && (response[0] == null || response[0].status() == 503); i++) {
@@ -100,15 +100,15 @@
                 PackedBuffer.writer().putLong(leaving.id).putLong(1).toByteArray(),
                 r -> assertEquals(r.status(), 202, r.toString()));
         cluster.run(cluster.now() + 3_000);
-        boolean learns = false;
+        boolean becameLearner = false;
         for (final int g : others) {
             final var membership = group(actingLeader(g), g).membership();
-            learns |= Membership.find(membership.learners(), to.id) != null;
+            becameLearner |= Membership.find(membership.learners(), to.id) != null;
             assertTrue(
                     Membership.find(membership.voters(), to.id) == null,
-                    "group " + g + " counts on an incomplete replica");
+                    "group " + g + " has a voter with an incomplete replica");
         }
-        assertTrue(learns, "nothing was staged");
+        assertTrue(becameLearner, "the node became a learner of no group");
         cluster.net.heal();
         cluster.run(cluster.now() + 8_000);
         assertEquals(replicasOn(leaving), 0);
@@ -138,8 +138,7 @@
             }
         }
         assertEquals(replicasByMachine(), List.of(3, 3, 3, 3));
-        // why: a killed leader's groups stay where they went until it has been back for long; then each rank has its
-        // own again
+        // The leaderships of a killed leader return to it only once it has been back for long
         final SimulatedProcess killed = actingLeader(1);
         cluster.kill(killed, true);
         cluster.run(cluster.now() + 3_000);
--- a/testing/src/test/java/brookpath/testing/sim/StoredDataWriter.java
+++ b/testing/src/test/java/brookpath/testing/sim/StoredDataWriter.java
@@ -37,7 +37,7 @@
             cluster.callers.publisher("ana", Callers.topic(i), "key-members", PUBLISH_EVERY_MS, 30);
         }
         for (int i = 1; i <= CHANGES; i++) {
-            settled(document(i, "change-" + i), "change-" + i);
+            awaitFinalResponse(document(i, "change-" + i), "change-" + i);
         }
         // why: an election on both kinds of machine, so that the term and the vote are not the first ones
         restart(leader());
