--- a/coordination/src/main/java/brookpath/coordination/TimingBounds.java
+++ b/coordination/src/main/java/brookpath/coordination/TimingBounds.java
@@ -1,19 +1,20 @@
 package brookpath.coordination;
 
 /**
- * All periods and deadlines, in milliseconds, as ratios of the bounds that the users set. Immutable.
+ * All periods and timeouts, in milliseconds, derived as ratios of the bounds in the settings. Immutable.
  * docs/design/timing.md has the arithmetic.
  *
- * @param deliverMs never deliver later than this
- * @param recoverMs never mostly down for longer than this
- * @param changeMs a confirmed change is everywhere within this
+ * @param deliverMs the longest time until a message is delivered
+ * @param recoverMs the longest time for which most of the service may be down
+ * @param changeMs a change is confirmed and in force on all processes within this time; a longer {@code leaseMs} is the
+ *     exception
  * @param windowMs the length of a usage window
- * @param leaseMs a process that does not hear from the control plane serves no longer than this; where it is more than
- *     changeMs, a change is confirmed before the leases of processes that cannot be reached have run out, and holds
- *     there leaseMs after its confirmation at the latest
+ * @param leaseMs the length of the configuration lease: a process that hears nothing from the control plane stops
+ *     serving after this time. Where it is longer than changeMs, a change is confirmed before the leases of unreachable
+ *     processes have expired, and is in force there at most leaseMs after its confirmation
  */
 public record TimingBounds(long deliverMs, long recoverMs, long changeMs, long windowMs, long leaseMs) {
-    /** The bounds where the settings give none. */
+    /** The bounds that apply where the settings give none. */
     public static final TimingBounds DEFAULT = new TimingBounds(2_000, 12_000, 3_000, 10_000);
 
     /** Bounds with a configuration lease of four fifths of {@code changeMs}. */
@@ -21,45 +22,47 @@
         this(deliverMs, recoverMs, changeMs, windowMs, changeMs * 4 / 5);
     }
 
-    /** The period of heartbeats between members of groups. */
+    /** The period of heartbeats between group members. */
     public long heartbeat() {
         return deliverMs / 8;
     }
 
-    /** The detection time: a peer that has missed two replies in a row is down. */
+    /** The failure detection time: a peer that has missed two replies in a row counts as down. */
     public long detectionTime() {
         return 2 * heartbeat();
     }
 
     /**
-     * How long a leader may act after it sent a heartbeat that a majority answered. Shorter than
-     * {@link #detectionTime}, for which an answer binds the voter.
+     * The leader lease: how long a leader may act after it sent a heartbeat that a majority answered. Shorter than
+     * {@link #detectionTime}, during which a voter that answered votes for no other candidate.
      */
     public long leaderLease() {
         return detectionTime() * 4 / 5;
     }
 
-    /** One heartbeat period. A pull for which there is nothing new stays pending without this limit. */
+    /** One heartbeat period. A pull for which there is nothing new stays pending beyond it. */
     public long pullHold() {
         return heartbeat();
     }
 
-    /** A pull that was not answered within this is sent again; a lost session is reported sooner. */
+    /** A pull without a reply after this time is sent again; a broken session to the peer is reported sooner. */
     public long pullDeadline() {
         return 4 * heartbeat();
     }
 
-    /** How long a candidate waits for votes before its attempt has failed. */
+    /** How long a candidate waits for votes before its election attempt has failed. */
     public long voteDeadline() {
         return heartbeat();
     }
 
-    /** A publish that is not confirmed within this is answered as unsettled: it may or may not be committed later. */
+    /**
+     * A publish that is not committed within this time is answered as unsettled: it may or may not be committed later.
+     */
     public long commitDeadline() {
         return deliverMs / 2;
     }
 
-    /** A topic whose position is not known within this after the request to join it is refused. */
+    /** A request to join a topic is refused if the topic's position is still unknown after this time. */
     public long joinDeadline() {
         return deliverMs / 2;
     }
@@ -74,22 +77,28 @@
         return heartbeat() / 6;
     }
 
-    /** A storage node answers a gateway's pending long-poll fetch after this, with or without records. */
+    /**
+     * A storage node answers a gateway's pending long-poll fetch after this time at the latest, with or without
+     * records.
+     */
     public long longPollTimeout() {
         return 2 * heartbeat();
     }
 
-    /** How often a gateway reports its listener counts, also where they have not changed. */
+    /** How often a gateway reports its listener counts, even if they have not changed. */
     public long listenerReportInterval() {
         return recoverMs / 8;
     }
 
-    /** Listener counts of a gateway that has stopped reporting expire after this. */
+    /** The listener counts of a gateway that has stopped reporting expire after this time. */
     public long listenerExpiry() {
         return recoverMs / 3;
     }
 
-    /** How long a process may serve on its configuration after the control leader has last confirmed it. */
+    /**
+     * The configuration lease: how long a process may serve by its configuration after the control leader last
+     * confirmed it.
+     */
     public long configurationLease() {
         return leaseMs;
     }
@@ -99,27 +108,27 @@
         return leaseMs <= changeMs ? leaseMs : changeMs / 4;
     }
 
-    /** How long the control leader keeps a configuration poll pending before it answers without news. */
+    /** How long the control leader keeps a configuration poll pending before it replies without an update. */
     public long configurationHold() {
         return configurationLease() / 4;
     }
 
-    /** A configuration poll that is not answered within this is considered lost, and is sent again. */
+    /** A configuration poll without a reply after this time is considered lost, and is sent again. */
     public long configurationDeadline() {
         return configurationLease() / 3;
     }
 
     /**
      * A storage node that the control leader has not heard from for this long is considered lost, and its replicas are
-     * rebuilt elsewhere. A live one polls about once in half of it.
+     * rebuilt elsewhere. A live node polls about twice in that time.
      */
     public long lostAfter() {
         return 2 * configurationHold();
     }
 
     /**
-     * The bound in place of {@link #lostAfter} while an empty storage node is available: the time for which a poll
-     * stays pending, plus the detection time.
+     * Replaces {@link #lostAfter} while a storage node without replicas is available as a spare: the time for which a
+     * poll stays pending, plus the detection time.
      */
     public long lostAfterWithSpare() {
         return configurationHold() + detectionTime();
@@ -135,37 +144,40 @@
         return heartbeat() / 10;
     }
 
-    /** How much longer history is kept than the space's keeping time, for clients that return after an outage. */
+    /** How much longer history is kept than the space's retention time, for clients that reconnect after an outage. */
     public long retentionMargin() {
         return recoverMs;
     }
 
-    /** A change request that has no answer from the control leader after this has an unknown outcome. */
+    /** The outcome of a change request is unknown if the control leader has not replied within this time. */
     public long changeRequestDeadline() {
         return changeMs * 3 / 2;
     }
 
-    /** A read that has no answer from the control leader after this has failed; a later answer is dropped. */
+    /** A read fails if the control leader has not replied within this time; a later reply is dropped. */
     public long readDeadline() {
         return changeMs / 2;
     }
 
-    /** How long the total of a usage window waits after the window's end for groups that could not close it. */
+    /** How long after a usage window's end its total waits for groups that have not closed the window. */
     public long usageGracePeriod() {
         return recoverMs / 3;
     }
 
-    /** The pause before a write that found the disk full is retried. */
+    /** The delay before a write that failed because the disk was full is retried. */
     public long diskRetryDelay() {
         return heartbeat();
     }
 
-    /** A member whose disk has completed no write for this long does not stand, and transfers its leadership. */
+    /**
+     * A member whose disk has completed no write for this long does not stand for election; a leader transfers its
+     * leadership.
+     */
     public long diskStallTimeout() {
         return deliverMs * 3 / 4;
     }
 
-    /** How long a caller waits for its session and topics before that counts as late. */
+    /** How long a caller may wait for its session and topics before they count as late. */
     public long callerWaitLimit() {
         return deliverMs / 5;
     }
--- a/coordination/src/main/java/brookpath/coordination/action/Action.java
+++ b/coordination/src/main/java/brookpath/coordination/action/Action.java
@@ -4,21 +4,23 @@
 import brookpath.coordination.message.Response;
 import brookpath.state.record.LogRecord;
 
-/** An effect that a decision asks for, carried out by the executor of the process. */
+/** An effect of a decision, which the executor of the process carries out. */
 public sealed interface Action {
     /** Sends a message to another process. */
     record Send(int node, PeerMessage message) implements Action {}
 
-    /** Appends an entry to the write-ahead log; the executor reports later up to which number all writes are synced. */
+    /**
+     * Appends an entry to the write-ahead log. The executor later reports the number up to which all writes are synced.
+     */
     record Write(long number, byte[] entry) implements Action {}
 
-    /** Begins a new segment with this snapshot, which stands for everything written so far. */
+    /** Begins a new log segment with this snapshot, which replaces everything written before it. */
     record Roll(long number, byte[] snapshot) implements Action {}
 
-    /** Requests a full round of heartbeats without waiting for the period. */
+    /** Sends a full round of heartbeats without waiting for the period. */
     record HeartbeatNow() implements Action {}
 
-    /** The final response to a caller's request. */
+    /** Sends the final response to a caller's request. */
     record Respond(long requestId, Response response) implements Action {}
 
     /** An action on the connection of a listening session. */
@@ -36,19 +38,19 @@
      */
     record DeliverRecord(long sessionId, LogRecord logRecord) implements ToSession {}
 
-    /** Notifies a session that a topic it had joined is no longer listened to, and why. */
+    /** Notifies a session that it no longer listens to a topic that it had joined, and why. */
     record TopicEnded(long sessionId, String topic, Response reason) implements ToSession {}
 
     /** Asks a session to reconnect at another gateway; the address is empty where none is known. */
     record MoveSession(long sessionId, String address) implements ToSession {}
 
-    /** Ends a caller's session. */
+    /** Closes a caller's session. */
     record CloseSession(long sessionId, String reason) implements ToSession {}
 
     /** Posts a document to the platform under an idempotency key; the outcome comes back as a request. */
     record Post(long requestId, String key, String json) implements Action {}
 
-    /** A line for the log ring; a milestone is also printed at once, and an error has the ring written out. */
+    /** A line for the log ring. A milestone is also printed at once; an error causes the ring to be written out. */
     record Note(Severity severity, String text) implements Action {
         /** Whether the ring is to be written out. */
         public boolean isError() {
@@ -56,10 +58,10 @@
         }
     }
 
-    /** How serious a note is. */
+    /** The severity of a note. */
     enum Severity {
         INFO,
-        /** Rare, and needed to order what happened over all processes, such as a start or an election. */
+        /** A rare event, such as a start or an election, that is needed to order what happened across all processes. */
         MILESTONE,
         ERROR
     }
--- a/coordination/src/main/java/brookpath/coordination/action/Actions.java
+++ b/coordination/src/main/java/brookpath/coordination/action/Actions.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * Collects, in their order, the actions that follow from one event, and numbers what is written to the log. Not
- * thread-safe: an instance belongs to the one thread that drains it.
+ * Collects the actions that follow from an event, in order, and numbers the writes to the log. Not thread-safe: an
+ * instance belongs to the one thread that drains it.
  */
 public final class Actions {
     private List<Action> collected = new ArrayList<>();
@@ -23,7 +23,7 @@
     /**
      * Appends an entry to the log.
      *
-     * @return the entry's number; once the executor reports it as synced, the entry survives a loss of power
+     * @return the number of the write; once the executor reports it as synced, the entry survives a power failure
      */
     public long write(final byte[] entry) {
         bytesSinceRoll += entry.length;
@@ -31,13 +31,13 @@
         return writes;
     }
 
-    /** Begins a new log segment with a snapshot that stands for everything written so far. */
+    /** Begins a new log segment with a snapshot that replaces everything written before it. */
     public void roll(final byte[] snapshot) {
         bytesSinceRoll = 0;
         collected.add(new Action.Roll(++writes, snapshot));
     }
 
-    /** How many bytes of entries were written since the last segment began. */
+    /** How many bytes of entries were written since the current segment began. */
     public long bytesSinceRoll() {
         return bytesSinceRoll;
     }
@@ -47,7 +47,7 @@
         return writes;
     }
 
-    /** Sends a heartbeat to each peer without waiting for its period. */
+    /** Sends a full round of heartbeats without waiting for the period. */
     public void heartbeatNow() {
         collected.add(new Action.HeartbeatNow());
     }
@@ -82,7 +82,7 @@
         collected.add(new Action.CloseSession(sessionId, reason));
     }
 
-    /** Posts a document to the users' platform under an idempotency key. */
+    /** Posts a document to the platform under an idempotency key. */
     public void post(final long requestId, final String key, final String json) {
         collected.add(new Action.Post(requestId, key, json));
     }
@@ -97,12 +97,12 @@
         collected.add(new Action.Note(Action.Severity.MILESTONE, text));
     }
 
-    /** Adds a line to the log ring, and has the ring written out. */
+    /** Adds a line to the log ring, and causes the ring to be written out. */
     public void error(final String text) {
         collected.add(new Action.Note(Action.Severity.ERROR, text));
     }
 
-    /** Returns the actions collected since the last call, in their order. */
+    /** Returns the actions collected since the last call, in order. */
     public List<Action> drain() {
         final List<Action> drained = collected;
         collected = new ArrayList<>();
--- a/coordination/src/main/java/brookpath/coordination/configuration/Configuration.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/Configuration.java
@@ -6,7 +6,7 @@
 /**
  * One version of the configuration: all spaces, keys and tenants. Immutable.
  *
- * @param topicsPerSession the most topics that a session may listen to
+ * @param topicsPerSession the maximum number of topics that a session may listen to
  */
 public record Configuration(
         long version,
@@ -44,7 +44,8 @@
     }
 
     /**
-     * @param prefix topics whose names begin with it belong to this space, unless a longer prefix matches
+     * @param prefix topics whose names begin with it belong to this space, unless the longer prefix of another space
+     *     matches
      * @param retentionMs how long history is kept, in milliseconds
      * @param oneOrder whether the space guarantees one order over all its topics
      * @param open whether callers without a key may use it
@@ -74,6 +75,6 @@
 
     /** The space that a topic belongs to; null where no prefix matches. */
     public Space spaceOf(final String topic) {
-        return prefixes.of(topic);
+        return prefixes.longestMatch(topic);
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/configuration/ConfigurationClient.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/ConfigurationClient.java
@@ -22,17 +22,20 @@
     private static final int NOTHING_KNOWN = -1;
 
     private static final int NO_LEADER = 0;
-    /** Polls beyond so many are no longer awaited, the oldest first; their lease would be over or nearly so. */
+    /**
+     * The maximum number of polls whose replies are awaited. The oldest are dropped first: the leases that their
+     * replies would grant have expired, or nearly so.
+     */
     private static final int MAX_OUTSTANDING = 4;
 
-    /** A poll whose reply may still come, also after another controller was polled in its place. */
+    /** A poll whose reply is still awaited, even if another controller has been polled since. */
     private record SentPoll(long id, long sentAt, int target, boolean relayed) {}
 
     private final NodeInfo info;
     private final int self;
     private final int role;
     /**
-     * The controllers that may be polled: those of the settings, and those that the cluster metadata has named since.
+     * The controllers that may be polled: those in the settings, and those that the cluster metadata has named since.
      */
     private List<Integer> controllers;
 
@@ -47,7 +50,7 @@
     private byte[] metadataBytes = VersionUpdates.NO_UPDATE;
     private boolean known;
     /** Whether a delta did not apply, so that the next reply must carry both documents in full. */
-    private boolean wantsWhole;
+    private boolean needsFullDocuments;
 
     private long leaseUntil = Long.MIN_VALUE;
     private final ArrayDeque<SentPoll> outstanding = new ArrayDeque<>();
@@ -57,10 +60,10 @@
     private long nextAt = Long.MIN_VALUE;
     private boolean polling;
     private int target;
-    private int turn;
+    private int controllerIndex;
     private boolean drain;
     private boolean relay;
-    /** Polls are forwarded only because the leader's address is not known yet. */
+    /** Whether polls are relayed only because the leader's address is not known yet. */
     private boolean leaderUnknown;
 
     private long relayUntil;
@@ -69,8 +72,8 @@
     /**
      * @param info this process as peers see it; peers reach a storage node or a controller at its address, callers a
      *     gateway
-     * @param firstId where the polls' IDs begin; it differs in each incarnation of the process: a reply that a third
-     *     node forwards may outlive the incarnation that polled, and must not grant a lease to the next one
+     * @param firstId where the IDs of polls begin. It differs in each incarnation of the process: a reply relayed by a
+     *     third node may arrive after the incarnation that polled has ended, and must not grant a lease to the next one
      */
     public ConfigurationClient(
             final NodeInfo info,
@@ -86,8 +89,8 @@
         controllers = seeds.stream().filter(n -> n != self).toList();
         this.timing = timing;
         this.out = out;
-        turn = controllers.isEmpty() ? 0 : Math.floorMod(self, controllers.size());
-        target = controllers.isEmpty() ? 0 : controllers.get(turn);
+        controllerIndex = controllers.isEmpty() ? 0 : Math.floorMod(self, controllers.size());
+        target = controllers.isEmpty() ? 0 : controllers.get(controllerIndex);
     }
 
     /** The newest configuration that this process has. */
@@ -105,24 +108,24 @@
         return target;
     }
 
-    /** The node number of the control leader that has replied lately; 0 for none. */
+    /** The node number of the control leader that has replied recently; 0 for none. */
     public int leaderHeard(final long now) {
         return leased(now) && !relay ? target : 0;
     }
 
-    /** Sets whether this process drains; the next poll notifies the control leader of it. */
+    /** Sets whether this process is draining; the next poll notifies the control leader. */
     public void drain(final boolean on) {
         drain = on;
     }
 
-    /** Whether this process drains. */
+    /** Whether this process is draining. */
     public boolean draining() {
         return drain;
     }
 
     /**
-     * Whether this process holds the lease on the configuration. Without it, before the first reply or after its
-     * expiry, nothing is served.
+     * Whether this process holds the configuration lease. Nothing is served without it: before the first reply, and
+     * after its expiry.
      */
     public boolean leased(final long now) {
         return known && now < leaseUntil;
@@ -138,7 +141,9 @@
         return pollsSent;
     }
 
-    /** Whether the fleet's clock is known; records are never stamped by this node's own clock, which may be wrong. */
+    /**
+     * Whether the fleet's clock is known. Records are never timestamped by this node's own clock, which may be wrong.
+     */
     public boolean clockKnown() {
         return clockAhead != Long.MIN_VALUE;
     }
@@ -148,12 +153,12 @@
         return clockKnown() ? time.mono() + clockAhead : 0;
     }
 
-    /** Sends the next poll if it is due, and abandons one without a timely reply. */
+    /** Sends the next poll if it is due, and gives up on a poll whose reply is overdue. */
     public void tick(final Time time) {
         final long now = time.mono();
         if (polling && now - sentAt > timing.configurationDeadline()) {
             polling = false;
-            unreached(now);
+            relayViaNextController(now);
         }
         if (!polling && now >= nextAt && target != 0) {
             poll(time);
@@ -161,26 +166,26 @@
     }
 
     /**
-     * The polled controller cannot be reached. Another one may reach it, so that polls are sent there to be forwarded
-     * for a while.
+     * Called when the polled controller cannot be reached. Another controller may be able to reach the control leader,
+     * so for a while polls are sent to that one to be relayed.
      */
-    private void unreached(final long now) {
-        // Before the first reply the controller may just not have started yet
+    private void relayViaNextController(final long now) {
+        // Before the first reply, the controller may simply not have started yet
         relay = known;
         relayUntil = now + 2 * timing.changeMs() * 4 / 5;
-        nextSeed();
+        nextController();
     }
 
-    private void nextSeed() {
+    private void nextController() {
         if (!controllers.isEmpty()) {
-            turn = (turn + 1) % controllers.size();
-            target = controllers.get(turn);
+            controllerIndex = (controllerIndex + 1) % controllers.size();
+            target = controllers.get(controllerIndex);
         }
     }
 
     /**
-     * Adopts the cluster metadata that this process kept on its disk, at its start: who its peers are, until a control
-     * leader sends the newest. No lease comes with it.
+     * Adopts, at the start of the process, the cluster metadata stored on its disk, so that it knows its peers before a
+     * control leader sends the newest version. This grants no lease.
      */
     public void restore(final ClusterMetadata kept) {
         metadata = kept;
@@ -188,7 +193,7 @@
         addControllers(kept.controllers());
     }
 
-    /** Adds controllers that may be polled, from a log that may be outdated. */
+    /** Adds controllers that may be polled; they may come from outdated cluster metadata. */
     public void addControllers(final List<ClusterMetadata.NodeInfo> more) {
         final List<Integer> all = new ArrayList<>(controllers);
         more.stream()
@@ -197,12 +202,12 @@
                 .forEach(all::add);
         controllers = List.copyOf(all);
         if (target == 0) {
-            nextSeed();
+            nextController();
         }
     }
 
-    /** A forwarded reply brought the leader's address, so that the next poll can be sent there directly. */
-    private void askDirectly(final int leader) {
+    /** Polls the leader directly from now on, if polls were relayed only until its address was known. */
+    private void pollDirectly(final int leader) {
         if (leaderUnknown && controllers.contains(leader)) {
             relay = false;
             target = leader;
@@ -210,19 +215,20 @@
         leaderUnknown = false;
     }
 
-    private void learn() {
-        final List<Integer> known = new ArrayList<>(controllers);
-        metadata.controllers().forEach(b -> {
-            if (b.node() != self && !known.contains(b.node())) {
-                known.add(b.node());
+    private void updateControllers() {
+        final List<Integer> updated = new ArrayList<>(controllers);
+        metadata.controllers().forEach(controller -> {
+            if (controller.node() != self && !updated.contains(controller.node())) {
+                updated.add(controller.node());
             }
         });
-        // Controllers of the settings may have been removed since
+        // Controllers in the settings may have been removed from the cluster since
         if (!metadata.controllers().isEmpty()) {
-            known.removeIf(n -> n != target && metadata.controllers().stream().noneMatch(b -> b.node() == n));
+            updated.removeIf(n ->
+                    n != target && metadata.controllers().stream().noneMatch(controller -> controller.node() == n));
         }
-        controllers = List.copyOf(known);
-        turn = Math.max(0, controllers.indexOf(target));
+        controllers = List.copyOf(updated);
+        controllerIndex = Math.max(0, controllers.indexOf(target));
     }
 
     private void poll(final Time time) {
@@ -245,8 +251,8 @@
                         info.zone(),
                         info.address(),
                         info.name(),
-                        known && !wantsWhole ? configuration.version() : NOTHING_KNOWN,
-                        known && !wantsWhole ? metadata.version() : NOTHING_KNOWN,
+                        known && !needsFullDocuments ? configuration.version() : NOTHING_KNOWN,
+                        known && !needsFullDocuments ? metadata.version() : NOTHING_KNOWN,
                         drain,
                         relay,
                         time.wall(),
@@ -254,21 +260,21 @@
     }
 
     /**
-     * The poll was not sent, or its connection broke: polls again at once, since waiting for the deadline would only
-     * use up the lease.
+     * Called when the poll was not sent, or its connection broke: polls again at once, since waiting for the deadline
+     * would only use up the lease.
      */
     public void unsent(final int to, final long now) {
         if (polling && to == target) {
             polling = false;
-            unreached(now);
+            relayViaNextController(now);
             nextAt = now + timing.tick();
         }
     }
 
     /**
-     * Handles the reply to a poll; true where it brought a newer configuration or cluster metadata. A reply that comes
-     * after another controller was polled in its place counts like any other: a process that handles replies late would
-     * otherwise lose its lease although the control plane grants it again and again.
+     * Handles the reply to a poll; true if it brought a newer configuration or newer cluster metadata. A reply that
+     * arrives after another controller has been polled counts like any other: otherwise a process that is slow to
+     * handle replies would lose its lease although the control plane keeps renewing it.
      */
     public boolean onReply(final ConfigurationReply reply, final Time time) {
         final SentPoll answered = removeOutstanding(reply.pollId());
@@ -284,31 +290,34 @@
             return false;
         }
         if (reply.configurationVersion() < configuration.version()) {
-            // A process that has served a version never returns to an older one
+            // A process that has served by one version never returns to an older one
             if (!late) {
-                out.error("spec went back from " + configuration.version() + " to " + reply.configurationVersion());
+                out.error("configuration version went back from " + configuration.version() + " to "
+                        + reply.configurationVersion());
             }
             return false;
         }
         final boolean changed;
         try {
-            changed = take(reply) || !known;
+            changed = applyDocuments(reply) || !known;
         } catch (final Delta.MismatchException ex) {
             if (!late) {
-                // No lease without the configuration that it covers; the complete document needs no base
-                out.note("asks for the whole configuration: " + ex.getMessage());
-                wantsWhole = true;
+                // A lease is only valid with the configuration that it covers. The complete document applies without a
+                // base version
+                out.note("requests the complete configuration: " + ex.getMessage());
+                needsFullDocuments = true;
                 poll(time);
             }
             return false;
         }
-        adopt(reply, answered, late, time);
+        onLeaderReply(reply, answered, late, time);
         return changed;
     }
 
-    /** The poll with this ID, which is no longer awaited from here on; null where it is not awaited. */
+    /** Removes and returns the awaited poll with this ID; null if there is none. */
     private SentPoll removeOutstanding(final long id) {
-        // why: by the iterator, since a record's equals is linked at its first use, which delays the first lease
+        // Uses the iterator, since a record's equals method is linked at its first use, which would delay the first
+        // lease
         for (final Iterator<SentPoll> polls = outstanding.iterator(); polls.hasNext(); ) {
             final SentPoll poll = polls.next();
             if (poll.id == id) {
@@ -319,12 +328,13 @@
         return null;
     }
 
-    /** Renews the lease by a reply of the leader, and polls again unless a newer poll is in flight. */
-    private void adopt(final ConfigurationReply reply, final SentPoll answered, final boolean late, final Time time) {
-        wantsWhole = false;
+    /** Renews the lease after a reply from the leader, and polls again unless a newer poll is in flight. */
+    private void onLeaderReply(
+            final ConfigurationReply reply, final SentPoll answered, final boolean late, final Time time) {
+        needsFullDocuments = false;
         known = true;
         if (!late) {
-            askDirectly(reply.leaderHint());
+            pollDirectly(reply.leaderHint());
         } else if (!answered.relayed) {
             target = answered.target;
             relay = false;
@@ -335,27 +345,29 @@
         }
     }
 
-    /** The polled controller does not lead: polls the leader that it names, else the next controller. */
+    /**
+     * Called when the polled controller is not the leader: polls the leader that it names, else the next controller.
+     */
     private void followLeaderHint(final int hint, final long now) {
         final boolean usable = !relay && hint != NO_LEADER && hint != target;
         if (usable && controllers.contains(hint)) {
             target = hint;
             nextAt = now;
         } else if (usable) {
-            // A leader outside the settings is known by number only; the controller that names it forwards the poll,
-            // and the cluster metadata brings its address
+            // Only the number of a leader outside the settings is known. The controller that names it relays the poll,
+            // and the cluster metadata in the reply has its address
             relay = true;
             leaderUnknown = true;
             relayUntil = now + timing.configurationHold();
             nextAt = now;
         } else {
-            nextSeed();
+            nextController();
             nextAt = now + timing.tick();
         }
     }
 
     private void renewLease(final ConfigurationReply reply, final long polledAt, final long now) {
-        // The lease runs from when the poll was sent, which is before it was granted
+        // The lease starts when the poll was sent, which is before the leader granted it
         leaseUntil = Math.max(leaseUntil, polledAt + timing.configurationLease());
         if (reply.wall() != 0) {
             clockAhead = reply.wall() - now;
@@ -363,25 +375,24 @@
     }
 
     /**
-     * Adopts the newer documents of the reply, or none where one delta does not apply. True where there was a newer
-     * one.
+     * Applies the newer documents in the reply, or none if a delta does not apply; true if there was a newer document.
      */
-    private boolean take(final ConfigurationReply m) throws Delta.MismatchException {
-        final boolean newConfiguration = m.configurationVersion() > configuration.version();
-        final boolean newMetadata = m.metadataVersion() > metadata.version();
+    private boolean applyDocuments(final ConfigurationReply reply) throws Delta.MismatchException {
+        final boolean newConfiguration = reply.configurationVersion() > configuration.version();
+        final boolean newMetadata = reply.metadataVersion() > metadata.version();
         final byte[] nextConfiguration =
-                newConfiguration ? Delta.apply(configurationBytes, m.configuration()) : configurationBytes;
-        final byte[] nextMetadata = newMetadata ? Delta.apply(metadataBytes, m.metadata()) : metadataBytes;
+                newConfiguration ? Delta.apply(configurationBytes, reply.configuration()) : configurationBytes;
+        final byte[] nextMetadata = newMetadata ? Delta.apply(metadataBytes, reply.metadata()) : metadataBytes;
         if (newConfiguration) {
-            // why: not the operator's text, which the control plane has parsed and checked; doing so again took a
-            // gateway on a small machine seconds before its first lease
+            // Decodes the packed form rather than the operator's document, which the control plane has already parsed
+            // and checked: parsing it again would delay the first lease of a gateway on a small machine by seconds
             configuration = PackedConfiguration.decode(nextConfiguration);
             configurationBytes = nextConfiguration;
         }
         if (newMetadata) {
             metadata = ClusterMetadata.load(nextMetadata);
             metadataBytes = nextMetadata;
-            learn();
+            updateControllers();
         }
         return newConfiguration || newMetadata;
     }
--- a/coordination/src/main/java/brookpath/coordination/configuration/Finding.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/Finding.java
@@ -4,19 +4,22 @@
 import jakarta.json.JsonArrayBuilder;
 import java.util.List;
 
-/** An error in a request, with the place as a JSON pointer. Findings are collected and reported together. */
+/**
+ * An error in a document or in the settings, with its place as a JSON pointer. All findings are collected and reported
+ * together.
+ */
 public record Finding(String place, String what) {
     @Override
     public String toString() {
         return place + ": " + what;
     }
 
-    /** The findings as a JSON array. */
+    /** The findings as the text of a JSON array. */
     public static String toJson(final List<Finding> findings) {
         return toJsonArray(findings).build().toString();
     }
 
-    /** The same finding with its place below a prefix, as part of a larger document. */
+    /** The findings as a JSON array, to be added to a larger document. */
     public static JsonArrayBuilder toJsonArray(final List<Finding> findings) {
         final JsonArrayBuilder arr = Json.createArrayBuilder();
         findings.forEach(
--- a/coordination/src/main/java/brookpath/coordination/configuration/PackedConfiguration.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/PackedConfiguration.java
@@ -10,9 +10,9 @@
 import java.util.TreeSet;
 
 /**
- * The form in which the control leader sends an accepted configuration to the processes that apply it. The encoding is
- * canonical: all controllers encode the same configuration to the same bytes, so that deltas made by one leader apply
- * to what another one has sent.
+ * The binary encoding in which the control leader sends an accepted configuration to the processes that apply it. It is
+ * canonical: all controllers encode the same configuration to the same bytes, so that a delta from one leader applies
+ * to a version that another one has sent.
  */
 public final class PackedConfiguration {
     /** The first number of the encoding. */
@@ -33,7 +33,7 @@
                 .putString(configuration.changeId())
                 .putLong(configuration.topicsPerSession())
                 .putLong(configuration.spaces().size());
-        // why: the maps' own order differs from process to process
+        // Sorted, because the iteration order of the maps differs between processes
         new TreeMap<>(configuration.spaces()).values().forEach(space -> putSpace(buffer, space));
         buffer.putLong(configuration.tenants().size());
         new TreeMap<>(configuration.tenants()).values().forEach(tenant -> putTenant(buffer, tenant));
@@ -58,9 +58,10 @@
     }
 
     /**
-     * Decodes what {@link #encode} made. Nothing is checked again: the control plane accepted it.
+     * Decodes the result of {@link #encode}. Nothing is validated again: the control plane has accepted the
+     * configuration.
      *
-     * @throws IllegalStateException where the format is of another release
+     * @throws IllegalStateException if the format is not the one that this release reads
      */
     public static Configuration decode(final byte[] encoded) {
         final PackedBuffer in = PackedBuffer.reader(encoded);
--- a/coordination/src/main/java/brookpath/coordination/configuration/Prefixes.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/Prefixes.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 import java.util.TreeSet;
 
-/** Looks up spaces by the prefixes of their topics' names; the longest match wins. Immutable. */
+/** Looks up spaces by topic name prefix; the longest match wins. Immutable. */
 final class Prefixes {
     static final Prefixes NONE = new Prefixes(List.of());
 
     private final Map<String, Configuration.Space> byPrefix = new HashMap<>();
-    /** Longest first, so that the first match is the longest. */
+    /** The distinct lengths of the prefixes, longest first, so that the first match is the longest. */
     private final int[] lengths;
 
     Prefixes(final Collection<Configuration.Space> spaces) {
@@ -28,9 +28,9 @@
         }
     }
 
-    Configuration.Space of(final String topic) {
-        for (final int len : lengths) {
-            final Configuration.Space space = topic.length() < len ? null : byPrefix.get(topic.substring(0, len));
+    Configuration.Space longestMatch(final String topic) {
+        for (final int length : lengths) {
+            final Configuration.Space space = topic.length() < length ? null : byPrefix.get(topic.substring(0, length));
             if (space != null) {
                 return space;
             }
--- a/coordination/src/main/java/brookpath/coordination/configuration/StoredConfiguration.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/StoredConfiguration.java
@@ -1,8 +1,8 @@
 package brookpath.coordination.configuration;
 
 /**
- * One version of the configuration as a record of the control log holds it. The document is parsed on first use: most
- * versions of a series of changes are never read before the next one replaces them.
+ * One version of the configuration as stored in a record of the control log. The document is parsed on first use, since
+ * most versions in a series of changes are replaced before they are read.
  */
 public final class StoredConfiguration {
     /** The version before the first change. */
@@ -14,7 +14,7 @@
     private byte[] packed;
     private Configuration configuration;
 
-    /** The version whose document is held by the record at this index of the control log. */
+    /** The version whose document is stored in the control log record at this index. */
     public StoredConfiguration(final long index, final long version, final byte[] document) {
         this(index, version, document, null);
     }
@@ -27,7 +27,7 @@
         this.configuration = configuration;
     }
 
-    /** The record's position in the control log. */
+    /** The record's index in the control log. */
     public long index() {
         return index;
     }
--- a/coordination/src/main/java/brookpath/coordination/heartbeat/HeartbeatMonitor.java
+++ b/coordination/src/main/java/brookpath/coordination/heartbeat/HeartbeatMonitor.java
@@ -12,51 +12,53 @@
 import java.util.TreeMap;
 
 /**
- * Sends and receives heartbeats, and makes the table of what they report. Times are of the steady clock, in
+ * Sends and receives heartbeats, and maintains the table of what they report. Times are of the steady clock, in
  * milliseconds. Not thread-safe: the replication listener thread owns it.
  */
 public final class HeartbeatMonitor {
-    /** How many unanswered heartbeats to a peer are remembered. */
+    /** The maximum number of heartbeats to a peer whose replies are awaited. */
     private static final int MAX_OUTSTANDING = 8;
 
-    /** A peer that has missed so many replies in a row is down. */
+    /** The number of missed replies in a row after which a peer counts as down. */
     private static final int MISSED_WHEN_DOWN = 2;
 
-    private record Sent(long at, Map<Integer, HeartbeatEntry> own) {}
+    private record SentHeartbeat(long sentAt, Map<Integer, HeartbeatEntry> ownEntries) {}
 
     private static final class Peer {
-        final LinkedHashMap<Long, Sent> sent = new LinkedHashMap<>();
+        final LinkedHashMap<Long, SentHeartbeat> sent = new LinkedHashMap<>();
         long lastId = -1;
         boolean lastAnswered = true;
         int missed = MISSED_WHEN_DOWN;
         long answeredSentAt = Long.MIN_VALUE / 2;
         Map<Integer, HeartbeatEntry> answeredOwn = Map.of();
         long heardAt = Long.MIN_VALUE / 2;
-        long known;
+        long knownDigest;
         Map<Integer, HeartbeatEntry> entries = Map.of();
     }
 
-    /** A visitor that has sent nothing for so many heartbeat periods is forgotten. */
-    private static final int VISIT_HEARTBEATS = 16;
+    /** A watcher that has sent nothing for this number of heartbeat periods is removed. */
+    private static final int WATCHER_EXPIRY_HEARTBEATS = 16;
 
-    private static final int MAX_VISITORS = 4_096;
+    private static final int MAX_WATCHERS = 4_096;
 
     private final TimingBounds timing;
     private final long period;
     private final HeartbeatPromises promises;
-    /** Nodes that send heartbeats without being peers: until when each is notified of changes at once. */
-    private final TreeMap<Integer, Long> visitors = new TreeMap<>();
+    /**
+     * Nodes that send heartbeats but are not peers, each with the time until which it is notified of changes at once.
+     */
+    private final TreeMap<Integer, Long> watchers = new TreeMap<>();
 
     private final TreeMap<Integer, Peer> peers = new TreeMap<>();
-    private List<HeartbeatEntry> own = List.of();
-    private Map<Integer, HeartbeatEntry> ownById = Map.of();
+    private List<HeartbeatEntry> ownEntries = List.of();
+    private Map<Integer, HeartbeatEntry> ownEntriesByGroup = Map.of();
     private HeartbeatTable table = HeartbeatTable.EMPTY;
     private long nextId;
     private long nextRound = Long.MIN_VALUE / 2;
 
     /**
-     * @param period between two heartbeats: that of the timing bounds for members of groups; a process that only
-     *     watches them is notified of changes and may use a longer one
+     * @param period the time between two heartbeats. Group members use that of the timing bounds; a process that only
+     *     watches them is notified of changes, and may use a longer period
      */
     public HeartbeatMonitor(final TimingBounds timing, final long period, final HeartbeatPromises promises) {
         this.timing = timing;
@@ -64,22 +66,25 @@
         this.promises = promises;
     }
 
-    /** Sets the peers to exchange heartbeats with; other nodes are answered, but are not in the table. */
+    /**
+     * Sets the peers to exchange heartbeats with. Heartbeats from other nodes are answered, but these nodes are not in
+     * the table.
+     */
     public void setPeers(final Set<Integer> nodes) {
         peers.keySet().retainAll(nodes);
         nodes.forEach(n -> peers.computeIfAbsent(n, k -> new Peer()));
         publishTable();
     }
 
-    /** Sets the entries that the next heartbeats and answers carry. */
+    /** Sets this process's entries, which the next heartbeats and replies carry. */
     public void setOwnEntries(final List<HeartbeatEntry> entries) {
-        if (entries != own) {
-            own = entries;
-            ownById = byGroup(entries);
+        if (entries != ownEntries) {
+            ownEntries = entries;
+            ownEntriesByGroup = byGroup(entries);
         }
     }
 
-    /** The newest table: immutable, so it may be passed to other threads. */
+    /** The newest table, which is immutable and may be passed to other threads. */
     public HeartbeatTable table() {
         return table;
     }
@@ -89,17 +94,20 @@
         return nextRound;
     }
 
-    /** Sends the periodic round where it is due. True where the number of peers that are up has changed with it. */
+    /** Sends the periodic round if it is due; true if that changed the number of peers that are up. */
     public boolean tick(final long now, final Actions out) {
         return now >= nextRound && round(now, true, out);
     }
 
-    /** Sends a round to peers and visitors without waiting for the period; it counts no misses. */
+    /** Sends a round to peers and watchers without waiting for the period. It does not count missed replies. */
     public void heartbeatNow(final long now, final Actions out) {
         round(now, false, out);
     }
 
-    /** Sends a heartbeat to one peer without waiting for the period; it counts no miss. Other nodes get none. */
+    /**
+     * Sends a heartbeat to one peer without waiting for the period. It does not count missed replies. Nothing is sent
+     * to a node that is not a peer.
+     */
     public void heartbeatTo(final int node, final long now, final Actions out) {
         final Peer peer = peers.get(node);
         if (peer != null) {
@@ -108,7 +116,7 @@
     }
 
     private boolean round(final long now, final boolean periodic, final Actions out) {
-        final long up = peers.values().stream()
+        final long upBefore = peers.values().stream()
                 .filter(peer -> peer.missed < MISSED_WHEN_DOWN)
                 .count();
         if (periodic) {
@@ -124,27 +132,27 @@
             send(node, peer, id, now, out);
         });
         if (!periodic) {
-            visitors.values().removeIf(until -> now >= until);
-            visitors.keySet().forEach(node -> out.send(node, new Heartbeat(false, id, now, 0, false, own)));
+            watchers.values().removeIf(until -> now >= until);
+            watchers.keySet().forEach(node -> out.send(node, new Heartbeat(false, id, now, 0, false, ownEntries)));
         }
         publishTable();
         return peers.values().stream()
                         .filter(peer -> peer.missed < MISSED_WHEN_DOWN)
                         .count()
-                != up;
+                != upBefore;
     }
 
     private void send(final int node, final Peer peer, final long id, final long now, final Actions out) {
-        peer.sent.put(id, new Sent(now, ownById));
+        peer.sent.put(id, new SentHeartbeat(now, ownEntriesByGroup));
         if (peer.sent.size() > MAX_OUTSTANDING) {
             peer.sent.remove(peer.sent.keySet().iterator().next());
         }
-        out.send(node, new Heartbeat(false, id, now, peer.known, false, own));
+        out.send(node, new Heartbeat(false, id, now, peer.knownDigest, false, ownEntries));
     }
 
     /**
-     * Handles a heartbeat, which it answers, or a reply to one. True where the state thread should see the table at
-     * once: a role, term or sync state has changed, a peer is up again, or a reply extends this leader's lease.
+     * Answers a heartbeat, or handles the reply to one. True if the state thread should see the table at once: a role,
+     * term or sync state has changed, a peer is up again, or the reply extends the lease of a leader at this node.
      */
     public boolean onHeartbeat(final int from, final Heartbeat heartbeat, final long now, final Actions out) {
         final Peer peer = peers.get(from);
@@ -155,32 +163,34 @@
             final int from, final Peer peer, final Heartbeat heartbeat, final long now, final Actions out) {
         boolean changed = false;
         if (peer != null) {
-            changed = learn(peer, heartbeat, now);
+            changed = storeEntries(peer, heartbeat, now);
             publishTable();
-        } else if (visitors.size() < MAX_VISITORS) {
-            visitors.put(from, now + VISIT_HEARTBEATS * timing.heartbeat());
+        } else if (watchers.size() < MAX_WATCHERS) {
+            watchers.put(from, now + WATCHER_EXPIRY_HEARTBEATS * timing.heartbeat());
         }
-        // why: the promise comes before the answer, for a vote given after the answer must know of it however late
-        // the table is seen
-        final List<HeartbeatEntry> answer = promises.answer(from, heartbeat, own, now);
-        // why: an answer has to carry roles, terms and sync states only, for positions come with this member's own
-        // heartbeats; where these are unchanged, the entries are omitted
-        final boolean same = heartbeat.knownDigest() == HeartbeatEntry.digest(answer);
-        out.send(from, new Heartbeat(true, heartbeat.id(), heartbeat.stamp(), 0, same, same ? List.of() : answer));
+        // The promise is made before the answer is sent, since it must bind any vote cast after the answer, however
+        // late the state thread sees the table
+        final List<HeartbeatEntry> answer = promises.answer(from, heartbeat, ownEntries, now);
+        // An answer only needs to carry roles, terms and sync states, since log positions come with this member's own
+        // heartbeats. If the sender already knows these, the entries are omitted
+        final boolean unchanged = heartbeat.knownDigest() == HeartbeatEntry.digest(answer);
+        out.send(
+                from,
+                new Heartbeat(true, heartbeat.id(), heartbeat.stamp(), 0, unchanged, unchanged ? List.of() : answer));
         return changed;
     }
 
     private boolean onReply(final Peer peer, final Heartbeat heartbeat, final long now) {
-        final Sent sent = peer == null ? null : peer.sent.get(heartbeat.id());
-        // why: a reply that took longer than the detection time does not show that the peer is up now
-        if (sent == null || now - sent.at > Math.max(timing.detectionTime(), 2 * period)) {
+        final SentHeartbeat sent = peer == null ? null : peer.sent.get(heartbeat.id());
+        // A reply that took longer than the detection time does not show that the peer is up now
+        if (sent == null || now - sent.sentAt > Math.max(timing.detectionTime(), 2 * period)) {
             return false;
         }
-        final boolean changed = learn(peer, heartbeat, now);
+        final boolean changed = storeEntries(peer, heartbeat, now);
         final boolean wasDown = peer.missed >= MISSED_WHEN_DOWN;
-        if (sent.at >= peer.answeredSentAt) {
-            peer.answeredSentAt = sent.at;
-            peer.answeredOwn = sent.own;
+        if (sent.sentAt >= peer.answeredSentAt) {
+            peer.answeredSentAt = sent.sentAt;
+            peer.answeredOwn = sent.ownEntries;
         }
         peer.missed = 0;
         if (heartbeat.id() >= peer.lastId) {
@@ -191,18 +201,18 @@
     }
 
     private boolean leadsAny() {
-        return own.stream().anyMatch(entry -> entry.role() == HeartbeatEntry.LEADER);
+        return ownEntries.stream().anyMatch(entry -> entry.role() == HeartbeatEntry.LEADER);
     }
 
-    /** Stores the peer's entries; true where its roles, terms or sync states have changed. */
-    private static boolean learn(final Peer peer, final Heartbeat heartbeat, final long now) {
+    /** Stores the peer's entries; true if its roles, terms or sync states have changed. */
+    private static boolean storeEntries(final Peer peer, final Heartbeat heartbeat, final long now) {
         peer.heardAt = now;
-        final long before = peer.known;
+        final long before = peer.knownDigest;
         if (!heartbeat.entriesOmitted()) {
             peer.entries = byGroup(heartbeat.entries());
-            peer.known = HeartbeatEntry.digest(heartbeat.entries());
+            peer.knownDigest = HeartbeatEntry.digest(heartbeat.entries());
         }
-        return peer.known != before;
+        return peer.knownDigest != before;
     }
 
     private void publishTable() {
@@ -220,8 +230,8 @@
     }
 
     private static Map<Integer, HeartbeatEntry> byGroup(final List<HeartbeatEntry> entries) {
-        final Map<Integer, HeartbeatEntry> map = new HashMap<>();
-        entries.forEach(e -> map.put(e.group(), e));
-        return map;
+        final Map<Integer, HeartbeatEntry> entriesByGroup = new HashMap<>();
+        entries.forEach(e -> entriesByGroup.put(e.group(), e));
+        return entriesByGroup;
     }
 }
--- a/coordination/src/main/java/brookpath/coordination/heartbeat/HeartbeatPromises.java
+++ b/coordination/src/main/java/brookpath/coordination/heartbeat/HeartbeatPromises.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 
 /**
- * The promises that a member makes by answering a leader's heartbeats: for the detection time it votes for no other
- * candidate in that group. Thread-safe: the listener thread promises before it sends the answer, the state thread
- * raises the term before it votes, and each sees what the other did first.
+ * The promises that a member makes by answering a leader's heartbeats: for the detection time, it votes for no other
+ * candidate in that group. Thread-safe: the listener thread makes the promise before it sends the answer, the state
+ * thread raises the term before it votes, and each sees what the other did first.
  */
 public final class HeartbeatPromises {
     private static final class Promise {
@@ -38,21 +38,22 @@
     }
 
     /**
-     * Listener thread: promises to the leaders that the heartbeat reports, and returns the entries that the answer may
-     * carry.
+     * Called by the listener thread: makes a promise for each group that the heartbeat's sender leads, and returns the
+     * entries that the answer may carry.
      */
     synchronized List<HeartbeatEntry> answer(
             final int from, final Heartbeat heartbeat, final List<HeartbeatEntry> own, final long now) {
         for (final HeartbeatEntry e : heartbeat.entries()) {
             final Promise promise = of(e.group());
-            // why: a leadership older than the term voted in since does not bind, and the entry below reports that
+            // A leader of an earlier term than the one this member has voted in since does not bind it; the entry below
+            // reports the later term
             if (e.role() == HeartbeatEntry.LEADER && e.term() >= promise.raised) {
                 promise.leader = from;
                 promise.heartbeat = heartbeat.id();
                 promise.heardAt = now;
             } else if (promise.leader == from && heartbeat.id() > promise.heartbeat) {
-                // why: the sender itself reports that it no longer leads the group; an older heartbeat that arrives
-                // late is ignored
+                // The sender itself reports that it no longer leads the group; an older heartbeat that arrives late is
+                // ignored
                 promise.leader = 0;
             }
         }
@@ -65,16 +66,16 @@
     }
 
     /**
-     * State thread, right before it votes or stands: raises the group's term. False, and nothing is changed, where this
-     * member is still bound to another leader.
+     * Called by the state thread just before it votes or becomes a candidate: raises the group's term. False if this
+     * member is still bound to another leader; then nothing is changed.
      *
-     * @param manual the leader itself has asked the candidate to take over, so no promise stands against it
+     * @param manual whether the leader itself has asked the candidate to take over, so that no promise prevents it
      * @param now by the steady clock, in milliseconds
      */
     public synchronized boolean raise(
             final int group, final long term, final int candidate, final boolean manual, final long now) {
         final Promise promise = of(group);
-        // why: in a manual switchover the old leader itself has stopped acting
+        // In a manual switchover, the old leader itself has stopped acting
         if (!manual && promise.leader != 0 && promise.leader != candidate && now - promise.heardAt <= promiseMs) {
             return false;
         }
--- a/coordination/src/main/java/brookpath/coordination/heartbeat/HeartbeatTable.java
+++ b/coordination/src/main/java/brookpath/coordination/heartbeat/HeartbeatTable.java
@@ -6,7 +6,7 @@
 import java.util.TreeMap;
 
 /**
- * What heartbeats have shown of each peer, as one immutable snapshot that is replaced as a unit. Any thread may read
+ * What heartbeats have reported of each peer: an immutable snapshot that is replaced as a whole. Any thread may read
  * it.
  */
 public final class HeartbeatTable {
@@ -14,13 +14,13 @@
     public static final HeartbeatTable EMPTY = new HeartbeatTable(new TreeMap<>(), 0);
 
     /**
-     * One peer. Times are of this process's steady clock, in milliseconds.
+     * The state of one peer. Times are of this process's steady clock, in milliseconds.
      *
-     * @param up whether it has not missed two replies in a row
+     * @param up whether it answers heartbeats: it has not missed two replies in a row
      * @param answeredSentAt when the newest heartbeat that it has answered was sent
      * @param answeredOwn this process's entries in that heartbeat, by group
-     * @param heardAt when it was last heard
-     * @param entries its newest entries, by group, however old
+     * @param heardAt when its last heartbeat or reply arrived
+     * @param entries its newest entries, by group, regardless of their age
      */
     public record Row(
             int node,
@@ -38,7 +38,7 @@
         this.staleAfter = staleAfter;
     }
 
-    /** The node's row, null where it is no peer. */
+    /** The row of a node; null if it is not a peer. */
     public Row row(final int node) {
         return rows.get(node);
     }
@@ -55,8 +55,8 @@
     }
 
     /**
-     * The node's entry for a group, or null where there is none or it is older than two heartbeats: such an entry
-     * counts for nothing.
+     * The node's entry for a group; null if there is none, or if it is older than two heartbeats and therefore no
+     * longer counts.
      */
     public HeartbeatEntry fresh(final int node, final int group, final long now) {
         final Row row = rows.get(node);
--- a/coordination/src/main/java/brookpath/coordination/message/ControlRequestKind.java
+++ b/coordination/src/main/java/brookpath/coordination/message/ControlRequestKind.java
@@ -2,7 +2,10 @@
 
 import brookpath.coordination.message.PeerMessage.ControlRequest;
 
-/** What an operator or another process may ask of the control leader, by its name on the wire. */
+/**
+ * The kinds of requests that an operator or another process may send to the control leader, each with its name on the
+ * wire.
+ */
 public enum ControlRequestKind {
     /** Submits a configuration document. */
     CHANGE("change", true),
@@ -10,15 +13,15 @@
     RETIRE("retire", true),
     /** Retires a storage node given by its name. */
     RETIRE_NAMED("retireNamed", true),
-    /** Manual switchover of a group's leadership. */
+    /** Orders a manual switchover of a group's leadership. */
     HANDOVER("handover", true),
     /** Orders a topic group's members to move a replica; sent by the control leader, never to it. */
     MOVE("move", true),
-    /** A topic group's leader reports that its group is founded. */
+    /** Reports that a topic group is founded; sent by its leader. */
     FOUNDED("founded", true),
-    /** A topic group's leader reports the membership that its log has committed. */
+    /** Reports the membership that a topic group's log has committed; sent by its leader. */
     MEMBERS("members", true),
-    /** A topic group's leader reports the usage of its closed windows. */
+    /** Reports the usage of a topic group's closed windows; sent by its leader. */
     USAGE("usage", true),
     /** Reads the newest committed configuration. */
     CONFIGURATION("spec", false),
@@ -30,7 +33,7 @@
     WINDOWS("windows", false),
     /** Reads which processes follow the control leader. */
     NODES("nodes", false),
-    /** A gateway asks for the other gateways. */
+    /** Reads the other gateways; sent by a gateway. */
     GATEWAYS("fronts", false),
     /** A kind that this version does not know. */
     UNKNOWN("", false);
@@ -43,7 +46,7 @@
         this.write = write;
     }
 
-    /** Whether it changes something, so that a lost answer leaves its outcome unknown. */
+    /** Whether the request changes state, so that its outcome is unknown if the reply is lost. */
     public boolean isWrite() {
         return write;
     }
@@ -53,7 +56,7 @@
         return new ControlRequest(requestId, wireName, body);
     }
 
-    /** The kind of this name, {@link #UNKNOWN} where there is none. */
+    /** The kind with this name; {@link #UNKNOWN} if there is none. */
     public static ControlRequestKind of(final String wireName) {
         for (final ControlRequestKind kind : values()) {
             if (kind.wireName.equals(wireName)) {
--- a/coordination/src/main/java/brookpath/coordination/message/ListenerCountStatus.java
+++ b/coordination/src/main/java/brookpath/coordination/message/ListenerCountStatus.java
@@ -1,10 +1,10 @@
 package brookpath.coordination.message;
 
-/** Whether listeners could be counted; the code is on the wire. */
+/** Whether listeners could be counted; the code is sent on the wire. */
 public enum ListenerCountStatus {
     /** Counted. */
     OK(0),
-    /** The asked node does not lead the group, or has no lease. */
+    /** This node does not lead the group, or has no lease. */
     NOT_HERE(1);
 
     private static final ListenerCountStatus[] VALUES = values();
@@ -20,7 +20,7 @@
         return code;
     }
 
-    /** The constant with this code; {@link #NOT_HERE} where it is unknown. */
+    /** The constant with this code; {@link #NOT_HERE} if it is unknown. */
     public static ListenerCountStatus ofCode(final int code) {
         for (final ListenerCountStatus status : VALUES) {
             if (status.code == code) {
--- a/coordination/src/main/java/brookpath/coordination/message/PeerMessage.java
+++ b/coordination/src/main/java/brookpath/coordination/message/PeerMessage.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * A message between two processes, grouped by concern. Every message that acts for a leader carries its term and group
- * version. Immutable; byte arrays are shared and not written to.
+ * A message between two processes, grouped by concern. Every message sent on behalf of a leader carries its term and
+ * group version. Immutable; byte arrays are shared and must not be modified.
  */
 public sealed interface PeerMessage {
     /** Votes, and the transfer of leadership. */
@@ -14,7 +14,7 @@
     /** Replication of the log, or of a snapshot of it, to a follower. */
     sealed interface ReplicationMessage extends PeerMessage {}
 
-    /** Publishes of gateways, and their fetches of what was committed. */
+    /** Publishes that gateways forward, and their fetches of committed records. */
     sealed interface TopicMessage extends PeerMessage {}
 
     /** Distribution of the configuration and the cluster metadata to all processes. */
@@ -27,11 +27,13 @@
     sealed interface ListenerMessage extends PeerMessage {}
 
     /**
-     * One heartbeat per pair of processes, with an entry per group; its reply carries the replier's entries.
+     * A heartbeat from one process to another, with an entry per group; the reply carries the entries of the process
+     * that replies.
      *
-     * @param stamp the sender's steady clock at the sending, in milliseconds; a reply returns it
-     * @param knownDigest of the receiver's entries as the sender has them ({@link HeartbeatEntry#digest})
-     * @param entriesOmitted in a reply: the entries are omitted, for what matters of them is known to the receiver
+     * @param stamp the sender's steady clock when the heartbeat was sent, in milliseconds; a reply echoes it
+     * @param knownDigest the digest of the receiver's entries as the sender knows them ({@link HeartbeatEntry#digest})
+     * @param entriesOmitted in a reply: whether the entries are omitted, because the receiver knows all of them but for
+     *     log positions
      */
     record Heartbeat(
             boolean reply, long id, long stamp, long knownDigest, boolean entriesOmitted, List<HeartbeatEntry> entries)
@@ -41,7 +43,7 @@
      * The state of one group at the sender: its role, term, sync state and the ends of its log.
      *
      * @param leaderHeard the leader as the sender sees it, 0 for none
-     * @param weight rank in elections
+     * @param weight the sender's rank in elections
      */
     record HeartbeatEntry(
             int group,
@@ -60,22 +62,22 @@
         public static final int LEADER = 2;
 
         /**
-         * A digest of roles, terms and sync states without log positions: all that a process needs that holds no
-         * replica.
+         * A digest of roles, terms and sync states without log positions, which is all that a process without a replica
+         * needs.
          */
         public static long digest(final List<HeartbeatEntry> entries) {
-            long d = 17;
+            long digest = 17;
             for (final HeartbeatEntry e : entries) {
                 for (final long part :
                         new long[] {e.group, e.groupVersion, e.term, e.role, e.sync, e.leaderHeard, e.weight}) {
-                    d = (d ^ part) * 0x9E3779B97F4A7C15L;
-                    d ^= d >>> 29;
+                    digest = (digest ^ part) * 0x9E3779B97F4A7C15L;
+                    digest ^= digest >>> 29;
                 }
             }
-            return d;
+            return digest;
         }
 
-        /** The same member after it has voted in a later term, in which it leads nothing yet. */
+        /** The same member after it has voted in a later term, in which it is not a leader. */
         public HeartbeatEntry raised(final long later) {
             return new HeartbeatEntry(
                     group, groupVersion, later, FOLLOWER, sync, startIndex, endIndex, endTerm, committed, 0, weight);
@@ -85,8 +87,8 @@
     /**
      * A candidate's request for a vote, with the end of its log.
      *
-     * @param attempts how many attempts of the candidate have failed in a row
-     * @param manual the leader itself has asked the candidate to take over
+     * @param attempts how many election attempts of the candidate have failed in a row
+     * @param manual whether the leader itself has asked the candidate to take over
      */
     record VoteRequest(
             int group,
@@ -99,22 +101,22 @@
             boolean manual)
             implements ElectionMessage {}
 
-    /** A vote, or the reason of its refusal, with the highest term that the voter has seen. */
+    /** A vote, or the reason for refusing it, with the highest term that the voter has seen. */
     record VoteReply(int group, long term, boolean granted, long termSeen, String reason) implements ElectionMessage {}
 
     /** The leader asks a follower that has its complete log to start an election at once: a leadership transfer. */
     record TimeoutNow(int group, long term) implements ElectionMessage {}
 
     /**
-     * A follower requests the log from its source; what it has synced acknowledges its replica, and the chain digest
-     * shows whether it is the same log.
+     * A follower requests log records from its source. The synced index and term acknowledge what the follower has
+     * stored, and the chain digest shows whether both have the same log.
      *
      * @param nextIndex the first record that is requested; negative for a snapshot of the complete log
-     * @param committed how far the sender knows the log to be committed; {@link #UNKNOWN} where it rebuilds its replica
-     *     and has to learn it from an acting leader
-     * @param lost whether the sender's replica does not count
-     * @param snapshotSum which snapshot of a full sync the follower has begun to collect, 0 for none
-     * @param snapshotOffset how much of that snapshot it has
+     * @param committed the index up to which the sender knows the log to be committed; {@link #UNKNOWN} if it is
+     *     rebuilding its replica and has to learn the index from an acting leader
+     * @param lost whether the sender's replica is lost, and so does not count as a copy
+     * @param snapshotSum the checksum of the full sync's snapshot that the follower is receiving, 0 for none
+     * @param snapshotOffset how many bytes of that snapshot it has received
      */
     record Pull(
             int group,
@@ -135,12 +137,12 @@
     }
 
     /**
-     * The answer to a pull. The asked index and term are the end of the puller's log as of that pull; a truncation and
-     * a full sync apply to that log only.
+     * The reply to a pull. {@code askedIndex} and {@code askedTerm} are the end of the follower's log as of that pull;
+     * a truncation or a full sync applies to that log only.
      *
      * @param snapshot a part of the snapshot of a full sync, empty in other replies
-     * @param snapshotSum which snapshot it is a part of
-     * @param snapshotTotal the size of that snapshot
+     * @param snapshotSum the checksum of that snapshot
+     * @param snapshotTotal the size of that snapshot in bytes
      * @param snapshotOffset where in the snapshot the part begins
      */
     record PullReply(
@@ -198,7 +200,7 @@
     }
 
     /**
-     * A gateway forwards a caller's publish to the leader of the topic's group; the reply carries the same request id.
+     * A gateway forwards a caller's publish to the leader of the topic's group. The reply carries the same request ID.
      */
     record Publish(
             long requestId,
@@ -212,7 +214,7 @@
             implements TopicMessage {}
 
     /**
-     * The outcome of a publish as the leader knows it; the position is set where it was committed.
+     * The outcome of a publish as the leader knows it; the position is set if the publish was committed.
      *
      * @param leaderHint the leader as the replying node sees it, 0 for none
      */
@@ -220,12 +222,13 @@
             implements TopicMessage {}
 
     /**
-     * A gateway reads committed records of some topics after a position each; {@code tail} requests the present
-     * position alone.
+     * A gateway reads the committed records of some topics, each after a given position; {@code tail} requests only the
+     * current position.
      *
-     * @param longPoll answered when there is something, or after a timeout; all topics are read from one position
-     * @param at that position
-     * @param edition of the topics of a long-poll fetch: they are sent once, and not again while they are unchanged
+     * @param longPoll whether the reply waits until there are records or a timeout expires; all topics are then read
+     *     from one position
+     * @param at the position from which a long-poll fetch reads all topics
+     * @param edition the edition of a long-poll fetch's topics, which are sent once and not again until they change
      */
     record Fetch(
             long requestId,
@@ -237,11 +240,11 @@
             List<TopicPosition> topics)
             implements TopicMessage {}
 
-    /** A topic and the position after which its records are wanted. */
+    /** A topic, and the position after which its records are requested. */
     record TopicPosition(String topic, long from) {}
 
     /**
-     * Committed records up to the position that was scanned, and the topics of which records after the requested
+     * Committed records up to the position that was scanned, and the topics for which some records after the requested
      * position are no longer kept.
      */
     record FetchReply(
@@ -249,10 +252,11 @@
             implements TopicMessage {}
 
     /**
-     * A process requests news of the configuration and the cluster metadata, with the versions that it has.
+     * A process requests updates to the configuration and the cluster metadata, and names the versions that it has.
      *
-     * @param relay whether the control leader that was named cannot be reached from the sender
-     * @param wall the sender's wall clock in milliseconds
+     * @param relay whether the receiver is to relay the poll, because the sender cannot reach the control leader
+     *     directly
+     * @param wall the sender's wall clock, in milliseconds
      * @param machine the identity of the machine that the sender runs on
      */
     record ConfigurationPoll(
@@ -275,12 +279,12 @@
     }
 
     /**
-     * The answer for the node that polled, directly or through a relay. {@code wall} is the fleet's clock in
+     * The reply to the node that polled, directly or through a relay. {@code wall} is the fleet's clock in
      * milliseconds, 0 while the control leader does not know it yet.
      *
-     * @param configuration the configuration as a difference from the version in the poll
-     *     ({@link brookpath.state.record.Delta}), empty where that is the newest
-     * @param metadata the cluster metadata in the same way
+     * @param configuration the configuration as a delta from the version in the poll
+     *     ({@link brookpath.state.record.Delta}); empty if that is the newest
+     * @param metadata the cluster metadata, encoded in the same way
      */
     record ConfigurationReply(
             long pollId,
@@ -295,24 +299,24 @@
             long wall)
             implements ConfigurationMessage {}
 
-    /** An operator's or another process's request for the control leader. */
+    /** A request from an operator or another process to the control leader. */
     record ControlRequest(long requestId, String kind, byte[] body) implements ControlMessage {}
 
-    /** The answer to an operation; the status is an HTTP status. */
+    /** The reply to a control request; the status is an HTTP status code. */
     record ControlReply(long requestId, int status, int retryAfterMs, byte[] body) implements ControlMessage {}
 
     /**
      * How many sessions of a gateway listen to each topic of a group.
      *
-     * @param onto the edition that these counts change; 0 where they are complete, the edition itself where nothing has
-     *     changed
+     * @param onto the edition to which these counts are changes; 0 if the counts are complete, equal to {@code edition}
+     *     if nothing has changed
      */
     record ListenerReport(int group, long edition, long onto, List<TopicCount> counts) implements ListenerMessage {}
 
     /** A topic and how many sessions listen to it. */
     record TopicCount(String topic, int count) {}
 
-    /** Asks a group's leader how many sessions listen to a topic. */
+    /** Requests from a group's leader how many sessions listen to a topic. */
     record ListenerCountRequest(long requestId, int group, String topic) implements ListenerMessage {}
 
     /** How many sessions listen to a topic. */
--- a/coordination/src/main/java/brookpath/coordination/message/Response.java
+++ b/coordination/src/main/java/brookpath/coordination/message/Response.java
@@ -4,9 +4,9 @@
  * The response to a caller's or operator's request. Immutable.
  *
  * @param status the code of a {@link ResponseStatus}, or one that a controller of a newer version has sent
- * @param retryAfterMs when the request may be sent again, in milliseconds from now; 0 where not given
- * @param code a refusal's kind in one word, as in the JSON; empty elsewhere
- * @param expiry until when it is valid, and what replaces it then; null where it does not expire
+ * @param retryAfterMs the delay after which the request may be sent again, in milliseconds; 0 if not given
+ * @param code the kind of a refusal in one word, as in the JSON; empty for other responses
+ * @param expiry when it expires, and the response that replaces it then; null if it does not expire
  */
 public record Response(int status, int retryAfterMs, String json, String code, Expiry expiry) {
     /**
@@ -16,12 +16,12 @@
      */
     public record Expiry(long at, Response instead) {}
 
-    /** A response by its status code that does not expire. */
+    /** A response with this status code that does not expire. */
     public Response(final int status, final int retryAfterMs, final String json, final String code) {
         this(status, retryAfterMs, json, code, null);
     }
 
-    /** A refusal with its kind in one word. */
+    /** A refusal, with its kind in one word. */
     public Response(final ResponseStatus status, final int retryAfterMs, final String json, final String code) {
         this(status.code(), retryAfterMs, json, code);
     }
@@ -31,12 +31,12 @@
         this(status.code(), retryAfterMs, json, "");
     }
 
-    /** A response by its code, as it came over the wire. */
+    /** A response that was received on the wire, by its status code. */
     public Response(final int status, final int retryAfterMs, final String json) {
         this(status, retryAfterMs, json, "");
     }
 
-    /** Whether the status is that of the outcome. */
+    /** Whether the response has this outcome. */
     public boolean is(final ResponseStatus outcome) {
         return status == outcome.code();
     }
--- a/coordination/src/main/java/brookpath/coordination/message/ResponseStatus.java
+++ b/coordination/src/main/java/brookpath/coordination/message/ResponseStatus.java
@@ -1,11 +1,11 @@
 package brookpath.coordination.message;
 
 /**
- * The outcome of a request, with the code that stands for it on the wire and in HTTP. The core names outcomes by these
- * constants; codes are for the edges only.
+ * The outcome of a request, with its code on the wire and in HTTP. Decision logic uses the constants; the codes are for
+ * encoding and decoding only.
  */
 public enum ResponseStatus {
-    /** Done, or the answer to a question. */
+    /** Done, or the result of a read. */
     OK(200),
     /** Accepted and committed, but not complete yet. */
     ACCEPTED(202),
@@ -13,21 +13,21 @@
     BAD_REQUEST(400),
     /** No key, or an unknown one. */
     UNAUTHORIZED(401),
-    /** The key does not open what was asked for. */
+    /** The key gives no access to what was requested. */
     FORBIDDEN(403),
     /** Names something that does not exist. */
     NOT_FOUND(404),
-    /** Contradicts what is committed. */
+    /** Conflicts with what is committed. */
     CONFLICT(409),
-    /** Asks for history that is no longer kept. */
+    /** Requests history that is no longer kept. */
     GONE(410),
-    /** Larger than what is accepted. */
+    /** Larger than the permitted size. */
     TOO_LARGE(413),
     /** Can be parsed, but its content is invalid. */
     INVALID(422),
     /** Certainly not done; the same request may succeed later. */
     UNAVAILABLE(503),
-    /** Unknown whether it was done; the same request has to be sent again, unchanged. */
+    /** It is unknown whether it was done; the same request has to be sent again, unchanged. */
     UNSETTLED(504);
 
     private static final int SUCCESS_CLASS = 2;
@@ -44,7 +44,7 @@
         return code;
     }
 
-    /** Whether a code, which may be one of a newer version, means that the request succeeded. */
+    /** Whether a code, which may be one that only a newer version defines, means that the request succeeded. */
     public static boolean isSuccess(final int code) {
         return code / CODES_PER_CLASS == SUCCESS_CLASS;
     }
--- a/coordination/src/main/java/brookpath/coordination/metadata/ClusterMetadata.java
+++ b/coordination/src/main/java/brookpath/coordination/metadata/ClusterMetadata.java
@@ -7,13 +7,13 @@
 import java.util.List;
 
 /**
- * The membership and placement of the cluster: its storage nodes, its controllers, and the members of each group.
- * Immutable.
+ * The members of the cluster and the placement of replicas: its storage nodes, its controllers, and the members of each
+ * group. Immutable.
  *
  * @param nodes the storage nodes
  * @param retiring the storage nodes whose replicas are to be moved away
  * @param controllers all controllers, members of the control group or not
- * @param control the control group's members
+ * @param control the members of the control group
  */
 public record ClusterMetadata(
         long version,
@@ -23,12 +23,12 @@
         List<NodeInfo> controllers,
         Membership control) {
     /**
-     * The first number of saved cluster metadata. The first format began with the version, which is never negative;
-     * this one adds the machines' identities.
+     * The first number of saved cluster metadata. Data in the first format begins with the version, which is never
+     * negative; this format adds the machines' identities.
      */
     private static final long FORMAT = -2;
 
-    /** The cluster metadata before the first record. */
+    /** The cluster metadata before the first record of the control log. */
     public static final ClusterMetadata NONE = new ClusterMetadata(0, List.of(), List.of(), List.of());
 
     /**
@@ -36,7 +36,7 @@
      * identity distinguishes a machine from its predecessor at the same address.
      *
      * @param name the operators' name for the machine; may be empty
-     * @param machine the machine's identity, drawn at its first start; {@link #UNKNOWN_MACHINE} where it is not known
+     * @param machine the machine's identity, generated at its first start; {@link #UNKNOWN_MACHINE} if it is not known
      */
     public record NodeInfo(int node, String zone, String address, String name, long machine) {
         public static final long UNKNOWN_MACHINE = 0;
@@ -51,14 +51,14 @@
             this(node, zone, address, "");
         }
 
-        /** The same process on the machine of this identity. */
+        /** The same process on the machine with this identity. */
         public NodeInfo withMachine(final long newMachine) {
             return new NodeInfo(node, zone, address, name, newMachine);
         }
 
         /**
-         * Whether this is certainly another machine than the other of the same number. A machine that lost its disk has
-         * a new identity but keeps its name, and with it the operators' orders.
+         * Whether this is certainly a different machine from the other one with the same node number. A machine that
+         * lost its disk has a new identity but keeps its name, and with it the operators' orders.
          */
         public boolean replaces(final NodeInfo other) {
             return node == other.node
@@ -87,18 +87,18 @@
 
     /** A topic group: whether it has been founded, and its members. */
     public record GroupInfo(int id, boolean founded, Membership membership) {
-        /** The voters, as the cluster metadata places them. */
+        /** The voters of the group. */
         public List<Member> members() {
             return membership.voters();
         }
 
-        /** The group version of the membership. */
+        /** The version of the membership. */
         public int version() {
             return membership.version();
         }
     }
 
-    /** The next version, with this group in place of the one with its ID. */
+    /** The next version, with this group in place of the one with the same ID. */
     public ClusterMetadata with(final GroupInfo changed) {
         return with(
                 nodes,
@@ -106,7 +106,7 @@
                 retiring);
     }
 
-    /** The next version with these nodes, groups and retiring nodes; the control plane stays as it is. */
+    /** The next version with these nodes, groups and retiring nodes; controllers and control group stay as they are. */
     public ClusterMetadata with(
             final List<NodeInfo> newNodes, final List<GroupInfo> newGroups, final List<Integer> newRetiring) {
         return new ClusterMetadata(
@@ -123,7 +123,7 @@
         return new ClusterMetadata(version + 1, nodes, groups, retiring, List.copyOf(newControllers), newControl);
     }
 
-    /** The storage node of this number; null for none. */
+    /** The storage node with this number; null if there is none. */
     public NodeInfo node(final int id) {
         for (final NodeInfo n : nodes) {
             if (n.node() == id) {
@@ -133,7 +133,7 @@
         return null;
     }
 
-    /** The form in which it is stored and sent. */
+    /** Encodes the cluster metadata, to be stored or sent. */
     public byte[] save() {
         final PackedBuffer buffer =
                 PackedBuffer.writer().putLong(FORMAT).putLong(version).putLong(nodes.size());
@@ -150,9 +150,9 @@
     }
 
     /**
-     * Decodes the form of {@link #save}, also of earlier formats.
+     * Decodes the result of {@link #save}, also in earlier formats.
      *
-     * @throws IllegalStateException where the format is of a newer release
+     * @throws IllegalStateException if the format is of a newer release
      */
     public static ClusterMetadata load(final byte[] saved) {
         if (saved.length == 0) {
@@ -162,11 +162,11 @@
         final long first = in.getLong();
         if (first < FORMAT) {
             throw new IllegalStateException("the cluster metadata has format " + -first
-                    + ", and this program reads up to " + -FORMAT + ": it is of a newer version");
+                    + ", and this program reads up to " + -FORMAT + ": it was written by a newer version");
         }
-        final boolean machines = first == FORMAT;
-        final long version = machines ? in.getLong() : first;
-        final List<NodeInfo> nodes = infos(in, machines);
+        final boolean hasMachineIds = first == FORMAT;
+        final long version = hasMachineIds ? in.getLong() : first;
+        final List<NodeInfo> nodes = readNodes(in, hasMachineIds);
         final List<GroupInfo> groups = new ArrayList<>();
         for (long n = in.getLong(); n > 0; n--) {
             groups.add(new GroupInfo((int) in.getLong(), in.getLong() == 1, Membership.load(in)));
@@ -176,10 +176,15 @@
             retiring.add((int) in.getLong());
         }
         return new ClusterMetadata(
-                version, nodes, List.copyOf(groups), List.copyOf(retiring), infos(in, machines), Membership.load(in));
+                version,
+                nodes,
+                List.copyOf(groups),
+                List.copyOf(retiring),
+                readNodes(in, hasMachineIds),
+                Membership.load(in));
     }
 
-    private static List<NodeInfo> infos(final PackedBuffer in, final boolean machines) {
+    private static List<NodeInfo> readNodes(final PackedBuffer in, final boolean hasMachineIds) {
         final List<NodeInfo> nodes = new ArrayList<>();
         for (long n = in.getLong(); n > 0; n--) {
             nodes.add(new NodeInfo(
@@ -187,7 +192,7 @@
                     in.getString(),
                     in.getString(),
                     in.getString(),
-                    machines ? in.getLong() : NodeInfo.UNKNOWN_MACHINE));
+                    hasMachineIds ? in.getLong() : NodeInfo.UNKNOWN_MACHINE));
         }
         return List.copyOf(nodes);
     }
--- a/coordination/src/main/java/brookpath/coordination/text/JsonText.java
+++ b/coordination/src/main/java/brookpath/coordination/text/JsonText.java
@@ -1,10 +1,10 @@
 package brookpath.coordination.text;
 
-/** Writes a flat JSON object of texts, field by field. Not thread-safe. */
+/** Writes a flat JSON object with string values, field by field. Not thread-safe. */
 public final class JsonText {
     private static final String HEX_DIGITS = "0123456789abcdef";
-    private static final int HEX_DIGITS_OF_A_CHARACTER = 4;
-    private static final int BITS_OF_A_HEX_DIGIT = 4;
+    private static final int HEX_DIGITS_PER_CHARACTER = 4;
+    private static final int BITS_PER_HEX_DIGIT = 4;
 
     private final StringBuilder text = new StringBuilder("{");
 
@@ -39,12 +39,12 @@
 
     private void appendEscaped(final char character) {
         text.append("\\u");
-        for (int digit = HEX_DIGITS_OF_A_CHARACTER - 1; digit >= 0; digit--) {
-            text.append(HEX_DIGITS.charAt((character >> (digit * BITS_OF_A_HEX_DIGIT)) & 0xf));
+        for (int digit = HEX_DIGITS_PER_CHARACTER - 1; digit >= 0; digit--) {
+            text.append(HEX_DIGITS.charAt((character >> (digit * BITS_PER_HEX_DIGIT)) & 0xf));
         }
     }
 
-    /** The object. */
+    /** The text of the JSON object. */
     @Override
     public String toString() {
         return text + "}";
--- a/testing/src/test/java/brookpath/testing/AsciiTextTest.java
+++ b/testing/src/test/java/brookpath/testing/AsciiTextTest.java
@@ -10,13 +10,13 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 
-/** Checks and formats of short texts, against regular expressions and a JSON library. */
+/** Compares the validation and formatting of short texts with regular expressions and a JSON library. */
 public final class AsciiTextTest {
     private static final int ROUNDS = 20_000;
     private static final String CHARACTERS = " !~09azAZc\u007f\u0000\n\"\\\u00e9\u2028";
 
     @Test
-    public void judgesAsTheRegularExpressionsDo() {
+    public void validatesLikeTheRegularExpressions() {
         final Random random = new Random(5);
         for (int round = 0; round < ROUNDS; round++) {
             final String text = text(random, 6);
@@ -30,7 +30,7 @@
     }
 
     @Test
-    public void whatIsWrittenIsReadBack() {
+    public void jsonLibraryReadsWhatWasWritten() {
         final Random random = new Random(6);
         for (int round = 0; round < ROUNDS; round++) {
             final String one = text(random, 9);
--- a/testing/src/test/java/brookpath/testing/HeartbeatMonitorTest.java
+++ b/testing/src/test/java/brookpath/testing/HeartbeatMonitorTest.java
@@ -17,11 +17,11 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Heartbeats to a peer whose session has just begun. */
+/** The extra heartbeat that is sent to a peer when its session begins. */
 public final class HeartbeatMonitorTest {
     private static final TimingBounds TIMING = TimingBounds.DEFAULT;
     private static final int PEERS = 14;
-    private static final int STRANGER = 99;
+    private static final int UNKNOWN_NODE = 99;
     private static final long NOW = 1_000;
 
     private Actions out;
@@ -34,22 +34,22 @@
     }
 
     /**
-     * At a start the sessions with all peers begin one after another; a round to all of them for each would be as many
-     * heartbeats as there are pairs, just when clients come back.
+     * After a start, the sessions with all peers begin one after another. A full round for each of them would be as
+     * many heartbeats as there are pairs of processes, just when clients reconnect.
      */
     @Test
-    public void eachSessionThatBeginsCostsOneHeartbeat() {
+    public void sendsOneHeartbeatPerNewSession() {
         monitor.setPeers(peers());
         for (final int node : peers()) {
             monitor.heartbeatTo(node, NOW, out);
             assertEquals(receivers(), List.of(node));
         }
-        monitor.heartbeatTo(STRANGER, NOW, out);
+        monitor.heartbeatTo(UNKNOWN_NODE, NOW, out);
         assertEquals(receivers(), List.of());
     }
 
     @Test
-    public void itsReplyShowsThatThePeerIsUp() {
+    public void replyToExtraHeartbeatMarksPeerAsUp() {
         monitor.setPeers(Set.of(1));
         assertFalse(monitor.table().up(1));
         monitor.heartbeatTo(1, NOW, out);
@@ -60,9 +60,9 @@
         assertEquals(monitor.table().row(1).answeredSentAt(), NOW);
     }
 
-    /** Only the periodic rounds tell whether a peer has missed replies. */
+    /** Only periodic rounds count missed replies. */
     @Test
-    public void oneWithoutAReplyIsNoMiss() {
+    public void unansweredExtraHeartbeatIsNotCountedAsMissed() {
         monitor.setPeers(Set.of(1));
         monitor.tick(NOW, out);
         final Heartbeat sent = sent(out.drain().get(0));
@@ -71,7 +71,7 @@
             monitor.heartbeatTo(1, NOW + i, out);
         }
         assertTrue(monitor.table().up(1));
-        assertEquals(monitor.nextRound(), NOW + TIMING.heartbeat(), "the period does not begin anew");
+        assertEquals(monitor.nextRound(), NOW + TIMING.heartbeat(), "an extra heartbeat must not restart the period");
     }
 
     private static Set<Integer> peers() {
--- a/testing/src/test/java/brookpath/testing/PackedConfigurationTest.java
+++ b/testing/src/test/java/brookpath/testing/PackedConfigurationTest.java
@@ -17,7 +17,7 @@
 import java.util.Set;
 import org.testng.annotations.Test;
 
-/** What the processes that apply a configuration get of it, against the configuration itself. */
+/** Compares the configuration that processes decode with the one that was encoded. */
 public final class PackedConfigurationTest {
     private static final int ROUNDS = 200;
 
@@ -31,9 +31,12 @@
         assertSame(PackedConfiguration.decode(PackedConfiguration.encode(Configuration.NONE)), Configuration.NONE);
     }
 
-    /** Deltas of one control leader apply to what another has sent, whatever the order of its maps. */
+    /**
+     * The encoding must not depend on map order, so that a delta from one control leader applies to a version that
+     * another has sent.
+     */
     @Test
-    public void theOrderOfTheMapsDoesNotShow() {
+    public void encodingDoesNotDependOnMapOrder() {
         final Random random = new Random(8);
         for (int round = 0; round < ROUNDS; round++) {
             final Configuration one = random(random);
@@ -50,7 +53,7 @@
     }
 
     @Test
-    public void anAcceptedDocumentArrivesAsItWasRead() {
+    public void decodesToTheDocumentAsItWasRead() {
         final String document = "{\"version\":9,\"basedOn\":4,\"changeId\":\"c\",\"spaces\":["
                 + "{\"name\":\"a\",\"keepingSeconds\":30,\"order\":\"one\",\"replSize\":-1},"
                 + "{\"name\":\"b\",\"prefix\":\"b.\",\"keepingSeconds\":1,\"open\":true,\"answerMs\":1500}],"
@@ -63,11 +66,11 @@
     }
 
     @Test
-    public void anotherFormatIsRefused() {
+    public void rejectsAnotherFormat() {
         final byte[] other = PackedBuffer.writer().putLong(2).toByteArray();
-        final IllegalStateException refusal =
+        final IllegalStateException exception =
                 expectThrows(IllegalStateException.class, () -> PackedConfiguration.decode(other));
-        assertEquals(refusal.getMessage(), "the configuration has format 2, and this program reads format 1");
+        assertEquals(exception.getMessage(), "the configuration has format 2, and this program reads format 1");
     }
 
     private static Configuration random(final Random random) {
--- a/testing/src/test/java/brookpath/testing/PrefixTest.java
+++ b/testing/src/test/java/brookpath/testing/PrefixTest.java
@@ -10,12 +10,15 @@
 import java.util.TreeMap;
 import org.testng.annotations.Test;
 
-/** Spaces by longest prefix, against a search through all of them. */
+/**
+ * The lookup of a space by its longest matching prefix, compared with a search through all spaces, and the findings on
+ * invalid documents.
+ */
 public final class PrefixTest {
     private static final ConfigurationReader.Limits LIMITS = new ConfigurationReader.Limits(3, 2);
 
     @Test
-    public void theLongestPrefixWins() {
+    public void longestPrefixWins() {
         for (long seed = 0; seed < 200; seed++) {
             final SplittableRandom random = new SplittableRandom(seed);
             final TreeMap<String, String> spaces = new TreeMap<>();
@@ -53,7 +56,7 @@
     }
 
     @Test
-    public void findingsNameWhatCannotBe() {
+    public void findingsNameThePlacesOfInvalidFields() {
         final String doc =
                 "{\"version\":3,\"basedOn\":3,\"changeId\":\"x\",\"annotation\":7,\"topicsPerSession\":0,\"spaces\":["
                         + "{\"name\":\"a\",\"prefix\":\"p.\",\"keepingSeconds\":30,\"open\":\"yes\",\"answerMs\":0},"
@@ -61,7 +64,7 @@
                         + "\"tenants\":[{\"name\":\"t\",\"spaces\":[\"*\"],\"keys\":[\"key-12345\"]},{\"name\":\"u\",\"spaces\":[\"*\"],\"keys\":[\"key-12345\"]}]}";
         final Configuration present = ConfigurationReader.stored(
                 "{\"basedOn\":0,\"changeId\":\"y\",\"spaces\":[],\"tenants\":[]}".getBytes(UTF_8), 3);
-        final String all = ConfigurationReader.read(doc.getBytes(UTF_8), 4, LIMITS, present)
+        final String findings = ConfigurationReader.read(doc.getBytes(UTF_8), 4, LIMITS, present)
                 .findings()
                 .toString();
         for (final String place : new String[] {
@@ -74,7 +77,7 @@
             "/spaces/2/prefix",
             "/tenants/1/keys/0"
         }) {
-            assertTrue(all.contains(place + ":"), place + " is not in " + all);
+            assertTrue(findings.contains(place + ":"), place + " is not in " + findings);
         }
     }
 
--- a/testing/src/test/java/brookpath/testing/StatusHandoffTest.java
+++ b/testing/src/test/java/brookpath/testing/StatusHandoffTest.java
@@ -10,8 +10,8 @@
 import org.testng.annotations.Test;
 
 /**
- * All interleavings of the state thread, which publishes entries and then wishes for a heartbeat, with the listener's
- * look at both.
+ * All interleavings of the state thread, which publishes entries and then requests a heartbeat, with the listener
+ * thread, which takes the request and reads the entries.
  */
 public final class StatusHandoffTest {
     private static final List<HeartbeatEntry> OLD = List.of(entry(0));
@@ -21,45 +21,47 @@
         return new HeartbeatEntry(0, 1, 1, HeartbeatEntry.LEADER, 0, 1, 1, 1, committed, 0, 0);
     }
 
-    /** The entries that the heartbeats told in which a wish was spent, for one interleaving. */
+    /** The entries carried by the heartbeats that served a request, for one interleaving. */
     private static List<List<HeartbeatEntry>> heartbeats(
-            final boolean wishFirst, final int publishedAt, final int wishedAt) {
+            final boolean requestFirst, final int publishedAt, final int requestedAt) {
         final StatusHandoff handoff = new StatusHandoff();
         handoff.publish(OLD);
-        final List<List<HeartbeatEntry>> told = new ArrayList<>();
-        boolean wish = false;
+        final List<List<HeartbeatEntry>> sent = new ArrayList<>();
+        boolean requested = false;
         List<HeartbeatEntry> read = List.of();
         for (int step = 0; step < 4; step++) {
             if (step == publishedAt) {
                 handoff.publish(NEW);
             }
-            if (step == wishedAt) {
+            if (step == requestedAt) {
                 handoff.requestHeartbeat();
             }
-            if (step % 2 == 0 == wishFirst) {
-                wish = handoff.takeHeartbeatRequest();
+            if (step % 2 == 0 == requestFirst) {
+                requested = handoff.takeHeartbeatRequest();
             } else {
                 read = handoff.entries();
             }
-            if (step % 2 == 1 && wish) {
-                told.add(read);
+            if (step % 2 == 1 && requested) {
+                sent.add(read);
             }
         }
-        return told;
+        return sent;
     }
 
     @Test
-    public void aWishIsNeverSpentOnOlderEntries() {
+    public void requestIsNeverServedWithOlderEntries() {
         boolean seen = false;
         for (int published = 0; published < 3; published++) {
-            for (int wished = published; wished < 3; wished++) {
+            for (int requested = published; requested < 3; requested++) {
                 assertEquals(
-                        heartbeats(true, published, wished),
+                        heartbeats(true, published, requested),
                         List.of(NEW),
-                        "published at " + published + ", wished at " + wished);
-                seen |= !heartbeats(false, published, wished).equals(List.of(NEW));
+                        "published at " + published + ", requested at " + requested);
+                seen |= !heartbeats(false, published, requested).equals(List.of(NEW));
             }
         }
-        assertTrue(seen, "the order that lost the news, entries before the wish, is not told apart");
+        assertTrue(
+                seen,
+                "the test does not detect the faulty order, in which the entries are read before the request is taken");
     }
 }
--- a/testing/src/test/java/brookpath/testing/sim/ConfigurationScenariosTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ConfigurationScenariosTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Changes of the configuration: confirmed one at a time, enforced by a lease on every gateway. */
+/** Configuration changes: they are confirmed one at a time, and a lease enforces them on every gateway. */
 public final class ConfigurationScenariosTest extends ClusterScenario {
     @Test
     public void removedKeyIsRejectedEverywhereEvenOnAPartitionedGateway() {
@@ -20,10 +20,10 @@
         cluster.callers.publisher("ana", "permits/t0", "key-members", 200, 40);
         cluster.callers.publisher("guest-1", "permits/t0", "key-guest", 200, 5);
         cluster.run(cluster.now() + 2_000);
-        final SimulatedProcess cutOff = cluster.processes.get(31);
-        for (final int b : cluster.controllers) {
-            cluster.net.cut(b, 31);
-            cluster.net.cut(31, b);
+        final SimulatedProcess partitioned = cluster.processes.get(31);
+        for (final int controller : cluster.controllers) {
+            cluster.net.cut(controller, 31);
+            cluster.net.cut(31, controller);
         }
         final long asked = cluster.now();
         final long[] confirmedAt = new long[1];
@@ -35,7 +35,9 @@
         assertTrue(
                 confirmedAt[0] > 0 && confirmedAt[0] - asked <= cluster.timing.changeMs(),
                 "confirmed after " + (confirmedAt[0] - asked));
-        assertFalse(((GatewayNode) cutOff.node).client().leased(cutOff.mono()), "a partitioned gateway still serves");
+        assertFalse(
+                ((GatewayNode) partitioned.node).client().leased(partitioned.mono()),
+                "a partitioned gateway still serves");
         assertEquals(publish(31, "key-guest", "permits/t0", "guest-2", 1).status(), 503);
         assertEquals(publish(32, "key-guest", "permits/t0", "guest-2", 1).status(), 401);
         cluster.net.heal();
@@ -70,12 +72,12 @@
         begin(6);
         final List<String> got = new ArrayList<>();
         final String stale = cluster.callers.operators.document(0, "stale", true);
-        final String nonsense =
+        final String invalid =
                 cluster.callers.operators.document(1, "odd", true).replace("\"sender\"", "\"sideways\"");
         for (int i = 0; i < 2; i++) {
             cluster.callers.operators.change(stale, "stale", r -> got.add(r.status() + r.json()));
             cluster.run(cluster.now() + 1_000);
-            cluster.callers.operators.change(nonsense, "odd", r -> got.add(r.status() + r.json()));
+            cluster.callers.operators.change(invalid, "odd", r -> got.add(r.status() + r.json()));
             cluster.run(cluster.now() + 1_000);
             cluster.kill(controlLeader(), true);
             cluster.run(cluster.now() + 500);
@@ -92,21 +94,25 @@
                 got.toString());
     }
 
-    /** How long the first leader is away: shorter than the others take to notice, and longer than their election. */
+    /**
+     * How long the first leader is down: once shorter than the others take to detect it, once longer than they take to
+     * elect another.
+     */
     @DataProvider
     public Object[][] absences() {
         return new Object[][] {{300L}, {900L}};
     }
 
     @Test(dataProvider = "absences")
-    public void twoControlLeaderCrashesInARowPauseNoGateway(final long absenceMs) {
+    public void noGatewayLosesItsLeaseWhenTwoControlLeadersCrashInARow(final long absenceMs) {
         for (long seed = 80; seed < 84; seed++) {
             begin(seed);
             cluster.run(cluster.now() + 1_000 + 150 * (seed - 80));
             final SimulatedProcess first = controlLeader();
             cluster.kill(first, false);
             cluster.at(cluster.now() + absenceMs, () -> cluster.restart(first));
-            // why: one that is back before the others notice is elected again, and is then the one that crashes next
+            // A leader that is back before the others detect its crash is elected again, and is then also the second to
+            // crash
             SimulatedProcess second = null;
             boolean killed = false;
             long actsSince = 0;
@@ -127,10 +133,10 @@
                     final SimulatedProcess gateway = cluster.processes.get(id);
                     assertTrue(
                             ((GatewayNode) gateway.node).client().leased(gateway.mono()),
-                            "seed " + seed + ": gateway " + id + " pauses at " + cluster.now());
+                            "seed " + seed + ": gateway " + id + " has no lease at " + cluster.now());
                 }
             }
-            assertTrue(killed, "nothing was staged");
+            assertTrue(killed, "the second leader was not killed");
         }
     }
 }
--- a/testing/src/test/java/brookpath/testing/sim/ConfigurationUpdatesTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ConfigurationUpdatesTest.java
@@ -28,16 +28,19 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Configurations reach the copies of the control log and the processes that follow as differences. */
+/**
+ * Configuration changes are sent as deltas, both to the replicas of the control log and to the processes that follow
+ * the configuration.
+ */
 public final class ConfigurationUpdatesTest extends ControlScene {
     private static final int CHANGES = 300;
-    private static final int FURTHER_SPACES = 120;
+    private static final int FEW_SPACES = 120;
     private static final int MANY_SPACES = 480;
     private static final int MOST_SPACES = 14_000;
     private static final List<String> CARRIERS = List.of("PullReply", "SpecReply");
     private static final Time NOW = new Time(10_000, 10_000);
 
-    /** A document as the users' operators send it: many spaces, and the whole a second time as its annotation. */
+    /** A document like those that operators send: many spaces, and the complete document again as its annotation. */
     private String large(final long basedOn, final String changeId, final int changed, final int spaces) {
         final StringBuilder further = new StringBuilder("\"spaces\":[");
         for (int i = 0; i < spaces; i++) {
@@ -54,7 +57,7 @@
     }
 
     private long changed(final long basedOn, final String changeId, final int which) {
-        return changed(basedOn, changeId, which, FURTHER_SPACES);
+        return changed(basedOn, changeId, which, FEW_SPACES);
     }
 
     private long changed(final long basedOn, final String changeId, final int which, final int spaces) {
@@ -63,37 +66,37 @@
         return version(response);
     }
 
-    private long carried() {
+    private long carriedBytes() {
         final Map<String, Long> bytes = cluster.net.crossZoneBytes;
         return CARRIERS.stream().mapToLong(c -> bytes.getOrDefault(c, 0L)).sum();
     }
 
     @DataProvider
     public static Object[][] sizes() {
-        return new Object[][] {{FURTHER_SPACES}, {MANY_SPACES}};
+        return new Object[][] {{FEW_SPACES}, {MANY_SPACES}};
     }
 
     @Test(dataProvider = "sizes")
-    public void aStormOfChangesCarriesWhatChangedAndNotTheWhole(final int spaces) {
+    public void manyChangesTransferDeltasAndNotWholeDocuments(final int spaces) {
         begin(61);
         long version = version(answered(askConfiguration(leader())).response);
         version = changed(version, "larger", 0, spaces);
-        final long before = carried();
+        final long before = carriedBytes();
         final long from = cluster.now();
         for (int i = 1; i <= CHANGES; i++) {
             version = changed(version, "storm-" + i, i, spaces);
         }
-        final long bytes = carried() - before;
+        final long bytes = carriedBytes() - before;
         final long lasted = cluster.now() - from;
         cluster.run(cluster.now() + lasted);
-        final long usual = carried() - before - bytes;
+        final long idleBytes = carriedBytes() - before - bytes;
         final long document =
                 large(version, "storm-" + CHANGES, CHANGES, spaces).length();
         System.out.println("MEASURED " + CHANGES + " changes of a document of " + document + " bytes carried " + bytes
-                + " bytes between zones to copies and followers in " + lasted
+                + " bytes between zones to replicas and followers in " + lasted
                 + " ms, and as long a time without changes "
-                + usual);
-        assertTrue(bytes < CHANGES * document, bytes + " bytes: more than one whole document a change");
+                + idleBytes);
+        assertTrue(bytes < CHANGES * document, bytes + " bytes: more than one complete document per change");
         for (final int id : cluster.gateways) {
             final GatewayNode gateway = (GatewayNode) cluster.processes.get(id).node;
             assertEquals(gateway.client().configuration().version(), version);
@@ -101,13 +104,15 @@
     }
 
     @Test
-    public void aConfigurationOfThousandsOfSpacesIsTakenAndGrowsOn() {
+    public void acceptsAConfigurationWithThousandsOfSpacesAndItsGrowth() {
         begin(63);
         long version = version(answered(askConfiguration(leader())).response);
         version = changed(version, "thousands", 0, MOST_SPACES);
-        final long before = carried();
+        final long before = carriedBytes();
         version = changed(version, "one-more", 1, MOST_SPACES + 1);
-        assertTrue(carried() - before < 100_000, "a space more carried " + (carried() - before) + " bytes");
+        assertTrue(
+                carriedBytes() - before < 100_000,
+                "a change that adds one space carried " + (carriedBytes() - before) + " bytes");
         for (final int id : cluster.gateways) {
             final GatewayNode gateway = (GatewayNode) cluster.processes.get(id).node;
             assertEquals(gateway.client().configuration().version(), version);
@@ -115,7 +120,7 @@
     }
 
     @Test
-    public void aNewLeaderTellsFollowersOfVersionsThatItNeverTold() {
+    public void newLeaderUpdatesFollowersFromVersionsThatItNeverSent() {
         begin(62);
         long version = version(answered(askConfiguration(leader())).response);
         for (int i = 0; i < 6; i++) {
@@ -133,7 +138,7 @@
     }
 
     @Test
-    public void theLogHoldsDifferencesAndTheStateWholeDocuments() {
+    public void logStoresDeltasAndStateStoresWholeDocuments() {
         final ControlState state = new ControlState();
         final byte[] first = "x".repeat(1_000).getBytes(UTF_8);
         final byte[] second = ("x".repeat(500) + "y" + "x".repeat(500)).getBytes(UTF_8);
@@ -155,7 +160,7 @@
     }
 
     @Test
-    public void updatesAreFromWhatTheFollowerHas() throws Delta.MismatchException {
+    public void updatesAreDeltasFromTheFollowersVersion() throws Delta.MismatchException {
         final VersionUpdates updates = new VersionUpdates();
         assertEquals(updates.updateFrom(0), VersionUpdates.NO_UPDATE);
         for (int version = 1; version <= 40; version++) {
@@ -166,33 +171,33 @@
         assertFalse(DeltaBase.isEmpty(updates.updateFrom(39)));
         assertEquals(Delta.apply(encoded(39), updates.updateFrom(39)), encoded(40));
         assertEquals(Delta.apply(encoded(25), updates.updateFrom(25)), encoded(40));
-        assertTrue(DeltaBase.isEmpty(updates.updateFrom(24)), "a version that is told no more");
-        assertTrue(DeltaBase.isEmpty(updates.updateFrom(-1)), "a follower that knows nothing");
+        assertTrue(DeltaBase.isEmpty(updates.updateFrom(24)), "a version that is no longer kept");
+        assertTrue(DeltaBase.isEmpty(updates.updateFrom(-1)), "a follower without any version");
         updates.clear();
         assertEquals(updates.updateFrom(1), VersionUpdates.NO_UPDATE);
     }
 
     @Test
-    public void nothingIsADifferenceFromADocumentThatDidNotExist() {
+    public void noDeltaIsBasedOnADocumentThatDidNotExist() {
         final VersionUpdates updates = new VersionUpdates();
         updates.setNewest(0, encoded(0));
         assertEquals(updates.updateFrom(-1), VersionUpdates.NO_UPDATE);
         updates.setNewest(1, encoded(1));
-        assertTrue(DeltaBase.isEmpty(updates.updateFrom(0)), "whoever has no document got a difference from one");
+        assertTrue(DeltaBase.isEmpty(updates.updateFrom(0)), "a follower without a document got a delta");
     }
 
     @Test
-    public void nobodyAsksForTheWholeOnACalmStart() {
+    public void noProcessRequestsTheCompleteConfigurationAfterAStartWithoutFaults() {
         begin(64);
         assertEquals(
                 cluster.notes().stream()
-                        .filter(n -> n.contains("asks for the whole"))
+                        .filter(n -> n.contains("requests the complete configuration"))
                         .toList(),
                 List.of());
     }
 
     @Test
-    public void largeVersionsAreFewButTheNewestStays() throws Delta.MismatchException {
+    public void fewLargeVersionsAreKeptButAlwaysTheNewest() throws Delta.MismatchException {
         final VersionUpdates updates = new VersionUpdates();
         updates.setNewest(1, new byte[2_700_000]);
         updates.setNewest(2, new byte[2_800_000]);
@@ -207,7 +212,7 @@
     }
 
     @Test
-    public void aDifferenceThatDoesNotFitIsAskedForWhole() {
+    public void requestsTheCompleteDocumentAfterADeltaThatDoesNotApply() {
         final Actions out = new Actions();
         final ConfigurationClient client = new ConfigurationClient(
                 new NodeInfo(31, "a", "sim:31", "", 31),
@@ -222,9 +227,9 @@
         final ConfigurationPoll second = poll(out);
         assertEquals(second.configurationVersion(), 1);
         assertFalse(client.onReply(reply(second, 2, Delta.between(encoded(9), encoded(2))), NOW));
-        assertEquals(client.configuration().version(), 1, "a difference from another document was taken");
+        assertEquals(client.configuration().version(), 1, "a delta from another document was applied");
         final ConfigurationPoll third = poll(out);
-        assertEquals(third.configurationVersion(), -1, "the whole was not asked for");
+        assertEquals(third.configurationVersion(), -1, "the complete document was not requested");
         assertTrue(client.onReply(reply(third, 2, Delta.whole(encoded(2))), NOW));
         assertEquals(client.configuration().version(), 2);
         assertEquals(poll(out).configurationVersion(), 2);
--- a/testing/src/test/java/brookpath/testing/sim/RejoinAfterManyChangesTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/RejoinAfterManyChangesTest.java
@@ -11,10 +11,12 @@
 import brookpath.coordination.node.NodeRequest;
 import org.testng.annotations.Test;
 
-/** A control member that was away for hundreds of changes catches up, and never leads with what it had before. */
+/**
+ * A control group member that was down during hundreds of changes catches up, and never leads with its outdated log.
+ */
 public final class RejoinAfterManyChangesTest {
     private static final int CHANGES = 350;
-    private static final long AWAY_MS = 45_000;
+    private static final long DOWN_MS = 45_000;
     private static final long CATCH_UP_MS = 4_000;
     private static final int ANNOTATION_BYTES = 8_000;
 
@@ -22,23 +24,23 @@
     private long version;
 
     @Test
-    public void aMemberThatWasAwayCatchesUp() {
-        final SimulatedProcess away = comesBackAfterManyChanges(41, false);
-        catchesUp(away);
-        othersDieAndTheNewestIsStillThere(away);
+    public void memberThatWasDownCatchesUp() {
+        final SimulatedProcess lagging = restartAfterManyChanges(41, false);
+        assertCatchesUp(lagging);
+        newestVersionSurvivesCrashesOfOtherMembers(lagging);
     }
 
     @Test
-    public void aMemberWithAWipedDiskCatchesUp() {
-        final SimulatedProcess away = comesBackAfterManyChanges(42, true);
-        catchesUp(away);
-        othersDieAndTheNewestIsStillThere(away);
+    public void memberWithAWipedDiskCatchesUp() {
+        final SimulatedProcess lagging = restartAfterManyChanges(42, true);
+        assertCatchesUp(lagging);
+        newestVersionSurvivesCrashesOfOtherMembers(lagging);
     }
 
     @Test
-    public void aMemberThatIsBehindNeverLeadsThoughTheLeaderDiesAsItComesBack() {
+    public void laggingMemberNeverLeadsEvenIfTheLeaderCrashesAsItRestarts() {
         for (long seed = 43; seed < 49; seed++) {
-            final SimulatedProcess away = comesBackAfterManyChanges(seed, false);
+            final SimulatedProcess lagging = restartAfterManyChanges(seed, false);
             cluster.run(cluster.now() + 50 * (seed - 43));
             cluster.kill(controlLeader(), true);
             SimulatedProcess next = null;
@@ -46,30 +48,32 @@
                 cluster.run(cluster.now() + 10);
                 next = controlLeader();
             }
-            assertTrue(next != null, "seed " + seed + ": no master within 5 s");
+            assertTrue(next != null, "seed " + seed + ": no control leader within 5 s");
             assertEquals(committedVersion(next), version, "seed " + seed + ": node " + next.id);
-            assertTrue(next != away || group(away).baseIndex() > 0, "it leads with the log it came back with");
+            assertTrue(next != lagging || group(lagging).baseIndex() > 0, "it leads with its outdated log");
         }
     }
 
-    private SimulatedProcess comesBackAfterManyChanges(final long seed, final boolean wiped) {
+    private SimulatedProcess restartAfterManyChanges(final long seed, final boolean wiped) {
         cluster = ServingCluster.start(seed);
         final SimulatedProcess leader = controlLeader();
-        final SimulatedProcess away = cluster.processes.get(leader.id == 1 ? 2 : 1);
+        final SimulatedProcess lagging = cluster.processes.get(leader.id == 1 ? 2 : 1);
         version = committedVersion(leader);
-        cluster.kill(away, true);
+        cluster.kill(lagging, true);
         if (wiped) {
-            away.disk.wipe();
+            lagging.disk.wipe();
         }
         final long before = group(leader).endIndex();
         for (int i = 0; i < CHANGES; i++) {
             change(leader, "run-" + i);
-            cluster.run(cluster.now() + AWAY_MS / CHANGES);
+            cluster.run(cluster.now() + DOWN_MS / CHANGES);
         }
         assertEquals(committedVersion(leader), version, "not all changes were accepted");
-        assertTrue(group(leader).baseIndex() > before, "the log was not trimmed beneath the member that is away");
-        cluster.restart(away);
-        return away;
+        assertTrue(
+                group(leader).baseIndex() > before,
+                "the log was not trimmed past the end of the log of the member that is down");
+        cluster.restart(lagging);
+        return lagging;
     }
 
     private void change(final SimulatedProcess leader, final String changeId) {
@@ -81,30 +85,30 @@
         version++;
     }
 
-    private void catchesUp(final SimulatedProcess away) {
+    private void assertCatchesUp(final SimulatedProcess lagging) {
         final long from = cluster.now();
-        while (committedVersion(away) < version && cluster.now() < from + CATCH_UP_MS) {
+        while (committedVersion(lagging) < version && cluster.now() < from + CATCH_UP_MS) {
             cluster.run(cluster.now() + 10);
         }
         System.out.println("MEASURED caught up with " + CHANGES + " changes in " + (cluster.now() - from) + " ms");
         assertEquals(
-                committedVersion(away),
+                committedVersion(lagging),
                 version,
-                "after " + CATCH_UP_MS + " ms: " + group(away).why());
+                "after " + CATCH_UP_MS + " ms: " + group(lagging).why());
         cluster.run(cluster.now() + 500);
-        assertEquals(group(away).syncedIndex(), group(controlLeader()).syncedIndex());
-        assertTrue(!group(away).lost());
+        assertEquals(group(lagging).syncedIndex(), group(controlLeader()).syncedIndex());
+        assertTrue(!group(lagging).lost());
     }
 
-    /** Only the one that was away and one other are left: whoever leads has everything. */
-    private void othersDieAndTheNewestIsStillThere(final SimulatedProcess away) {
+    /** Only the member that was down and one other are left: whichever leads has the newest version. */
+    private void newestVersionSurvivesCrashesOfOtherMembers(final SimulatedProcess lagging) {
         final SimulatedProcess leader = controlLeader();
         cluster.kill(leader, true);
         cluster.run(cluster.now() + 4_000);
         assertEquals(committedVersion(controlLeader()), version);
         final SimulatedProcess other = cluster.controllers.stream()
                 .map(cluster.processes::get)
-                .filter(p -> p != away && p != leader)
+                .filter(p -> p != lagging && p != leader)
                 .findFirst()
                 .orElseThrow();
         cluster.restart(leader);
