--- a/testing/src/test/java/brookpath/testing/sim/RejoinAfterManyChangesTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/RejoinAfterManyChangesTest.java
@@ -26,14 +26,14 @@
     @Test
     public void memberThatWasDownCatchesUp() {
         final SimulatedProcess lagging = restartAfterManyChanges(41, false);
-        assertCatchesUp(lagging);
+        awaitCatchUp(lagging);
         newestVersionSurvivesCrashesOfOtherMembers(lagging);
     }
 
     @Test
     public void memberWithAWipedDiskCatchesUp() {
         final SimulatedProcess lagging = restartAfterManyChanges(42, true);
-        assertCatchesUp(lagging);
+        awaitCatchUp(lagging);
         newestVersionSurvivesCrashesOfOtherMembers(lagging);
     }
 
@@ -85,7 +85,7 @@
         version++;
     }
 
-    private void assertCatchesUp(final SimulatedProcess lagging) {
+    private void awaitCatchUp(final SimulatedProcess lagging) {
         final long from = cluster.now();
         while (committedVersion(lagging) < version && cluster.now() < from + CATCH_UP_MS) {
             cluster.run(cluster.now() + 10);
