--- a/coordination/src/main/java/brookpath/coordination/configuration/ConfigurationClient.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/ConfigurationClient.java
@@ -304,7 +304,7 @@
             if (!late) {
                 // A lease is only valid with the configuration that it covers. The complete document applies without a
                 // base version
-                out.note("requests the complete configuration: " + ex.getMessage());
+                out.note("asks for the whole configuration: " + ex.getMessage());
                 needsFullDocuments = true;
                 poll(time);
             }
--- a/coordination/src/main/java/brookpath/coordination/configuration/ConfigurationReader.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/ConfigurationReader.java
@@ -262,7 +262,7 @@
             return defaultValue;
         }
         if (!(value instanceof JsonString s) || s.getString().isEmpty()) {
-            addFinding(at + "/" + field, value == null ? "is missing" : "must be a non-empty string");
+            addFinding(at + "/" + field, value == null ? "is missing" : "must be a string that is not empty");
             return "";
         }
         return s.getString();
