--- a/coordination/src/main/java/brookpath/coordination/metadata/ClusterMetadata.java
+++ b/coordination/src/main/java/brookpath/coordination/metadata/ClusterMetadata.java
@@ -87,7 +87,7 @@
 
     /** A topic group: whether it has been founded, and its members. */
     public record GroupInfo(int id, boolean founded, Membership membership) {
-        /** The voters of the group. */
+        /** The voters according to the cluster metadata. */
         public List<Member> members() {
             return membership.voters();
         }
--- a/testing/src/test/java/brookpath/testing/sim/ConfigurationUpdatesTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ConfigurationUpdatesTest.java
@@ -94,7 +94,7 @@
                 large(version, "storm-" + CHANGES, CHANGES, spaces).length();
         System.out.println("MEASURED " + CHANGES + " changes of a document of " + document + " bytes carried " + bytes
                 + " bytes between zones to replicas and followers in " + lasted
-                + " ms, and as long a time without changes "
+                + " ms, and in as long a time without changes "
                 + idleBytes);
         assertTrue(bytes < CHANGES * document, bytes + " bytes: more than one complete document per change");
         for (final int id : cluster.gateways) {
