--- a/testing/src/test/java/brookpath/testing/sim/ControlReadsTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ControlReadsTest.java
@@ -25,7 +25,10 @@
     @DataProvider
     public Object[][] contactLosses() {
         return new Object[][] {
-            {ContactLoss.BOTH_DIRECTIONS, 100}, {ContactLoss.OUTBOUND, 101}, {ContactLoss.INBOUND, 102}, {ContactLoss.FROZEN, 103}
+            {ContactLoss.BOTH_DIRECTIONS, 100},
+            {ContactLoss.OUTBOUND, 101},
+            {ContactLoss.INBOUND, 102},
+            {ContactLoss.FROZEN, 103}
         };
     }
 
