--- a/coordination/src/main/java/brookpath/coordination/node/ControllerNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/ControllerNode.java
@@ -33,16 +33,16 @@
 
 /**
  * A controller: a member of the control group, or an observer of it that forwards requests and polls.
- * {@link ControlLeader} has its duties while it leads.
+ * {@link ControlLeader} carries out the duties of the leader.
  */
 public final class ControllerNode extends Node {
-    /** The control group's number; topic groups count from 0. */
+    /** The ID of the control group; the IDs of topic groups start at 0. */
     public static final int CONTROL_GROUP = 1_000_000;
 
     private static final int NO_REQUEST = 0;
 
     private final GroupBootstrap bootstrap;
-    /** The founding members of the control group by the settings; ignored once the log contains a membership. */
+    /** The control group's initial members according to the settings; ignored once the log contains a membership. */
     private final List<Member> founders;
 
     /** Polls the control leader while this controller is not the leader itself. */
@@ -85,11 +85,11 @@
 
     /**
      * @param info this controller's node number, zone and address as peers see them
-     * @param founders the control group's members at its bootstrap; empty where the settings name none
+     * @param founders the control group's initial members; empty where the settings name none
      * @param seeds controllers that may be polled, members or not
      * @param seed for the random election timeouts
-     * @param firstId request IDs begin after it; it differs in each incarnation, so that no reply to a former one
-     *     matches
+     * @param firstId request IDs begin after it; it differs in each incarnation, so that a reply to an earlier
+     *     incarnation matches no request
      * @param rollBytes the log size in bytes beyond which it is replaced by a checkpoint
      */
     public ControllerNode(
@@ -126,8 +126,8 @@
     }
 
     /**
-     * Starts the controller after the replay. {@code found} is set only for the start by which the operator founds the
-     * control group.
+     * Starts the controller after its log was replayed. {@code found} is set only if the operator founds the control
+     * group with this start.
      */
     public List<Action> start(final boolean found, final Time time) {
         group.bornAt(startedAt);
@@ -148,14 +148,14 @@
     /** The known addresses of the other controllers, by node number. */
     public Map<Integer, String> addresses() {
         final Map<Integer, String> map = new TreeMap<>();
-        for (final ClusterMetadata r : List.of(view.newestMetadata(), client.metadata())) {
-            r.controllers().forEach(n -> map.put(n.node(), n.address()));
+        for (final ClusterMetadata metadata : List.of(view.newestMetadata(), client.metadata())) {
+            metadata.controllers().forEach(n -> map.put(n.node(), n.address()));
         }
         map.remove(self);
         return map;
     }
 
-    /** The node number of the control leader; 0 where none is known or this controller leads itself. */
+    /** The node number of the control leader; 0 where none is known or this controller is the leader. */
     private int controlLeader(final long now) {
         final int heard = group.leaderHeard();
         return heard != 0 ? heard == self ? 0 : heard : client.leaderHeard(now);
@@ -186,8 +186,8 @@
     protected void onTick(final Time time) {
         final long now = time.mono();
         if (!configurationPrepared) {
-            // why: parsing takes a while right after the start, and the first polls should not wait for it; before it
-            // may vote, a member that has just started has nothing else to do
+            // Parsing takes long right after the start and would delay the replies to the first polls; a member that
+            // has just started is idle until it may vote
             configurationPrepared = true;
             view.newestConfiguration().packed();
         }
@@ -256,15 +256,17 @@
         if (reply.node() != self) {
             forwardedPolls.onReply(reply);
         } else if (client.onReply(reply, time)) {
-            join(time.mono());
+            adoptMembership(time.mono());
         }
     }
 
-    /** Adopts a newer control group membership from the cluster metadata, by which this controller joined or left. */
-    private void join(final long now) {
+    /**
+     * Adopts a newer control group membership from the cluster metadata that adds, keeps or removes this controller.
+     */
+    private void adoptMembership(final long now) {
         final Membership control = client.metadata().control();
-        final boolean concerned = control.holds(self) || group.membership().holds(self);
-        if (concerned && control.version() > group.membership().version()) {
+        final boolean isOrWasMember = control.holds(self) || group.membership().holds(self);
+        if (isOrWasMember && control.version() > group.membership().version()) {
             group.configure(control, true, now);
         }
     }
@@ -301,8 +303,8 @@
     @Override
     protected void onRequest(final NodeRequest request, final Time time) {
         final long now = time.mono();
-        if (request instanceof NodeRequest.UpdateSettings adopt) {
-            rollBytes = adopt.rollBytes();
+        if (request instanceof NodeRequest.UpdateSettings settings) {
+            rollBytes = settings.rollBytes();
         } else if (request instanceof NodeRequest.Posted posted) {
             leader.onPosted(posted, time);
         } else if (request instanceof NodeRequest.Status status) {
@@ -323,17 +325,17 @@
         if (group.mayAct(now)) {
             leader.onRequest(self, request, time);
         } else if (!forwarded.forward(self, request, leaderForRequests(now), now)) {
-            out.respond(operate.requestId(), responder.unavailable("the control group has no master just now"));
+            out.respond(operate.requestId(), responder.unavailable("the control group has no leader at present"));
         }
     }
 
     private boolean isPeer(final int node) {
         return group.membership().holds(node)
-                || view.metadata().controllers().stream().anyMatch(b -> b.node() == node)
-                || client.metadata().controllers().stream().anyMatch(b -> b.node() == node);
+                || view.metadata().controllers().stream().anyMatch(c -> c.node() == node)
+                || client.metadata().controllers().stream().anyMatch(c -> c.node() == node);
     }
 
-    // ---- for the listener thread and the status page
+    // ---- heartbeats and status page
 
     @Override
     public List<HeartbeatEntry> entries(final Time time) {
--- a/coordination/src/main/java/brookpath/coordination/node/GatewayNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/GatewayNode.java
@@ -37,15 +37,15 @@
 import java.util.Set;
 
 /**
- * The gateway: a node of the data plane that holds the callers' sessions and keeps nothing on disk. It forwards
- * publishes to the groups' leaders, reads what its sessions listen to, and serves only while it holds the lease on the
+ * The gateway: a node of the data plane that holds the callers' sessions and stores nothing on disk. It forwards
+ * publishes to the groups' leaders, reads the topics of its sessions, and serves only while it holds the lease on the
  * configuration.
  */
 public final class GatewayNode extends Node {
     /** The longest message that a caller may publish, in UTF-8 bytes. */
     public static final int MAX_MESSAGE_BYTES = 16_384;
 
-    /** A gateway only observes, so its heartbeats are rarer: it is notified of leader changes at once besides. */
+    /** Heartbeats are rarer than between members: a gateway only observes, and hears of leader changes at once. */
     private static final int HEARTBEAT_PERIODS = 4;
 
     private final String zone;
@@ -67,9 +67,9 @@
     /**
      * @param info this process as peers see it; the address is where callers reach it, and may be empty
      * @param seeds the controllers that are polled first
-     * @param overflow which sessions are passed on to other gateways
-     * @param firstId request IDs begin after it; it differs in each incarnation, so that no reply to a former one
-     *     matches
+     * @param overflow decides which sessions are redirected to other gateways
+     * @param firstId request IDs begin after it; it differs in each incarnation, so that a reply to an earlier
+     *     incarnation matches no request
      */
     public GatewayNode(
             final NodeInfo info,
@@ -128,7 +128,7 @@
 
     @Override
     public void replay(final byte[] entry, final Time time) {
-        throw new IllegalStateException("a front keeps nothing on disk");
+        throw new IllegalStateException("a gateway stores nothing on disk");
     }
 
     // ---- timers
@@ -164,7 +164,7 @@
         } else if (peerMessage instanceof PublishReply reply) {
             forwarder.reply(from, reply, now);
         } else if (peerMessage instanceof FetchReply reply) {
-            // delivery pauses with the lease; the cursors stay where they are
+            // Delivery pauses while there is no lease; the cursors do not advance
             if (client.leased(now)) {
                 subscriptions.fetched(from, reply, now);
             }
@@ -225,7 +225,7 @@
         }
     }
 
-    /** Requests of callers that can be judged only with the lease on the configuration. */
+    /** Whether the request can be decided only while this node holds the lease on the configuration. */
     private static boolean needsLease(final NodeRequest nodeRequest) {
         return nodeRequest instanceof NodeRequest.Publish
                 || nodeRequest instanceof NodeRequest.Open
@@ -304,14 +304,14 @@
         } else if (client.draining()) {
             refuseDraining(request.requestId());
             out.moveSession(request.requestId(), otherGateways.next());
-        } else if (!passOn(request, now)) {
+        } else if (!redirect(request, now)) {
             overflow.tookIn();
             sessionRequests.open(request);
         }
     }
 
-    /** Sends a caller on that would wait too long here; false where it is to be served here. */
-    private boolean passOn(final NodeRequest.Open request, final long now) {
+    /** Redirects a caller that would wait too long here to another gateway; false where it is to be served here. */
+    private boolean redirect(final NodeRequest.Open request, final long now) {
         if (!overflow.isDue(now)) {
             return false;
         }
@@ -349,8 +349,8 @@
     }
 
     /**
-     * A gateway is ready before there is anything to serve; a code in the response tells so to probes that prefer to
-     * wait.
+     * A gateway is ready even without a configuration or topic groups; the code {@code empty} in the response lets a
+     * probe wait for them.
      */
     private Response readiness(final long now) {
         final Response ready = ReadinessProbe.response(client.leased(now), client.draining());
@@ -360,18 +360,18 @@
     }
 
     private void refuseDraining(final long requestId) {
-        refuse(requestId, "draining", "this node drains; another takes new sessions");
+        refuse(requestId, "draining", "this node is draining; another gateway accepts new sessions");
     }
 
     private void refuse(final long requestId, final String code, final String reason) {
         out.respond(requestId, Refusals.retryLater(timing, code, reason));
     }
 
-    // ---- for the listener thread and the status page
+    // ---- heartbeats and status page
 
     @Override
     protected void onSynced(final long number, final Time time) {
-        // nothing is written here
+        // A gateway writes nothing to disk
     }
 
     @Override
--- a/coordination/src/main/java/brookpath/coordination/node/GroupStatus.java
+++ b/coordination/src/main/java/brookpath/coordination/node/GroupStatus.java
@@ -15,47 +15,52 @@
 
     private GroupStatus() {}
 
-    static JsonObject json(final GroupMachine g, final HeartbeatTable table, final long now) {
-        final JsonArrayBuilder seen = Json.createArrayBuilder();
-        g.members().forEach(m -> seen.add(row(m, table, g.id(), now, true)));
+    static JsonObject json(final GroupMachine group, final HeartbeatTable table, final long now) {
+        final JsonArrayBuilder members = Json.createArrayBuilder();
+        group.members().forEach(member -> members.add(row(member, table, group.id(), now, true)));
         return Json.createObjectBuilder()
-                .add("group", g.id())
-                .add("groupVersion", g.groupVersion())
-                .add("role", ROLES[g.role()])
-                .add("master", g.leaderHeard())
-                .add("epoch", g.term())
-                .add("mayAct", g.mayAct(now))
-                .add("startLsn", g.baseIndex() + 1)
-                .add("endLsn", g.endIndex())
-                .add("syncedLsn", g.syncedIndex())
-                .add("accepted", g.committed())
-                .add("lost", g.lost())
-                .add("why", g.why())
-                .add("obstacle", g.leaderHeard() == 0 ? g.obstacle() : "")
-                .add("table", seen)
+                .add("group", group.id())
+                .add("groupVersion", group.groupVersion())
+                .add("role", ROLES[group.role()])
+                .add("master", group.leaderHeard())
+                .add("epoch", group.term())
+                .add("mayAct", group.mayAct(now))
+                .add("startLsn", group.baseIndex() + 1)
+                .add("endLsn", group.endIndex())
+                .add("syncedLsn", group.syncedIndex())
+                .add("accepted", group.committed())
+                .add("lost", group.lost())
+                .add("why", group.why())
+                .add("obstacle", group.leaderHeard() == 0 ? group.obstacle() : "")
+                .add("table", members)
                 .build();
     }
 
     /**
      * One member as the heartbeat table shows it.
      *
-     * @param copies false where the reporting process has no replica, so that heartbeats do not bring it log positions
+     * @param hasReplica whether the reporting process has a replica of the group; without one it receives no log
+     *     positions in heartbeats
      */
     static JsonObject row(
-            final Member m, final HeartbeatTable table, final int group, final long now, final boolean copies) {
-        final HeartbeatEntry e = table.fresh(m.node(), group, now);
+            final Member member,
+            final HeartbeatTable table,
+            final int group,
+            final long now,
+            final boolean hasReplica) {
+        final HeartbeatEntry entry = table.fresh(member.node(), group, now);
         final var row = Json.createObjectBuilder()
-                .add("node", m.node())
-                .add("zone", m.zone())
-                .add("weight", m.weight())
-                .add("up", table.up(m.node()));
-        if (e != null) {
-            row.add("role", ROLES[e.role()])
-                    .add("sync", SYNCS[e.sync()])
-                    .add("epoch", e.term())
-                    .add("masterHeard", e.leaderHeard());
-            if (copies) {
-                row.add("startLsn", e.startIndex()).add("endLsn", e.endIndex());
+                .add("node", member.node())
+                .add("zone", member.zone())
+                .add("weight", member.weight())
+                .add("up", table.up(member.node()));
+        if (entry != null) {
+            row.add("role", ROLES[entry.role()])
+                    .add("sync", SYNCS[entry.sync()])
+                    .add("epoch", entry.term())
+                    .add("masterHeard", entry.leaderHeard());
+            if (hasReplica) {
+                row.add("startLsn", entry.startIndex()).add("endLsn", entry.endIndex());
             }
         }
         return row.build();
--- a/coordination/src/main/java/brookpath/coordination/node/Node.java
+++ b/coordination/src/main/java/brookpath/coordination/node/Node.java
@@ -34,8 +34,8 @@
     }
 
     /**
-     * Sets when this process started, in monotonic milliseconds: every promise of its former incarnation was made
-     * before then.
+     * Sets when this process started, in monotonic milliseconds: all heartbeat promises of earlier incarnations were
+     * made before that time.
      */
     public final void startedAt(final long mono) {
         startedAt = mono;
@@ -56,38 +56,41 @@
         return out.drain();
     }
 
-    /** Handles a message from the peer with the node number {@code from}; a message of no concern is ignored. */
+    /**
+     * Handles a message from the peer with the node number {@code from}; a message that this role does not use is
+     * ignored.
+     */
     public final List<Action> message(final int from, final PeerMessage message, final Time time) {
         onMessage(from, message, time);
         return out.drain();
     }
 
-    /** The log entries up to this number are durable on this disk, so that what depends on them may continue. */
+    /** Handles a sync: the log entries up to this number are durable on disk, and what depends on them may continue. */
     public final List<Action> synced(final long number, final Time time) {
         onSynced(number, time);
         return out.drain();
     }
 
-    /** The message was not sent, so that its receiver certainly has not seen it. */
+    /** Handles a message that was not sent, so that its receiver certainly has not seen it. */
     public final List<Action> unsent(final int to, final PeerMessage message, final Time time) {
         onUnsent(to, message, time);
         return out.drain();
     }
 
-    /** The connection to a peer broke; messages in flight on it may or may not have arrived. */
+    /** Handles a broken connection to a peer; messages in flight on it may or may not have arrived. */
     public final List<Action> sessionLost(final int node, final Time time) {
         onSessionLost(node, time);
         return out.drain();
     }
 
-    /** The disk returned other bytes than were written; the state in memory is complete and is written again. */
+    /** Handles a disk that returned other bytes than were written: the complete state in memory is written again. */
     public final List<Action> damaged(final Time time) {
         out.note("the data folder reads back damaged; it is written anew");
         rollLog(time);
         return out.drain();
     }
 
-    /** The last snapshot did not fit on the disk; another is attempted. */
+    /** Handles a snapshot that did not fit on the disk: another is attempted. */
     public final List<Action> snapshotRefused(final Time time) {
         rollLog(time);
         return out.drain();
@@ -99,7 +102,7 @@
         return out.drain();
     }
 
-    /** Reports something that happens once in the life of a process, with the time since its start. */
+    /** Logs an event that happens once after the start of the process, with the time since the start. */
     protected final void reportStartupMilestone(final String what, final long now) {
         final String since = startedAt == UNKNOWN ? "" : ", " + (now - startedAt) + " ms after the process started";
         out.milestone(what + since);
@@ -119,16 +122,17 @@
 
     protected abstract void onRequest(NodeRequest request, Time time);
 
+    /** Replaces the local log by a snapshot of the current state. */
     protected void rollLog(final Time time) {
-        // why: a process without a disk has nothing that could be damaged
+        // A process without a disk has no log to replace
     }
 
     protected void onUnsent(final int to, final PeerMessage message, final Time time) {
-        // why: requests that a timer retries need no notification of a lost message
+        // Requests that a timer retries need no notification of an unsent message
     }
 
     protected void onSessionLost(final int node, final Time time) {
-        // why: as above
+        // Requests that a timer retries need no notification of a lost connection
     }
 
     /** The interval between two heartbeats to each peer, in milliseconds. */
--- a/coordination/src/main/java/brookpath/coordination/node/NodeRequest.java
+++ b/coordination/src/main/java/brookpath/coordination/node/NodeRequest.java
@@ -4,7 +4,7 @@
 import brookpath.coordination.node.usage.PostOutcome;
 import java.util.List;
 
-/** What a caller or an operator wants of a process. */
+/** A request to a process: of a caller, of an operator, or of the process that hosts the node. */
 public sealed interface NodeRequest {
     /** Publishes a message of a caller. */
     record Publish(long requestId, String key, String topic, String sender, long seq, String text)
@@ -14,7 +14,7 @@
     record Subscribe(long requestId, String key, List<String> topics, String cursor) implements NodeRequest {}
 
     /**
-     * A session that joins and leaves topics one by one, each with its own cursor; the request's ID becomes the
+     * Opens a session that joins and leaves topics one by one, each with its own cursor; the request's ID becomes the
      * session's. An empty key means no key.
      */
     record Open(long requestId, String key) implements NodeRequest {}
@@ -29,7 +29,7 @@
     /** Stops listening to a topic. */
     record Leave(long requestId, long sessionId, String topic) implements NodeRequest {}
 
-    /** The caller's session has ended. */
+    /** Ends a caller's session; there is no response. */
     record Unsubscribe(long sessionId) implements NodeRequest {}
 
     /** Asks how many sessions listen to a topic; the named session is left out. */
@@ -38,7 +38,7 @@
     /** Asks where a publish or a subscription on this topic would be routed at present, and why. */
     record Explain(long requestId, String key, String topic) implements NodeRequest {}
 
-    /** Asks whether this process takes callers. */
+    /** Asks whether this process accepts callers. */
     record ReadinessProbe(long requestId) implements NodeRequest {}
 
     /** Asks for the status page. */
@@ -48,7 +48,8 @@
     record Drain(long requestId, boolean on) implements NodeRequest {}
 
     /**
-     * The process is to end: it transfers leaderships and sessions to other nodes, and responds once that is complete.
+     * Prepares the end of the process: it transfers leaderships and sessions to other nodes, and responds once that is
+     * complete.
      */
     record GracefulShutdown(long requestId) implements NodeRequest {}
 
--- a/coordination/src/main/java/brookpath/coordination/node/ReadinessProbe.java
+++ b/coordination/src/main/java/brookpath/coordination/node/ReadinessProbe.java
@@ -9,7 +9,7 @@
 
     static Response response(final boolean leased, final boolean draining) {
         final boolean ready = leased && !draining;
-        final String why = draining ? "draining" : leased ? "serving" : "no spec lease";
+        final String why = draining ? "draining" : leased ? "serving" : "no configuration lease";
         final ResponseStatus status = ready ? ResponseStatus.OK : ResponseStatus.UNAVAILABLE;
         return new Response(status, 0, "{\"ready\":" + ready + ",\"why\":\"" + why + "\"}");
     }
--- a/coordination/src/main/java/brookpath/coordination/node/StorageNode.java
+++ b/coordination/src/main/java/brookpath/coordination/node/StorageNode.java
@@ -58,7 +58,7 @@
     private final PublishAdmission publishes;
     private final FetchHandler fetches;
     private final ListenerCounts listenerCounts;
-    private final MembershipDriver memberships;
+    private final MembershipDriver membershipDriver;
     private final GroupStateReporter groupReporter;
     private final UsageWindowReporter usageReporter;
     private final GracefulShutdown shutdown;
@@ -91,7 +91,7 @@
         publishes = new PublishAdmission(groups, client, pendingPublishes, out);
         fetches = new FetchHandler(groups, client, timing, out);
         listenerCounts = new ListenerCounts(timing, out);
-        memberships = new MembershipDriver(self, timing);
+        membershipDriver = new MembershipDriver(self, timing);
         groupReporter = new GroupStateReporter(groups, client, timing, out);
         usageReporter = new UsageWindowReporter(client, timing, out);
         shutdown = new GracefulShutdown(out);
@@ -222,7 +222,7 @@
     private void moveReplica(final MoveOrder order, final long now) {
         final GroupMachine group = groups.get(order.group());
         if (group != null) {
-            memberships.order(order, group, now);
+            membershipDriver.order(order, group, now);
             onGroupChanged(group, now);
         }
     }
@@ -261,7 +261,7 @@
     private void onGroupChanged(final GroupMachine group, final long now) {
         pendingPublishes.resolve(group, now);
         fetches.servePending(group, now);
-        if (memberships.drive(group, table, now, client.wall(new Time(now, 0)))) {
+        if (membershipDriver.drive(group, table, now, client.wall(new Time(now, 0)))) {
             out.heartbeatNow();
         }
         groupReporter.reportMembership(group, now);
@@ -295,7 +295,7 @@
         }
     }
 
-    // ---- for the listener thread and the status page
+    // ---- heartbeats and status page
 
     @Override
     public List<HeartbeatEntry> entries(final Time time) {
--- a/coordination/src/main/java/brookpath/coordination/node/storage/FetchHandler.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/FetchHandler.java
@@ -73,7 +73,7 @@
                 ? FetchScan.ofLongPoll(group, interests.topics(group.id(), gateway), fetch.at())
                 : FetchScan.ofPositions(group, fetch);
         scan.run();
-        // why: at once, not at the deadline of the long poll: the gateway can retry with other replicas
+        // Replied to before the deadline of the long poll, so that the gateway can retry with another replica
         if (scan.isDamaged() || (scan.records().isEmpty() && !group.inSync(now))) {
             replyWithoutRecords(gateway, fetch, FetchStatus.NOT_HERE, 0);
             return true;
@@ -94,7 +94,7 @@
         out.send(gateway, new FetchReply(fetch.requestId(), fetch.group(), status, scannedTo, List.of(), List.of()));
     }
 
-    /** Forgets the long polls of a dropped group; the gateways retry elsewhere. */
+    /** Discards the long polls of a dropped group; the gateways retry with other replicas. */
     public void drop(final int group) {
         pending.drop(group);
         interests.drop(group);
--- a/coordination/src/main/java/brookpath/coordination/node/storage/FetchScan.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/FetchScan.java
@@ -16,7 +16,7 @@
     private static final int MAX_BYTES = 256 << 10;
 
     private final GroupMachine group;
-    /** The topics of a long poll, which all are read from one position; null for other fetches. */
+    /** The topics of a long poll, which are all read from one position; null for other fetches. */
     private final Set<String> longPollTopics;
     /** The position after which each topic is read; empty for a long poll. */
     private final Map<String, Long> positions;
@@ -64,7 +64,7 @@
                 damaged = true;
                 return;
             }
-            if (logRecord.kind() == LogRecord.PUBLISH && isWanted(logRecord.topic(), index)) {
+            if (logRecord.kind() == LogRecord.PUBLISH && isRequested(logRecord.topic(), index)) {
                 records.add(logRecord);
                 bytes += logRecord.bytes().length;
             }
@@ -72,13 +72,13 @@
         scannedTo = Math.max(index, start);
     }
 
-    private boolean isWanted(final String topic, final long index) {
+    private boolean isRequested(final String topic, final long index) {
         return longPollTopics == null
                 ? index > positions.getOrDefault(topic, Long.MAX_VALUE)
                 : longPollTopics.contains(topic);
     }
 
-    /** Whether the scan has met a record that reads back damaged; its repair has begun. */
+    /** Whether the scan has found a damaged record, whose repair has begun. */
     boolean isDamaged() {
         return damaged;
     }
@@ -87,16 +87,16 @@
         return records;
     }
 
-    /** The position up to which nothing wanted is missing from the records. */
+    /** The position up to which the records contain all that was requested. */
     long scannedTo() {
         return scannedTo;
     }
 
-    /** The topics of which records after the wanted position are no longer kept. */
+    /** The topics that have trimmed records after the requested position. */
     List<String> trimmedTopics() {
         final List<String> trimmed = new ArrayList<>();
         if (start >= group.baseIndex()) {
-            // why: only records before the oldest one can be trimmed, and checking for them iterates over all topics
+            // From the start of the log on no record is trimmed; this saves a check that iterates over all topics
             return trimmed;
         }
         final TopicState state = TopicGroups.stateOf(group);
--- a/coordination/src/main/java/brookpath/coordination/node/storage/GracefulShutdown.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/GracefulShutdown.java
@@ -18,7 +18,7 @@
         this.out = out;
     }
 
-    /** Begins the shutdown; the request is responded to once this node leads no group. */
+    /** Begins the shutdown; the response follows once this node leads no group. */
     public void begin(final long request) {
         requestId = request;
     }
--- a/coordination/src/main/java/brookpath/coordination/node/storage/GroupStateReporter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/GroupStateReporter.java
@@ -10,8 +10,8 @@
 import java.util.TreeMap;
 
 /**
- * Reports to the control leader what the logs of the groups that this node leads have committed about the groups
- * themselves: that a group is founded, and its membership. A report is repeated until the cluster metadata shows it.
+ * Reports the state of the groups that this node leads to the control leader: that a group is founded, and the
+ * membership that its log has committed. A report is repeated until the cluster metadata shows its effect.
  */
 public final class GroupStateReporter {
     /** The ID of requests that have no reply: the cluster metadata shows their effect. */
@@ -35,8 +35,8 @@
     }
 
     /**
-     * Reports that the group has had a leader, so that from here on a member with an empty disk is known to have lost
-     * its data.
+     * Reports that the group has had a leader: from then on, a member with an empty disk is known to have lost its
+     * data.
      */
     public void reportFounded(final GroupMachine group, final long now) {
         final GroupInfo info = groups.metadataOf(group.id());
--- a/coordination/src/main/java/brookpath/coordination/node/storage/HistoryRetention.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/HistoryRetention.java
@@ -4,7 +4,7 @@
 import brookpath.coordination.configuration.Configuration;
 import brookpath.coordination.configuration.ConfigurationClient;
 
-/** How long the history of a topic is kept, by the newest configuration that this node has. */
+/** How long the history of a topic is kept, according to the newest configuration that this node has. */
 public final class HistoryRetention {
     private final ConfigurationClient client;
     private final TimingBounds timing;
@@ -28,7 +28,7 @@
             return 0;
         }
         final Configuration.Space space = client.configuration().spaceOf(topic);
-        // why: before the first configuration the retention of a space is unknown, so that nothing is trimmed
+        // Before the first configuration the retention of the spaces is unknown, so nothing is trimmed
         return client.configuration().version() == 0
                 ? Long.MAX_VALUE
                 : space == null ? timing.keepMargin() : space.keepingMs() + timing.keepMargin();
--- a/coordination/src/main/java/brookpath/coordination/node/storage/ListenerCounts.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/ListenerCounts.java
@@ -12,8 +12,8 @@
 import java.util.TreeMap;
 
 /**
- * How many sessions of each gateway listen to the topics of each group. Soft state of the leaders: it is rebuilt from
- * the gateways' reports, and the counts that a gateway no longer confirms expire.
+ * The number of sessions of each gateway that listen to the topics of each group. Soft state of the leaders: it is
+ * rebuilt from the gateways' reports, and counts that a gateway no longer confirms expire.
  */
 public final class ListenerCounts {
     /** The base version of a report with complete counts, not changes of earlier ones. */
@@ -75,7 +75,7 @@
         }
         int listeners = 0;
         for (final ReportedCounts reported : byGateway.values()) {
-            // why: soft state expires with the reports of the gateway that it came from
+            // Counts expire unless their gateway confirms them, since it may have failed
             if (now - reported.reportedAt <= timing.listenerExpiry()) {
                 listeners += reported.byTopic.getOrDefault(topic, 0);
             }
--- a/coordination/src/main/java/brookpath/coordination/node/storage/PendingFetches.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/PendingFetches.java
@@ -18,8 +18,8 @@
     }
 
     /**
-     * Keeps a fetch until there is something to reply. A gateway that replaces its fetch by one for other topics keeps
-     * the deadline of the first, or it would consider this node unresponsive.
+     * Adds a fetch. If it replaces a pending one of the gateway by one for other topics, it takes over the deadline:
+     * with a later reply the gateway would consider this node unresponsive.
      */
     void add(final int gateway, final Fetch fetch, final long now) {
         final TreeMap<Integer, PendingFetch> byGateway =
@@ -29,7 +29,7 @@
         byGateway.put(gateway, new PendingFetch(gateway, fetch, deadline));
     }
 
-    /** Forgets the pending fetches of a group that were answered. */
+    /** Removes the pending fetches of a group that were answered. */
     void removeAnswered(final int group, final Predicate<PendingFetch> answered) {
         final TreeMap<Integer, PendingFetch> byGateway = byGroupAndGateway.get(group);
         if (byGateway != null) {
--- a/coordination/src/main/java/brookpath/coordination/node/storage/PendingPublishes.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/PendingPublishes.java
@@ -12,9 +12,9 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** The publishes, per group, that lie in the leader's log and whose gateways await that they are committed. */
+/** The publishes, per group, that the leader has appended and whose gateways wait until they are committed. */
 public final class PendingPublishes {
-    /** The most publishes of one group that may be pending. */
+    /** The maximum number of pending publishes of one group. */
     private static final int MAX_PENDING = 4_096;
 
     private record PendingPublish(int gateway, long requestId, long index, int requiredReplicas, long deadline) {}
@@ -36,7 +36,7 @@
     /**
      * Adds a publish, which is replied to once enough replicas have its record.
      *
-     * @param index where the publish lies in the group's log
+     * @param index the position of the publish in the group's log
      */
     void add(
             final int group,
@@ -56,8 +56,8 @@
         if (pending == null || pending.isEmpty()) {
             return;
         }
-        // why: checked again right before the reply, so that a leader which was suspended meanwhile does not reply in
-        // place of its successor
+        // Checked right before the reply: a leader that was suspended meanwhile must not reply in place of its
+        // successor
         final boolean mayAct = group.mayAct(now);
         for (final Iterator<PendingPublish> iterator = pending.iterator(); iterator.hasNext(); ) {
             if (resolve(iterator.next(), group, mayAct, now)) {
@@ -72,9 +72,9 @@
         if (mayAct && isReplicated(publish, group)) {
             out.send(publish.gateway, new PublishReply(publish.requestId, ACCEPTED, publish.index, 0, 0, ""));
         } else if (group.role() != GroupMachine.LEADER) {
-            unsettled(publish, "the master stepped down");
+            unsettled(publish, "the leader stepped down");
         } else if (now >= publish.deadline) {
-            unsettled(publish, "not enough copies in time");
+            unsettled(publish, "not enough replicas in time");
         } else {
             return false;
         }
@@ -90,7 +90,7 @@
         out.send(publish.gateway, new PublishReply(publish.requestId, UNSETTLED, 0, 0, 0, reason));
     }
 
-    /** Forgets the publishes of a dropped group; the gateways retry with its leader. */
+    /** Discards the publishes of a dropped group; the gateways retry with its leader. */
     public void drop(final int group) {
         byGroup.remove(group);
     }
--- a/coordination/src/main/java/brookpath/coordination/node/storage/PublishAdmission.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/PublishAdmission.java
@@ -22,7 +22,7 @@
  * stays in {@link PendingPublishes} until it is committed; a refused one was certainly not appended.
  */
 public final class PublishAdmission {
-    /** The most (topic, sender) pairs of a group whose sequences are remembered. */
+    /** The maximum number of (topic, sender) pairs of a group whose sequences are remembered. */
     private static final int MAX_SENDERS = 65_536;
 
     private final TopicGroups groups;
@@ -51,7 +51,7 @@
         final GroupMachine group = groups.get(publish.group());
         if (group == null || group.role() != GroupMachine.LEADER) {
             final int leaderHint = group == null ? 0 : group.leaderHeard();
-            refuse(gateway, publish, NOT_LEADER, leaderHint, "not the master");
+            refuse(gateway, publish, NOT_LEADER, leaderHint, "this node is not the leader");
             return false;
         }
         final Configuration.Space space = client.configuration().spaceOf(publish.topic());
@@ -69,25 +69,25 @@
     private String unavailableReason(
             final Publish publish, final GroupMachine group, final Configuration.Space space, final long now) {
         if (!client.leased(now)) {
-            return "spec lease has run out";
+            return "the configuration lease has expired";
         }
         if (client.configuration().version() < publish.configurationVersion() || space == null) {
-            return "spec is older than the front's";
+            return "the configuration is older than the gateway's";
         }
         if (!group.mayAct(now)) {
-            return "master has no lease yet";
+            return "the leader has no lease yet";
         }
         if (group.diskBacklogged()) {
-            return "the master's disk takes nothing just now";
+            return "the leader's disk accepts no writes at present";
         }
         if (!client.clockKnown()) {
-            return "the fleet's clock is not known yet";
+            return "the cluster clock is not known yet";
         }
         final GroupInfo info = groups.metadataOf(publish.group());
-        return info == null || !info.founded() ? "group is not founded yet" : null;
+        return info == null || !info.founded() ? "the group is not founded yet" : null;
     }
 
-    /** A sequence that was appended before is not appended again, for publishes are idempotent per sender. */
+    /** Appends the publish unless its sequence was appended before: publishes are idempotent per sender. */
     private boolean admitSequence(
             final int gateway,
             final Publish publish,
@@ -97,11 +97,11 @@
         final TopicState state = TopicGroups.stateOf(group);
         final long earlier = state.lookUp(publish.topic(), publish.sender(), publish.seq());
         if (earlier == TopicState.TOO_LOW) {
-            refuse(gateway, publish, REFUSED_FOR_GOOD, 0, "sequence is below the sender's last");
+            refuse(gateway, publish, REFUSED_FOR_GOOD, 0, "the sequence is below the sender's last one");
             return false;
         }
         if (pending.isFull(group.id())) {
-            refuse(gateway, publish, BUSY, 0, "too many publishes wait for their copies");
+            refuse(gateway, publish, BUSY, 0, "too many publishes wait for replication");
             return false;
         }
         long index = earlier;
@@ -113,7 +113,7 @@
             }
             index = append(publish, group, requiredReplicas, time);
         }
-        // why: a retry waits for the replicas just as the first attempt did, and gets the same position
+        // A retry waits for the replicas just as the first attempt did, and gets the same position
         pending.add(group.id(), gateway, publish.requestId(), index, requiredReplicas, time.mono());
         return true;
     }
@@ -125,7 +125,9 @@
             return "too many senders in the last hour";
         }
         final int active = group.active(now);
-        return requiredReplicas > active ? "only " + active + " of " + requiredReplicas + " copies are active" : null;
+        return requiredReplicas > active
+                ? "only " + active + " of " + requiredReplicas + " required replicas are active"
+                : null;
     }
 
     private long append(final Publish publish, final GroupMachine group, final int requiredReplicas, final Time time) {
--- a/coordination/src/main/java/brookpath/coordination/node/storage/ReportTimes.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/ReportTimes.java
@@ -2,7 +2,7 @@
 
 import java.util.TreeMap;
 
-/** When a report on each group was sent last, so that one without effect is repeated after an interval. */
+/** The time of the last report on each group; a report without effect is repeated after an interval. */
 final class ReportTimes {
     private final TreeMap<Integer, Long> sentAtByGroup = new TreeMap<>();
 
--- a/coordination/src/main/java/brookpath/coordination/node/storage/TopicGroups.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/TopicGroups.java
@@ -23,11 +23,11 @@
  * <p>Invariant: a group is dropped only after the group's own log has committed a membership without this node.
  */
 public final class TopicGroups {
-    /** Kind of the log entry that says that the group was dropped here. */
+    /** Kind of the log entry by which this node drops a group. */
     private static final long DROPPED = 100;
-    /** Kind of the log entry that holds cluster metadata, which belongs to no group. */
+    /** Kind of the log entry that contains cluster metadata, which belongs to no group. */
     private static final long METADATA = 101;
-    /** In place of a group in entries that belong to none. */
+    /** In place of the group ID in entries that belong to no group. */
     private static final long NO_GROUP = -1;
 
     /** What a log entry is about; the kinds of a group's own entries are {@link GroupMachine}'s. */
@@ -45,8 +45,8 @@
     private final ConfigurationClient client;
     private final Actions out;
     private final TreeMap<Integer, GroupMachine> groups = new TreeMap<>();
-    /** The newest cluster metadata that the log holds. */
-    private ClusterMetadata kept = ClusterMetadata.NONE;
+    /** The newest cluster metadata in the local log. */
+    private ClusterMetadata loggedMetadata = ClusterMetadata.NONE;
 
     /**
      * @param self this node
@@ -104,8 +104,8 @@
         final int id = (int) in.getLong();
         switch (scopeOf(entry)) {
             case NODE -> {
-                kept = ClusterMetadata.load(in.skipBytes(Long.BYTES).getBytes());
-                client.restore(kept);
+                loggedMetadata = ClusterMetadata.load(in.skipBytes(Long.BYTES).getBytes());
+                client.restore(loggedMetadata);
             }
             case DROPPED_GROUP -> groups.remove(id);
             case GROUP -> open(id).replay(in, now);
@@ -113,23 +113,23 @@
     }
 
     /**
-     * Writes newer cluster metadata to the log. It precedes whatever follows from it there, so that a restart never
-     * finds the consequence without the cause.
+     * Writes newer cluster metadata to the log, before any entry that results from it, so that a restart never replays
+     * such an entry without the metadata.
      */
-    private void keep(final ClusterMetadata metadata) {
-        // why: a restarted node needs the members of its groups and their addresses to elect leaders; waiting for the
+    private void logMetadata(final ClusterMetadata metadata) {
+        // A restarted node needs the members of its groups and their addresses to elect leaders; waiting for the
         // control plane's own election first would double the time without service after a loss of power
-        if (metadata.version() > kept.version()) {
-            kept = metadata;
-            out.write(keptEntry());
+        if (metadata.version() > loggedMetadata.version()) {
+            loggedMetadata = metadata;
+            out.write(metadataEntry());
         }
     }
 
-    private byte[] keptEntry() {
+    private byte[] metadataEntry() {
         return PackedBuffer.writer()
                 .putLong(NO_GROUP)
                 .putLong(METADATA)
-                .putBytes(kept.save())
+                .putBytes(loggedMetadata.save())
                 .toByteArray();
     }
 
@@ -139,18 +139,19 @@
      * @return the IDs of the groups that were dropped
      */
     public List<Integer> reconfigure(final ClusterMetadata metadata, final long now) {
-        keep(metadata);
+        logMetadata(metadata);
         final List<Integer> dropped = new ArrayList<>();
         for (final GroupInfo info : metadata.groups()) {
             final GroupMachine group = groups.get(info.id());
             if (info.membership().holds(self)) {
                 if (group == null) {
-                    // why: a new learner pulls once it hears the group's leader, and would wait for its next heartbeat
+                    // A new learner pulls once it hears the group's leader; otherwise it would wait for the next
+                    // heartbeat
                     out.heartbeatNow();
                 }
                 open(info.id()).configure(info.membership(), info.founded(), now);
             } else if (group != null && group.groupVersion() <= info.version()) {
-                // why: the group's own log has committed that this node is no member any more, so nothing here counts
+                // The group's log has committed that this node is not a member any more, so this replica is not needed
                 drop(info);
                 dropped.add(info.id());
             }
@@ -165,10 +166,10 @@
     private void drop(final GroupInfo info) {
         groups.remove(info.id());
         out.write(PackedBuffer.writer().putLong(info.id()).putLong(DROPPED).toByteArray());
-        out.note("group " + info.id() + ": left, in group version " + info.version());
+        out.note("group " + info.id() + ": dropped, not a member in group version " + info.version());
     }
 
-    /** The range of indexes that each replica holds, the commit index and the term. */
+    /** The range of indexes of each replica, its commit index and its term, as text for the log. */
     public String describe() {
         final StringBuilder text = new StringBuilder(groups.size() + " groups");
         for (final GroupMachine group : groups.values()) {
@@ -189,8 +190,8 @@
     /** Begins a new log segment with a snapshot of all groups. */
     public void rollLog() {
         final PackedBuffer buffer = PackedBuffer.writer();
-        if (kept.version() > 0) {
-            buffer.putBytes(keptEntry());
+        if (loggedMetadata.version() > 0) {
+            buffer.putBytes(metadataEntry());
         }
         groups.values().forEach(group -> group.checkpoint().forEach(buffer::putBytes));
         out.roll(buffer.toByteArray());
--- a/coordination/src/main/java/brookpath/coordination/node/storage/TopicInterests.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/TopicInterests.java
@@ -15,7 +15,7 @@
     private final TreeMap<Integer, TreeMap<Integer, TopicInterest>> byGroupAndGateway = new TreeMap<>();
 
     /**
-     * Notes the topics that a long poll names, if any.
+     * Stores the topics that a long poll names, if any.
      *
      * @return whether the version that it refers to is known, so that it can be served
      */
--- a/coordination/src/main/java/brookpath/coordination/node/storage/UsageWindowReporter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/UsageWindowReporter.java
@@ -17,10 +17,10 @@
 
 /**
  * Closes the usage windows of the groups that this node leads, and reports the closed windows' counts to the control
- * leader until that has acknowledged them.
+ * leader until it has acknowledged them.
  */
 public final class UsageWindowReporter {
-    /** The newest acknowledged window where none is. */
+    /** In place of the newest acknowledged window where there is none. */
     private static final long NONE = -1;
 
     private final ConfigurationClient client;
@@ -36,7 +36,7 @@
     }
 
     /**
-     * Closes each window whose end the cluster's clock has passed, by a log record after which nothing is counted in
+     * Closes each window whose end the cluster clock has passed, with a log record after which nothing is counted in
      * it.
      */
     public void closeEndedWindows(final GroupMachine group, final Time time) {
@@ -50,7 +50,7 @@
         }
     }
 
-    /** Reports the counts of the committed closed windows that are not acknowledged yet. */
+    /** Reports the counts of the windows whose closing is committed and that are not acknowledged yet. */
     public void report(final GroupMachine group, final long now) {
         if (!group.mayAct(now) || !reportTimes.isDue(group.id(), timing.down(), now)) {
             return;
--- a/coordination/src/main/java/brookpath/coordination/node/usage/PostOutcome.java
+++ b/coordination/src/main/java/brookpath/coordination/node/usage/PostOutcome.java
@@ -9,11 +9,11 @@
     ACCEPTED,
     /** It certainly did not arrive: no connection was established. */
     NOT_SENT,
-    /** The platform did not accept it, for there are too many calls at present. */
+    /** The platform did not accept it because of too many calls. */
     THROTTLED,
     /** The platform has seen a higher fencing token: another process leads, or did. */
     FENCED,
-    /** The platform answered that it failed, or refused for another reason. Whether it was counted is not known. */
+    /** The platform reported a failure, or refused it for another reason. Whether it was counted is not known. */
     FAILED,
     /** It was sent, and no complete response arrived: a timeout, a reset, or an unreadable response. */
     UNKNOWN;
--- a/coordination/src/main/java/brookpath/coordination/node/usage/UsageReporter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/usage/UsageReporter.java
@@ -29,8 +29,8 @@
  */
 public final class UsageReporter {
     /**
-     * The most attempts at one report: about an hour of unavailability of the platform, as long as the groups keep
-     * their windows.
+     * The maximum number of attempts at one report. They last for about an hour of unavailability of the platform, as
+     * long as the groups keep their windows.
      */
     private static final int MAX_ATTEMPTS = 1_200;
 
@@ -44,7 +44,7 @@
      */
     private record ClosedWindows(long closed, List<TopicState.Count> counts) {}
 
-    /** A tenant's part of the window that is totalled. */
+    /** A tenant's usage in the window that is totalled. */
     private static final class TenantTotal {
         private long publishes;
         private long bytes;
@@ -78,7 +78,7 @@
     private final TreeMap<Integer, ClosedWindows> closedWindows = new TreeMap<>();
     private final TreeMap<Long, Post> posts = new TreeMap<>();
 
-    /** @param ids gives the IDs of posts, each once */
+    /** @param ids supplies unique IDs of posts */
     public UsageReporter(
             final int self,
             final GroupMachine group,
@@ -119,7 +119,7 @@
             }
             closedWindows.put(id, new ClosedWindows(closed, counts));
         }
-        // An uncommitted total may still be lost, but the group would not report its windows again
+        // An uncommitted total may still be lost, and a group does not report acknowledged windows again
         return group.committed() >= group.endIndex() ? included : -1;
     }
 
@@ -177,7 +177,8 @@
     }
 
     /**
-     * Per group, through which of its windows it is counted once this window is; groups that add nothing are left out.
+     * The newest window of each group that the totals include once this window is totalled; groups that add nothing are
+     * left out.
      */
     private Map<Integer, Long> includedUpTo(final long window) {
         final TreeMap<Integer, Long> upTo = new TreeMap<>();
@@ -210,7 +211,7 @@
         }
     }
 
-    /** One report for a window: who reports, in which term, and every tenant's counts. */
+    /** The report of a window as JSON: the reporting node, its term, and the counts of every tenant. */
     private String json(final ControlState.Window w) {
         final JsonArrayBuilder tenants = Json.createArrayBuilder();
         w.used()
@@ -230,17 +231,17 @@
     }
 
     /** Handles the outcome of a post. */
-    public void onPosted(final NodeRequest.Posted j, final Time time) {
-        final Post p = posts.get(j.requestId());
+    public void onPosted(final NodeRequest.Posted request, final Time time) {
+        final Post p = posts.get(request.requestId());
         if (p == null) {
             return;
         }
-        // The lease may have expired only briefly, so that the report must be retried
+        // Also while the lease is expired: if that is only brief, the report must be retried
         p.inFlight = false;
-        p.nextAt = time.mono() + retryDelayMs(j.outcome(), p.attempts);
-        final boolean ok = j.outcome() == PostOutcome.ACCEPTED;
+        p.nextAt = time.mono() + retryDelayMs(request.outcome(), p.attempts);
+        final boolean ok = request.outcome() == PostOutcome.ACCEPTED;
         if (group.mayAct(time.mono()) && (ok || p.attempts >= MAX_ATTEMPTS)) {
-            posts.remove(j.requestId());
+            posts.remove(request.requestId());
             group.append(
                     LogRecord.CONTROL, ControlState.deliveredBody(p.window.window(), ok), time.mono(), time.wall());
         }
@@ -270,10 +271,10 @@
                                 .add("publishes", u.publishes())
                                 .add("bytes", u.bytes())
                                 .add("late", u.late())));
-                final Boolean was = view.state().deliveryOutcome(w.window());
+                final Boolean accepted = view.state().deliveryOutcome(w.window());
                 arr.add(Json.createObjectBuilder()
                         .add("windowStartMs", w.window() * timing.windowMs())
-                        .add("platform", was == null ? "on its way" : was ? "told" : "given up")
+                        .add("platform", accepted == null ? "on its way" : accepted ? "told" : "given up")
                         .add("tenants", used));
             }
         }
--- a/coordination/src/main/java/brookpath/coordination/topic/SenderSequences.java
+++ b/coordination/src/main/java/brookpath/coordination/topic/SenderSequences.java
@@ -10,7 +10,7 @@
  * topic was trimmed.
  */
 final class SenderSequences {
-    /** The number of a sender's newest messages that are recognized as repeats. */
+    /** The number of each sender's newest messages that are recognized when they are repeated. */
     private static final int MAX_REMEMBERED = 256;
 
     /** A message as it was appended. */
@@ -18,7 +18,7 @@
 
     private static final class Sender {
         long lastSeq;
-        /** When the last message was appended, by the stamps in the log. */
+        /** When the last message was appended, according to the timestamps in the log. */
         long lastStamp;
 
         final ArrayDeque<Appended> recent = new ArrayDeque<>();
@@ -69,8 +69,8 @@
     }
 
     /**
-     * Removes the senders whose last message is older. The trimmed position of a topic is kept, one number each, since
-     * an outdated cursor would be accepted otherwise.
+     * Removes the senders whose last message is older. Each topic keeps its trimmed position, a single number: without
+     * it an outdated cursor would be accepted.
      */
     void forget(final long before) {
         for (final Topic topic : topics.values()) {
@@ -80,7 +80,7 @@
         }
     }
 
-    /** The position of the topic's newest record that is no longer kept; 0 for none. */
+    /** The position of the topic's newest trimmed record; 0 for none. */
     long trimmedThrough(final String topic) {
         final Topic known = topics.get(topic);
         return known == null ? 0 : known.trimmedThrough;
--- a/coordination/src/main/java/brookpath/coordination/topic/TopicState.java
+++ b/coordination/src/main/java/brookpath/coordination/topic/TopicState.java
@@ -20,8 +20,8 @@
     public static final long TOO_LOW = -1;
 
     /**
-     * A sender is forgotten this long after its last message, in milliseconds by the stamps in the log. Retries end
-     * long before.
+     * A sender is forgotten this long after its last message, in milliseconds of the timestamps in the log. Its retries
+     * have ended long before.
      */
     private static final long FORGET_MS = 3_600_000;
 
@@ -61,7 +61,7 @@
         return senders.lookUp(topic, sender, seq);
     }
 
-    /** The index of the newest record of the topic that was trimmed; 0 for none. */
+    /** The position of the topic's newest trimmed record; 0 for none. */
     public long trimmedThrough(final String topic) {
         return senders.trimmedThrough(topic);
     }
@@ -70,7 +70,7 @@
     public void apply(final LogRecord logRecord) {
         if (logRecord.kind() == LogRecord.CLOSE) {
             usage.close(PackedBuffer.reader(logRecord.body()).getLong(), logRecord.index());
-            // decided by the log alone, so that each member forgets the same senders at the same position
+            // Depends on the log alone, so that every member forgets the same senders at the same position
             senders.forget(logRecord.stamp() - FORGET_MS);
         } else if (logRecord.kind() == LogRecord.PUBLISH) {
             usage.add(logRecord.stamp(), logRecord.tenant(), logRecord.text().getBytes(UTF_8).length);
--- a/coordination/src/main/java/brookpath/coordination/topic/UsageWindows.java
+++ b/coordination/src/main/java/brookpath/coordination/topic/UsageWindows.java
@@ -9,7 +9,7 @@
 
 /** What each tenant has published, per usage window, and which windows the log has closed. */
 final class UsageWindows {
-    /** The most windows, and the most closing records, that are kept. */
+    /** The maximum number of windows, and of closing records, that are kept. */
     private static final int MAX_WINDOWS = 360;
 
     /** The messages and bytes that a tenant has published. */
@@ -50,7 +50,8 @@
     }
 
     /**
-     * Counts a message. A message stamped in a closed window, by a leader with a slow clock, counts in the next one.
+     * Counts a message. A message whose timestamp lies in a closed window, since the leader's clock is slow, counts in
+     * the first window that is open.
      */
     void add(final long stamp, final String tenant, final long bytes) {
         final long window = Math.max(stamp / windowMs, closedAt.isEmpty() ? 0 : closedAt.lastKey() + 1);
--- a/testing/src/test/java/brookpath/testing/sim/FullDiskTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/FullDiskTest.java
@@ -17,7 +17,8 @@
 import org.testng.annotations.Test;
 
 /**
- * A disk that is full or hangs: the process keeps running, leads no longer, loses nothing, and comes back by itself.
+ * A disk that is full or hangs must not end the process: the process transfers its leaderships, loses no committed
+ * record, and recovers once the disk does.
  */
 public final class FullDiskTest {
     private static final long FULL_MS = 20_000;
@@ -28,37 +29,39 @@
 
     @Test
     public void aLeaderWhoseDiskIsFullHandsOverAndComesBack() {
-        leaderInTrouble(31, (p, on) -> p.disk.full(on));
+        leaderWithFaultyDisk(31, (p, on) -> p.disk.full(on));
     }
 
     @Test
     public void aLeaderWhoseDiskHangsHandsOverAndComesBack() {
-        leaderInTrouble(32, (p, on) -> p.syncMs = on ? FULL_MS : 2);
+        leaderWithFaultyDisk(32, (p, on) -> p.syncMs = on ? FULL_MS : 2);
     }
 
-    private interface Trouble {
+    private interface DiskFault {
         void set(SimulatedProcess p, boolean on);
     }
 
-    private void leaderInTrouble(final long seed, final Trouble disturb) {
+    private void leaderWithFaultyDisk(final long seed, final DiskFault fault) {
         cluster = ServingCluster.start(seed);
         cluster.callers.publisher("ana", TOPIC, "key-members", 200, 400);
         cluster.callers.subscriber("sub", "key-members", List.of(TOPIC));
         cluster.run(cluster.now() + 3_000);
         final int g = Placement.groupOf(TOPIC, new Configuration.Space("permits", 30_000, false, 2), GROUPS);
-        final SimulatedProcess leader = acting(g);
+        final SimulatedProcess leader = actingLeader(g);
         final long incarnation = leader.incarnation;
-        disturb.set(leader, true);
+        fault.set(leader, true);
         cluster.run(cluster.now() + FULL_MS);
         assertTrue(leader.alive && leader.incarnation == incarnation, "the process ended");
-        final SimulatedProcess next = acting(g);
-        assertNotNull(next, "no master while one disk is in trouble: " + cluster.notes());
-        assertNotEquals(next.id, leader.id, "a member without a disk still leads");
-        disturb.set(leader, false);
+        final SimulatedProcess successor = actingLeader(g);
+        assertNotNull(successor, "no leader while one disk is faulty: " + cluster.notes());
+        assertNotEquals(successor.id, leader.id, "the member with the faulty disk still leads");
+        fault.set(leader, false);
         cluster.run(cluster.now() + FULL_MS + 5_000);
         assertTrue(leader.alive && leader.incarnation == incarnation, "the process ended");
-        final GroupMachine copy = ((StorageNode) leader.node).group(g);
-        assertEquals(copy.syncedIndex(), ((StorageNode) acting(g).node).group(g).syncedIndex());
+        final GroupMachine replica = ((StorageNode) leader.node).group(g);
+        assertEquals(
+                replica.syncedIndex(),
+                ((StorageNode) actingLeader(g).node).group(g).syncedIndex());
         cluster.callers.quiet = true;
         cluster.run(cluster.now() + 20_000);
         cluster.history.settle(cluster.now());
@@ -70,18 +73,18 @@
     public void aFullDiskOfAControlMemberStopsNoChange() {
         cluster = ServingCluster.start(33);
         final SimulatedProcess leader = controlLeader();
-        final SimulatedProcess full = cluster.processes.get(leader.id == 1 ? 2 : 1);
-        final long incarnation = full.incarnation;
-        full.disk.full(true);
+        final SimulatedProcess member = cluster.processes.get(leader.id == 1 ? 2 : 1);
+        final long incarnation = member.incarnation;
+        member.disk.full(true);
         for (int i = 0; i < 5; i++) {
             change(i + 1, "while-full-" + i);
         }
-        assertTrue(full.alive && full.incarnation == incarnation, "the process ended");
-        assertNotEquals(((ControllerNode) full.node).group().role(), GroupMachine.LEADER);
-        full.disk.full(false);
+        assertTrue(member.alive && member.incarnation == incarnation, "the process ended");
+        assertNotEquals(((ControllerNode) member.node).group().role(), GroupMachine.LEADER);
+        member.disk.full(false);
         cluster.run(cluster.now() + 3_000);
         assertEquals(
-                ((ControllerNode) full.node).group().syncedIndex(),
+                ((ControllerNode) member.node).group().syncedIndex(),
                 ((ControllerNode) controlLeader().node).group().syncedIndex());
         assertTrue(cluster.history.violations().isEmpty(), String.join("\n", cluster.history.violations()));
     }
@@ -95,7 +98,7 @@
         cluster.run(cluster.now() + 500);
         cluster.restart(member);
         cluster.run(cluster.now() + 2_000);
-        assertTrue(member.alive, "it would not start");
+        assertTrue(member.alive, "the member did not start");
         change(1, "with-one-full");
         member.disk.full(false);
         cluster.run(cluster.now() + 3_000);
@@ -108,7 +111,7 @@
     public void whatWaitsForAFullDiskIsBoundedAndRefusedAtOnce() {
         cluster = ServingCluster.start(35);
         for (final int id : cluster.storages) {
-            // why: where all disks are full there is nobody to hand over to
+            // With all disks full there is no member to transfer the leadership to
             cluster.processes.get(id).disk.full(true);
         }
         final String large = "y".repeat(30_000);
@@ -128,7 +131,7 @@
             assertTrue(p.alive, "the process ended");
             final GroupMachine group = ((StorageNode) p.node).group(g);
             final long unsynced = group == null ? 0 : group.endIndex() - group.syncedIndex();
-            assertTrue(unsynced * large.length() < 2 << 20, unsynced + " records wait");
+            assertTrue(unsynced * large.length() < 2 << 20, unsynced + " records are not synced");
         }
         assertNotNull(last[0]);
         assertFalse(last[0].status() == 200, last[0].toString());
@@ -145,7 +148,7 @@
         assertEquals(got[0].status(), 200, got[0].toString());
     }
 
-    private SimulatedProcess acting(final int g) {
+    private SimulatedProcess actingLeader(final int g) {
         return cluster.storages.stream()
                 .map(cluster.processes::get)
                 .filter(p -> p.alive && p.node instanceof StorageNode s && s.group(g) != null)
--- a/testing/src/test/java/brookpath/testing/sim/GroupRepairScene.java
+++ b/testing/src/test/java/brookpath/testing/sim/GroupRepairScene.java
@@ -19,14 +19,14 @@
 /** A cluster with publishers and subscribers whose storage machines are lost, replaced and retired. */
 final class GroupRepairScene {
     static final int GROUPS = 4;
-    private static final int COPIES = 3;
+    private static final int REPLICAS = 3;
     private static final int GATEWAY = 32;
 
     final SimulatedCluster cluster;
-    /** First answers by topic, to be got again by a repeat. */
+    /** The first response to each publish, which a repeat must get again; the key is sender and topic. */
     private final TreeMap<String, String> answers = new TreeMap<>();
 
-    /** Publishers, subscribers and a cluster that has served them for three seconds. */
+    /** Starts a cluster with publishers and subscribers, and serves them for three seconds. */
     GroupRepairScene(final long seed) {
         this(ServingCluster.start(seed));
     }
@@ -41,7 +41,7 @@
         run(3_000);
     }
 
-    GroupMachine copy(final int node, final int group) {
+    GroupMachine replica(final int node, final int group) {
         final SimulatedProcess p = cluster.processes.get(node);
         return p.alive && !p.frozen() && p.node instanceof StorageNode s ? s.group(group) : null;
     }
@@ -51,9 +51,9 @@
         cluster.run(cluster.now() + ms);
     }
 
-    private GroupMachine acting(final int group) {
+    private GroupMachine actingLeader(final int group) {
         for (final int id : cluster.storages) {
-            final GroupMachine g = copy(id, group);
+            final GroupMachine g = replica(id, group);
             if (g != null && g.mayAct(cluster.processes.get(id).mono())) {
                 return g;
             }
@@ -71,15 +71,19 @@
         return null;
     }
 
-    /** Three voters, all up, each with a synced copy of what is committed, none of them the node named. */
-    private boolean whole(final int group, final int without) {
-        final GroupMachine leader = acting(group);
-        if (leader == null || !leader.membershipSettled() || leader.members().size() != COPIES) {
+    /**
+     * Whether the group has three voters, all up and with the membership synced, and {@code without} is not one of
+     * them.
+     */
+    private boolean isFullyReplicated(final int group, final int without) {
+        final GroupMachine leader = actingLeader(group);
+        if (leader == null || !leader.membershipSettled() || leader.members().size() != REPLICAS) {
             return false;
         }
         for (final Member m : leader.members()) {
-            final GroupMachine copy = copy(m.node(), group);
-            final boolean counts = copy != null && !copy.lost() && copy.syncedIndex() >= leader.membershipIndex();
+            final GroupMachine replica = replica(m.node(), group);
+            final boolean counts =
+                    replica != null && !replica.lost() && replica.syncedIndex() >= leader.membershipIndex();
             if (m.node() == without || !counts) {
                 return false;
             }
@@ -87,22 +91,22 @@
         return true;
     }
 
-    boolean allWhole(final int without) {
+    boolean allFullyReplicated(final int without) {
         for (int g = 0; g < GROUPS; g++) {
-            if (!whole(g, without)) {
+            if (!isFullyReplicated(g, without)) {
                 return false;
             }
         }
         return true;
     }
 
-    /** How long until all groups are whole again, in milliseconds. */
-    long untilWhole(final int without, final long limit) {
+    /** Runs until all groups are fully replicated again, and returns how long that took, in milliseconds. */
+    long msUntilFullyReplicated(final int without, final long limit) {
         final long from = cluster.now();
-        while (!allWhole(without) && cluster.now() < from + limit) {
+        while (!allFullyReplicated(without) && cluster.now() < from + limit) {
             run(5);
         }
-        return allWhole(without) ? cluster.now() - from : Long.MAX_VALUE;
+        return allFullyReplicated(without) ? cluster.now() - from : Long.MAX_VALUE;
     }
 
     private Response publish(final String topic, final String sender, final long seq) {
@@ -120,7 +124,7 @@
 
     void publishAll(final String sender) {
         for (int i = 0; i < 9; i++) {
-            // why: a topic that nobody listens to, for what is published here is not told to the judge of deliveries
+            // A topic without subscribers: the delivery oracle does not know of these publishes
             final String topic = "permits/read-back" + i;
             final Response r = publish(topic, sender, 1);
             assertEquals(r.status(), 200, cluster.now() + " " + topic + ": " + r);
@@ -128,8 +132,8 @@
         }
     }
 
-    /** What was committed has its place still, and new publishes are committed. */
-    void readBack(final String what) {
+    /** Asserts that committed records have kept their positions, and that new publishes are committed. */
+    void verifyCommitted(final String what) {
         answers.forEach((key, json) -> {
             final String[] parts = key.split(" ");
             final Response again = publish(parts[1], parts[0], 1);
@@ -144,14 +148,14 @@
                 cluster.history.violations().isEmpty(), what + ": " + String.join("\n", cluster.history.violations()));
     }
 
-    void lose(final int node) {
+    void loseMachine(final int node) {
         final SimulatedProcess p = cluster.processes.get(node);
         cluster.kill(p, true);
         p.disk.wipe();
     }
 
     void loseDiskAndReturn(final int node, final long downMs) {
-        lose(node);
+        loseMachine(node);
         cluster.at(cluster.now() + downMs, () -> cluster.restart(cluster.processes.get(node)));
     }
 
@@ -159,10 +163,10 @@
         return String.join("\n", cluster.notes());
     }
 
-    int held(final int node) {
+    int membershipsOf(final int node) {
         int n = 0;
         for (int g = 0; g < GROUPS; g++) {
-            n += acting(g).membership().holds(node) ? 1 : 0;
+            n += actingLeader(g).membership().holds(node) ? 1 : 0;
         }
         return n;
     }
@@ -170,7 +174,7 @@
     List<Integer> versions() {
         final List<Integer> versions = new ArrayList<>();
         for (int g = 0; g < GROUPS; g++) {
-            versions.add(acting(g).groupVersion());
+            versions.add(actingLeader(g).groupVersion());
         }
         return versions;
     }
@@ -190,7 +194,7 @@
         assertEquals(got[0].status(), 202, got[0].toString());
     }
 
-    private boolean completed(final int node) {
+    private boolean isRetired(final int node) {
         final SimulatedProcess leader = controlLeader();
         final ControllerNode control = leader == null ? null : (ControllerNode) leader.node;
         return control != null
@@ -203,21 +207,21 @@
                 - 1;
     }
 
-    void untilCompleted(final int leaving, final String what) {
+    void runUntilRetired(final int leaving, final String what) {
         final long limit = cluster.now() + 30_000;
-        while (!completed(leaving) && cluster.now() < limit) {
+        while (!isRetired(leaving) && cluster.now() < limit) {
             run(1);
         }
-        assertTrue(completed(leaving), what + " does not end:\n" + notes());
+        assertTrue(isRetired(leaving), what + " is not complete:\n" + notes());
         for (int g = 0; g < GROUPS; g++) {
-            final GroupMachine leader = acting(g);
+            final GroupMachine leader = actingLeader(g);
             assertTrue(
                     leader == null || !leader.membership().holds(leaving),
-                    what + ": group " + g + " still counts on it");
+                    what + ": group " + g + " still has it as a member");
         }
     }
 
-    long judgedAt() {
+    long declaredLostAt() {
         return cluster.notes().stream()
                 .filter(n -> n.contains("taken for gone: [1"))
                 .mapToLong(n -> Long.parseLong(n.substring(0, n.indexOf(' '))))
--- a/testing/src/test/java/brookpath/testing/sim/RestartOfEverythingTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/RestartOfEverythingTest.java
@@ -7,18 +7,15 @@
 import org.testng.annotations.Test;
 
 /**
- * All machines lose power and start again: how long the control group goes without a leader.
+ * Guards against a slow election of the control leader after a loss of power of all machines.
  *
- * <p>The failure: after a loss of power of all machines, most clients that came back in the two seconds after it could
- * join nowhere in time. The order of events: large gateways and controllers ran again within half a second; a control
- * leader was elected 0.9 to 1.0 s after its members ran; until then the large gateways, the only ones with processor
- * time to spare, had no lease on the configuration and were closed to clients. The cause: a member that has just
- * started votes for nobody until the detection time is over, since its former incarnation may have promised its vote to
- * a leader. Where all other members have told it since its start that they lead nothing, there is no such leader, and
- * the wait is for nothing.
- *
- * <p>The evidence: in this test every member refuses to stand with "it has just started" for the whole detection time
- * although it has heard all others, and a leader acts right after that.
+ * <p>A member that has just started must not vote before the detection time is over, since its earlier incarnation may
+ * have promised its vote to a leader. If all other members have reported since its start that they do not lead, there
+ * is no such leader and no need to wait. With the wait, a control leader was elected only 0.9 to 1.0 s after its
+ * members ran. Until then the large gateways, which ran again within half a second and alone had processor time to
+ * spare, had no configuration lease and were closed to clients, so that most clients that returned within two seconds
+ * could not join in time. The fault shows here as members that do not become candidates for the whole detection time
+ * although they have heard all others.
  */
 public final class RestartOfEverythingTest extends ControlScene {
     private static final int SEEDS = 8;
@@ -26,7 +23,7 @@
     private static final long STEP_MS = 5;
 
     @Test
-    public void aControlLeaderActsBeforeTheDetectionTimeIsOver() {
+    public void controlLeaderActsBeforeTheDetectionTimeIsOver() {
         for (int seed = 100; seed < 100 + SEEDS; seed++) {
             begin(seed);
             loseAllPower();
@@ -41,11 +38,11 @@
     }
 
     /**
-     * A leader whose lease still runs on the promise of a member that was started again: the other one, which has not
-     * heard the leader for long, must not be elected with the help of that member.
+     * The lease of a leader still relies on the promise of a member that was restarted: the third member, which has
+     * long not heard the leader, must not be elected with the vote of the restarted one.
      */
     @Test
-    public void aMemberThatWasStartedAgainWaitsWhileALeaderMayStillActOnItsPromise() {
+    public void restartedMemberDoesNotVoteWhileALeaderMayActOnItsPromise() {
         for (int seed = 120; seed < 120 + SEEDS; seed++) {
             begin(seed);
             final SimulatedProcess leader = leader();
@@ -53,7 +50,9 @@
             final SimulatedProcess candidate = others(leader).get(1);
             cutBetween(leader, candidate);
             cluster.run(cluster.now() + 3 * cluster.timing.down());
-            assertTrue(group(leader).mayAct(leader.mono()), "seed " + seed + ": it acts on the other's promise");
+            assertTrue(
+                    group(leader).mayAct(leader.mono()),
+                    "seed " + seed + ": the leader does not act on the other member's promise");
             cluster.kill(promising, true);
             cluster.restart(promising);
             cutBetween(leader, promising);
@@ -65,15 +64,16 @@
             assertTrue(
                     group(candidate).mayAct(candidate.mono())
                             || group(promising).mayAct(promising.mono()),
-                    "seed " + seed + ": the majority elects in the end");
+                    "seed " + seed + ": the majority elected no leader");
         }
     }
 
     /**
-     * A member that lost its disk may have had a newer membership; the others wait as before, and elect all the same.
+     * A member that lost its disk may have had a newer membership: the others wait for the detection time, and then
+     * elect a leader without it.
      */
     @Test
-    public void aMemberWithoutItsDiskDoesNotShortenTheWait() {
+    public void memberWithALostDiskDoesNotShortenTheWait() {
         for (int seed = 140; seed < 140 + SEEDS; seed++) {
             begin(seed);
             final SimulatedProcess wiped = cluster.processes.get(cluster.controllers.get(seed % 3));
--- a/testing/src/test/java/brookpath/testing/sim/RestartWithoutControlPlaneTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/RestartWithoutControlPlaneTest.java
@@ -14,23 +14,21 @@
 import org.testng.annotations.Test;
 
 /**
- * Storage nodes that start again while no controller runs.
+ * Guards against topic groups that cannot elect a leader after a restart until the control plane is available.
  *
- * <p>The failure: after a loss of power of all machines, clients waited for seconds although the machines ran. The
- * order of events: the storage nodes ran 0.2 s after their start; 1.3 s later a control leader was elected; 0.4 s after
- * that the topic groups elected theirs. The cause: a storage node kept its logs, but not who the members of its groups
- * are and where they are reached. These came from the control plane alone, so that two elections which need nothing of
- * each other ran one after the other.
- *
- * <p>The evidence: in this test no group ever elects a leader unless the members are kept.
+ * <p>A storage node must store the members of its groups and their addresses with its logs. If they come from the
+ * control plane alone, the elections of the control group and of the topic groups run one after the other. After a loss
+ * of power of all machines, storage nodes that ran 0.2 s after their start then waited 1.3 s for a control leader, and
+ * the topic groups elected their leaders another 0.4 s later, while clients waited. Without the stored members no group
+ * elects a leader in this test.
  */
 public final class RestartWithoutControlPlaneTest extends ClusterScenario {
     private static final int SEEDS = 6;
-    /** A process votes once the promises of its former incarnation have run out; then comes the election itself. */
+    /** A process votes once the promises of its earlier incarnation have expired; the election itself follows. */
     private static final int DETECTION_TIMES_UNTIL_LED = 4;
 
     @Test
-    public void topicGroupsElectTheirLeadersByThemselves() {
+    public void topicGroupsElectLeadersWithoutTheControlPlane() {
         for (int seed = 70; seed < 70 + SEEDS; seed++) {
             begin(seed);
             startCallers();
@@ -46,9 +44,9 @@
         }
     }
 
-    /** What a machine keeps may be old; what it has left by then it does not open again. */
+    /** The stored members may be outdated: a machine must not open a group again that it has left. */
     @Test
-    public void aRetiredMachineOpensNoGroupsOfItsFormerTime() {
+    public void retiredMachineDoesNotOpenItsFormerGroups() {
         begin(80);
         startCallers();
         final SimulatedProcess retired = actingLeader(0);
@@ -72,9 +70,9 @@
         assertNoViolationsAfterQuiescence();
     }
 
-    /** A machine without its disk knows no members; it neither votes nor counts before the control plane is back. */
+    /** A machine that lost its disk knows no members: it takes no part in elections until the control plane is back. */
     @Test
-    public void aMachineThatLostItsDiskTakesNoPart() {
+    public void machineWithALostDiskTakesNoPart() {
         begin(90);
         startCallers();
         final SimulatedProcess wiped = actingLeader(0);
@@ -91,7 +89,7 @@
         assertNoViolationsAfterQuiescence();
     }
 
-    /** Leaders without a configuration lease accept nothing, and trim nothing. */
+    /** Leaders without a configuration lease accept no publishes and trim no records. */
     @Test
     public void nothingIsAcceptedBeforeTheControlPlaneIsBack() {
         begin(95);
--- a/testing/src/test/java/brookpath/testing/sim/UsageRepeatTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/UsageRepeatTest.java
@@ -9,7 +9,10 @@
 import brookpath.coordination.node.ControllerNode;
 import org.testng.annotations.Test;
 
-/** A usage report whose end is acknowledged at a bad moment is sent again. */
+/**
+ * Guards against a usage report that is never sent again: the platform's response arrives while the control leader may
+ * not act for a moment, so that the outcome cannot be recorded.
+ */
 public final class UsageRepeatTest {
     private static final String POSTS = "usage posts";
 
@@ -28,14 +31,14 @@
     }
 
     /** A cluster with traffic whose first usage report is not sent yet. */
-    private void begin() {
+    private void startCluster() {
         cluster = ServingCluster.start(91);
         cluster.callers.publisher("ana", "permits/t0", "key-members", 50, 400);
     }
 
-    /** When the platform takes the first report, which answers it at the same moment. */
-    private long answerAt() {
-        begin();
+    /** The time at which the platform receives and answers the first report. */
+    private long answeredAt() {
+        startCluster();
         final int before = cluster.counted(POSTS);
         while (cluster.counted(POSTS) == before) {
             cluster.run(cluster.now() + 1);
@@ -44,10 +47,10 @@
     }
 
     @Test
-    public void aReportThatEndsWhileTheLeaderMayNotActIsSentAgain() {
-        final long answerAt = answerAt();
-        begin();
-        cluster.run(answerAt - 1);
+    public void reportAnsweredWhileTheLeaderMayNotActIsSentAgain() {
+        final long answeredAt = answeredAt();
+        startCluster();
+        cluster.run(answeredAt - 1);
         final SimulatedProcess leader = controlLeader();
         final GroupMachine group = ((ControllerNode) leader.node).group();
         final long window = state(group).undelivered(group.committed()).get(0).window();
@@ -56,16 +59,16 @@
                 .filter(p -> p != leader)
                 .findFirst()
                 .orElseThrow();
-        // why: whoever is to take over is frozen, so the leadership stays where it is, after a while without acting
+        // The successor is frozen, so the leadership is not transferred and the leader acts again after a while
         cluster.freeze(successor, 30_000);
         assertTrue(group.handOver(successor.id, leader.mono()));
-        cluster.run(answerAt);
+        cluster.run(answeredAt);
         assertFalse(group.mayAct(leader.mono()));
         for (int i = 0; i < 10_000 && !group.mayAct(leader.mono()); i++) {
             cluster.run(cluster.now() + 1);
         }
         assertEquals(group.role(), GroupMachine.LEADER);
         cluster.run(cluster.now() + 2_000);
-        assertEquals(state(group).deliveryOutcome(window), Boolean.TRUE, "the report waits for ever");
+        assertEquals(state(group).deliveryOutcome(window), Boolean.TRUE, "the report was not sent again");
     }
 }
--- a/testing/src/test/java/brookpath/testing/sim/UsageScenariosTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/UsageScenariosTest.java
@@ -13,12 +13,12 @@
         begin(90);
         startCallers();
         cluster.run(cluster.now() + 10_000);
-        // why: with two of four machines away some groups have no majority for three windows
-        final List<SimulatedProcess> away = List.of(cluster.processes.get(11), cluster.processes.get(12));
-        away.forEach(p -> cluster.kill(p, false));
+        // With two of four machines down, some groups have no majority for three windows
+        final List<SimulatedProcess> down = List.of(cluster.processes.get(11), cluster.processes.get(12));
+        down.forEach(p -> cluster.kill(p, false));
         cluster.run(cluster.now() + 32_000);
-        assertTrue(IntStream.range(0, GROUPS).anyMatch(g -> actingLeader(g) == null), "nothing was staged");
-        away.forEach(cluster::restart);
+        assertTrue(IntStream.range(0, GROUPS).anyMatch(g -> actingLeader(g) == null), "no group lost its majority");
+        down.forEach(cluster::restart);
         cluster.run(cluster.now() + 25_000);
         assertNoViolationsAfterQuiescence();
         cluster.platform.settle();
