--- a/coordination/src/main/java/brookpath/coordination/node/storage/FetchScan.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/FetchScan.java
@@ -96,7 +96,7 @@
     List<String> trimmedTopics() {
         final List<String> trimmed = new ArrayList<>();
         if (start >= group.baseIndex()) {
-            // From the start of the log on no record is trimmed; this saves a check that iterates over all topics
+            // All records after the start of the log still exist; returning here avoids an iteration over all topics
             return trimmed;
         }
         final TopicState state = TopicGroups.stateOf(group);
--- a/coordination/src/main/java/brookpath/coordination/node/storage/ListenerCounts.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/ListenerCounts.java
@@ -75,7 +75,7 @@
         }
         int listeners = 0;
         for (final ReportedCounts reported : byGateway.values()) {
-            // Counts expire unless their gateway confirms them, since it may have failed
+            // Soft state: counts expire unless their gateway confirms them
             if (now - reported.reportedAt <= timing.listenerExpiry()) {
                 listeners += reported.byTopic.getOrDefault(topic, 0);
             }
--- a/coordination/src/main/java/brookpath/coordination/node/storage/PendingPublishes.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/PendingPublishes.java
@@ -56,7 +56,7 @@
         if (pending == null || pending.isEmpty()) {
             return;
         }
-        // Checked right before the reply: a leader that was suspended meanwhile must not reply in place of its
+        // Checked again right before the reply: a leader that was suspended meanwhile must not reply in place of its
         // successor
         final boolean mayAct = group.mayAct(now);
         for (final Iterator<PendingPublish> iterator = pending.iterator(); iterator.hasNext(); ) {
--- a/coordination/src/main/java/brookpath/coordination/node/usage/UsageReporter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/usage/UsageReporter.java
@@ -236,7 +236,7 @@
         if (p == null) {
             return;
         }
-        // Also while the lease is expired: if that is only brief, the report must be retried
+        // Done also without a lease: it may have expired only briefly, and the report must be retried
         p.inFlight = false;
         p.nextAt = time.mono() + retryDelayMs(request.outcome(), p.attempts);
         final boolean ok = request.outcome() == PostOutcome.ACCEPTED;
--- a/testing/src/test/java/brookpath/testing/sim/GroupRepairTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/GroupRepairTest.java
@@ -163,7 +163,7 @@
         });
     }
 
-    /** With the timing of the deployments; measured from the loss, and from when the control leader declared it. */
+    /** Uses the timing of the deployments; measures from the loss, and from its declaration by the control leader. */
     @Test
     public void allGroupsAreFullyReplicatedSoonAfterTheDeclaration() throws InterruptedException {
         final TimingBounds storages = new TimingBounds(2_000, 12_000, 3_000, 5_000, 4_500);
