--- a/testing/src/test/java/brookpath/testing/sim/GroupRepairScene.java
+++ b/testing/src/test/java/brookpath/testing/sim/GroupRepairScene.java
@@ -82,7 +82,8 @@
         }
         for (final Member m : leader.members()) {
             final GroupMachine replica = replica(m.node(), group);
-            final boolean counts = replica != null && !replica.lost() && replica.syncedIndex() >= leader.membershipIndex();
+            final boolean counts =
+                    replica != null && !replica.lost() && replica.syncedIndex() >= leader.membershipIndex();
             if (m.node() == without || !counts) {
                 return false;
             }
--- a/testing/src/test/java/brookpath/testing/sim/GroupRepairTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/GroupRepairTest.java
@@ -71,7 +71,8 @@
                 scene.cluster.net.cut(cutOff, id);
             });
             scene.run(20_000);
-            assertTrue(scene.allFullyReplicated(cutOff), "seed " + seed + " is not fully replicated:\n" + scene.notes());
+            assertTrue(
+                    scene.allFullyReplicated(cutOff), "seed " + seed + " is not fully replicated:\n" + scene.notes());
             scene.cluster.net.heal();
             scene.run(3_000);
             for (int g = 0; g < GroupRepairScene.GROUPS; g++) {
@@ -80,7 +81,9 @@
             scene.publishAll("second");
             scene.run(60_000);
             final List<Integer> versions = scene.versions();
-            assertTrue(scene.membershipsOf(cutOff) >= 2, "seed " + seed + ": only " + scene.membershipsOf(cutOff) + " groups returned");
+            assertTrue(
+                    scene.membershipsOf(cutOff) >= 2,
+                    "seed " + seed + ": only " + scene.membershipsOf(cutOff) + " groups returned");
             scene.run(60_000);
             assertEquals(scene.versions(), versions, "seed " + seed + ": replicas move back and forth");
             scene.verifyCommitted("seed " + seed);
--- a/testing/src/test/java/brookpath/testing/sim/RestartOfEverythingTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/RestartOfEverythingTest.java
@@ -50,7 +50,9 @@
             final SimulatedProcess candidate = others(leader).get(1);
             cutBetween(leader, candidate);
             cluster.run(cluster.now() + 3 * cluster.timing.detectionTime());
-            assertTrue(group(leader).mayAct(leader.mono()), "seed " + seed + ": the leader does not act on the other member's promise");
+            assertTrue(
+                    group(leader).mayAct(leader.mono()),
+                    "seed " + seed + ": the leader does not act on the other member's promise");
             cluster.kill(promising, true);
             cluster.restart(promising);
             cutBetween(leader, promising);
