--- a/testing/src/main/java/brookpath/testing/fleet/CallerContext.java
+++ b/testing/src/main/java/brookpath/testing/fleet/CallerContext.java
@@ -8,9 +8,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * What all callers of a run share.
+ * Context that all simulated callers of a run share.
  *
- * @param history the oracle, to be held while it is used
+ * @param history the oracle, guarded by its own monitor
  * @param clock milliseconds since the run began
  */
 record CallerContext(
@@ -25,9 +25,9 @@
         return clock.getAsLong();
     }
 
-    /** A request to any gateway that is ready. */
+    /** Builds a request to any ready gateway, authorized with the key. */
     HttpRequest.Builder request(final String path, final String key) {
-        return HttpRequest.newBuilder(URI.create(gateways.any().callersUrl(path)))
+        return HttpRequest.newBuilder(URI.create(gateways.any().callerUrl(path)))
                 .header("Authorization", "Bearer " + key);
     }
 }
--- a/testing/src/main/java/brookpath/testing/fleet/CallerLoad.java
+++ b/testing/src/main/java/brookpath/testing/fleet/CallerLoad.java
@@ -15,14 +15,14 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.function.Predicate;
 
-/** Stand-in callers over HTTP, at a user's rates, with the simulator's oracle watching. */
+/** Simulated callers over HTTP at the rates of a load profile, checked by the simulator's oracle. */
 public final class CallerLoad implements AutoCloseable {
     private static final int TIMER_THREADS = 2;
     private static final long READINESS_PERIOD_MS = 250;
     private static final long SUBSCRIBE_SPACING_MS = 5;
     private static final int SETTLE_POLLS = 200;
     private static final long SETTLE_POLL_MS = 100;
-    private static final long LAST_DELIVERIES_MS = 2_500;
+    private static final long FINAL_DELIVERIES_MS = 2_500;
     private static final long NANOS_PER_MILLI = 1_000_000;
     private static final long MICROS_PER_SECOND = 1_000_000;
 
@@ -35,9 +35,11 @@
     private final List<Subscriber> subscribers = new ArrayList<>();
     private final CallerContext context;
     private final Publisher publisher;
-    private final long bornAt = System.nanoTime();
+    private final long startedAtNanos = System.nanoTime();
 
-    /** @param seed for what is published and subscribed; the times are the machine's own */
+    /**
+     * @param seed determines what is published and subscribed, but not the timing, which is that of the real machine
+     */
     public CallerLoad(final Fleet fleet, final LoadProfile profile, final long seed) {
         this.profile = profile;
         random = new SplittableRandom(seed);
@@ -53,25 +55,25 @@
 
     /** Milliseconds since the run began. */
     public long clock() {
-        return (System.nanoTime() - bornAt) / NANOS_PER_MILLI;
+        return (System.nanoTime() - startedAtNanos) / NANOS_PER_MILLI;
     }
 
-    /** An operator was told that the key is gone. */
-    public void removed(final String key) {
-        keys.removed(key, clock());
+    /** Records that the removal of the key was confirmed to an operator. */
+    public void removalConfirmed(final String key) {
+        keys.removalConfirmed(key, clock());
     }
 
-    /** A change is on its way that gives the key back, whether its operator hears of it or not. */
-    public void grantUnderWay(final String key) {
-        keys.grantUnderWay(key);
+    /** Records that a change granting the key again was submitted: it may take effect even if no response arrives. */
+    public void grantSubmitted(final String key) {
+        keys.grantSubmitted(key);
     }
 
-    /** The oracle, for those who verify besides; to be held while it is used. */
+    /** The oracle, for further checks; guarded by its own monitor. */
     public History history() {
         return history;
     }
 
-    /** Starts the profile's sessions, each on two topics. */
+    /** Opens the profile's sessions, each subscribed to two topics. */
     public void subscribe() {
         for (int i = 0; i < profile.sessions(); i++) {
             final Set<String> topics = new LinkedHashSet<>();
@@ -83,41 +85,41 @@
         }
     }
 
-    /** How many sessions are listening. */
+    /** The number of sessions that receive messages. */
     public int listening() {
         return (int) subscribers.stream().filter(Subscriber::isListening).count();
     }
 
-    /** Starts to publish at the profile's rate. */
+    /** Starts publishing at the profile's rate. */
     public void publish() {
         final long periodMicros = (long) (MICROS_PER_SECOND / profile.perSecond());
         timer.scheduleAtFixedRate(publisher::publishOne, periodMicros, periodMicros, MICROSECONDS);
     }
 
-    /** Forgets the figures so far, so that a warm-up is not measured. */
-    public void measureFromHere() {
+    /** Resets the latencies so far, so that the warm-up is not measured. */
+    public void startMeasuring() {
         measurements.reset();
     }
 
-    /** How long after the given time the next acceptance on an affected topic came; -1 for never. */
+    /** Milliseconds from the given time to the next commit on an affected topic; -1 if there was none. */
     public long gapAfter(final long time, final Predicate<String> affected) {
         return measurements.gapAfter(time, affected);
     }
 
-    /** Stops publishing, waits until nothing is under way and all is delivered, and checks the history. */
+    /** Stops publishing, waits for the outstanding publishes and deliveries, and checks the history. */
     public History settle() throws InterruptedException {
         publisher.stop();
-        for (int i = 0; i < SETTLE_POLLS && publisher.underWay() > 0; i++) {
+        for (int i = 0; i < SETTLE_POLLS && publisher.inFlight() > 0; i++) {
             Thread.sleep(SETTLE_POLL_MS);
         }
-        Thread.sleep(LAST_DELIVERIES_MS);
+        Thread.sleep(FINAL_DELIVERIES_MS);
         synchronized (history) {
             history.settle(clock());
         }
         return history;
     }
 
-    /** The usage reports, tenant by tenant, against what the senders know. */
+    /** Checks the usage reports of each tenant against the messages that its senders published. */
     public void settleUsage() {
         synchronized (history) {
             for (int tenant = 0; tenant < profile.tenants(); tenant++) {
@@ -132,7 +134,7 @@
         return profile.key(Integer.parseInt(message.sender.substring(1)));
     }
 
-    /** The figures in a line. */
+    /** The measurements, formatted as one line. */
     public String report() {
         return measurements.report(profile.name(), history.committed(), history.delivered());
     }
--- a/testing/src/main/java/brookpath/testing/fleet/Fleet.java
+++ b/testing/src/main/java/brookpath/testing/fleet/Fleet.java
@@ -23,10 +23,13 @@
 import java.util.Set;
 import java.util.concurrent.ThreadLocalRandom;
 
-/** A whole fleet as processes on loopback, each with its settings file and data folder. Stops only what it started. */
-@SuppressWarnings("try") // whoever interrupts the end of a fleet is told so
+/**
+ * A complete fleet of processes on loopback, each with its settings file and data folder. Stops only the processes it
+ * started.
+ */
+@SuppressWarnings("try") // close() may throw InterruptedException
 public final class Fleet implements AutoCloseable {
-    /** Where all processes listen. */
+    /** The address on which all processes listen. */
     public static final String HOST = "127.0.0.1";
 
     private static final String GATEWAY = "gateway";
@@ -34,7 +37,7 @@
     private static final String CONTROLLER = "controller";
 
     private static final String[] ZONES = {"a", "b", "c", "d"};
-    /** The controllers, storage machines and gateways are numbered from here on. */
+    /** The node number of the first controller; storage nodes and gateways have their own first numbers below. */
     private static final int FIRST_CONTROLLER = 1;
 
     private static final int FIRST_STORAGE = 11;
@@ -43,12 +46,10 @@
     private static final int STORAGES = 4;
     private static final int NO_PORT = 0;
 
-    /** Ports for other nodes lie so far below those for HTTP. */
+    /** The peer port of a node is its HTTP port minus this offset. */
     private static final int PEER_PORT_OFFSET = 1_000;
 
-    /**
-     * The zone that a node of this fleet lies in, by its number alone; "" for callers, who are wherever the gateway is.
-     */
+    /** The zone of a node, derived from its number; "" for callers, who are always in the zone of their gateway. */
     public static String zoneOf(final int node) {
         if (node <= 0) {
             return "";
@@ -63,25 +64,25 @@
         return node >= FIRST_STORAGE ? FIRST_STORAGE : FIRST_CONTROLLER;
     }
 
-    /** One machine's program. */
-    public final class Unit {
+    /** One process of the fleet. */
+    public final class FleetProcess {
         public final int node;
         public final String zone;
         public final boolean controller;
         public final int httpPort;
         private final int peerPort;
-        private final int callersPort;
+        private final int callerPort;
         private final Path settings;
-        private Process process;
+        private Process osProcess;
 
-        Unit(final int node, final String zone, final String role, final int peerPort, final int httpPort)
+        FleetProcess(final int node, final String zone, final String role, final int peerPort, final int httpPort)
                 throws IOException, InterruptedException {
             this.node = node;
             this.zone = zone;
             this.httpPort = httpPort;
             this.peerPort = peerPort;
             controller = role.equals(CONTROLLER);
-            callersPort = relay == null || !role.equals(GATEWAY) ? httpPort : relay.open(node, httpPort, false);
+            callerPort = relay == null || !role.equals(GATEWAY) ? httpPort : relay.open(node, httpPort, false);
             settings = folder.resolve(role + "-" + node + ".json");
             Files.writeString(settings, settingsJson(role));
         }
@@ -115,7 +116,7 @@
         private String seeds() {
             final List<String> seeds = new ArrayList<>();
             for (int seed = 1; seed <= SEEDS; seed++) {
-                seeds.add(quoted(seed + "@" + HOST + ":" + seedsReachedAs[seed]));
+                seeds.add(quoted(seed + "@" + HOST + ":" + advertisedSeedPorts[seed]));
             }
             return String.join(",", seeds);
         }
@@ -123,7 +124,7 @@
         /**
          * Starts the process.
          *
-         * @param found whether it founds the control group
+         * @param found whether the process founds the control group
          */
         public void start(final boolean found) throws IOException {
             final List<String> cmd = new ArrayList<>(List.of(
@@ -141,33 +142,33 @@
                 cmd.add("--found");
             }
             final File out = folder.resolve("out-" + node + ".txt").toFile();
-            process = new ProcessBuilder(cmd)
+            osProcess = new ProcessBuilder(cmd)
                     .redirectErrorStream(true)
                     .redirectOutput(ProcessBuilder.Redirect.appendTo(out))
                     .start();
         }
 
-        /** Whether the process runs. */
+        /** Whether the process is running. */
         public boolean alive() {
-            return process != null && process.isAlive();
+            return osProcess != null && osProcess.isAlive();
         }
 
-        /** SIGKILL. */
+        /** Kills the process with SIGKILL. */
         public void kill() throws InterruptedException {
-            process.destroyForcibly().waitFor();
+            osProcess.destroyForcibly().waitFor();
         }
 
-        /** SIGTERM, and SIGKILL where that is not obeyed. */
+        /** Sends SIGTERM, and SIGKILL if the process has not exited after 5 s. */
         public void stop() throws InterruptedException {
-            process.destroy();
-            if (!process.waitFor(5, SECONDS)) {
+            osProcess.destroy();
+            if (!osProcess.waitFor(5, SECONDS)) {
                 kill();
             }
         }
 
         /** Sends a signal by its name, such as STOP. */
         public void signal(final String name) throws IOException, InterruptedException {
-            new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
+            new ProcessBuilder("kill", "-" + name, Long.toString(osProcess.pid()))
                     .inheritIO()
                     .start()
                     .waitFor();
@@ -178,17 +179,17 @@
             return settings;
         }
 
-        /** The port for other nodes. */
+        /** The port on which the process accepts connections from peers; 0 if it accepts none. */
         public int peerPort() {
             return peerPort;
         }
 
-        /** As callers reach it, through the relay where there is one. */
-        public String callersUrl(final String path) {
-            return "http://" + HOST + ":" + callersPort + path;
+        /** The URL for callers, which leads through the relay if there is one. */
+        public String callerUrl(final String path) {
+            return "http://" + HOST + ":" + callerPort + path;
         }
 
-        /** As operators reach it. */
+        /** The URL for operators, which bypasses the relay. */
         public String url(final String path) {
             return "http://" + HOST + ":" + httpPort + path;
         }
@@ -197,17 +198,17 @@
     private final Path folder;
     private final int base;
     private final int[] seedPorts = new int[SEEDS + 1];
-    private final int[] seedsReachedAs = new int[SEEDS + 1];
+    private final int[] advertisedSeedPorts = new int[SEEDS + 1];
     private final Relay relay;
     private final String platform;
     private final Set<Integer> taken = new HashSet<>();
-    private final Map<Integer, Unit> units = new LinkedHashMap<>();
+    private final Map<Integer, FleetProcess> processes = new LinkedHashMap<>();
     private final HttpClient http =
             HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(1)).build();
 
     /**
-     * @param base HTTP ports begin here, other nodes' a thousand below; 0 takes any that are free
-     * @param relay null for none between the processes
+     * @param base first HTTP port, with the peer ports a thousand below; 0 selects free ports at random
+     * @param relay the relay between the processes, null for none
      */
     public Fleet(final Path folder, final int base, final int gateways, final Relay relay, final String platform)
             throws IOException, InterruptedException {
@@ -216,21 +217,21 @@
         this.folder = Files.createDirectories(folder).toAbsolutePath();
         this.base = base;
         for (int i = 1; i <= SEEDS; i++) {
-            seedPorts[i] = portForPeers(i);
-            seedsReachedAs[i] = relay == null ? seedPorts[i] : relay.open(i, seedPorts[i], true);
+            seedPorts[i] = peerPortOf(i);
+            advertisedSeedPorts[i] = relay == null ? seedPorts[i] : relay.open(i, seedPorts[i], true);
         }
         for (int node = FIRST_CONTROLLER; node <= SEEDS; node++) {
-            units.put(node, new Unit(node, zoneOf(node), CONTROLLER, seedPorts[node], port(base + node)));
+            processes.put(node, new FleetProcess(node, zoneOf(node), CONTROLLER, seedPorts[node], port(base + node)));
         }
         for (int node = FIRST_STORAGE; node < FIRST_STORAGE + STORAGES; node++) {
-            units.put(node, new Unit(node, zoneOf(node), STORAGE, portForPeers(node), port(base + node)));
+            processes.put(node, new FleetProcess(node, zoneOf(node), STORAGE, peerPortOf(node), port(base + node)));
         }
         for (int node = FIRST_GATEWAY; node < FIRST_GATEWAY + gateways; node++) {
-            units.put(node, new Unit(node, zoneOf(node), GATEWAY, NO_PORT, port(base + node)));
+            processes.put(node, new FleetProcess(node, zoneOf(node), GATEWAY, NO_PORT, port(base + node)));
         }
     }
 
-    private int portForPeers(final int node) throws IOException {
+    private int peerPortOf(final int node) throws IOException {
         return port(base - PEER_PORT_OFFSET + node);
     }
 
@@ -238,8 +239,8 @@
         if (base > 0) {
             return wanted;
         }
-        // from below the range that the kernel takes for outgoing sessions, so that none of those can sit on it
-        // meanwhile
+        // Below the ephemeral port range of the kernel, so that no outgoing connection can occupy the port before the
+        // process binds it.
         while (true) {
             final int port = ThreadLocalRandom.current().nextInt(12_000, 32_000);
             try (ServerSocket probe = new ServerSocket(port, 1, InetAddress.getByName(HOST))) {
@@ -247,41 +248,43 @@
                     return port;
                 }
             } catch (final BindException ex) {
-                // taken by somebody else; another one is drawn
+                // in use by another process; draw another port
             }
         }
     }
 
-    /** All machines by their numbers. */
-    public Map<Integer, Unit> units() {
-        return units;
+    /** All processes by node number. */
+    public Map<Integer, FleetProcess> processes() {
+        return processes;
     }
 
     /** The gateways. */
-    public List<Unit> gateways() {
-        return units.values().stream().filter(u -> u.node >= FIRST_GATEWAY).toList();
+    public List<FleetProcess> gateways() {
+        return processes.values().stream()
+                .filter(process -> process.node >= FIRST_GATEWAY)
+                .toList();
     }
 
-    /** The storage machines. */
-    public List<Unit> storages() {
-        return units.values().stream()
-                .filter(u -> u.node >= FIRST_STORAGE && u.node < FIRST_GATEWAY)
+    /** The storage nodes. */
+    public List<FleetProcess> storages() {
+        return processes.values().stream()
+                .filter(process -> process.node >= FIRST_STORAGE && process.node < FIRST_GATEWAY)
                 .toList();
     }
 
-    /** Starts all processes; those without a data folder found their control group. */
+    /** Starts all processes; controllers without a data folder found the control group. */
     public void start() throws IOException {
-        // a data folder that is there already belongs to a control group that was founded
-        for (final Unit u : units.values()) {
-            u.start(u.controller && !Files.exists(folder.resolve("data-" + u.node)));
+        // an existing data folder belongs to a control group that is already founded
+        for (final FleetProcess process : processes.values()) {
+            process.start(process.controller && !Files.exists(folder.resolve("data-" + process.node)));
         }
     }
 
-    /** GET as text, or empty where the process does not respond with success. */
-    public String get(final Unit u, final String path) throws InterruptedException {
+    /** Returns the body of a GET request; empty if the request fails or its status is not 200. */
+    public String get(final FleetProcess process, final String path) throws InterruptedException {
         try {
             final HttpResponse<String> r = http.send(
-                    HttpRequest.newBuilder(URI.create(u.url(path)))
+                    HttpRequest.newBuilder(URI.create(process.url(path)))
                             .timeout(Duration.ofSeconds(1))
                             .build(),
                     HttpResponse.BodyHandlers.ofString());
@@ -291,25 +294,25 @@
         }
     }
 
-    /** POSTs a text. */
-    public HttpResponse<String> post(final Unit u, final String path, final String body)
+    /** Sends a POST request with the body. */
+    public HttpResponse<String> post(final FleetProcess process, final String path, final String body)
             throws IOException, InterruptedException {
         return http.send(
-                HttpRequest.newBuilder(URI.create(u.url(path)))
+                HttpRequest.newBuilder(URI.create(process.url(path)))
                         .timeout(Duration.ofSeconds(10))
                         .POST(HttpRequest.BodyPublishers.ofString(body))
                         .build(),
                 HttpResponse.BodyHandlers.ofString());
     }
 
-    /** Until every gateway is ready and sees a leader for every founded group. */
+    /** Waits until every gateway is ready and every group is founded and has a leader; false if the time runs out. */
     public boolean awaitReady(final long millis) throws InterruptedException {
         final long end = System.nanoTime() + millis * 1_000_000;
         while (System.nanoTime() < end) {
             boolean ready = true;
-            for (final Unit u : gateways()) {
-                final String status = get(u, "/v1/status");
-                ready &= !get(u, "/v1/ready").isEmpty()
+            for (final FleetProcess process : gateways()) {
+                final String status = get(process, "/v1/status");
+                ready &= !get(process, "/v1/ready").isEmpty()
                         && status.contains("\"group\":15")
                         && !status.contains("\"founded\":false")
                         && !status.contains("\"master\":0");
@@ -324,14 +327,14 @@
 
     @Override
     public void close() throws InterruptedException {
-        for (final Unit u : units.values()) {
-            if (u.alive()) {
-                u.process.destroy();
+        for (final FleetProcess process : processes.values()) {
+            if (process.alive()) {
+                process.osProcess.destroy();
             }
         }
-        for (final Unit u : units.values()) {
-            if (u.process != null && !u.process.waitFor(5, SECONDS)) {
-                u.kill();
+        for (final FleetProcess process : processes.values()) {
+            if (process.osProcess != null && !process.osProcess.waitFor(5, SECONDS)) {
+                process.kill();
             }
         }
     }
--- a/testing/src/main/java/brookpath/testing/fleet/FleetDay.java
+++ b/testing/src/main/java/brookpath/testing/fleet/FleetDay.java
@@ -8,12 +8,12 @@
 import java.util.TreeMap;
 
 /**
- * A day of real processes: the brief's failures one after another and over each other, racing operators all along who
- * take the key of half of the sessions away and give it back, a platform that is slow and down at times, and a failure
- * at the end. The simulator's oracle checks it.
+ * A run of real processes under random faults: one fault after another, while concurrent operators revoke and restore
+ * the key of the largest tenant and the platform is slow or fails at times. The last fault strikes right before the
+ * end. The simulator's oracle checks the run.
  */
 final class FleetDay implements AutoCloseable {
-    /** The kinds of failure, by what they do to a running fleet. */
+    /** The kinds of fault that are injected into a running fleet. */
     enum FleetFault {
         KILL,
         FREEZE,
@@ -29,11 +29,11 @@
     private static final long POLL_MS = 50;
     private static final long RECOVERY_TIMEOUT_MS = 60_000;
     private static final long RESTART_TIMEOUT_MS = 15_000;
-    private static final long LAST_CHANGES_MS = 3_000;
+    private static final long FINAL_CHANGES_MS = 3_000;
     private static final long LOSS_MS = 2_000;
     private static final int CLIENT_RESETS = 20;
-    private static final long PLATFORM_TROUBLE_NANOS = 4_000_000_000L;
-    private static final long BROKEN_SETTINGS_MS = 1_500;
+    private static final long PLATFORM_FAILURE_NANOS = 4_000_000_000L;
+    private static final long INVALID_SETTINGS_MS = 1_500;
 
     private final Fleet fleet;
     private final CallerLoad load;
@@ -56,22 +56,22 @@
         this.profile = profile;
         this.relay = relay;
         this.platform = platform;
-        platform.verifyAgainst(load);
+        platform.forwardTo(load);
         random = new SplittableRandom(seed);
         operators = new FleetOperators(fleet, load, profile, this::count);
     }
 
-    /** Strikes every few seconds until the time is up, the last time right before; then all machines come back. */
-    void live(final long ms, final List<FleetFault> kinds) throws IOException, InterruptedException {
+    /** Injects a fault every few seconds, and a last one when the time is up; then restores the whole fleet. */
+    void run(final long ms, final List<FleetFault> kinds) throws IOException, InterruptedException {
         operators.start();
         final long end = load.clock() + ms;
         while (load.clock() < end) {
-            causeFault(any(kinds));
+            causeFault(randomElement(kinds));
             Thread.sleep(1_500 + random.nextInt(2_500));
         }
-        causeFault(any(kinds));
+        causeFault(randomElement(kinds));
         recover();
-        Thread.sleep(LAST_CHANGES_MS);
+        Thread.sleep(FINAL_CHANGES_MS);
         operators.stop();
         operators.readBack();
         System.out.println("day: " + counts + ", resets " + relay.resets() + ", packets lost " + relay.lost()
@@ -82,17 +82,17 @@
     private void recover() throws IOException, InterruptedException {
         relay.heal();
         final long healed = load.clock();
-        for (final Fleet.Unit unit : fleet.units().values()) {
-            if (!unit.alive()) {
-                unit.start(false);
+        for (final Fleet.FleetProcess process : fleet.processes().values()) {
+            if (!process.alive()) {
+                process.start(false);
             }
         }
-        final double enough = committed() + profile.perSecond();
-        while (load.clock() < healed + RECOVERY_TIMEOUT_MS && committed() < enough) {
+        final double committedAtRecovery = committed() + profile.perSecond();
+        while (load.clock() < healed + RECOVERY_TIMEOUT_MS && committed() < committedAtRecovery) {
             Thread.sleep(POLL_MS);
         }
-        System.out.println("healed: a second's worth of messages accepted again after " + (load.clock() - healed)
-                + " ms (bound 12000)");
+        System.out.println(
+                "healed: one second's messages committed after " + (load.clock() - healed) + " ms (bound 12000)");
     }
 
     private int committed() {
@@ -107,23 +107,26 @@
         }
     }
 
-    private <T> T any(final List<T> list) {
+    private <T> T randomElement(final List<T> list) {
         return list.get(random.nextInt(list.size()));
     }
 
-    /** Storage machines most of all, and never while another machine is away. */
-    private Fleet.Unit target() {
-        final List<Fleet.Unit> controllers =
-                fleet.units().values().stream().filter(unit -> unit.controller).toList();
+    /**
+     * Half of the time a storage node, otherwise a controller or a gateway; called only while no other process is down.
+     */
+    private Fleet.FleetProcess randomTarget() {
+        final List<Fleet.FleetProcess> controllers = fleet.processes().values().stream()
+                .filter(process -> process.controller)
+                .toList();
         final int kind = random.nextInt(10);
         if (kind < 5) {
-            return any(fleet.storages());
+            return randomElement(fleet.storages());
         }
-        return any(kind < 8 ? controllers : fleet.gateways());
+        return randomElement(kind < 8 ? controllers : fleet.gateways());
     }
 
     private void causeFault(final FleetFault kind) throws IOException, InterruptedException {
-        final Fleet.Unit target = target();
+        final Fleet.FleetProcess target = randomTarget();
         count(kind.name());
         switch (kind) {
             case KILL -> kill(target);
@@ -132,28 +135,28 @@
             case LOSS -> losePackets();
             case ONE_WAY -> cutOneWay(target);
             case RESETS -> relay.reset(node -> node >= FIRST_GATEWAY, CLIENT_RESETS);
-            case PLATFORM -> platform.failFor(PLATFORM_TROUBLE_NANOS);
-            case SETTINGS -> breakSettings(target);
+            case PLATFORM -> platform.failFor(PLATFORM_FAILURE_NANOS);
+            case SETTINGS -> invalidateSettings(target);
         }
     }
 
-    private void kill(final Fleet.Unit target) throws IOException, InterruptedException {
+    private void kill(final Fleet.FleetProcess target) throws IOException, InterruptedException {
         target.kill();
         Thread.sleep(500 + random.nextInt(3_000));
         target.start(false);
-        awaitWhole(target);
+        awaitRecovered(target);
     }
 
-    private void freeze(final Fleet.Unit target) throws IOException, InterruptedException {
+    private void freeze(final Fleet.FleetProcess target) throws IOException, InterruptedException {
         target.signal("STOP");
         Thread.sleep(600 + random.nextInt(2_500));
         target.signal("CONT");
     }
 
-    private void restart(final Fleet.Unit target) throws IOException, InterruptedException {
+    private void restart(final Fleet.FleetProcess target) throws IOException, InterruptedException {
         target.stop();
         target.start(false);
-        awaitWhole(target);
+        awaitRecovered(target);
     }
 
     private void losePackets() throws InterruptedException {
@@ -162,8 +165,8 @@
         relay.heal();
     }
 
-    private void cutOneWay(final Fleet.Unit target) throws InterruptedException {
-        for (final Fleet.Unit other : fleet.units().values()) {
+    private void cutOneWay(final Fleet.FleetProcess target) throws InterruptedException {
+        for (final Fleet.FleetProcess other : fleet.processes().values()) {
             if (other != target && random.nextInt(3) > 0) {
                 relay.cut(target.node, other.node);
             }
@@ -172,30 +175,31 @@
         relay.heal();
     }
 
-    private static void breakSettings(final Fleet.Unit target) throws IOException, InterruptedException {
-        final String good = Files.readString(target.settings());
-        Files.writeString(target.settings(), good.substring(0, good.length() / 2));
-        Thread.sleep(BROKEN_SETTINGS_MS);
-        Files.writeString(target.settings(), good);
+    private static void invalidateSettings(final Fleet.FleetProcess target) throws IOException, InterruptedException {
+        final String valid = Files.readString(target.settings());
+        Files.writeString(target.settings(), valid.substring(0, valid.length() / 2));
+        Thread.sleep(INVALID_SETTINGS_MS);
+        Files.writeString(target.settings(), valid);
     }
 
-    /** Until the machine counts again, so that the next failure is not the second at a time. */
-    private void awaitWhole(final Fleet.Unit unit) throws InterruptedException {
+    /** Waits until the process has recovered, so that the next fault does not meet two failed processes at once. */
+    private void awaitRecovered(final Fleet.FleetProcess process) throws InterruptedException {
         final long end = load.clock() + RESTART_TIMEOUT_MS;
         while (load.clock() < end) {
-            if (isWhole(unit)) {
+            if (isRecovered(process)) {
                 return;
             }
             Thread.sleep(POLL_MS);
         }
         synchronized (load.history()) {
-            load.history().violation(load.clock(), "node " + unit.node + " was not whole 15 s after its restart");
+            load.history()
+                    .violation(load.clock(), "node " + process.node + " had not recovered 15 s after its restart");
         }
     }
 
-    private boolean isWhole(final Fleet.Unit unit) throws InterruptedException {
-        final String status = fleet.get(unit, "/v1/status");
-        final String ready = fleet.get(unit, "/v1/ready");
+    private boolean isRecovered(final Fleet.FleetProcess process) throws InterruptedException {
+        final String status = fleet.get(process, "/v1/status");
+        final String ready = fleet.get(process, "/v1/ready");
         return !ready.isEmpty()
                 && !status.contains("\"lost\":true")
                 && !status.contains("\"master\":0")
--- a/testing/src/main/java/brookpath/testing/fleet/FleetMain.java
+++ b/testing/src/main/java/brookpath/testing/fleet/FleetMain.java
@@ -15,7 +15,7 @@
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
 
-/** {@code bin/fleet}: starts a fleet and leaves it running, or runs a scenario against it and reports. */
+/** {@code bin/fleet}: starts a fleet and leaves it running, or runs a scenario against it and prints the result. */
 public final class FleetMain {
     private static final int FAILED = 1;
     private static final int WRONG_ARGUMENTS = 2;
@@ -25,8 +25,8 @@
     private static final long LISTENING_POLL_MS = 100;
     private static final long WARM_UP_MS = 4_000;
 
-    /** The window of the last message ends, and its report has its time. */
-    private static final long LAST_USAGE_REPORT_MS = 21_000;
+    /** Until the usage window of the last message has ended and its report is due. */
+    private static final long FINAL_USAGE_REPORT_MS = 21_000;
 
     private static final double MILLIS_PER_SECOND = 1_000.0;
     private static final long NANOS_PER_MILLI = 1_000_000;
@@ -44,7 +44,7 @@
         fleet = new Fleet(options.folder(), options.port(), options.gateways(), relay, platformUrl);
     }
 
-    /** The zones of the two ends tell the delay; callers are in the zone of their gateway. */
+    /** The one-way delay between two nodes: none within a zone; callers are in the zone of their gateway. */
     private static long delayUs(final long from, final long to, final long zoneUs) {
         if (from <= 0 || Fleet.zoneOf((int) from).equals(Fleet.zoneOf((int) to))) {
             return 0;
@@ -52,38 +52,38 @@
         return zoneUs;
     }
 
-    /** Exits with 0 where the scenario went well, 1 where it did not, 2 for wrong arguments. */
+    /** Exits with 0 if the scenario passed, 1 if it failed, 2 for wrong arguments. */
     public static void main(final String[] args) throws Exception {
-        final Options known = FleetOptions.options();
+        final Options supported = FleetOptions.options();
         final CommandLine line;
         try {
-            line = new DefaultParser().parse(known, args);
+            line = new DefaultParser().parse(supported, args);
         } catch (final ParseException ex) {
-            refuse(List.of(ex.getMessage()));
+            exitWithUsageError(List.of(ex.getMessage()));
             return;
         }
         if (line.hasOption("help")) {
-            new HelpFormatter().printHelp("fleet", known);
+            new HelpFormatter().printHelp("fleet", supported);
             return;
         }
         final List<String> findings = FleetOptions.findings(line);
         if (!findings.isEmpty()) {
-            refuse(findings);
+            exitWithUsageError(findings);
             return;
         }
         final FleetOptions options = FleetOptions.of(line);
         if (!options.keep()) {
-            delete(options.folder());
+            deleteRecursively(options.folder());
         }
         new FleetMain(options).run();
     }
 
-    private static void refuse(final List<String> findings) {
+    private static void exitWithUsageError(final List<String> findings) {
         findings.forEach(finding -> System.err.println("fleet: " + finding));
         System.exit(WRONG_ARGUMENTS);
     }
 
-    private static void delete(final Path folder) throws IOException {
+    private static void deleteRecursively(final Path folder) throws IOException {
         if (!Files.exists(folder)) {
             return;
         }
@@ -103,7 +103,7 @@
             System.exit(FAILED);
         }
         System.out.println("fleet: ready after " + (System.nanoTime() - startedAt) / NANOS_PER_MILLI
-                + " ms; controllers on " + fleet.units().get(1).url("") + " and the next two, gateways from "
+                + " ms; controllers at " + fleet.processes().get(1).url("") + " and the next two, gateways from "
                 + fleet.gateways().get(0).url(""));
         if (!options.hasScenario()) {
             Thread.currentThread().join();
@@ -122,7 +122,7 @@
     private boolean runScenario() throws Exception {
         final LoadProfile profile = options.profile();
         final String document = profile.document(0, "fleet-first");
-        final HttpResponse<String> change = fleet.post(fleet.units().get(2), "/v1/changes", document);
+        final HttpResponse<String> change = fleet.post(fleet.processes().get(2), "/v1/changes", document);
         System.out.println(
                 "change: " + change.statusCode() + " " + change.body().strip());
         try (CallerLoad load = new CallerLoad(fleet, profile, options.seed())) {
@@ -130,7 +130,7 @@
             warmUp(load);
             if (options.isDay()) {
                 try (FleetDay day = new FleetDay(fleet, load, profile, relay, platform, options.seed())) {
-                    day.live(options.durationMs(), options.strikes());
+                    day.run(options.durationMs(), options.faults());
                 }
             } else {
                 Thread.sleep(options.durationMs() / 2);
@@ -138,7 +138,7 @@
                 Thread.sleep(options.durationMs() / 2);
             }
             if (relay != null) {
-                printZoneBytes(load);
+                printBytesBetweenZones(load);
             }
             return verify(load);
         }
@@ -153,47 +153,48 @@
         System.out.println("listening: " + load.listening() + " of " + sessions);
         load.publish();
         Thread.sleep(WARM_UP_MS);
-        load.measureFromHere();
+        load.startMeasuring();
     }
 
     private boolean verify(final CallerLoad load) throws InterruptedException {
         final History history = load.settle();
         if (platform != null) {
-            Thread.sleep(LAST_USAGE_REPORT_MS);
+            Thread.sleep(FINAL_USAGE_REPORT_MS);
             load.settleUsage();
             platform.close();
         }
         System.out.println(load.report());
         history.violations().forEach(violation -> System.out.println("VIOLATION " + violation));
-        // a run in which nothing was done proves nothing
+        // a run with too few messages proves nothing
         final double published =
                 options.durationMs() / MILLIS_PER_SECOND * options.profile().perSecond();
-        final boolean worked = history.committed() > published / 2 && history.delivered() > history.committed();
-        final boolean safe = history.violations().isEmpty();
-        System.out.println("fleet: " + options.scenario() + verdict(safe, worked));
-        return safe && worked;
+        final boolean isLoadSufficient =
+                history.committed() > published / 2 && history.delivered() > history.committed();
+        final boolean isSafe = history.violations().isEmpty();
+        System.out.println("fleet: " + options.scenario() + verdict(isSafe, isLoadSufficient));
+        return isSafe && isLoadSufficient;
     }
 
-    private static String verdict(final boolean safe, final boolean worked) {
-        if (!worked) {
-            return " DID TOO LITTLE";
+    private static String verdict(final boolean isSafe, final boolean isLoadSufficient) {
+        if (!isLoadSufficient) {
+            return " FAILED: too few messages committed or delivered";
         }
-        return safe ? " good" : " BAD";
+        return isSafe ? " passed" : " FAILED: violations";
     }
 
-    private void printZoneBytes(final CallerLoad load) {
-        long all = 0;
+    private void printBytesBetweenZones(final CallerLoad load) {
+        long total = 0;
         final TreeMap<String, Long> pairs = new TreeMap<>();
-        for (final int from : fleet.units().keySet()) {
-            for (final int to : fleet.units().keySet()) {
+        for (final int from : fleet.processes().keySet()) {
+            for (final int to : fleet.processes().keySet()) {
                 final long bytes = relay.bytes(from, to);
                 if (!Fleet.zoneOf(from).equals(Fleet.zoneOf(to)) && bytes > 0) {
                     pairs.merge(Fleet.zoneOf(from) + ">" + Fleet.zoneOf(to), bytes, Long::sum);
-                    all += bytes;
+                    total += bytes;
                 }
             }
         }
-        final long perSecond = all * 1_000 / Math.max(1, load.clock());
-        System.out.println("between zones: " + all + " bytes, " + perSecond + " a second; " + pairs);
+        final long perSecond = total * 1_000 / Math.max(1, load.clock());
+        System.out.println("between zones: " + total + " bytes, " + perSecond + " bytes/s; " + pairs);
     }
 }
--- a/testing/src/main/java/brookpath/testing/fleet/FleetOperators.java
+++ b/testing/src/main/java/brookpath/testing/fleet/FleetOperators.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Consumer;
 
-/** Operators who hand over changes, one or two at a time, some of them nonsense, and check what becomes of them. */
+/** Simulated operators who submit one or two changes at a time, some of them invalid, and check the outcomes. */
 final class FleetOperators implements AutoCloseable {
     private static final int CONTROLLERS = 3;
     private static final int MAX_ATTEMPTS = 60;
@@ -22,20 +22,20 @@
     private static final int SERVER_ERROR = 500;
 
     /**
-     * A change that an operator hands over.
+     * A change that an operator submits.
      *
-     * @param withShaky whether the key that comes and goes is in it
-     * @param nonsense whether it must be refused
-     * @param firstController which controller is asked first
+     * @param withRevocableKey whether it contains the key that is revoked and restored
+     * @param invalid whether it must be refused
+     * @param firstController the controller to which it is submitted first
      */
-    private record Change(String id, long basedOn, boolean withShaky, boolean nonsense, int firstController) {}
+    private record Change(String id, long basedOn, boolean withRevocableKey, boolean invalid, int firstController) {}
 
     private final Fleet fleet;
     private final CallerLoad load;
     private final LoadProfile profile;
     private final Consumer<String> counter;
-    private final AtomicBoolean open = new AtomicBoolean(true);
-    private final Thread thread = new Thread(this::operate, "operators");
+    private final AtomicBoolean running = new AtomicBoolean(true);
+    private final Thread thread = new Thread(this::submitUntilStopped, "operators");
     private volatile long newestConfirmed = 1;
     private int changes;
 
@@ -52,17 +52,17 @@
         thread.start();
     }
 
-    /** Waits for the changes under way. */
+    /** Stops submitting and waits for the outstanding changes. */
     void stop() throws InterruptedException {
-        open.set(false);
+        running.set(false);
         thread.join();
     }
 
-    private void operate() {
+    private void submitUntilStopped() {
         final SplittableRandom random = new SplittableRandom(SEED);
-        while (open.get()) {
+        while (running.get()) {
             try {
-                race(random);
+                submitConcurrently(random);
                 Thread.sleep(PERIOD_MS);
             } catch (final InterruptedException ex) {
                 Thread.currentThread().interrupt();
@@ -71,58 +71,58 @@
         }
     }
 
-    private void race(final SplittableRandom random) throws InterruptedException {
-        final List<Thread> racers = new ArrayList<>();
+    private void submitConcurrently(final SplittableRandom random) throws InterruptedException {
+        final List<Thread> submitters = new ArrayList<>();
         final int count = 1 + random.nextInt(2);
         for (int i = 0; i < count; i++) {
-            final boolean withShaky = random.nextInt(3) != 0;
-            final boolean nonsense = random.nextInt(5) == 0;
+            final boolean withRevocableKey = random.nextInt(3) != 0;
+            final boolean invalid = random.nextInt(5) == 0;
             final int firstController = 1 + random.nextInt(CONTROLLERS);
             changes++;
             final String id = "change-" + changes;
-            racers.add(new Thread(
-                    () -> handOver(new Change(id, newestConfirmed, withShaky, nonsense, firstController)), id));
+            submitters.add(new Thread(
+                    () -> submit(new Change(id, newestConfirmed, withRevocableKey, invalid, firstController)), id));
         }
-        racers.forEach(Thread::start);
-        for (final Thread racer : racers) {
-            racer.join();
+        submitters.forEach(Thread::start);
+        for (final Thread submitter : submitters) {
+            submitter.join();
         }
     }
 
-    private Fleet.Unit controller(final int index) {
-        return fleet.units().get(1 + index % CONTROLLERS);
+    private Fleet.FleetProcess controller(final int index) {
+        return fleet.processes().get(1 + index % CONTROLLERS);
     }
 
     private String document(final Change change) {
-        final String document = profile.document(change.basedOn, change.id, change.withShaky);
-        return change.nonsense ? document.replace("\"keepingSeconds\":30", "\"keepingSeconds\":-1") : document;
+        final String document = profile.document(change.basedOn, change.id, change.withRevocableKey);
+        return change.invalid ? document.replace("\"keepingSeconds\":30", "\"keepingSeconds\":-1") : document;
     }
 
-    private void handOver(final Change change) {
+    private void submit(final Change change) {
         final String document = document(change);
-        if (change.withShaky && !change.nonsense) {
-            load.grantUnderWay(profile.shakyKey());
+        if (change.withRevocableKey && !change.invalid) {
+            load.grantSubmitted(profile.revocableKey());
         }
         for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
             try {
-                if (isSettledBy(change, document, attempt)) {
+                if (hasOutcome(change, document, attempt)) {
                     return;
                 }
                 Thread.sleep(RETRY_MS);
             } catch (final IOException ex) {
-                counter.accept("changes asked of a controller that is away");
+                counter.accept("changes sent to an unreachable controller");
             } catch (final InterruptedException ex) {
                 Thread.currentThread().interrupt();
                 return;
             }
         }
-        violation(change.id + " got no outcome in 60 goes");
+        violation(change.id + " got no outcome in 60 attempts");
     }
 
-    /** Whether this attempt told the change's outcome. */
-    private boolean isSettledBy(final Change change, final String document, final int attempt)
+    /** Whether this attempt returned the outcome of the change. */
+    private boolean hasOutcome(final Change change, final String document, final int attempt)
             throws IOException, InterruptedException {
-        final Fleet.Unit controller = controller(change.firstController + attempt);
+        final Fleet.FleetProcess controller = controller(change.firstController + attempt);
         final HttpResponse<String> response = fleet.post(controller, "/v1/changes", document);
         final int status = response.statusCode();
         if (status == OK) {
@@ -142,18 +142,18 @@
         synchronized (load.history()) {
             load.history().confirmed(load.clock(), version, change.id);
         }
-        if (change.nonsense) {
-            violation(change.id + " is nonsense and was confirmed");
+        if (change.invalid) {
+            violation(change.id + " is invalid but was confirmed");
         }
         if (version > newestConfirmed) {
             newestConfirmed = version;
-            if (!change.withShaky) {
-                load.removed(profile.shakyKey());
+            if (!change.withRevocableKey) {
+                load.removalConfirmed(profile.revocableKey());
             }
         }
     }
 
-    /** Checks that the newest confirmed change is what the controllers tell. */
+    /** Checks that a controller returns the newest confirmed configuration. */
     void readBack() throws InterruptedException {
         for (int attempt = 0; attempt < MAX_READ_ATTEMPTS; attempt++) {
             final String page = fleet.get(controller(attempt), "/v1/spec");
@@ -163,29 +163,29 @@
             }
             Thread.sleep(RETRY_MS);
         }
-        violation("the newest spec could not be read");
+        violation("the newest configuration could not be read");
     }
 
     private void verify(final JsonObject read) {
         final long version = read.getInt("version");
         final String confirmedId = load.history().confirmedAs(newestConfirmed);
         final boolean older = version < newestConfirmed;
-        final boolean other = version == newestConfirmed
+        final boolean different = version == newestConfirmed
                 && confirmedId != null
                 && !read.getJsonObject("document").getString("changeId").equals(confirmedId);
-        if (older || other) {
-            violation("spec " + newestConfirmed + " was confirmed, read back is " + version);
+        if (older || different) {
+            violation("configuration " + newestConfirmed + " was confirmed, but version " + version + " was read back");
         }
     }
 
-    private void violation(final String what) {
+    private void violation(final String description) {
         synchronized (load.history()) {
-            load.history().violation(load.clock(), what);
+            load.history().violation(load.clock(), description);
         }
     }
 
     @Override
     public void close() {
-        open.set(false);
+        running.set(false);
     }
 }
--- a/testing/src/main/java/brookpath/testing/fleet/FleetOptions.java
+++ b/testing/src/main/java/brookpath/testing/fleet/FleetOptions.java
@@ -8,9 +8,9 @@
 import org.apache.commons.cli.Options;
 
 /**
- * What {@code bin/fleet} is to do, as its command line says.
+ * The command-line options of {@code bin/fleet}.
  *
- * @param zoneUs one way between zones, in microseconds; -1 for no relay
+ * @param zoneUs one-way delay between zones in microseconds; -1 to run without a relay
  */
 record FleetOptions(
         Path folder,
@@ -24,7 +24,7 @@
         long seed) {
     static final String NO_SCENARIO = "none";
     private static final String DAY = "day";
-    private static final String DAY_OF_ONE_KIND = "day-";
+    private static final String SINGLE_FAULT_DAY_PREFIX = "day-";
     private static final List<String> SCENARIOS =
             List.of(NO_SCENARIO, "steady", "kill-master", "freeze-master", "rolling", "all-restart", "retire", DAY);
     private static final List<String> PROFILES = List.of("jadran", "sajha", "small");
@@ -33,8 +33,8 @@
 
     static Options options() {
         return new Options()
-                .addOption(null, "fronts", true, "how many fronts (3; the brief's shape has 11)")
-                .addOption(null, "folder", true, "where settings and data go (run/fleet)")
+                .addOption(null, "fronts", true, "number of gateways (3; the required full size is 11)")
+                .addOption(null, "folder", true, "folder for settings and data (run/fleet)")
                 .addOption(null, "port", true, "first HTTP port (8000)")
                 .addOption(null, "profile", true, "jadran, sajha or small (small)")
                 .addOption(
@@ -47,40 +47,41 @@
                         null,
                         "zone-us",
                         true,
-                        "one way between zones, microseconds, through the relay (days: 500, sajha 1500)")
-                .addOption(null, "seconds", true, "how long a scenario publishes (20)")
-                .addOption(null, "seed", true, "for the callers (1)")
-                .addOption(null, "keep", false, "keep what the folder holds; else a fresh start")
-                .addOption("h", "help", false, "this text");
+                        "one-way delay between zones in microseconds, added by the relay (days: 500, sajha 1500)")
+                .addOption(null, "seconds", true, "duration of a scenario in seconds (20)")
+                .addOption(null, "seed", true, "random seed of the simulated callers (1)")
+                .addOption(null, "keep", false, "keep the data in the folder; otherwise it is deleted first")
+                .addOption("h", "help", false, "print this help");
     }
 
-    /** All that is wrong with a command line. */
+    /** Every error in the command line. */
     static List<String> findings(final CommandLine line) {
         final List<String> findings = new ArrayList<>();
         for (final String number : List.of("fronts", "port", "seconds", "seed", "zone-us")) {
             if (!line.getOptionValue(number, "1").matches("[0-9]{1,6}")) {
-                findings.add("--" + number + ": must be a number");
+                findings.add("--" + number + ": must be a number of at most six digits");
             }
         }
         if (!PROFILES.contains(line.getOptionValue("profile", "small"))) {
             findings.add("--profile: must be jadran, sajha or small");
         }
         if (!isScenario(line.getOptionValue("scenario", NO_SCENARIO))) {
-            findings.add("--scenario: not one of those that --help lists");
+            findings.add("--scenario: unknown scenario, see --help");
         }
         return findings;
     }
 
     private static boolean isScenario(final String name) {
         return SCENARIOS.contains(name)
-                || Arrays.stream(FleetDay.FleetFault.values()).anyMatch(kind -> name.equals(DAY_OF_ONE_KIND + kind));
+                || Arrays.stream(FleetDay.FleetFault.values())
+                        .anyMatch(kind -> name.equals(SINGLE_FAULT_DAY_PREFIX + kind));
     }
 
-    /** A command line without findings. */
+    /** The options of a command line that has no findings. */
     static FleetOptions of(final CommandLine line) {
         final String profile = line.getOptionValue("profile", "small");
         final String scenario = line.getOptionValue("scenario", NO_SCENARIO);
-        final boolean relayed = line.hasOption("zone-us") || scenario.startsWith(DAY);
+        final boolean usesRelay = line.hasOption("zone-us") || scenario.startsWith(DAY);
         final String defaultZoneUs = profile.equals("sajha") ? "1500" : "500";
         return new FleetOptions(
                 Path.of(line.getOptionValue("folder", "run/fleet")),
@@ -89,7 +90,7 @@
                 Integer.parseInt(line.getOptionValue("fronts", "3")),
                 LoadProfile.named(profile),
                 scenario,
-                relayed ? Long.parseLong(line.getOptionValue("zone-us", defaultZoneUs)) : NO_RELAY,
+                usesRelay ? Long.parseLong(line.getOptionValue("zone-us", defaultZoneUs)) : NO_RELAY,
                 Integer.parseInt(line.getOptionValue("seconds", "20")) * MILLIS_PER_SECOND,
                 Long.parseLong(line.getOptionValue("seed", "1")));
     }
@@ -102,16 +103,16 @@
         return !scenario.equals(NO_SCENARIO);
     }
 
-    /** Whether the scenario is a whole day with failures and operators. */
+    /** Whether the scenario is a day: random faults with concurrent operators. */
     boolean isDay() {
         return scenario.startsWith(DAY);
     }
 
-    /** The kinds of failure of a day. */
-    List<FleetDay.FleetFault> strikes() {
+    /** The kinds of fault of a day. */
+    List<FleetDay.FleetFault> faults() {
         if (scenario.equals(DAY)) {
             return List.of(FleetDay.FleetFault.values());
         }
-        return List.of(FleetDay.FleetFault.valueOf(scenario.substring(DAY_OF_ONE_KIND.length())));
+        return List.of(FleetDay.FleetFault.valueOf(scenario.substring(SINGLE_FAULT_DAY_PREFIX.length())));
     }
 }
--- a/testing/src/main/java/brookpath/testing/fleet/GroupView.java
+++ b/testing/src/main/java/brookpath/testing/fleet/GroupView.java
@@ -4,9 +4,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A group as a storage machine's status page shows it. */
+/** A group as shown on the status page of a storage node. */
 record GroupView(int group, boolean isLeader, boolean mayAct, String why) {
-    /** The groups of a status page; none where the page is empty. */
+    /** The groups on a status page; none if the page is empty. */
     static List<GroupView> read(final String status) {
         final List<GroupView> views = new ArrayList<>();
         if (status.isEmpty()) {
--- a/testing/src/main/java/brookpath/testing/fleet/JsonText.java
+++ b/testing/src/main/java/brookpath/testing/fleet/JsonText.java
@@ -5,7 +5,7 @@
 import jakarta.json.JsonReader;
 import java.io.StringReader;
 
-/** Reads JSON. */
+/** Parses JSON objects. */
 final class JsonText {
     private JsonText() {}
 
--- a/testing/src/main/java/brookpath/testing/fleet/LoadProfile.java
+++ b/testing/src/main/java/brookpath/testing/fleet/LoadProfile.java
@@ -1,21 +1,21 @@
 package brookpath.testing.fleet;
 
 /**
- * The rates of a user.
+ * The load of one of the service's users: its topics, sessions, tenants and message rate.
  *
- * @param perSecond messages a second, over all topics
+ * @param perSecond messages per second, over all topics
  */
 public record LoadProfile(String name, int topics, double perSecond, int sessions, int tenants) {
-    /** The user with few topics and a middling rate. */
+    /** A user with few topics and a moderate rate. */
     public static final LoadProfile JADRAN = new LoadProfile("jadran", 110, 45, 400, 8);
 
-    /** The user with many topics and a high rate. */
+    /** A user with many topics and a high rate. */
     public static final LoadProfile SAJHA = new LoadProfile("sajha", 450, 95, 400, 8);
 
-    /** For quick runs. */
+    /** A small load for quick runs. */
     public static final LoadProfile SMALL = new LoadProfile("small", 12, 30, 24, 3);
 
-    /** The profile of this name; the small one for any other. */
+    /** The profile with this name; the small one if there is none. */
     static LoadProfile named(final String name) {
         return switch (name) {
             case "jadran" -> JADRAN;
@@ -24,7 +24,7 @@
         };
     }
 
-    /** The name of a topic; they lie in three spaces by turns. */
+    /** The name of a topic; the topics are spread evenly over three spaces. */
     public String topic(final int index) {
         return switch (index % 3) {
             case 0 -> "permits/t" + index;
@@ -33,7 +33,9 @@
         };
     }
 
-    /** The key that a session uses. A few tenants are large: the first has half of the sessions, and so on. */
+    /**
+     * The key that a session uses. The tenants differ in size: each has twice as many sessions as the one before it.
+     */
     public String key(final int session) {
         final int tenant = 31 - Integer.numberOfLeadingZeros(1 + session % (1 << tenants));
         return keyOfTenant(Math.min(tenants - 1, tenant));
@@ -44,24 +46,24 @@
         return "key-tenant-" + tenant;
     }
 
-    /** The tenant that half of the sessions belong to, and whose key operators take away and give back. */
-    public String shakyKey() {
+    /** The key that operators revoke and restore. It belongs to the largest tenant, with half of the sessions. */
+    public String revocableKey() {
         return keyOfTenant(tenants - 1);
     }
 
-    /** A configuration with all keys. */
+    /** A configuration document with all keys. */
     public String document(final long basedOn, final String changeId) {
         return document(basedOn, changeId, true);
     }
 
-    /** A configuration, with or without the key that operators take away and give back. */
-    public String document(final long basedOn, final String changeId, final boolean withShaky) {
+    /** A configuration document, with or without the key that operators revoke and restore. */
+    public String document(final long basedOn, final String changeId, final boolean withRevocableKey) {
         final StringBuilder json =
                 new StringBuilder("{\"basedOn\":" + basedOn + ",\"changeId\":\"" + changeId + "\",\"spaces\":["
                         + "{\"name\":\"permits\",\"keepingSeconds\":30},{\"name\":\"closures\",\"keepingSeconds\":30},"
                         + "{\"name\":\"clues\",\"keepingSeconds\":30,\"order\":\"one\"}],\"tenants\":[");
         for (int tenant = 0; tenant < tenants; tenant++) {
-            final boolean withKey = withShaky || tenant < tenants - 1;
+            final boolean withKey = withRevocableKey || tenant < tenants - 1;
             json.append(tenant == 0 ? "" : ",")
                     .append("{\"name\":\"tenant-")
                     .append(tenant)
--- a/testing/src/main/java/brookpath/testing/fleet/Publisher.java
+++ b/testing/src/main/java/brookpath/testing/fleet/Publisher.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Publishes at the profile's rate, one message at a time per sender and topic, and retries as callers are told to. */
+/** Publishes one message at a time per sender and topic, and retries as the API requires of callers. */
 final class Publisher {
     private static final int MAX_RETRIES = 60;
     private static final Duration TIMEOUT = Duration.ofSeconds(3);
@@ -33,9 +33,9 @@
     private final LoadProfile profile;
     private final SplittableRandom random;
     private final Map<String, Long> sequences = new HashMap<>();
-    private final Set<String> busy = new HashSet<>();
+    private final Set<String> sendersInFlight = new HashSet<>();
     private final Map<String, Long> sentAtNanos = new ConcurrentHashMap<>();
-    private final AtomicInteger underWay = new AtomicInteger();
+    private final AtomicInteger inFlight = new AtomicInteger();
     private volatile boolean stopped;
 
     Publisher(final CallerContext context, final LoadProfile profile, final SplittableRandom random) {
@@ -44,16 +44,19 @@
         this.random = random;
     }
 
-    /** Publishes no new message; what is under way is retried on. */
+    /** Stops publishing new messages; those in flight are still retried. */
     void stop() {
         stopped = true;
     }
 
-    int underWay() {
-        return underWay.get();
+    int inFlight() {
+        return inFlight.get();
     }
 
-    /** When the message's first attempt began, by {@link System#nanoTime}; null for a message of somebody else. */
+    /**
+     * When the message's first attempt began, by {@link System#nanoTime}; null if this publisher did not publish the
+     * message.
+     */
     Long sentAtNanos(final String topic, final String sender, final long seq) {
         return sentAtNanos.get(id(topic, sender, seq));
     }
@@ -62,7 +65,7 @@
         return topic + "|" + sender + "|" + seq;
     }
 
-    /** Publishes one message, unless its sender still waits for the response to the one before. */
+    /** Publishes one message to a random topic, unless its sender still has one in flight there. */
     void publishOne() {
         if (stopped) {
             return;
@@ -72,13 +75,13 @@
         synchronized (this) {
             final int session = random.nextInt(profile.sessions());
             final String topic = profile.topic(random.nextInt(profile.topics()));
-            if (!busy.add(topic + "|s" + session)) {
+            if (!sendersInFlight.add(topic + "|s" + session)) {
                 return;
             }
             key = profile.key(session);
             message = nextMessage(topic, session);
         }
-        underWay.incrementAndGet();
+        inFlight.incrementAndGet();
         sentAtNanos.put(id(message.topic, message.sender, message.seq), System.nanoTime());
         attempt(message, key, 0);
     }
@@ -96,7 +99,7 @@
     }
 
     private void attempt(final Sent message, final String key, final int retries) {
-        // the oracle's reports name attempts so
+        // the name of this counter is the same as in the simulator
         context.measurements().count("publish goes");
         final long startedAt = System.nanoTime();
         final String body = "{\"sender\":\"" + message.sender + "\",\"sequence\":" + message.seq + ",\"message\":\""
@@ -107,10 +110,10 @@
                 .build();
         context.http()
                 .sendAsync(request, HttpResponse.BodyHandlers.ofString())
-                .whenComplete((response, ex) -> completed(message, key, retries, startedAt, response));
+                .whenComplete((response, ex) -> handleResponse(message, key, retries, startedAt, response));
     }
 
-    private void completed(
+    private void handleResponse(
             final Sent message,
             final String key,
             final int retries,
@@ -124,14 +127,14 @@
         if (status != SERVICE_UNAVAILABLE && status != UNAUTHORIZED) {
             message.maybeAppended = true;
         }
-        if (status == UNAUTHORIZED && key.equals(profile.shakyKey())) {
+        if (status == UNAUTHORIZED && key.equals(profile.revocableKey())) {
             context.measurements().count("keys refused");
             done(message);
             return;
         }
         context.measurements().count(status == NO_RESPONSE ? "resets and time-outs" : "status " + status);
-        final boolean refusedForGood = status >= BAD_REQUEST && status < SERVER_ERROR;
-        if (refusedForGood || retries > MAX_RETRIES) {
+        final boolean isFinalRefusal = status >= BAD_REQUEST && status < SERVER_ERROR;
+        if (isFinalRefusal || retries > MAX_RETRIES) {
             failed(message, status, retries);
             return;
         }
@@ -150,7 +153,7 @@
         context.measurements().committed(message.topic, System.nanoTime() - startedAt, context.now());
         final History history = context.history();
         synchronized (history) {
-            context.keys().worked(key, "published", context.now());
+            context.keys().verifyUse(key, "published", context.now());
             final long position = JsonText.parse(body).getJsonNumber("position").longValue();
             history.committed(context.now(), message, position);
         }
@@ -163,15 +166,15 @@
             history.violation(
                     context.now(),
                     id(message.topic, message.sender, message.seq) + " ended with status " + status + " after "
-                            + retries + " goes");
+                            + retries + " retries");
         }
         done(message);
     }
 
     private void done(final Sent message) {
         synchronized (this) {
-            busy.remove(message.topic + "|" + message.sender);
+            sendersInFlight.remove(message.topic + "|" + message.sender);
         }
-        underWay.decrementAndGet();
+        inFlight.decrementAndGet();
     }
 }
--- a/testing/src/main/java/brookpath/testing/fleet/ReadyGateways.java
+++ b/testing/src/main/java/brookpath/testing/fleet/ReadyGateways.java
@@ -4,36 +4,36 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** The platform's part: it hands callers to the nodes that say they are ready. */
+/** Stands in for the platform, which routes callers to the gateways that report readiness. */
 final class ReadyGateways {
     private final Fleet fleet;
     private final SplittableRandom random;
-    private volatile List<Fleet.Unit> ready = List.of();
+    private volatile List<Fleet.FleetProcess> ready = List.of();
 
     ReadyGateways(final Fleet fleet, final SplittableRandom random) {
         this.fleet = fleet;
         this.random = random;
     }
 
-    /** Asks each gateway whether it is ready. */
+    /** Polls the readiness of each gateway. */
     void refresh() {
-        final List<Fleet.Unit> found = new ArrayList<>();
-        for (final Fleet.Unit unit : fleet.gateways()) {
+        final List<Fleet.FleetProcess> readyNow = new ArrayList<>();
+        for (final Fleet.FleetProcess process : fleet.gateways()) {
             try {
-                if (unit.alive() && !fleet.get(unit, "/v1/ready").isEmpty()) {
-                    found.add(unit);
+                if (process.alive() && !fleet.get(process, "/v1/ready").isEmpty()) {
+                    readyNow.add(process);
                 }
             } catch (final InterruptedException ex) {
                 Thread.currentThread().interrupt();
                 return;
             }
         }
-        ready = found;
+        ready = readyNow;
     }
 
-    /** Any that is ready; any at all where none is. */
-    synchronized Fleet.Unit any() {
-        final List<Fleet.Unit> candidates = ready.isEmpty() ? fleet.gateways() : ready;
+    /** A random ready gateway; any gateway if none is ready. */
+    synchronized Fleet.FleetProcess any() {
+        final List<Fleet.FleetProcess> candidates = ready.isEmpty() ? fleet.gateways() : ready;
         return candidates.get(random.nextInt(candidates.size()));
     }
 }
--- a/testing/src/main/java/brookpath/testing/fleet/RemovedKeys.java
+++ b/testing/src/main/java/brookpath/testing/fleet/RemovedKeys.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** Keys whose removal was confirmed to an operator: from a while after that on, nothing may work with them. */
+/** Keys whose removal was confirmed to an operator: after a grace period no request may succeed with them. */
 final class RemovedKeys {
     private static final long GRACE_MS = 5_000;
 
@@ -15,20 +15,20 @@
         this.history = history;
     }
 
-    void removed(final String key, final long now) {
+    void removalConfirmed(final String key, final long now) {
         removedAt.putIfAbsent(key, now);
     }
 
-    /** A change is on its way that gives the key back, whether its operator hears of it or not. */
-    void grantUnderWay(final String key) {
+    /** Records that a change granting the key again was submitted: it may take effect even if no response arrives. */
+    void grantSubmitted(final String key) {
         removedAt.remove(key);
     }
 
-    /** Checks that a caller did something with the key. To be called with the history held. */
-    void worked(final String key, final String did, final long now) {
+    /** Checks that a caller may still have succeeded with the key. Call only with the monitor of the history held. */
+    void verifyUse(final String key, final String action, final long now) {
         final Long at = removedAt.get(key);
         if (at != null && now > at + GRACE_MS) {
-            history.violation(now, key + " " + did + " " + (now - at) + " ms after its removal was confirmed");
+            history.violation(now, key + " " + action + " " + (now - at) + " ms after its removal was confirmed");
         }
     }
 }
--- a/testing/src/main/java/brookpath/testing/fleet/Subscriber.java
+++ b/testing/src/main/java/brookpath/testing/fleet/Subscriber.java
@@ -14,7 +14,7 @@
 import java.util.Set;
 import java.util.concurrent.Flow;
 
-/** A caller that listens to its topics, and resumes at its cursor whenever its session ends. */
+/** A caller that subscribes to topics, and resumes from its cursor whenever its session ends. */
 final class Subscriber {
     private static final int OK = 200;
     private static final int UNAUTHORIZED = 401;
@@ -23,11 +23,11 @@
     private static final long RECONNECT_MS = 50;
     private static final long RECONNECT_JITTER_MASK = 255;
 
-    /** Topics of this space arrive in one order over all of them. */
-    private static final String ONE_ORDER_PREFIX = "clues/";
+    /** Prefix of the topics whose space has a single order over all its topics. */
+    private static final String TOTAL_ORDER_PREFIX = "clues/";
 
-    /** For {@link History#delivered}: latencies are measured here, not by the oracle. */
-    private static final long LATENCY_NOT_JUDGED = -1;
+    /** Passed to {@link History#delivered}, because latencies are measured here and not by the oracle. */
+    private static final long LATENCY_NOT_CHECKED = -1;
 
     private final CallerContext context;
     private final Publisher publisher;
@@ -36,7 +36,7 @@
     private final Listener listener;
     private String cursor;
     private volatile boolean listening;
-    private long listeningSince;
+    private long listeningSinceNanos;
 
     Subscriber(
             final CallerContext context,
@@ -61,10 +61,10 @@
         final StringBuilder path = new StringBuilder("/v1/stream?cursor=").append(cursor == null ? "" : cursor);
         topics.forEach(topic -> path.append("&topic=").append(topic));
         final HttpRequest request = context.request(path.toString(), key).build();
-        context.http().sendAsync(request, this::begin).whenComplete((response, ex) -> ended());
+        context.http().sendAsync(request, this::beginSession).whenComplete((response, ex) -> ended());
     }
 
-    private HttpResponse.BodySubscriber<Void> begin(final HttpResponse.ResponseInfo info) {
+    private HttpResponse.BodySubscriber<Void> beginSession(final HttpResponse.ResponseInfo info) {
         if (info.statusCode() != OK) {
             refused(info.statusCode());
             return HttpResponse.BodySubscribers.replacing(null);
@@ -93,7 +93,7 @@
         }
     }
 
-    private void line(final String text) {
+    private void handleLine(final String text) {
         final JsonObject line = JsonText.parse(text);
         final String type = line.getString("type");
         if (type.equals("closed")) {
@@ -104,10 +104,10 @@
         final long at = System.nanoTime();
         if (!listening) {
             listening = true;
-            listeningSince = at;
+            listeningSinceNanos = at;
         }
         synchronized (context.history()) {
-            context.keys().worked(key, "received", context.now());
+            context.keys().verifyUse(key, "received", context.now());
             if (type.equals("message")) {
                 delivered(line, at);
             } else {
@@ -131,11 +131,11 @@
                 sender,
                 seq,
                 message.getString("message"),
-                topic.startsWith(ONE_ORDER_PREFIX),
-                LATENCY_NOT_JUDGED);
+                topic.startsWith(TOTAL_ORDER_PREFIX),
+                LATENCY_NOT_CHECKED);
         final Long sentAt = publisher.sentAtNanos(topic, sender, seq);
-        // who was away when it was sent gets it on coming back, which says nothing of the delivery
-        if (sentAt != null && sentAt >= listeningSince) {
+        // a message sent while this session was interrupted arrives on resume, so its delay is not a delivery latency
+        if (sentAt != null && sentAt >= listeningSinceNanos) {
             context.measurements().delivered(at - sentAt);
         }
     }
@@ -159,12 +159,12 @@
 
         @Override
         public void onNext(final String item) {
-            line(item);
+            handleLine(item);
         }
 
         @Override
         public void onError(final Throwable throwable) {
-            // the session's end is handled where its response completes
+            // the end of the session is handled when the response completes, see connect()
         }
 
         @Override
--- a/testing/src/main/java/brookpath/testing/fleet/UsagePlatform.java
+++ b/testing/src/main/java/brookpath/testing/fleet/UsagePlatform.java
@@ -11,7 +11,7 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.Executors;
 
-/** Where usage reports go. Its own clock is the fleet's, for all processes run on this machine. */
+/** An HTTP server that receives the usage reports. It shares a clock with the fleet, which runs on the same machine. */
 final class UsagePlatform implements AutoCloseable {
     private static final int OK = 200;
     private static final int SERVER_ERROR = 500;
@@ -19,10 +19,10 @@
 
     private final HttpServer server;
     private volatile CallerLoad load;
-    /** The wall clock when the callers' own began. */
-    private volatile long bornAt;
+    /** The wall-clock time at which the clock of the load started. */
+    private volatile long loadStartedAtMs;
 
-    private volatile long failingUntil;
+    private volatile long failingUntilNanos;
     private volatile int reports;
 
     UsagePlatform() throws IOException {
@@ -36,15 +36,15 @@
         server.start();
     }
 
-    /** Reports are handed to this run's oracle from now on. */
-    void verifyAgainst(final CallerLoad callers) {
-        bornAt = System.currentTimeMillis() - callers.clock();
+    /** Forwards reports to the oracle of this load from now on. */
+    void forwardTo(final CallerLoad callers) {
+        loadStartedAtMs = System.currentTimeMillis() - callers.clock();
         load = callers;
     }
 
-    /** It is slow and reports errors for a while. */
+    /** Responds slowly and with errors for a while. */
     void failFor(final long nanos) {
-        failingUntil = System.nanoTime() + nanos;
+        failingUntilNanos = System.nanoTime() + nanos;
     }
 
     int reports() {
@@ -57,14 +57,15 @@
 
     private void handle(final HttpExchange exchange) throws IOException {
         final String body = new String(exchange.getRequestBody().readAllBytes(), UTF_8);
-        final boolean failing = System.nanoTime() < failingUntil;
+        final boolean failing = System.nanoTime() < failingUntilNanos;
         if (failing) {
             respondSlowly();
         }
-        // while it fails it takes every other report and says of all that it did not, so the same must come again
-        final boolean takes = !failing || body.hashCode() % 2 == 0;
-        if (takes && load != null) {
-            take(body);
+        // while failing, it accepts every other report but answers all with an error, so that accepted ones are
+        // repeated
+        final boolean accepts = !failing || body.hashCode() % 2 == 0;
+        if (accepts && load != null) {
+            forward(body);
         }
         exchange.sendResponseHeaders(failing ? SERVER_ERROR : OK, -1);
         exchange.close();
@@ -78,9 +79,9 @@
         }
     }
 
-    private void take(final String body) {
+    private void forward(final String body) {
         final JsonObject report = JsonText.parse(body);
-        final long windowEnd = report.getJsonNumber("windowEndMs").longValue() - bornAt;
+        final long windowEnd = report.getJsonNumber("windowEndMs").longValue() - loadStartedAtMs;
         final History history = load.history();
         synchronized (history) {
             reports++;
--- a/testing/src/main/java/brookpath/testing/fleet/package-info.java
+++ b/testing/src/main/java/brookpath/testing/fleet/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Tests on real processes: a fleet on loopback, stand-in callers at a user's rates, scenarios and whole days with
- * failures. The simulator's oracle checks what the callers saw.
+ * Tests with real processes: a fleet on loopback, simulated callers at the rates of a load profile, and scenarios from
+ * a single fault to random faults over a long run. The simulator's oracle checks what the callers observed.
  */
 package brookpath.testing.fleet;
--- a/testing/src/main/java/brookpath/testing/relay/Relay.java
+++ b/testing/src/main/java/brookpath/testing/relay/Relay.java
@@ -26,24 +26,25 @@
 import java.util.function.LongBinaryOperator;
 
 /**
- * Stands between real processes, and between callers and gateways: delays, loses, cuts in one direction, stalls and
- * resets what passes. A lost packet is felt as TCP lets it be felt: what follows waits for the repeat. Whoever dials a
- * peer says its number in its first frame; callers are node 0.
+ * A TCP proxy between real processes, and between callers and gateways, that delays traffic, loses packets, blocks one
+ * direction of a link and resets connections. A lost packet appears as it does to users of TCP: all that follows on the
+ * connection waits for the retransmission. A node that connects to a peer sends its number in the first frame; callers
+ * are node 0.
  */
 public final class Relay implements AutoCloseable {
-    private static final long REPEAT_US = 200_000;
+    private static final long RETRANSMIT_US = 200_000;
     private static final String HOST = "127.0.0.1";
 
     private final MultiThreadIoEventLoopGroup loops = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
     private final LongBinaryOperator delayUs;
     private final Set<Long> cuts = ConcurrentHashMap.newKeySet();
-    private final Set<Pipe> pipes = ConcurrentHashMap.newKeySet();
+    private final Set<RelayedConnection> connections = ConcurrentHashMap.newKeySet();
     private final LongAdder resets = new LongAdder();
     private final LongAdder lost = new LongAdder();
     private final Map<Long, LongAdder> bytes = new ConcurrentHashMap<>();
     private volatile int lossPerMille;
 
-    /** @param delayUs one way, by the numbers of both ends */
+    /** @param delayUs the one-way delay in microseconds, given the numbers of the sending and the receiving node */
     public Relay(final LongBinaryOperator delayUs) {
         this.delayUs = delayUs;
     }
@@ -53,9 +54,9 @@
     }
 
     /**
-     * A port that leads to the process.
+     * Opens a port that forwards to the port of the process, and returns it.
      *
-     * @param peers whether frames pass there, which tell who dials
+     * @param peers whether peers connect to the port, whose first frame identifies them
      */
     public int open(final int node, final int port, final boolean peers) throws InterruptedException {
         final Channel server = new ServerBootstrap()
@@ -66,7 +67,7 @@
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(final SocketChannel ch) {
-                        new Pipe(ch, node, port, peers).begin();
+                        new RelayedConnection(ch, node, port, peers).start();
                     }
                 })
                 .bind(HOST, 0)
@@ -75,131 +76,131 @@
         return ((InetSocketAddress) server.localAddress()).getPort();
     }
 
-    /** Holds back what goes from one node to another. */
+    /** Holds back all traffic from one node to another until {@link #heal}. */
     public void cut(final int from, final int to) {
         cuts.add(link(from, to));
     }
 
-    /** All cuts end; what was held goes on its way. */
+    /** Ends all cuts and packet loss, and forwards the traffic that was held back. */
     public void heal() {
         cuts.clear();
         lossPerMille = 0;
-        pipes.forEach(Pipe::wake);
+        connections.forEach(RelayedConnection::resume);
     }
 
-    /** Loses packets, so many in a thousand. */
+    /** Sets the rate at which packets are lost. */
     public void loss(final int perMille) {
         lossPerMille = perMille;
     }
 
-    /** Resets sessions that lead to these nodes, all but one in so many. */
-    public void reset(final IntPredicate nodes, final int butOneIn) {
-        for (final Pipe p : pipes) {
-            if (nodes.test(p.to) && ThreadLocalRandom.current().nextInt(butOneIn) != 0) {
+    /** Resets connections to the nodes, except a random one in {@code sparedOneIn}. */
+    public void reset(final IntPredicate nodes, final int sparedOneIn) {
+        for (final RelayedConnection connection : connections) {
+            if (nodes.test(connection.to) && ThreadLocalRandom.current().nextInt(sparedOneIn) != 0) {
                 resets.increment();
-                p.end();
+                connection.closeBoth();
             }
         }
     }
 
-    /** How many sessions were reset. */
+    /** The number of connections that were reset. */
     public long resets() {
         return resets.sum();
     }
 
-    /** How many packets were lost. */
+    /** The number of packets that were lost. */
     public long lost() {
         return lost.sum();
     }
 
-    /** Bytes that have passed from one node to another. */
+    /** The number of bytes received so far from one node for another. */
     public long bytes(final int from, final int to) {
-        final LongAdder n = bytes.get(link(from, to));
-        return n == null ? 0 : n.sum();
+        final LongAdder count = bytes.get(link(from, to));
+        return count == null ? 0 : count.sum();
     }
 
-    /** One connection through here, both ways. */
-    private final class Pipe {
-        final Channel near;
+    /** One relayed connection, with both directions. */
+    private final class RelayedConnection {
+        final Channel accepted;
         final int to;
         final int port;
         volatile int from;
-        volatile Channel far;
+        volatile Channel dialled;
 
-        Pipe(final Channel near, final int to, final int port, final boolean peers) {
-            this.near = near;
+        RelayedConnection(final Channel accepted, final int to, final int port, final boolean peers) {
+            this.accepted = accepted;
             this.to = to;
             this.port = port;
             from = peers ? -1 : 0;
         }
 
-        void begin() {
-            pipes.add(this);
-            near.pipeline().addLast(new Way(this, true));
-            near.closeFuture().addListener(f -> end());
-            // both ends on one loop, so that one thread sees to the order of what passes
+        void start() {
+            connections.add(this);
+            accepted.pipeline().addLast(new Direction(this, true));
+            accepted.closeFuture().addListener(f -> closeBoth());
+            // Both channels share an event loop, so that a single thread keeps the order of the bytes.
             new Bootstrap()
-                    .group(near.eventLoop())
+                    .group(accepted.eventLoop())
                     .channel(NioSocketChannel.class)
                     .option(ChannelOption.AUTO_READ, false)
                     .option(ChannelOption.TCP_NODELAY, true)
-                    .handler(new Way(this, false))
+                    .handler(new Direction(this, false))
                     .connect(HOST, port)
                     .addListener(f -> {
                         if (!f.isSuccess()) {
-                            end();
+                            closeBoth();
                             return;
                         }
-                        far = ((io.netty.channel.ChannelFuture) f).channel();
-                        far.closeFuture().addListener(c -> end());
-                        near.read();
-                        far.read();
+                        dialled = ((io.netty.channel.ChannelFuture) f).channel();
+                        dialled.closeFuture().addListener(c -> closeBoth());
+                        accepted.read();
+                        dialled.read();
                     });
         }
 
-        void end() {
-            pipes.remove(this);
-            near.close();
-            if (far != null) {
-                far.close();
+        void closeBoth() {
+            connections.remove(this);
+            accepted.close();
+            if (dialled != null) {
+                dialled.close();
             }
         }
 
-        void wake() {
-            near.eventLoop().execute(() -> {
-                near.pipeline().get(Way.class).flushHeld();
-                if (far != null) {
-                    far.pipeline().get(Way.class).flushHeld();
+        void resume() {
+            accepted.eventLoop().execute(() -> {
+                accepted.pipeline().get(Direction.class).flushHeld();
+                if (dialled != null) {
+                    dialled.pipeline().get(Direction.class).flushHeld();
                 }
             });
         }
     }
 
     /** One direction of a connection. */
-    private final class Way extends ChannelInboundHandlerAdapter {
-        private final Pipe pipe;
-        private final boolean there;
+    private final class Direction extends ChannelInboundHandlerAdapter {
+        private final RelayedConnection connection;
+        private final boolean forward;
         private final ArrayDeque<ByteBuf> held = new ArrayDeque<>();
-        private long lastAtUs;
+        private long lastDeliveryAtUs;
 
-        Way(final Pipe pipe, final boolean there) {
-            this.pipe = pipe;
-            this.there = there;
+        Direction(final RelayedConnection connection, final boolean forward) {
+            this.connection = connection;
+            this.forward = forward;
         }
 
         private int source() {
-            return there ? pipe.from : pipe.to;
+            return forward ? connection.from : connection.to;
         }
 
         private int target() {
-            return there ? pipe.to : pipe.from;
+            return forward ? connection.to : connection.from;
         }
 
         @Override
         public void channelRead(final ChannelHandlerContext ctx, final Object message) {
             final ByteBuf buf = (ByteBuf) message;
-            if (there && pipe.from < 0 && buf.readableBytes() >= 8) {
-                pipe.from = buf.getInt(buf.readerIndex() + 4);
+            if (forward && connection.from < 0 && buf.readableBytes() >= 8) {
+                connection.from = buf.getInt(buf.readerIndex() + 4);
             }
             bytes.computeIfAbsent(link(source(), target()), k -> new LongAdder())
                     .add(buf.readableBytes());
@@ -209,7 +210,7 @@
 
         @Override
         public void channelReadComplete(final ChannelHandlerContext ctx) {
-            // while cut nothing more is read, so that the sender feels it as it would feel a full window
+            // While the link is cut nothing more is read, so that the sender is blocked as by a full TCP window.
             if (held.isEmpty()) {
                 ctx.read();
             }
@@ -218,31 +219,32 @@
         void flushHeld() {
             while (!held.isEmpty() && !cuts.contains(link(source(), target()))) {
                 final ByteBuf buf = held.poll();
-                final long now = System.nanoTime() / 1_000;
-                long at = now + Math.max(0, delayUs.applyAsLong(source(), target()));
+                final long nowUs = System.nanoTime() / 1_000;
+                long deliverAtUs = nowUs + Math.max(0, delayUs.applyAsLong(source(), target()));
                 if (ThreadLocalRandom.current().nextInt(1_000) < lossPerMille) {
                     lost.increment();
-                    at += REPEAT_US;
+                    deliverAtUs += RETRANSMIT_US;
                 }
-                // bytes of one connection never overtake each other
-                lastAtUs = Math.max(lastAtUs, at);
-                pipe.near
+                // bytes of one direction stay in order
+                lastDeliveryAtUs = Math.max(lastDeliveryAtUs, deliverAtUs);
+                connection
+                        .accepted
                         .eventLoop()
                         .schedule(
                                 () -> {
-                                    final Channel on = there ? pipe.far : pipe.near;
-                                    if (on != null && on.isActive()) {
-                                        on.writeAndFlush(buf);
+                                    final Channel destination = forward ? connection.dialled : connection.accepted;
+                                    if (destination != null && destination.isActive()) {
+                                        destination.writeAndFlush(buf);
                                     } else {
                                         buf.release();
                                     }
                                 },
-                                lastAtUs - now,
+                                lastDeliveryAtUs - nowUs,
                                 MICROSECONDS);
                 if (held.isEmpty()) {
-                    final Channel of = there ? pipe.near : pipe.far;
-                    if (of != null) {
-                        of.read();
+                    final Channel origin = forward ? connection.accepted : connection.dialled;
+                    if (origin != null) {
+                        origin.read();
                     }
                 }
             }
@@ -250,19 +252,19 @@
 
         @Override
         public void channelInactive(final ChannelHandlerContext ctx) {
-            pipe.end();
+            connection.closeBoth();
         }
 
         @Override
         public void exceptionCaught(final ChannelHandlerContext ctx, final Throwable cause) {
-            // a reset on one side is a reset on the other
-            pipe.end();
+            // propagate a reset on one channel to the other
+            connection.closeBoth();
         }
     }
 
     @Override
     public void close() {
-        pipes.forEach(Pipe::end);
+        connections.forEach(RelayedConnection::closeBoth);
         loops.shutdownGracefully(0, 200, java.util.concurrent.TimeUnit.MILLISECONDS);
     }
 }
--- a/testing/src/main/java/brookpath/testing/relay/package-info.java
+++ b/testing/src/main/java/brookpath/testing/relay/package-info.java
@@ -1,2 +1,2 @@
-/** A relay between real processes on loopback that delays, loses, partitions and counts what passes. */
+/** A TCP relay between real processes on loopback that delays, loses, blocks and counts traffic. */
 package brookpath.testing.relay;
--- a/testing/src/test/java/brookpath/testing/DataFolderCheckTest.java
+++ b/testing/src/test/java/brookpath/testing/DataFolderCheckTest.java
@@ -22,7 +22,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** A folder written by the production code, whole, torn and damaged. */
+/** Checks data folders written by the production code: intact, with a torn tail, damaged and diverging. */
 public final class DataFolderCheckTest {
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
 
@@ -34,8 +34,8 @@
                 new PrintStream(out));
     }
 
-    /** A folder with one topic group's records of these terms, the texts as given. */
-    private static Path copy(final long[] terms, final String[] texts) throws Exception {
+    /** Writes a data folder with the records of one topic group, with these terms and texts. */
+    private static Path writeReplica(final long[] terms, final String[] texts) throws Exception {
         final Path folder = Files.createTempDirectory("data-folder-replica");
         try (FolderDisk disk = new FolderDisk(folder)) {
             final WriteAheadLog writeAheadLog = WriteAheadLog.recover(disk).writeAheadLog();
@@ -59,29 +59,30 @@
     }
 
     @Test
-    public void copiesThatAgreePartAndDifferAreToldApart() throws Exception {
-        final Path one = copy(new long[] {1, 1, 1}, new String[] {"x", "y", "z"});
-        final Path shorter = copy(new long[] {1, 1}, new String[] {"x", "y"});
-        final Path parted = copy(new long[] {1, 1, 2}, new String[] {"x", "y", "w"});
-        final Path other = copy(new long[] {1, 1, 1}, new String[] {"x", "Y", "z"});
-        assertEquals(check(one, shorter), 0, out.toString(UTF_8));
+    public void agreeingDivergingAndContradictingReplicasAreDistinguished() throws Exception {
+        final Path replica = writeReplica(new long[] {1, 1, 1}, new String[] {"x", "y", "z"});
+        final Path shorter = writeReplica(new long[] {1, 1}, new String[] {"x", "y"});
+        final Path diverging = writeReplica(new long[] {1, 1, 2}, new String[] {"x", "y", "w"});
+        final Path contradicting = writeReplica(new long[] {1, 1, 1}, new String[] {"x", "Y", "z"});
+        assertEquals(check(replica, shorter), 0, out.toString(UTF_8));
         assertTrue(out.toString(UTF_8).contains("agree on 2 records, ends 3 and 2"), out.toString(UTF_8));
-        assertEquals(check(one, parted), 0, out.toString(UTF_8));
-        assertTrue(out.toString(UTF_8).contains("part at record 3, epochs 1 and 2"), out.toString(UTF_8));
-        assertEquals(check(one, other, shorter), 1);
+        assertEquals(check(replica, diverging), 0, out.toString(UTF_8));
+        assertTrue(out.toString(UTF_8).contains("diverge at record 3, epochs 1 and 2"), out.toString(UTF_8));
+        assertEquals(check(replica, contradicting, shorter), 1);
         assertTrue(out.toString(UTF_8).contains("differ at or before record 2"), out.toString(UTF_8));
-        assertEquals(check(one, one.resolve("none"), shorter), 1);
+        assertEquals(check(replica, replica.resolve("none"), shorter), 1);
         assertTrue(
                 out.toString(UTF_8).contains("no such folder")
                         && out.toString(UTF_8).contains("agree on 2"),
                 out.toString(UTF_8));
         assertEquals(
-                DataFolderCheck.run(new String[] {"--all", one.toString()}, new PrintStream(out), new PrintStream(out)),
+                DataFolderCheck.run(
+                        new String[] {"--all", replica.toString()}, new PrintStream(out), new PrintStream(out)),
                 2);
     }
 
     @Test
-    public void wholeTornAndDamagedFoldersAreToldApart() throws Exception {
+    public void intactTornAndDamagedFoldersAreDistinguished() throws Exception {
         final Path folder = Files.createTempDirectory("data-folder-check");
         try (FolderDisk disk = new FolderDisk(folder)) {
             final WriteAheadLog writeAheadLog = WriteAheadLog.recover(disk).writeAheadLog();
@@ -93,25 +94,25 @@
                     1,
                     1,
                     1 << 20);
-            long written = obey(writeAheadLog, node.start(true, new Time(0, 0)));
+            long written = execute(writeAheadLog, node.start(true, new Time(0, 0)));
             for (long now = 100; now < 3_000; now += 100) {
                 written = Math.max(
                         written,
-                        obey(
+                        execute(
                                 writeAheadLog,
                                 node.tick(new Time(now, now), brookpath.coordination.heartbeat.HeartbeatTable.EMPTY)));
-                written = Math.max(written, obey(writeAheadLog, node.synced(written, new Time(now, now))));
+                written = Math.max(written, execute(writeAheadLog, node.synced(written, new Time(now, now))));
             }
             writeAheadLog.sync();
         }
         assertEquals(check(folder), 0, out.toString(UTF_8));
         assertTrue(out.toString(UTF_8).contains("group 1000000: epoch 1, records 1 to 3"), out.toString(UTF_8));
         final Path seg = folder.resolve("seg-0");
-        final byte[] whole = Files.readAllBytes(seg);
-        Files.write(seg, java.util.Arrays.copyOf(whole, whole.length - 5));
+        final byte[] intact = Files.readAllBytes(seg);
+        Files.write(seg, java.util.Arrays.copyOf(intact, intact.length - 5));
         assertEquals(check(folder), 1);
         assertTrue(out.toString(UTF_8).contains("torn tail"), out.toString(UTF_8));
-        final byte[] damaged = whole.clone();
+        final byte[] damaged = intact.clone();
         damaged[12] ^= 1;
         Files.write(seg, damaged);
         assertEquals(check(folder), 1);
@@ -121,14 +122,14 @@
         assertEquals(DataFolderCheck.run(new String[0], new PrintStream(out), new PrintStream(out)), 2);
     }
 
-    private static long obey(final WriteAheadLog writeAheadLog, final List<Action> actions) {
-        long n = 0;
+    private static long execute(final WriteAheadLog writeAheadLog, final List<Action> actions) {
+        long lastWrite = 0;
         for (final Action a : actions) {
             if (a instanceof Action.Write w) {
                 writeAheadLog.append(w.entry());
-                n = w.number();
+                lastWrite = w.number();
             }
         }
-        return n;
+        return lastWrite;
     }
 }
--- a/testing/src/test/java/brookpath/testing/FleetSmokeTest.java
+++ b/testing/src/test/java/brookpath/testing/FleetSmokeTest.java
@@ -6,7 +6,7 @@
 import static org.testng.Assert.assertTrue;
 
 import brookpath.testing.fleet.Fleet;
-import brookpath.testing.fleet.Fleet.Unit;
+import brookpath.testing.fleet.Fleet.FleetProcess;
 import brookpath.tools.explain.Explain;
 import brookpath.tools.plan.Plan;
 import java.io.ByteArrayOutputStream;
@@ -26,15 +26,15 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** Real processes, real HTTP: safety and status codes only; how long anything takes is not looked at. */
+/** Tests safety and status codes with real processes and real HTTP; no duration is checked. */
 @Test(groups = FleetSmokeTest.REAL_PROCESSES)
 public final class FleetSmokeTest {
-    /** The group of tests that run alone, see testng.xml. */
+    /** The test group that runs alone, see testng.xml. */
     static final String REAL_PROCESSES = "real-processes";
 
-    private static final int PATIENCE_MS = 120_000;
+    private static final int TIMEOUT_MS = 120_000;
     private static final String KEY = "Bearer key-jadran-1";
-    private static final String DOC =
+    private static final String DOCUMENT =
             "{\"basedOn\":0,\"changeId\":\"first\",\"spaces\":[{\"name\":\"permits\",\"keepingSeconds\":60}],"
                     + "\"tenants\":[{\"name\":\"jadran\",\"spaces\":[\"permits\"],\"keys\":[\"key-jadran-1\"]},"
                     + "{\"name\":\"other\",\"spaces\":[],\"keys\":[\"key-other-1\"]}]}";
@@ -48,8 +48,8 @@
         final Path folder = Files.createTempDirectory("brookpath-smoke");
         fleet = new Fleet(folder, 0, 2, null, "");
         fleet.start();
-        assertTrue(fleet.awaitReady(PATIENCE_MS), "fleet did not become ready");
-        assertEquals(change(DOC).statusCode(), 200);
+        assertTrue(fleet.awaitReady(TIMEOUT_MS), "fleet did not become ready");
+        assertEquals(change(DOCUMENT).statusCode(), 200);
     }
 
     @AfterClass(groups = REAL_PROCESSES, alwaysRun = true)
@@ -57,8 +57,8 @@
         fleet.close();
     }
 
-    private HttpResponse<String> change(final String doc) throws Exception {
-        return fleet.post(fleet.units().get(2), "/v1/changes", doc);
+    private HttpResponse<String> change(final String document) throws Exception {
+        return fleet.post(fleet.processes().get(2), "/v1/changes", document);
     }
 
     private HttpResponse<String> publish(final int gateway, final String topic, final String auth, final String body)
@@ -100,7 +100,7 @@
     }
 
     @Test
-    public void committedMessagesOutliveTheirLeader() throws Exception {
+    public void committedMessagesSurviveTheLossOfTheirLeader() throws Exception {
         final Iterator<String> lines = listen(1, "");
         final String begin = cursor(lines.next());
         for (int seq = 1; seq <= 5; seq++) {
@@ -112,20 +112,21 @@
             assertTrue(last.contains("\"sequence\":" + seq + ","), last);
         }
         final String middle = cursor(last);
-        // why: whoever leaders the topic is among them; each in turn is killed with -9 and comes back
+        // the topic's leader is one of these nodes; each in turn is killed with SIGKILL and restarted
         long seq = 5;
-        for (final Unit u : fleet.storages().subList(0, 2)) {
-            u.kill();
+        for (final FleetProcess process : fleet.storages().subList(0, 2)) {
+            process.kill();
             seq++;
             int status = 0;
-            for (int go = 0; go < 600 && status != 200; go++) {
-                status = publish(go % 2, "permits/north", KEY, message(seq)).statusCode();
+            for (int attempt = 0; attempt < 600 && status != 200; attempt++) {
+                status =
+                        publish(attempt % 2, "permits/north", KEY, message(seq)).statusCode();
                 assertTrue(status == 200 || status == 503 || status == 504, "status " + status);
             }
-            assertEquals(status, 200, "nothing was accepted after a master was killed");
-            u.start(false);
-            assertTrue(fleet.awaitReady(PATIENCE_MS));
-            awaitWhole(u);
+            assertEquals(status, 200, "no publish was committed after a storage node was killed");
+            process.start(false);
+            assertTrue(fleet.awaitReady(TIMEOUT_MS));
+            awaitRecovered(process);
         }
         final Iterator<String> again = listen(0, begin);
         for (int n = 1; n <= seq; n++) {
@@ -136,49 +137,49 @@
         assertTrue(sixth.contains("\"sequence\":6,"), sixth);
     }
 
-    /** A machine that came back counts again once it hears a leader in each of its groups. */
-    private void awaitWhole(final Unit u) throws Exception {
-        final long end = System.nanoTime() + PATIENCE_MS * 1_000_000L;
+    /** Waits until a restarted node has recovered, that is, hears a leader in each of its groups. */
+    private void awaitRecovered(final FleetProcess process) throws Exception {
+        final long end = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
         String status = "";
         while (System.nanoTime() < end) {
-            status = fleet.get(u, "/v1/status");
+            status = fleet.get(process, "/v1/status");
             if (status.contains("\"group\":")
                     && !status.contains("\"master\":0")
                     && !status.contains("\"lost\":true")) {
                 return;
             }
         }
-        throw new AssertionError("node " + u.node + " did not come back whole: " + status);
+        throw new AssertionError("node " + process.node + " did not recover: " + status);
     }
 
-    private String awaitStatus(final Unit u, final String part) throws Exception {
-        final long end = System.nanoTime() + PATIENCE_MS * 1_000_000L;
+    private String awaitStatus(final FleetProcess process, final String part) throws Exception {
+        final long end = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
         String status = "";
         while (System.nanoTime() < end && !status.contains(part)) {
-            status = fleet.get(u, "/v1/status");
+            status = fleet.get(process, "/v1/status");
         }
         assertTrue(status.contains(part), part + " is not in " + status);
         return status;
     }
 
     @Test
-    public void settingsChangedUnderARunningProcessAreTakenOrKeptOut() throws Exception {
-        final Unit u = fleet.units().get(3);
-        final String good = Files.readString(u.settings()).strip();
-        Files.writeString(u.settings(), good.substring(0, good.length() - 1) + ",\"segmentBytes\":123456}");
-        awaitStatus(u, "\"segmentBytes\":123456");
-        Files.writeString(u.settings(), good.replace("\"zone\":", "\"zone\":1,\"colour\":"));
-        final String status = awaitStatus(u, "\"/colour\"");
+    public void changedSettingsAreAppliedOrRejectedAtRuntime() throws Exception {
+        final FleetProcess process = fleet.processes().get(3);
+        final String valid = Files.readString(process.settings()).strip();
+        Files.writeString(process.settings(), valid.substring(0, valid.length() - 1) + ",\"segmentBytes\":123456}");
+        awaitStatus(process, "\"segmentBytes\":123456");
+        Files.writeString(process.settings(), valid.replace("\"zone\":", "\"zone\":1,\"colour\":"));
+        final String status = awaitStatus(process, "\"/colour\"");
         assertTrue(status.contains("\"segmentBytes\":123456") && status.contains("\"/zone\""), status);
-        Files.delete(u.settings());
-        awaitStatus(u, "is gone");
-        Files.writeString(u.settings(), good);
-        awaitStatus(u, "\"keptOut\":[]");
-        assertEquals(change(DOC).statusCode(), 200, "it goes on with what it had");
+        Files.delete(process.settings());
+        awaitStatus(process, "is gone");
+        Files.writeString(process.settings(), valid);
+        awaitStatus(process, "\"keptOut\":[]");
+        assertEquals(change(DOCUMENT).statusCode(), 200, "the process continues with its previous settings");
     }
 
     @Test
-    public void badInputIsRefusedWithItsPlace() throws Exception {
+    public void invalidInputIsRefusedWithItsLocation() throws Exception {
         assertEquals(
                 publish(0, "permits/north", "Bearer nobody-knows", message(1)).statusCode(), 401);
         assertEquals(
@@ -186,11 +187,11 @@
         assertEquals(publish(0, "closures/x", KEY, message(1)).statusCode(), 403);
         assertEquals(publish(0, "permits/a%20b", KEY, message(1)).statusCode(), 400);
         assertEquals(publish(0, "permits/x", KEY, "not json").statusCode(), 400);
-        final HttpResponse<String> three =
+        final HttpResponse<String> response =
                 publish(0, "permits/x", KEY, "{\"sender\":\"a b\",\"sequence\":-1,\"massage\":\"\"}");
-        assertEquals(three.statusCode(), 400);
+        assertEquals(response.statusCode(), 400);
         for (final String place : new String[] {"/sender", "/sequence", "/massage", "/message"}) {
-            assertTrue(three.body().contains("\"" + place + "\""), three.body());
+            assertTrue(response.body().contains("\"" + place + "\""), response.body());
         }
         assertEquals(
                 publish(
@@ -212,8 +213,8 @@
         assertEquals(publish(0, "permits/x", KEY, message(9)).statusCode(), 200);
         assertEquals(publish(1, "permits/x", KEY, message(8)).statusCode(), 409);
         assertEquals(change("nonsense").statusCode(), 400);
-        assertEquals(change(DOC.replace("first", "stale")).statusCode(), 409);
-        assertEquals(change(DOC).statusCode(), 200, "the same change again");
+        assertEquals(change(DOCUMENT.replace("first", "stale")).statusCode(), 409);
+        assertEquals(change(DOCUMENT).statusCode(), 200, "the same change again");
         final HttpResponse<String> wrong = change(
                 "{\"basedOn\":1,\"changeId\":\"wrong\",\"colour\":1,\"spaces\":[{\"name\":\"a\",\"keepingSeconds\":0,"
                         + "\"replSize\":5},{\"name\":\"a\",\"keepingSeconds\":\"x\"}],\"tenants\":[{\"name\":\"t\",\"spaces\":[\"none\"],\"keys\":[\"key-12345\",\"key-12345\"]}]}");
@@ -229,19 +230,19 @@
         }) {
             assertTrue(wrong.body().contains("\"" + place + "\""), place + " is not in " + wrong.body());
         }
-        assertTrue(fleet.get(fleet.units().get(3), "/v1/spec").contains("\"version\":1,"));
+        assertTrue(fleet.get(fleet.processes().get(3), "/v1/spec").contains("\"version\":1,"));
     }
 
     @Test
-    public void clueTellsWhereAPublishGoesAndWhoIsMissing() throws Exception {
+    public void explainShowsTheRouteAndUnreachableProcesses() throws Exception {
         final StringBuilder at = new StringBuilder();
-        for (final Unit u : new Unit[] {
-            fleet.gateways().get(0), fleet.storages().get(3), fleet.units().get(1)
+        for (final FleetProcess process : new FleetProcess[] {
+            fleet.gateways().get(0), fleet.storages().get(3), fleet.processes().get(1)
         }) {
             at.append(at.length() == 0 ? "" : ",")
                     .append(Fleet.HOST)
                     .append(':')
-                    .append(u.httpPort);
+                    .append(process.httpPort);
         }
         final ByteArrayOutputStream out = new ByteArrayOutputStream();
         final ByteArrayOutputStream err = new ByteArrayOutputStream();
@@ -279,39 +280,39 @@
     }
 
     private static String plan(final int exit, final String... args) throws Exception {
-        final ByteArrayOutputStream said = new ByteArrayOutputStream();
-        assertEquals(Plan.run(args, new PrintStream(said), new PrintStream(said)), exit, said.toString(UTF_8));
-        return said.toString(UTF_8);
+        final ByteArrayOutputStream printed = new ByteArrayOutputStream();
+        assertEquals(Plan.run(args, new PrintStream(printed), new PrintStream(printed)), exit, printed.toString(UTF_8));
+        return printed.toString(UTF_8);
     }
 
     @Test
-    public void thePlannerTellsWhatWouldBeDoneAndDoesNothing() throws Exception {
-        final String at = Fleet.HOST + ":" + fleet.units().get(2).httpPort;
+    public void planPrintsTheStepsAndChangesNothing() throws Exception {
+        final String at = Fleet.HOST + ":" + fleet.processes().get(2).httpPort;
         final String before =
-                fleet.get(fleet.units().get(2), "/v1/status").replaceAll(".*\"rosterVersion\":([0-9]+).*", "$1");
+                fleet.get(fleet.processes().get(2), "/v1/status").replaceAll(".*\"rosterVersion\":([0-9]+).*", "$1");
         final String steps = plan(0, "--retire", "12", "--at", at);
         assertTrue(
-                steps.contains("learns it")
-                        && steps.contains("votes")
-                        && steps.contains("node 12 lets it go")
+                steps.contains("becomes a learner")
+                        && steps.contains("becomes a voter")
+                        && steps.contains("node 12 is removed from the group")
                         && steps.contains("node 12 in zone b holds 0"),
                 steps);
         assertTrue(plan(1, "--retire", "99", "--at", at).contains("/storages/99"));
         assertTrue(plan(0, "--drain", "31", "--at", at).contains("[32]"));
-        final Path doc = Files.createTempFile("change", ".json");
+        final Path documentFile = Files.createTempFile("change", ".json");
         Files.writeString(
-                doc,
-                DOC.replace("\"basedOn\":0", "\"basedOn\":7")
+                documentFile,
+                DOCUMENT.replace("\"basedOn\":0", "\"basedOn\":7")
                         .replace("\"key-other-1\"", "")
                         .replace("\"first\"", "\"next\""));
-        final String change = plan(1, "--change", doc.toString(), "--at", Fleet.HOST + ":1," + at);
+        final String change = plan(1, "--change", documentFile.toString(), "--at", Fleet.HOST + ":1," + at);
         assertTrue(
                 change.contains("/basedOn")
-                        && change.contains("1 keys go")
+                        && change.contains("1 keys removed")
                         && change.contains(":1: could not be reached"),
                 change);
-        Files.writeString(doc, "{\"spaces\":7}");
-        assertTrue(plan(1, "--change", doc.toString(), "--at", at).contains("/changeId"));
+        Files.writeString(documentFile, "{\"spaces\":7}");
+        assertTrue(plan(1, "--change", documentFile.toString(), "--at", at).contains("/changeId"));
         final String wrong = plan(2, "--retire", "x", "--drain", "3", "stray");
         assertTrue(
                 wrong.contains("--retire")
@@ -320,20 +321,20 @@
                         && wrong.contains("one of"),
                 wrong);
         assertEquals(
-                fleet.get(fleet.units().get(2), "/v1/status").replaceAll(".*\"rosterVersion\":([0-9]+).*", "$1"),
+                fleet.get(fleet.processes().get(2), "/v1/status").replaceAll(".*\"rosterVersion\":([0-9]+).*", "$1"),
                 before);
     }
 
     @Test
-    public void aMalformedFrameEndsItsSessionAlone() throws Exception {
-        final Unit u = fleet.storages().get(3);
-        try (Socket s = new Socket(Fleet.HOST, u.peerPort())) {
+    public void malformedFrameClosesOnlyItsOwnConnection() throws Exception {
+        final FleetProcess process = fleet.storages().get(3);
+        try (Socket s = new Socket(Fleet.HOST, process.peerPort())) {
             final OutputStream os = s.getOutputStream();
             os.write(new byte[] {0, 0, 0, 12, 0, 0, 0, 99, 1, 2, 3, 4, 5, 6, 7, 8});
             os.flush();
-            assertEquals(s.getInputStream().read(), -1, "the session was not closed");
+            assertEquals(s.getInputStream().read(), -1, "the connection was not closed");
         }
-        assertTrue(fleet.get(u, "/v1/wire").contains("\"malformedFrames\":1,"), fleet.get(u, "/v1/wire"));
-        assertFalse(fleet.get(u, "/v1/status").isEmpty());
+        assertTrue(fleet.get(process, "/v1/wire").contains("\"malformedFrames\":1,"), fleet.get(process, "/v1/wire"));
+        assertFalse(fleet.get(process, "/v1/status").isEmpty());
     }
 }
--- a/tools/src/main/java/brookpath/tools/ask/StatusClient.java
+++ b/tools/src/main/java/brookpath/tools/ask/StatusClient.java
@@ -15,30 +15,30 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads pages of running processes over HTTP, and collects what could not be read. Used by one thread. */
+/** Reads status pages of running processes over HTTP, and collects the failed reads. Not thread-safe. */
 public final class StatusClient {
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
     private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(5);
 
     private final HttpClient http =
             HttpClient.newBuilder().connectTimeout(CONNECT_TIMEOUT).build();
-    private final List<Finding> missing = new ArrayList<>();
+    private final List<Finding> unreadable = new ArrayList<>();
 
-    /** What could not be read so far, and why; callers may add to it. */
-    public List<Finding> missing() {
-        return missing;
+    /** The failed reads so far with their reasons; callers may add further ones. */
+    public List<Finding> unreadable() {
+        return unreadable;
     }
 
     /**
-     * Reads a page; null, with a finding, where it cannot be read.
+     * Reads a page; returns null and adds a finding if it cannot be read.
      *
-     * @param at the process, host:port
-     * @param key a caller's key, or empty
+     * @param address the HTTP address of the process, host:port
+     * @param key the key of a caller; may be empty
      */
-    public JsonObject get(final String at, final String path, final String key) throws InterruptedException {
+    public JsonObject get(final String address, final String path, final String key) throws InterruptedException {
         try {
             final HttpResponse<String> response = http.send(
-                    HttpRequest.newBuilder(URI.create("http://" + at + path))
+                    HttpRequest.newBuilder(URI.create("http://" + address + path))
                             .timeout(REQUEST_TIMEOUT)
                             .header("Authorization", "Bearer " + key)
                             .build(),
@@ -47,18 +47,18 @@
                 return reader.readObject();
             }
         } catch (final IOException | IllegalArgumentException ex) {
-            missing.add(new Finding(at, "could not be reached: " + ex));
+            unreadable.add(new Finding(address, "could not be reached: " + ex));
         } catch (final JsonException ex) {
-            missing.add(new Finding(at + path, "did not respond as a brookpath process does: " + ex.getMessage()));
+            unreadable.add(new Finding(address + path, "did not respond like a brookpath process: " + ex.getMessage()));
         }
         return null;
     }
 
-    /** Adds a finding for each entry of a flag's list that is not host:port. */
+    /** Adds a finding for each entry of an option's comma-separated list that is not host:port. */
     public static void check(final String flag, final String addresses, final List<Finding> findings) {
-        for (final String at : addresses.split(",")) {
-            if (!at.matches("[^:/]+:[0-9]{1,5}")) {
-                findings.add(new Finding(flag, "\"" + at + "\" must be host:port"));
+        for (final String address : addresses.split(",")) {
+            if (!address.matches("[^:/]+:[0-9]{1,5}")) {
+                findings.add(new Finding(flag, "\"" + address + "\" must be host:port"));
             }
         }
     }
--- a/tools/src/main/java/brookpath/tools/ask/package-info.java
+++ b/tools/src/main/java/brookpath/tools/ask/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Reads pages of running processes over HTTP, for the operators' tools: {@link brookpath.tools.ask.StatusClient}, used
- * by one thread, collects what could not be read.
+ * Reads status pages of running processes over HTTP for the operators' tools: {@link brookpath.tools.ask.StatusClient},
+ * which is not thread-safe, collects the failed reads.
  */
 package brookpath.tools.ask;
--- a/tools/src/main/java/brookpath/tools/cli/CommandLineTool.java
+++ b/tools/src/main/java/brookpath/tools/cli/CommandLineTool.java
@@ -15,12 +15,12 @@
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
 
-/** Runs an operators' tool: reads its command line, and reports all that is wrong with it together. */
+/** Runs an operators' tool: parses its command line, and reports all errors in it together. */
 public final class CommandLineTool {
-    /** Exit code: all was done. */
+    /** Exit code: success. */
     public static final int OK = 0;
 
-    /** Exit code: something could not be reached or read, or would be refused; the rest was done. */
+    /** Exit code: something could not be reached or read, or would be refused; everything else was done. */
     public static final int INCOMPLETE = 1;
 
     /** Exit code: the command line is wrong; nothing was done. */
@@ -31,21 +31,21 @@
 
     private CommandLineTool() {}
 
-    /** Looks for what is wrong with a command line that could be parsed. */
+    /** Validates a command line that was parsed. */
     @FunctionalInterface
     public interface Check {
-        /** @param findings what is wrong is added here */
+        /** @param findings errors are added here */
         void check(CommandLine line, List<Finding> findings);
     }
 
-    /** What the tool does with a good command line. */
+    /** The work of the tool, given a valid command line. */
     @FunctionalInterface
     public interface Body {
         /** Returns the exit code. */
         int execute(CommandLine line) throws InterruptedException;
     }
 
-    /** Returns the exit code. The option "help" prints the usage and does nothing else. */
+    /** Runs the tool and returns the exit code. The option "help" only prints the usage. */
     public static int run(
             final String tool,
             final Options options,
@@ -81,7 +81,7 @@
         }
     }
 
-    /** Prints findings, one a line, each with the tool's name. */
+    /** Prints one finding per line, each prefixed with the name of the tool. */
     public static void print(final String tool, final List<Finding> findings, final PrintStream err) {
         findings.forEach(finding -> err.println(tool + ": " + finding));
     }
--- a/tools/src/main/java/brookpath/tools/cli/package-info.java
+++ b/tools/src/main/java/brookpath/tools/cli/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What the operators' tools share on the command line: {@link brookpath.tools.cli.CommandLineTool} parses options,
- * prints findings and usage, and defines the exit codes. No state, one thread.
+ * Command-line support shared by the operators' tools: {@link brookpath.tools.cli.CommandLineTool} parses options,
+ * prints findings and usage, and defines the exit codes. Stateless.
  */
 package brookpath.tools.cli;
--- a/tools/src/main/java/brookpath/tools/datafolder/DataFolderCheck.java
+++ b/tools/src/main/java/brookpath/tools/datafolder/DataFolderCheck.java
@@ -18,7 +18,7 @@
 import java.util.stream.Stream;
 
 /**
- * Checks data folders while no process uses them, and changes nothing in them; of several it shows whether their
+ * Checks data folders that no process is using, without changing them; given several, it also checks whether their
  * replicas agree.
  */
 public final class DataFolderCheck {
@@ -47,7 +47,7 @@
     public static int run(final String[] args, final PrintStream out, final PrintStream err) {
         final List<String> flags =
                 Stream.of(args).filter(arg -> arg.startsWith(FLAG_PREFIX)).toList();
-        flags.forEach(flag -> err.println(TOOL + ": " + flag + ": there are no flags"));
+        flags.forEach(flag -> err.println(TOOL + ": " + flag + ": this tool has no options"));
         if (args.length == 0 || !flags.isEmpty()) {
             err.println("usage: " + TOOL + " DATA-FOLDER...");
             return CommandLineTool.WRONG_ARGUMENTS;
@@ -65,18 +65,18 @@
             return;
         }
         out.println("folder " + folder);
-        final List<String> findingsHere = new ArrayList<>();
+        final List<String> folderFindings = new ArrayList<>();
         try {
             final WriteAheadLog.Inspection log = WriteAheadLog.inspect(new ReadOnlyDisk(folder));
-            findingsHere.addAll(log.findings());
+            folderFindings.addAll(log.findings());
             printLog(log);
-            final TreeMap<Integer, GroupMachine> groups = StoredGroups.replay(log.replayed(), findingsHere);
-            groups.forEach((id, group) -> checkGroup(id, group, findingsHere));
+            final TreeMap<Integer, GroupMachine> groups = StoredGroups.replay(log.replayed(), folderFindings);
+            groups.forEach((id, group) -> checkGroup(id, group, folderFindings));
             groupsByFolder.put(folder.toString(), groups);
         } catch (final UncheckedIOException ex) {
-            findingsHere.add(ex.getMessage());
+            folderFindings.add(ex.getMessage());
         }
-        findingsHere.forEach(finding -> findings.add(folder + ": " + finding));
+        folderFindings.forEach(finding -> findings.add(folder + ": " + finding));
     }
 
     private void printLog(final WriteAheadLog.Inspection log) {
@@ -86,11 +86,11 @@
                 + log.entries().size() + " entries");
     }
 
-    private void checkGroup(final int id, final GroupMachine group, final List<String> findingsHere) {
+    private void checkGroup(final int id, final GroupMachine group, final List<String> folderFindings) {
         printGroup(id, group);
         for (long index = group.baseIndex() + 1; index <= group.endIndex(); index++) {
             if (!group.logRecord(index).isIntact()) {
-                findingsHere.add("group " + id + ": record " + index + " does not fit its checksum");
+                folderFindings.add("group " + id + ": record " + index + " does not match its checksum");
             }
         }
     }
@@ -98,7 +98,7 @@
     private void printGroup(final int id, final GroupMachine group) {
         out.println("group " + id + ": epoch " + group.term() + ", records " + (group.baseIndex() + 1) + " to "
                 + group.endIndex() + ", publishes " + publishes(group)
-                + (group.lost() ? ", lost: is being rebuilt" : "") + ", group version "
+                + (group.lost() ? ", lost: being rebuilt" : "") + ", group version "
                 + group.membership().version());
         if (group.live() instanceof ControlState state) {
             final StoredConfiguration newest = state.configurationAt(NEWEST);
@@ -121,8 +121,8 @@
     private void compareFolders() {
         final List<String> folders = new ArrayList<>(groupsByFolder.keySet());
         for (int i = 0; i < folders.size(); i++) {
-            for (int k = i + 1; k < folders.size(); k++) {
-                compareFolders(folders.get(i), folders.get(k));
+            for (int j = i + 1; j < folders.size(); j++) {
+                compareFolders(folders.get(i), folders.get(j));
             }
         }
     }
--- a/tools/src/main/java/brookpath/tools/datafolder/ReadOnlyDisk.java
+++ b/tools/src/main/java/brookpath/tools/datafolder/ReadOnlyDisk.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A data folder as a disk that can only be read, without taking its lock. */
+/** A read-only disk on a data folder, which does not take the lock of the folder. */
 record ReadOnlyDisk(Path folder) implements Disk {
     @Override
     public DiskFile open(final String name) {
@@ -45,7 +45,7 @@
 
             @Override
             public void close() {
-                // why: no file stays open between two reads
+                // no file stays open between reads
             }
         };
     }
@@ -75,6 +75,6 @@
     }
 
     private static UnsupportedOperationException readOnly() {
-        return new UnsupportedOperationException("a data folder is only read here");
+        return new UnsupportedOperationException("the data folder is read-only");
     }
 }
--- a/tools/src/main/java/brookpath/tools/datafolder/ReplicaComparison.java
+++ b/tools/src/main/java/brookpath/tools/datafolder/ReplicaComparison.java
@@ -3,8 +3,8 @@
 import brookpath.coordination.group.GroupMachine;
 
 /**
- * Compares two replicas of a group. The same term at the same index must mean the same log up to there; a tail of
- * another term is what a start would truncate.
+ * Compares two replicas of a group. If both have the same term at an index, their logs must be identical up to it; a
+ * tail with differing terms is not committed in one of them, which truncates it when it starts.
  */
 final class ReplicaComparison {
     private final GroupMachine first;
@@ -19,7 +19,7 @@
         lastCommonIndex = Math.min(first.endIndex(), second.endIndex());
     }
 
-    /** The first index at which the terms part; one behind the last common index where they do not. */
+    /** The first index at which the terms differ; one after the last common index if they do not. */
     private long indexOfDivergence() {
         long index = firstCommonIndex;
         while (index <= lastCommonIndex && termsAgree(index)) {
@@ -32,7 +32,7 @@
         return first.logRecord(index).term() == second.logRecord(index).term();
     }
 
-    /** The first index at which the logs differ though their terms agree, 0 for none. */
+    /** The first index at which the logs differ although their terms agree; 0 if there is none. */
     long indexOfContradiction() {
         for (long index = firstCommonIndex; index <= lastCommonIndex && termsAgree(index); index++) {
             if (first.digestAt(index) != second.digestAt(index)) {
@@ -42,16 +42,16 @@
         return 0;
     }
 
-    /** What to print on the two folders. */
+    /** The result of the comparison as text for operators. */
     String describe(final String firstFolder, final String secondFolder) {
         final String folders = firstFolder + " and " + secondFolder;
         final long contradiction = indexOfContradiction();
         final long divergence = indexOfDivergence();
         if (contradiction == 0 && divergence <= lastCommonIndex) {
-            return folders + " part at record " + divergence + ", epochs "
+            return folders + " diverge at record " + divergence + ", epochs "
                     + first.logRecord(divergence).term() + " and "
                     + second.logRecord(divergence).term()
-                    + "; the older tail was not committed and is truncated at its start";
+                    + "; the older tail was not committed and is truncated when its node starts";
         }
         final long end = contradiction == 0 ? divergence : contradiction;
         return folders + " agree on " + (end - firstCommonIndex) + " records, ends " + first.endIndex() + " and "
--- a/tools/src/main/java/brookpath/tools/datafolder/StoredGroups.java
+++ b/tools/src/main/java/brookpath/tools/datafolder/StoredGroups.java
@@ -13,20 +13,20 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** Rebuilds the replication groups that a data folder holds. */
+/** Restores the replication groups from the write-ahead log of a data folder. */
 final class StoredGroups {
     private static final int ANY_NODE = 0;
     private static final int ANY_TOLERATED_LOSSES = 1;
     private static final long ANY_SEED = 0;
-    private static final long TIME_OF_REPLAY = 0;
+    private static final long REPLAY_TIME = 0;
 
     private StoredGroups() {}
 
     /**
-     * Replays the entries of a log, oldest first.
+     * Replays the entries of a write-ahead log, oldest first.
      *
-     * @param findings each entry that cannot be replayed is added here
-     * @return the groups by their numbers
+     * @param findings a finding is added here for each entry that cannot be replayed
+     * @return the groups by group number
      */
     static TreeMap<Integer, GroupMachine> replay(final List<byte[]> entries, final List<String> findings) {
         final TreeMap<Integer, GroupMachine> groups = new TreeMap<>();
@@ -46,7 +46,7 @@
         switch (TopicGroups.scopeOf(entry)) {
             case NODE -> ClusterMetadata.load(in.skipBytes(Long.BYTES).getBytes());
             case DROPPED_GROUP -> groups.remove(id);
-            case GROUP -> groups.computeIfAbsent(id, StoredGroups::emptyGroup).replay(in, TIME_OF_REPLAY);
+            case GROUP -> groups.computeIfAbsent(id, StoredGroups::emptyGroup).replay(in, REPLAY_TIME);
         }
     }
 
--- a/tools/src/main/java/brookpath/tools/explain/Explain.java
+++ b/tools/src/main/java/brookpath/tools/explain/Explain.java
@@ -25,13 +25,13 @@
     private static final int UNKNOWN_GROUP = -1;
     private static final int HTTP_OK = 200;
 
-    /** The values of a process's role on its status page. */
+    /** The values of the role on a status page. */
     private static final String ROLE_GATEWAY = "front";
 
     private static final String ROLE_STORAGE = "storage";
     private static final String ROLE_CONTROLLER = "bailiff";
 
-    /** How the lines of the control group begin in the noted events. */
+    /** The start of the lines on the control group in the log ring. */
     private static final String CONTROL_GROUP_LINE = "group 1000000:";
 
     private final PrintStream out;
@@ -53,17 +53,9 @@
                 .addOption(null, TOPIC, true, "explain a publish to, and a subscription of, this topic (space/name)")
                 .addOption(null, KEY, true, "the caller's key")
                 .addOption(null, CHANGE, true, "explain the change with this ID")
-                .addOption(
-                        null,
-                        AT,
-                        true,
-                        "HTTP addresses of running processes, host:port,...; any of them, of every kind")
-                .addOption(
-                        null,
-                        RING,
-                        true,
-                        "a ring.log that was written out; its lines on the topic, its group or the change")
-                .addOption("h", "help", false, "this text");
+                .addOption(null, AT, true, "HTTP addresses of running processes of any role, host:port,...")
+                .addOption(null, RING, true, "a ring.log file; prints its lines on the topic, its group or the change")
+                .addOption("h", "help", false, "print this help");
     }
 
     /**
@@ -99,13 +91,13 @@
             }
         }
         if (line.hasOption(RING)) {
-            printNotedEvents(Path.of(line.getOptionValue(RING)), line, group);
+            printLogRing(Path.of(line.getOptionValue(RING)), line, group);
         }
-        CommandLineTool.print(TOOL, client.missing(), err);
-        return client.missing().isEmpty() ? CommandLineTool.OK : CommandLineTool.INCOMPLETE;
+        CommandLineTool.print(TOOL, client.unreadable(), err);
+        return client.unreadable().isEmpty() ? CommandLineTool.OK : CommandLineTool.INCOMPLETE;
     }
 
-    /** Queries one process for its part; returns the topic's group where its page shows it. */
+    /** Explains the part of one process; returns the group of the topic if the page of the process shows it. */
     private int explainProcess(final String address, final CommandLine line, final int group)
             throws InterruptedException {
         final JsonObject status = client.get(address, "/v1/status", "");
@@ -133,12 +125,12 @@
         out.println("gateway " + page.getInt("node") + " (" + address + "), configuration "
                 + page.getJsonNumber("specVersion") + ", lease left " + page.getJsonNumber("specLeaseLeftMs") + " ms");
         final int status = page.getInt("status");
-        final String fate =
+        final String routing =
                 status == HTTP_OK ? "is forwarded to node " + page.getInt("master") : "is refused with " + status;
-        out.println("  a publish " + fate + ": " + page.getString("because"));
+        out.println("  a publish " + routing + ": " + page.getString("because"));
         if (page.containsKey("table")) {
             out.println("  a subscription reads group " + page.getInt("group") + " from node "
-                    + page.getInt("readsFrom") + "; the table as seen:");
+                    + page.getInt("readsFrom") + "; members of the group as the gateway sees them:");
             printRows(page.getJsonArray("table"));
         }
         return page.getInt("group");
@@ -190,28 +182,28 @@
         rows.forEach(row -> out.println("    " + row));
     }
 
-    private void printNotedEvents(final Path file, final CommandLine line, final int group) {
+    private void printLogRing(final Path file, final CommandLine line, final int group) {
         try {
-            out.println("ring " + file);
-            for (final String event : Files.readAllLines(file)) {
-                if (concerns(event, line, group)) {
-                    out.println("  " + event);
+            out.println("log ring " + file);
+            for (final String entry : Files.readAllLines(file)) {
+                if (concerns(entry, line, group)) {
+                    out.println("  " + entry);
                 }
             }
         } catch (final IOException ex) {
-            client.missing().add(new Finding(file.toString(), "cannot be read: " + ex));
+            client.unreadable().add(new Finding(file.toString(), "cannot be read: " + ex));
         }
     }
 
-    /** Whether a noted event is on the topic, its group or the change. */
-    private static boolean concerns(final String event, final CommandLine line, final int group) {
-        if (line.hasOption(TOPIC) && event.contains("publish " + line.getOptionValue(TOPIC) + " ")) {
+    /** Whether an entry of the log ring concerns the topic, its group or the change. */
+    private static boolean concerns(final String entry, final CommandLine line, final int group) {
+        if (line.hasOption(TOPIC) && entry.contains("publish " + line.getOptionValue(TOPIC) + " ")) {
             return true;
         }
-        if (group != UNKNOWN_GROUP && event.contains("group " + group + ":")) {
+        if (group != UNKNOWN_GROUP && entry.contains("group " + group + ":")) {
             return true;
         }
         return line.hasOption(CHANGE)
-                && (event.contains(line.getOptionValue(CHANGE)) || event.contains(CONTROL_GROUP_LINE));
+                && (entry.contains(line.getOptionValue(CHANGE)) || entry.contains(CONTROL_GROUP_LINE));
     }
 }
--- a/tools/src/main/java/brookpath/tools/explain/package-info.java
+++ b/tools/src/main/java/brookpath/tools/explain/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The tool {@code bin/explain}: why a request was, or would be, routed where it was.
- * {@link brookpath.tools.explain.Explain} reads the pages of running processes on one thread and changes nothing.
+ * The tool {@code bin/explain}: explains why a request was, or would be, routed as it was.
+ * {@link brookpath.tools.explain.Explain} reads status pages of running processes on one thread and changes nothing.
  */
 package brookpath.tools.explain;
--- a/tools/src/main/java/brookpath/tools/plan/DrainPlan.java
+++ b/tools/src/main/java/brookpath/tools/plan/DrainPlan.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** Where the sessions of a gateway would go, were it drained. */
+/** Reports where the sessions of a gateway would go if it were drained. */
 final class DrainPlan {
     private final StatusPages pages;
     private final PlanReport report;
@@ -14,34 +14,36 @@
         this.report = report;
     }
 
-    /** Reports each step, and the gateways that are left. */
+    /** Reports each step, and the gateways that remain. */
     void report(final int node) {
         final String place = "/fronts/" + node;
         final String zone = zoneOfGateway(node);
         if (zone == null) {
-            report.object(place, "no such gateway is heard");
+            report.object(place, "the controllers know no gateway with this number");
             return;
         }
         final Set<Integer> inZone = new TreeSet<>();
-        final Set<Integer> elsewhere = new TreeSet<>();
+        final Set<Integer> inOtherZones = new TreeSet<>();
         for (final JsonObject process : pages.processes()) {
-            if (isGateway(process) && process.getInt("node") != node && takesSessions(process)) {
-                (process.getString("zone").equals(zone) ? inZone : elsewhere).add(process.getInt("node"));
+            if (isGateway(process) && process.getInt("node") != node && acceptsSessions(process)) {
+                (process.getString("zone").equals(zone) ? inZone : inOtherZones).add(process.getInt("node"));
             }
         }
-        if (inZone.isEmpty() && elsewhere.isEmpty()) {
-            report.object(place, "no other gateway is ready; its sessions would find no node");
+        if (inZone.isEmpty() && inOtherZones.isEmpty()) {
+            report.object(place, "no other gateway is ready, so its sessions could not reconnect");
             return;
         }
-        report.print("step 1: node " + node + " is not ready any more and refuses new sessions with 503");
-        report.print("step 2: its sessions end one by one over half the recovery bound, each with its cursor good");
+        report.print("step 1: node " + node + " stops reporting readiness and refuses new sessions with 503");
+        report.print(
+                "step 2: its sessions are closed one by one over half the recovery bound; their cursors stay valid");
         report.print(
                 inZone.isEmpty()
-                        ? "they go to other zones, none is left in " + zone + ": " + elsewhere
-                        : "they find in their zone " + zone + ": " + inZone + ", elsewhere: " + elsewhere);
+                        ? "its sessions move to other zones, because no gateway remains in " + zone + ": "
+                                + inOtherZones
+                        : "gateways left in zone " + zone + ": " + inZone + ", in other zones: " + inOtherZones);
     }
 
-    /** The zone of a gateway; null where the page shows no gateway of that number. */
+    /** The zone of the gateway; null if the page shows no gateway with this number. */
     private String zoneOfGateway(final int node) {
         for (final JsonObject process : pages.processes()) {
             if (isGateway(process) && process.getInt("node") == node) {
@@ -55,7 +57,7 @@
         return process.getString("role").equals(StatusPages.GATEWAY);
     }
 
-    private static boolean takesSessions(final JsonObject process) {
+    private static boolean acceptsSessions(final JsonObject process) {
         return !process.getBoolean("draining") && StatusPages.hasLease(process);
     }
 }
--- a/tools/src/main/java/brookpath/tools/plan/Plan.java
+++ b/tools/src/main/java/brookpath/tools/plan/Plan.java
@@ -14,8 +14,8 @@
 import org.apache.commons.cli.Options;
 
 /**
- * Shows what a retirement, a drain or a change would do, step by step, or why it would be refused. Changes nothing; the
- * code that decides is the controller's own.
+ * Shows step by step what a retirement, a drain or a change would do, or why it would be refused. Changes nothing. The
+ * decisions are made by the same code as in the controller.
  */
 public final class Plan {
     private static final String TOOL = "plan";
@@ -41,19 +41,16 @@
     private static Options options() {
         return new Options()
                 .addOption(
-                        null,
-                        AT,
-                        true,
-                        "HTTP addresses of controllers, host:port,...; the first that responds is asked")
-                .addOption(null, RETIRE, true, "the storage node with this number would be emptied")
-                .addOption(null, DRAIN, true, "the gateway with this number would be drained")
-                .addOption(null, CHANGE, true, "the document in this file would be submitted")
-                .addOption("h", "help", false, "this text");
+                        null, AT, true, "HTTP addresses of controllers, host:port,...; the first that responds is used")
+                .addOption(null, RETIRE, true, "plan the retirement of the storage node with this number")
+                .addOption(null, DRAIN, true, "plan the drain of the gateway with this number")
+                .addOption(null, CHANGE, true, "plan the submission of the change document in this file")
+                .addOption("h", "help", false, "print this help");
     }
 
     /**
-     * Returns the exit code: {@link CommandLineTool#OK} where it can be done, {@link CommandLineTool#INCOMPLETE} where
-     * it would be refused or something could not be read, {@link CommandLineTool#WRONG_ARGUMENTS}.
+     * Returns the exit code: {@link CommandLineTool#OK} if it can be done, {@link CommandLineTool#INCOMPLETE} if it
+     * would be refused or something could not be read, {@link CommandLineTool#WRONG_ARGUMENTS}.
      */
     public static int run(final String[] args, final PrintStream out, final PrintStream err)
             throws InterruptedException {
@@ -62,14 +59,14 @@
     }
 
     private static void check(final CommandLine line, final List<Finding> findings) {
-        final long asked =
+        final long requested =
                 Stream.of(RETIRE, DRAIN, CHANGE).filter(line::hasOption).count();
-        if (asked != 1) {
+        if (requested != 1) {
             findings.add(new Finding("flags", "one of --retire, --drain and --change is needed"));
         }
         for (final String flag : List.of(RETIRE, DRAIN)) {
             if (!line.getOptionValue(flag, "1").matches("[1-9][0-9]{0,5}")) {
-                findings.add(new Finding("--" + flag, "must be a machine's number"));
+                findings.add(new Finding("--" + flag, "must be a node number"));
             }
         }
         if (line.hasOption(AT)) {
@@ -89,15 +86,15 @@
                 return exitCode();
             }
             if (status != null) {
-                client.missing().add(new Finding(address, "is no controller that hears a control leader"));
+                client.unreadable().add(new Finding(address, "is not a controller that hears from a control leader"));
             }
         }
         return exitCode();
     }
 
     private int exitCode() {
-        CommandLineTool.print(TOOL, client.missing(), err);
-        return report.isRefused() || !client.missing().isEmpty() ? CommandLineTool.INCOMPLETE : CommandLineTool.OK;
+        CommandLineTool.print(TOOL, client.unreadable(), err);
+        return report.isRefused() || !client.unreadable().isEmpty() ? CommandLineTool.INCOMPLETE : CommandLineTool.OK;
     }
 
     private void plan(final CommandLine line, final String address, final StatusPages pages)
@@ -117,12 +114,12 @@
         try {
             document = Files.readAllBytes(file);
         } catch (final IOException ex) {
-            client.missing().add(new Finding(file.toString(), "cannot be read: " + ex));
+            client.unreadable().add(new Finding(file.toString(), "cannot be read: " + ex));
             return;
         }
-        final JsonObject present = client.get(address, "/v1/spec", "");
-        if (present != null) {
-            new ChangePlan(report).report(document, present, replicas);
+        final JsonObject current = client.get(address, "/v1/spec", "");
+        if (current != null) {
+            new ChangePlan(report).report(document, current, replicas);
         }
     }
 }
--- a/tools/src/main/java/brookpath/tools/plan/PlanReport.java
+++ b/tools/src/main/java/brookpath/tools/plan/PlanReport.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The result of a plan: its steps, printed as they are found, and the reasons why it would be refused. */
+/** The result of a plan: its steps, which are printed at once, and the reasons why it would be refused. */
 final class PlanReport {
     private final PrintStream out;
     private final List<Finding> objections = new ArrayList<>();
@@ -26,12 +26,12 @@
         objections.addAll(findings);
     }
 
-    /** Whether it would be refused. */
+    /** Whether the planned operation would be refused. */
     boolean isRefused() {
         return !objections.isEmpty();
     }
 
     void printObjections() {
-        objections.forEach(objection -> out.println("not so: " + objection));
+        objections.forEach(objection -> out.println("refused: " + objection));
     }
 }
--- a/tools/src/main/java/brookpath/tools/plan/RetirementPlan.java
+++ b/tools/src/main/java/brookpath/tools/plan/RetirementPlan.java
@@ -8,10 +8,10 @@
 import java.util.List;
 import java.util.Set;
 
-/** Which groups would move where, were a storage node retired. */
+/** Reports which groups would move, and where to, if a storage node were retired. */
 final class RetirementPlan {
     private static final int MAX_STEPS = 10_000;
-    /** No steady machines: nothing is then moved merely for balance, which is no part of the retirement. */
+    /** Without steady nodes no group is moved for balance alone, which is not part of the retirement. */
     private static final Set<Integer> NO_STEADY_NODES = Set.of();
 
     private final PlanReport report;
@@ -24,7 +24,7 @@
         replicas = pages.replicas();
     }
 
-    /** Reports each step, and then how many groups each machine holds. */
+    /** Reports each step, and then the number of groups that each storage node holds. */
     void report(final int node, final ClusterMetadata metadata) {
         final MovePlan.Retirement retirement = MovePlan.retire(metadata, node, true, liveNodes);
         report.objectAll(retirement.findings());
@@ -34,7 +34,7 @@
         final ClusterMetadata end = reportSteps(retirement.metadata());
         for (final NodeInfo storageNode : end.nodes()) {
             report.print("then node " + storageNode.node() + " in zone " + storageNode.zone() + " holds "
-                    + groupsOn(storageNode.node(), end) + " groups, held "
+                    + groupsOn(storageNode.node(), end) + " groups, previously "
                     + groupsOn(storageNode.node(), metadata));
         }
     }
@@ -69,11 +69,11 @@
     private static String describeStep(final Membership membership, final MovePlan.Move move) {
         final int target = move.to().node();
         if (!membership.holds(target)) {
-            return "node " + target + " learns it";
+            return "node " + target + " becomes a learner";
         }
         return Membership.find(membership.learners(), target) != null
-                ? "node " + target + " votes"
-                : "node " + move.from() + " lets it go";
+                ? "node " + target + " becomes a voter"
+                : "node " + move.from() + " is removed from the group";
     }
 
     private static long groupsOn(final int node, final ClusterMetadata metadata) {
--- a/tools/src/main/java/brookpath/tools/plan/StatusPages.java
+++ b/tools/src/main/java/brookpath/tools/plan/StatusPages.java
@@ -15,25 +15,25 @@
 import java.util.TreeSet;
 
 /**
- * The pages of a controller that plans are made from.
+ * The status pages of a controller from which plans are made.
  *
  * @param status the page /v1/status
  * @param nodes the page /v1/nodes
  */
 record StatusPages(JsonObject status, JsonObject nodes) {
-    /** The values of a node's role on the pages. */
+    /** The values of a node's role on the status pages. */
     static final String GATEWAY = "front";
 
     static final String STORAGE = "storage";
 
     private static final int LEARNER_PRIORITY = 0;
 
-    /** How many replicas each group has. */
+    /** The number of replicas of each group. */
     int replicas() {
         return status.getInt("copies");
     }
 
-    /** The processes of the data plane, each as the page shows it. */
+    /** The processes of the data plane, each as an entry of the page /v1/nodes. */
     List<JsonObject> processes() {
         return nodes.getJsonArray("nodes").getValuesAs(JsonObject.class);
     }
@@ -53,7 +53,7 @@
         return process.getInt("leaseLeftMs") > 0;
     }
 
-    /** The cluster metadata that the page of status shows. */
+    /** The cluster metadata, rebuilt from the page /v1/status. */
     ClusterMetadata metadata() {
         final List<NodeInfo> storageNodes = new ArrayList<>();
         final Map<Integer, String> zones = new HashMap<>();
