--- a/testing/src/main/java/brookpath/testing/disk/FaultyDisk.java
+++ b/testing/src/main/java/brookpath/testing/disk/FaultyDisk.java
@@ -12,127 +12,128 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 
-/** A disk in memory that loses, at a power loss, what was not synced: bytes, new names, renames and deletions alike. */
+/** An in-memory disk that loses on power loss whatever was not synced: bytes, new files, renames and deletions. */
 public final class FaultyDisk implements Disk {
-    private static final class Data {
+    private static final class FileContent {
         byte[] bytes = new byte[256];
         int len;
         int synced;
-        /** Where each write since the last sync began. */
+        /** The start offset of each write since the last sync. */
         final List<Integer> unsynced = new ArrayList<>();
     }
 
-    private final TreeMap<String, Data> names = new TreeMap<>();
-    private TreeMap<String, Data> durable = new TreeMap<>();
+    private final TreeMap<String, FileContent> files = new TreeMap<>();
+    private TreeMap<String, FileContent> durableFiles = new TreeMap<>();
     private boolean failing;
     private boolean full;
     private long capacity = Long.MAX_VALUE;
     private long syncs;
 
-    /** Whether every sync fails from now on. */
-    public void failing(final boolean on) {
-        failing = on;
+    /** Sets whether every sync fails. */
+    public void failing(final boolean enabled) {
+        failing = enabled;
     }
 
-    /** No byte more fits. */
-    public void full(final boolean on) {
-        full = on;
+    /** Sets whether the disk is full, so that not a single further byte can be written. */
+    public void full(final boolean enabled) {
+        full = enabled;
     }
 
-    /** As many bytes fit, in all files together. */
+    /** Limits the total size of all files. */
     public void capacity(final long bytes) {
         capacity = bytes;
     }
 
-    private long room() {
+    private long freeBytes() {
         return full
                 ? 0
-                : capacity - names.values().stream().mapToLong(d -> d.len).sum();
+                : capacity - files.values().stream().mapToLong(file -> file.len).sum();
     }
 
-    /** How many syncs there were. */
+    /** The number of successful syncs of files and of the folder. */
     public long syncs() {
         return syncs;
     }
 
     /**
-     * Power goes: of each file the synced part stays, and by chance some of what followed: each write whole, torn or
-     * missing.
+     * Simulates a power loss: the synced part of each file survives, and at random some of the writes after it, each of
+     * them complete, torn or missing.
      */
     public void powerLoss(final SplittableRandom random) {
-        names.clear();
-        names.putAll(durable);
-        for (final Data d : names.values()) {
-            final int kept = d.synced + (d.len > d.synced ? random.nextInt(d.len - d.synced + 1) : 0);
-            if (kept > d.synced && random.nextInt(3) == 0) {
-                // why: a file system may have grown the file without having written its blocks
-                Arrays.fill(d.bytes, d.synced, kept, (byte) 0);
+        files.clear();
+        files.putAll(durableFiles);
+        for (final FileContent file : files.values()) {
+            final int survivingLength =
+                    file.synced + (file.len > file.synced ? random.nextInt(file.len - file.synced + 1) : 0);
+            if (survivingLength > file.synced && random.nextInt(3) == 0) {
+                // a file system may extend a file before it writes the blocks, which then read as zeros
+                Arrays.fill(file.bytes, file.synced, survivingLength, (byte) 0);
             }
-            for (int i = 0; i < d.unsynced.size(); i++) {
-                final int from = d.unsynced.get(i);
-                final int to = i + 1 < d.unsynced.size() ? d.unsynced.get(i + 1) : d.len;
-                // why: a later write may have reached the disk though an earlier one did not
-                final int lost = random.nextInt(4) == 0 ? random.nextInt(2) * (to - from) / 2 : to - from;
-                Arrays.fill(d.bytes, from + lost, Math.max(to, from + lost), (byte) 0);
+            for (int i = 0; i < file.unsynced.size(); i++) {
+                final int from = file.unsynced.get(i);
+                final int to = i + 1 < file.unsynced.size() ? file.unsynced.get(i + 1) : file.len;
+                // a later write may have reached the disk although an earlier one did not
+                final int written = random.nextInt(4) == 0 ? random.nextInt(2) * (to - from) / 2 : to - from;
+                Arrays.fill(file.bytes, from + written, Math.max(to, from + written), (byte) 0);
             }
-            d.unsynced.clear();
-            d.len = random.nextBoolean() ? d.synced : kept;
-            d.synced = d.len;
+            file.unsynced.clear();
+            file.len = random.nextBoolean() ? file.synced : survivingLength;
+            file.synced = file.len;
         }
     }
 
-    /** As {@link #powerLoss}, and each name made or removed since the folder was synced is kept or lost by itself. */
+    /** As {@link #powerLoss}, but each file creation and deletion since the last folder sync survives independently. */
     public void powerLossByName(final SplittableRandom random) {
-        final TreeMap<String, Data> left = new TreeMap<>();
-        names.forEach((name, d) -> {
-            if (durable.get(name) == d || random.nextBoolean()) {
-                left.put(name, d);
+        final TreeMap<String, FileContent> survivors = new TreeMap<>();
+        files.forEach((name, file) -> {
+            if (durableFiles.get(name) == file || random.nextBoolean()) {
+                survivors.put(name, file);
             }
         });
-        durable.forEach((name, d) -> {
-            if (names.get(name) != d && random.nextBoolean()) {
-                left.putIfAbsent(name, d);
+        durableFiles.forEach((name, file) -> {
+            if (files.get(name) != file && random.nextBoolean()) {
+                survivors.putIfAbsent(name, file);
             }
         });
-        durable = left;
+        durableFiles = survivors;
         powerLoss(random);
     }
 
-    /** Loses everything, as a new disk in the machine. */
+    /** Removes all files, as if the disk had been replaced by a new one. */
     public void wipe() {
-        names.clear();
-        durable.clear();
+        files.clear();
+        durableFiles.clear();
     }
 
-    /** Puts bytes in the place of others of the same length, with all sums right, as no disk does by itself. */
-    public void replace(final byte[] was, final byte[] is) {
-        final WriteAheadLog.Inspection now = WriteAheadLog.inspect(this);
+    /** Replaces bytes in the log by others of the same length with valid checksums, which no disk fault can produce. */
+    public void replace(final byte[] oldBytes, final byte[] newBytes) {
+        final WriteAheadLog.Inspection inspection = WriteAheadLog.inspect(this);
         wipe();
         final WriteAheadLog writeAheadLog = WriteAheadLog.recover(this).writeAheadLog();
-        for (final byte[] entry : now.replayed()) {
-            writeAheadLog.append(swapped(entry, was, is));
+        for (final byte[] entry : inspection.replayed()) {
+            writeAheadLog.append(withReplacement(entry, oldBytes, newBytes));
         }
         writeAheadLog.sync();
     }
 
-    private static byte[] swapped(final byte[] entry, final byte[] was, final byte[] is) {
-        for (int i = 0; i + was.length <= entry.length; i++) {
-            if (Arrays.equals(entry, i, i + was.length, was, 0, was.length)) {
+    private static byte[] withReplacement(final byte[] entry, final byte[] oldBytes, final byte[] newBytes) {
+        for (int i = 0; i + oldBytes.length <= entry.length; i++) {
+            if (Arrays.equals(entry, i, i + oldBytes.length, oldBytes, 0, oldBytes.length)) {
                 final byte[] out = entry.clone();
-                System.arraycopy(is, 0, out, i, is.length);
+                System.arraycopy(newBytes, 0, out, i, newBytes.length);
                 return out;
             }
         }
         return entry;
     }
 
-    /** Flips one bit amid the newest segment; false where there is none. */
+    /** Flips a bit in the first half of the synced part of the newest segment; false if no segment is long enough. */
     public boolean corrupt(final SplittableRandom random) {
-        for (final String name : names.descendingKeySet()) {
-            final Data d = names.get(name);
-            if (name.startsWith("seg-") && d.synced > 64) {
-                final int at = random.nextInt(d.synced / 2);
-                d.bytes[at] = (byte) (d.bytes[at] ^ 1 << random.nextInt(8));
+        for (final String name : files.descendingKeySet()) {
+            final FileContent file = files.get(name);
+            if (name.startsWith("seg-") && file.synced > 64) {
+                final int at = random.nextInt(file.synced / 2);
+                file.bytes[at] = (byte) (file.bytes[at] ^ 1 << random.nextInt(8));
                 return true;
             }
         }
@@ -141,31 +142,31 @@
 
     @Override
     public DiskFile open(final String name) {
-        return new Handle(names.computeIfAbsent(name, k -> new Data()));
+        return new Handle(files.computeIfAbsent(name, k -> new FileContent()));
     }
 
     @Override
     public List<String> list() {
-        return new ArrayList<>(names.keySet());
+        return new ArrayList<>(files.keySet());
     }
 
     @Override
     public void delete(final String name) {
-        names.remove(name);
+        files.remove(name);
     }
 
     @Override
     public void rename(final String from, final String to) {
-        names.put(to, names.remove(from));
+        files.put(to, files.remove(from));
     }
 
     @Override
     public void syncFolder() {
-        check();
-        durable = new TreeMap<>(names);
+        countSyncOrFail();
+        durableFiles = new TreeMap<>(files);
     }
 
-    private void check() {
+    private void countSyncOrFail() {
         if (failing) {
             throw new UncheckedIOException(new IOException("sync failed"));
         }
@@ -173,59 +174,59 @@
     }
 
     private final class Handle implements DiskFile {
-        private final Data d;
+        private final FileContent file;
 
-        Handle(final Data d) {
-            this.d = d;
+        Handle(final FileContent file) {
+            this.file = file;
         }
 
         @Override
         public long size() {
-            return d.len;
+            return file.len;
         }
 
         @Override
         public void append(final byte[] bytes, final int off, final int len) {
-            final long room = full || capacity < Long.MAX_VALUE ? room() : Long.MAX_VALUE;
-            if (room < len) {
-                // why: a disk takes what still fits before it says that it is full; a full one may as well take nothing
-                put(bytes, off, (int) Math.max(0, room));
+            final long freeBytes = full || capacity < Long.MAX_VALUE ? freeBytes() : Long.MAX_VALUE;
+            if (freeBytes < len) {
+                // a disk may write what still fits before it reports that it is full; a full one writes nothing
+                put(bytes, off, (int) Math.max(0, freeBytes));
                 throw new DiskFullException(new IOException("No space left on device"));
             }
             put(bytes, off, len);
         }
 
         private void put(final byte[] bytes, final int off, final int len) {
-            if (d.len + len > d.bytes.length) {
-                d.bytes = Arrays.copyOf(d.bytes, Math.max(d.bytes.length * 2, d.len + len));
+            if (file.len + len > file.bytes.length) {
+                file.bytes = Arrays.copyOf(file.bytes, Math.max(file.bytes.length * 2, file.len + len));
             }
-            System.arraycopy(bytes, off, d.bytes, d.len, len);
-            d.unsynced.add(d.len);
-            d.len += len;
+            System.arraycopy(bytes, off, file.bytes, file.len, len);
+            file.unsynced.add(file.len);
+            file.len += len;
         }
 
         @Override
         public byte[] readAll() {
-            return Arrays.copyOf(d.bytes, d.len);
+            return Arrays.copyOf(file.bytes, file.len);
         }
 
         @Override
         public void sync() {
-            check();
-            d.synced = d.len;
-            d.unsynced.clear();
+            countSyncOrFail();
+            file.synced = file.len;
+            file.unsynced.clear();
         }
 
         @Override
         public void truncate(final long size) {
-            d.len = (int) size;
-            d.synced = Math.min(d.synced, d.len);
-            d.unsynced.removeIf(from -> from >= d.len);
+            file.len = (int) size;
+            file.synced = Math.min(file.synced, file.len);
+            file.unsynced.removeIf(from -> from >= file.len);
         }
 
         @Override
         public void close() {
-            // why: nothing is held
+            // no resource is held
         }
     }
 }
--- a/testing/src/main/java/brookpath/testing/disk/package-info.java
+++ b/testing/src/main/java/brookpath/testing/disk/package-info.java
@@ -1,2 +1,2 @@
-/** A disk in memory that fails as real ones do: it loses what was not synced, fills up, decays, and fails syncs. */
+/** An in-memory disk with the faults of real ones: it loses unsynced data, fills up, flips bits and fails syncs. */
 package brookpath.testing.disk;
