--- a/programs/src/main/java/brookpath/programs/Program.java
+++ b/programs/src/main/java/brookpath/programs/Program.java
@@ -1,6 +1,6 @@
 package brookpath.programs;
 
-/** The programs that take a settings file of their own. */
+/** The programs, each with a settings file of its own. */
 public enum Program {
     /** Gateways and storage nodes. */
     DATA_NODE("data-node"),
@@ -13,7 +13,7 @@
         this.commandName = commandName;
     }
 
-    /** The name of its command, with which its messages begin. */
+    /** The name of the command, which is also the prefix of its messages. */
     public String commandName() {
         return commandName;
     }
--- a/programs/src/main/java/brookpath/programs/Role.java
+++ b/programs/src/main/java/brookpath/programs/Role.java
@@ -1,11 +1,11 @@
 package brookpath.programs;
 
-/** What a process does in the cluster. */
+/** The role of a process in the cluster. */
 public enum Role {
-    /** Holds the sessions of callers. */
+    /** Serves callers and holds their sessions. */
     GATEWAY,
     /** Holds replicas of topic groups. */
     STORAGE,
-    /** Decides, with others, on the configuration, the membership and the placement. */
+    /** Decides, together with the other controllers, on configuration, membership and placement. */
     CONTROLLER
 }
--- a/programs/src/main/java/brookpath/programs/boot/DataFolder.java
+++ b/programs/src/main/java/brookpath/programs/boot/DataFolder.java
@@ -11,14 +11,14 @@
 import org.tinylog.Logger;
 
 /**
- * What a starting process finds in its data folder.
+ * The recovered content of the data folder of a starting process.
  *
- * @param machineIdentity of the machine that this runs on
- * @param log the write-ahead log, ready to append; null on a machine without a disk
- * @param entries the log's entries, oldest first, to be replayed
+ * @param machineIdentity the identity of the machine that the process runs on
+ * @param log the write-ahead log, ready for appends; null if the machine has no disk
+ * @param entries the log's entries to replay, oldest first
  */
 record DataFolder(long machineIdentity, WriteAheadLog log, List<byte[]> entries) {
-    /** Opens the plan's data folder and recovers its log. What was found damaged is logged as an error. */
+    /** Opens the plan's data folder and recovers its log. Damage that is found is logged as an error. */
     static DataFolder open(final ProcessPlan plan) {
         if (!plan.hasDataFolder()) {
             return new DataFolder(RandomNumbers.identity(), null, List.of());
@@ -36,15 +36,15 @@
     }
 
     /**
-     * On a full disk the start waits for space; only a folder without a log needs it, since an existing one can be
-     * read.
+     * Retries an operation until the disk has space for it. Only a folder without a log needs space at the start, since
+     * an existing log is only read.
      */
     private static <T> T retryWhileDiskIsFull(final long pauseMs, final Supplier<T> operation) {
         while (true) {
             try {
                 return operation.get();
             } catch (final DiskFullException ex) {
-                Logger.warn("data folder: no room to begin in; tried again");
+                Logger.warn("data folder: disk is full; retrying until it has space");
                 pause(pauseMs);
             }
         }
@@ -55,7 +55,7 @@
             Thread.sleep(millis);
         } catch (final InterruptedException ex) {
             Thread.currentThread().interrupt();
-            throw new ProcessStartException("interrupted before the start", ex);
+            throw new ProcessStartException("interrupted while waiting for space in the data folder", ex);
         }
     }
 }
--- a/programs/src/main/java/brookpath/programs/boot/HttpServer.java
+++ b/programs/src/main/java/brookpath/programs/boot/HttpServer.java
@@ -18,8 +18,8 @@
 import org.eclipse.jetty.server.RequestLog;
 
 /**
- * The HTTP server of a process: Dropwizard, started from settings that are already read and checked, which logs to
- * tinylog only.
+ * The HTTP server of a process: Dropwizard, configured from settings that are already read and checked. It logs only
+ * through tinylog.
  */
 final class HttpServer extends Application<Configuration> {
     private static final int MAX_THREADS = 128;
@@ -38,7 +38,7 @@
 
     @Override
     protected void bootstrapLogging() {
-        // why: Dropwizard would set up logback here; SLF4J is bound to tinylog instead
+        // Dropwizard would set up logback here, but SLF4J is bound to tinylog.
     }
 
     @Override
@@ -48,7 +48,7 @@
 
     @Override
     public void run(final Configuration configuration, final Environment environment) {
-        // why: with a buffer Jersey ignores flushes until it is full, and a listener would wait for its lines
+        // With an output buffer, Jersey ignores flushes until it is full, which would delay the lines of a listener.
         environment.jersey().property(org.glassfish.jersey.server.ServerProperties.OUTBOUND_CONTENT_LENGTH_BUFFER, 0);
         resources.forEach(environment.jersey()::register);
     }
@@ -59,11 +59,11 @@
         http.setPort(port);
         final DefaultServerFactory server = new DefaultServerFactory();
         server.setApplicationConnectors(List.of(http));
-        // why: an admin port is one more thing to guard; what operators need is under /v1
+        // An admin port would be another one to protect; the interface for operators is under /v1.
         server.setAdminConnectors(List.of());
         server.getGzipFilterFactory().setEnabled(false);
         server.setRequestLogFactory(new NoRequestLog());
-        // why: by then the sessions have ended; callers are better off at another gateway
+        // The sessions have ended by then, and callers should go to another gateway without delay.
         server.setShutdownGracePeriod(SHUTDOWN_GRACE_PERIOD);
         server.setMaxThreads(MAX_THREADS);
         server.setDetailedJsonProcessingExceptionMapper(false);
@@ -97,17 +97,17 @@
     private static final class NoLogging implements LoggingFactory {
         @Override
         public void configure(final MetricRegistry registry, final String name) {
-            // why: tinylog.properties configures logging completely
+            // tinylog.properties configures all logging.
         }
 
         @Override
         public void stop() {
-            // why: as above
+            // Dropwizard has no logging to stop.
         }
 
         @Override
         public void reset() {
-            // why: as above
+            // Dropwizard has no logging to reset.
         }
     }
 
--- a/programs/src/main/java/brookpath/programs/boot/ProcessAssembly.java
+++ b/programs/src/main/java/brookpath/programs/boot/ProcessAssembly.java
@@ -19,11 +19,11 @@
 import java.util.function.LongSupplier;
 
 /**
- * A process put together: its state machine, its data folder and its sessions with peers. Whatever serves callers or
- * operators is added by the program.
+ * The parts of a process that all programs have: its node, its data folder and its sessions with peers. The interfaces
+ * for callers and operators are added by the program.
  */
 public final class ProcessAssembly {
-    private static final int EXIT_CODE_OF_A_FATAL_ERROR = 1;
+    private static final int EXIT_CODE_FATAL_ERROR = 1;
 
     private final Host host;
     private final List<Action> firstActions;
@@ -34,10 +34,11 @@
     }
 
     /**
-     * Opens the data folder, replays its log and prepares the process; nothing runs before {@link #start}.
+     * Opens the data folder, replays its log and prepares the process, which runs once {@link #start} is called.
      *
      * @param poster posts the usage reports
-     * @throws ProcessStartException where the content of the data folder contradicts the plan
+     * @throws ProcessStartException if the plan founds the control group, but the data folder already holds a control
+     *     log
      */
     public static ProcessAssembly of(final ProcessPlan plan, final Host.Poster poster) {
         final Time now = SystemClock.now();
@@ -48,7 +49,7 @@
         dataFolder.entries().forEach(entry -> node.replay(entry, now));
         if (plan.foundsControlGroup() && !dataFolder.entries().isEmpty()) {
             throw new ProcessStartException(
-                    "the data folder already holds a control log, and the control group is founded only once");
+                    "the data folder already holds a control log; a control group is founded only once");
         }
         final List<Action> firstActions = node instanceof ControllerNode controller
                 ? controller.start(plan.foundsControlGroup(), now)
@@ -62,13 +63,13 @@
                 configurationLeaseEnd(node),
                 poster,
                 plan.trafficThreads(),
-                () -> Runtime.getRuntime().halt(EXIT_CODE_OF_A_FATAL_ERROR));
+                () -> Runtime.getRuntime().halt(EXIT_CODE_FATAL_ERROR));
         return new ProcessAssembly(host, firstActions);
     }
 
     private static Node createNode(final ProcessPlan plan, final NodeInfo self) {
         final List<Integer> seeds = List.copyOf(plan.seeds().keySet());
-        // why: requests of an earlier incarnation must not be confused with those of this one
+        // Requests of an earlier incarnation must not be confused with those of this one.
         final long firstRequestId = RandomNumbers.firstId();
         final long randomSeed = System.nanoTime();
         return switch (plan.role()) {
@@ -95,13 +96,13 @@
         };
     }
 
-    /** Until when, in milliseconds of the monotonic clock, the process may serve by its lease on the configuration. */
+    /** When the configuration lease of the process ends, in milliseconds of the monotonic clock. */
     private static LongSupplier configurationLeaseEnd(final Node node) {
         final ConfigurationClient client = configurationClient(node);
         return client == null ? () -> Long.MAX_VALUE : client::leaseUntil;
     }
 
-    /** Null for a controller, which owns the configuration. */
+    /** The client of the configuration; null for a controller, which holds the configuration itself. */
     private static ConfigurationClient configurationClient(final Node node) {
         if (node instanceof GatewayNode gateway) {
             return gateway.client();
@@ -109,7 +110,7 @@
         return node instanceof StorageNode storage ? storage.client() : null;
     }
 
-    /** The peers to keep sessions with: the controllers, and the storage nodes of the cluster metadata. */
+    /** The addresses of the peers to keep sessions with: the controllers, and the nodes of the cluster metadata. */
     private static Map<Integer, String> peerAddresses(final ProcessPlan plan, final Node node) {
         final Map<Integer, String> addresses = new LinkedHashMap<>(plan.seeds());
         if (node instanceof ControllerNode controller) {
@@ -123,7 +124,7 @@
         return addresses;
     }
 
-    /** What runs the state machine: events, disk and sessions with peers. */
+    /** The host that runs the node. */
     public Host host() {
         return host;
     }
--- a/programs/src/main/java/brookpath/programs/boot/ProcessLauncher.java
+++ b/programs/src/main/java/brookpath/programs/boot/ProcessLauncher.java
@@ -20,7 +20,7 @@
 import org.apache.commons.cli.HelpFormatter;
 import org.tinylog.Logger;
 
-/** From a program's arguments to a running process. */
+/** Starts a process from the command-line arguments of its program. */
 public final class ProcessLauncher {
     private static final int EXIT_CODE_CANNOT_START = 1;
     private static final int EXIT_CODE_BAD_SETTINGS = 2;
@@ -29,9 +29,9 @@
 
     private ProcessLauncher() {}
 
-    /** Starts a program; where its arguments request help or a check of the settings, does only that. */
+    /** Starts a program; if its arguments request help or a check of the settings, only does that. */
     public static void launch(final Program program, final String[] args) throws Exception {
-        // why: Dropwizard brings logback along; SLF4J must be bound to tinylog before anything logs
+        // Dropwizard has logback as a dependency; SLF4J must be bound to tinylog before anything is logged.
         System.setProperty("slf4j.provider", "org.tinylog.slf4j.TinylogSlf4jServiceProvider");
         final SettingsReader.Reading reading = SettingsReader.read(args, program);
         if (reading.helpOnly()) {
@@ -44,7 +44,7 @@
             System.exit(EXIT_CODE_BAD_SETTINGS);
         }
         if (reading.checkOnly()) {
-            System.out.println(program.commandName() + ": settings are good");
+            System.out.println(program.commandName() + ": settings are valid");
             return;
         }
         try {
@@ -70,7 +70,7 @@
         final String httpAddress = settings.httpAddress();
         new HttpServer(Address.host(httpAddress), Address.port(httpAddress), httpResources(injector, settings.role()))
                 .run("server");
-        // why: Jetty waits for its sessions, and a listening session ends only when the host ends it
+        // Jetty waits for open sessions, and a listening session ends only when the host closes it.
         Runtime.getRuntime().addShutdownHook(new Thread(host::close, "stop"));
         startWatching(
                 injector.getInstance(SettingsWatch.class),
--- a/programs/src/main/java/brookpath/programs/boot/ProcessModule.java
+++ b/programs/src/main/java/brookpath/programs/boot/ProcessModule.java
@@ -19,7 +19,7 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** The objects of one process and how they depend on each other. */
+/** The Guice bindings of the objects of one process. */
 final class ProcessModule extends AbstractModule {
     private static final int TRAFFIC_THREADS = 2;
     private static final int FOUNDER_PRIORITY = 50;
@@ -31,7 +31,7 @@
     private final long startedAtMs;
 
     /**
-     * @param args as the process was started
+     * @param args the command-line arguments of the process
      * @param startedAtMs when the process began, in milliseconds of its monotonic clock
      */
     ProcessModule(final Settings settings, final String[] args, final Program program, final long startedAtMs) {
@@ -45,7 +45,7 @@
     @Singleton
     SettingsWatch settingsWatch(final Host host, final PlatformPoster poster) {
         return new SettingsWatch(args, program, settings, changed -> {
-            poster.url(changed.platformUrl());
+            poster.setUrl(changed.platformUrl());
             host.submitWithoutReply(new NodeRequest.UpdateSettings(changed.segmentBytes()));
         });
     }
@@ -65,7 +65,7 @@
     @Singleton
     ProcessAssembly assembly(final PlatformPoster poster) {
         if (settings.role() != Role.GATEWAY) {
-            LogRing.to(Path.of(settings.dataFolder(), RING_LOG));
+            LogRing.setFile(Path.of(settings.dataFolder(), RING_LOG));
         }
         return ProcessAssembly.of(plan(), poster);
     }
--- a/programs/src/main/java/brookpath/programs/boot/ProcessPlan.java
+++ b/programs/src/main/java/brookpath/programs/boot/ProcessPlan.java
@@ -10,17 +10,17 @@
 import java.util.Map;
 
 /**
- * All that a process must know to start.
+ * The input for starting a process.
  *
- * @param self this process as other nodes know it; the machine's identity is filled in from the data folder
- * @param founders the control group's first members; empty but for a controller
- * @param seeds controllers that are polled first, with the host:port where peers reach them
- * @param foundsControlGroup whether this controller founds the control group, on an empty data folder
- * @param dataFolder the data folder; empty where the machine has no disk
- * @param segmentBytes a new log segment begins, with a snapshot, after this much
- * @param sessionOverflow which sessions a gateway passes on to others
- * @param trafficThreads how many event loop threads carry traffic
- * @param startedAtMs when the process began, in milliseconds of its monotonic clock
+ * @param self this process as peers know it; the identity of the machine is added from the data folder
+ * @param founders the first members of the control group; empty for other roles than controllers
+ * @param seeds the controllers to poll first, with the host:port at which peers reach them
+ * @param foundsControlGroup whether this controller founds the control group, which takes an empty data folder
+ * @param dataFolder the path of the data folder; empty if the machine has no disk
+ * @param segmentBytes the size of a log segment after which a new one, which begins with a snapshot, is started
+ * @param sessionOverflow decides which new sessions a gateway redirects to others
+ * @param trafficThreads the number of event loop threads for the sessions with peers
+ * @param startedAtMs when the process started, in milliseconds of its monotonic clock
  */
 public record ProcessPlan(
         Role role,
@@ -35,7 +35,7 @@
         SessionOverflow sessionOverflow,
         int trafficThreads,
         long startedAtMs) {
-    /** Whether the process keeps anything on disk. */
+    /** Whether the process stores anything on disk. */
     boolean hasDataFolder() {
         return !dataFolder.isEmpty();
     }
--- a/programs/src/main/java/brookpath/programs/boot/ProcessStartException.java
+++ b/programs/src/main/java/brookpath/programs/boot/ProcessStartException.java
@@ -1,15 +1,15 @@
 package brookpath.programs.boot;
 
-/** A process cannot start with its settings; the message is the reason, for the operator. */
+/** Thrown when a process cannot start; the message gives the operator the reason. */
 public final class ProcessStartException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    /** @param reason what is in the way */
+    /** @param reason what prevents the start */
     public ProcessStartException(final String reason) {
         super(reason);
     }
 
-    /** @param reason what is in the way */
+    /** @param reason what prevents the start */
     public ProcessStartException(final String reason, final Throwable cause) {
         super(reason, cause);
     }
--- a/programs/src/main/java/brookpath/programs/settings/Address.java
+++ b/programs/src/main/java/brookpath/programs/settings/Address.java
@@ -6,7 +6,7 @@
 
     private Address() {}
 
-    /** Whether the text has the form. */
+    /** Whether the text is a host:port. */
     static boolean isValid(final String text) {
         final int separator = text.lastIndexOf(':');
         return separator > 0
--- a/programs/src/main/java/brookpath/programs/settings/NumberSetting.java
+++ b/programs/src/main/java/brookpath/programs/settings/NumberSetting.java
@@ -1,13 +1,13 @@
 package brookpath.programs.settings;
 
 /**
- * A setting that is an integer.
+ * A setting whose value is an integer, with its range and default.
  *
- * @param section the key of the object that holds it, empty for the document itself
- * @param key its name there
+ * @param section the key of the JSON object that contains it; empty for the top level of the settings file
+ * @param key its key in that object
  * @param minimum the smallest value that is accepted
  * @param maximum the largest value that is accepted
- * @param defaultValue its value where it is absent; null where it is mandatory
+ * @param defaultValue its value if it is not given; null if it is required
  */
 record NumberSetting(String section, String key, long minimum, long maximum, Long defaultValue) {
     /** Whether the value is in the range. */
@@ -15,7 +15,7 @@
         return minimum <= value && value <= maximum;
     }
 
-    /** Its JSON pointer in the settings file, as findings name it. */
+    /** Its JSON pointer in the settings file, as reported in findings. */
     String place() {
         return (section.isEmpty() ? "" : "/" + section) + "/" + key;
     }
--- a/programs/src/main/java/brookpath/programs/settings/Settings.java
+++ b/programs/src/main/java/brookpath/programs/settings/Settings.java
@@ -8,16 +8,17 @@
 /**
  * The settings of one process, read and checked. Addresses are host:port.
  *
- * @param node the process's number, unique in the cluster
- * @param peerAddress where peers reach the process; empty for a gateway without one
- * @param advertisedPeerAddress the address that is sent to peers; differs from peerAddress behind a forwarded port
- * @param httpAddress where callers or operators reach it
- * @param seeds the controllers that are polled first: their addresses for peers by their numbers
- * @param dataFolder empty for a gateway without one
- * @param founding how the topic groups are founded, and how many machines may be lost at once
- * @param segmentBytes a new log segment begins, with a snapshot, after this much
- * @param foundsControlGroup whether this controller founds the control group, on an empty data folder
- * @param platformUrl where usage reports are posted; empty where they are only kept
+ * @param node the node number of the process, unique in the cluster
+ * @param peerAddress the address to listen on for peers; empty if a gateway has none
+ * @param advertisedPeerAddress the address that is sent to peers, which differs from peerAddress behind a forwarded
+ *     port
+ * @param httpAddress the address to listen on for HTTP requests of callers or operators
+ * @param seeds the controllers to poll first: their peer addresses by node number
+ * @param dataFolder the path of the data folder; empty if a gateway has none
+ * @param founding how the topic groups are founded, and how many nodes may be lost at once
+ * @param segmentBytes the size of a log segment after which a new one, which begins with a snapshot, is started
+ * @param foundsControlGroup whether this controller founds the control group, which takes an empty data folder
+ * @param platformUrl where usage reports are posted; empty to keep them without posting
  */
 public record Settings(
         int node,
--- a/programs/src/main/java/brookpath/programs/settings/SettingsKeys.java
+++ b/programs/src/main/java/brookpath/programs/settings/SettingsKeys.java
@@ -24,11 +24,11 @@
     static final String ROLE_GATEWAY = "gateway";
     static final String ROLE_STORAGE = "storage";
 
-    /** Former values of the role, with the present ones; they work until the next release. */
-    static final Map<String, String> FORMER_ROLES = Map.of("front", ROLE_GATEWAY);
+    /** The current values of the role by their deprecated ones, which the next release removes. */
+    static final Map<String, String> DEPRECATED_ROLES = Map.of("front", ROLE_GATEWAY);
 
-    /** Former keys and flags by their present names; they work until the next release. */
-    static final Map<String, String> FORMER_KEYS = Map.of(PEERS, "siblings");
+    /** The deprecated names of keys and flags by the current ones; the next release removes them. */
+    static final Map<String, String> DEPRECATED_KEYS = Map.of(PEERS, "siblings");
 
     static final NumberSetting NODE = required("node", 1, 999_999);
     static final NumberSetting TOLERATED_LOSSES = optional("", "toleratedLosses", 0, 3, 1);
@@ -46,13 +46,13 @@
     static final NumberSetting REPLICAS = optional(FOUNDING, "copies", 1, 7, 3);
     private static final String STORAGE_NODES_KEY = "storages";
 
-    /** What a settings file of any program may hold. */
+    /** The keys that the settings file of any program may contain. */
     static final Set<String> KEYS = Set.of(
             NODE.key(),
             ZONE,
             ROLE,
             PEERS,
-            FORMER_KEYS.get(PEERS),
+            DEPRECATED_KEYS.get(PEERS),
             REACHED_AS,
             HTTP,
             SEEDS,
@@ -61,7 +61,7 @@
             TOLERATED_LOSSES.key(),
             SEGMENT_BYTES.key());
 
-    /** What a controller's settings file may hold besides. */
+    /** The keys that only the settings file of a controller may contain in addition. */
     static final Set<String> CONTROLLER_KEYS = Set.of(FOUNDING, PLATFORM);
 
     static final Set<String> BOUNDS_KEYS = Set.of(DELIVER_MS.key(), RECOVER_MS.key(), CHANGE_MS.key(), WINDOW_MS.key());
@@ -69,7 +69,7 @@
 
     private SettingsKeys() {}
 
-    /** How many storage nodes must have come before groups are placed; by default as many as there are replicas. */
+    /** How many storage nodes must have joined before groups are placed; by default the number of replicas. */
     static NumberSetting storageNodes(final int replicas) {
         return optional(FOUNDING, STORAGE_NODES_KEY, 1, 64, replicas);
     }
--- a/programs/src/main/java/brookpath/programs/settings/SettingsReader.java
+++ b/programs/src/main/java/brookpath/programs/settings/SettingsReader.java
@@ -25,7 +25,7 @@
 import org.apache.commons.cli.DefaultParser;
 import org.apache.commons.cli.ParseException;
 
-/** Reads the flags and the settings file of a process; collects all that is wrong, with its place. */
+/** Reads the flags and the settings file of a process, and collects a finding for each error in them. */
 public final class SettingsReader {
     private static final String FLAGS_PLACE = "flags";
     private static final Set<Integer> SEED_COUNTS = Set.of(1, 3);
@@ -33,13 +33,13 @@
             Json.createReaderFactory(Map.of(JsonConfig.KEY_STRATEGY, JsonConfig.KeyStrategy.NONE));
 
     /**
-     * What reading the flags and the file gave.
+     * The result of reading the flags and the file.
      *
-     * @param settings valid where there are no findings; null where help was requested, or the flags cannot be read
-     * @param findings what is wrong
-     * @param warnings what works for now, but will not in the next release
-     * @param helpOnly whether only the help text is requested
-     * @param checkOnly whether the settings are only to be checked
+     * @param settings valid if there are no findings; null if help was requested or the flags cannot be parsed
+     * @param findings the errors
+     * @param warnings deprecated names and values in use, which the next release removes
+     * @param helpOnly whether only the help text was requested
+     * @param checkOnly whether only a check of the settings was requested
      */
     public record Reading(
             Settings settings, List<Finding> findings, List<Finding> warnings, boolean helpOnly, boolean checkOnly) {
@@ -58,7 +58,7 @@
         this.source = source;
     }
 
-    /** Reads a program's arguments, and the settings file that they name. */
+    /** Reads a program's arguments and the settings file that they name. */
     public static Reading read(final String[] args, final Program program) {
         try {
             final CommandLine flags = parse(args, program);
@@ -71,9 +71,9 @@
     }
 
     /**
-     * Reads a program's arguments.
+     * Reads a program's arguments with a given content of the settings file.
      *
-     * @param content what the settings file held when it was looked at
+     * @param content the content of the settings file when it was last read
      */
     static Reading read(final String[] args, final Program program, final byte[] content) {
         try {
@@ -84,7 +84,7 @@
         }
     }
 
-    /** The settings file that the arguments name, null for none. */
+    /** The settings file that the arguments name; null for none. */
     static Path file(final String[] args, final Program program) {
         try {
             final String name = parse(args, program).getOptionValue(SettingsFlags.SETTINGS);
@@ -163,13 +163,13 @@
         return keys;
     }
 
-    /** The role; a storage node's where it is invalid, so that the rest is checked by the stricter rules. */
+    /** The role; if it is invalid, that of a storage node, so that the rest is checked by the stricter rules. */
     private Role role() {
         if (program == Program.CONTROLLER) {
             return Role.CONTROLLER;
         }
-        final String name = source.withoutFormerValues(
-                SettingsKeys.ROLE, source.requiredText(SettingsKeys.ROLE), SettingsKeys.FORMER_ROLES);
+        final String name = source.replaceDeprecatedValue(
+                SettingsKeys.ROLE, source.requiredText(SettingsKeys.ROLE), SettingsKeys.DEPRECATED_ROLES);
         if (name.equals(SettingsKeys.ROLE_GATEWAY)) {
             return Role.GATEWAY;
         }
@@ -188,7 +188,7 @@
             addSeed(entries.get(i), source.placeOfEntry(SettingsKeys.SEEDS, i), seeds);
         }
         if (!SEED_COUNTS.contains(entries.size())) {
-            source.reject(SettingsKeys.SEEDS, "three seeds are needed (one for a trial without failover)");
+            source.reject(SettingsKeys.SEEDS, "must be three seeds (or one for a trial without failover)");
         }
         if (program == Program.CONTROLLER && node > 0 && !seeds.isEmpty() && !seeds.containsKey(node)) {
             source.reject(SettingsKeys.SEEDS, "a controller must be among the seeds; node " + node + " is not");
@@ -199,7 +199,7 @@
         return seeds;
     }
 
-    /** A seed is node@host:port. */
+    /** Adds a seed of the form node@host:port. */
     private void addSeed(final String entry, final String place, final Map<Integer, String> seeds) {
         final int separator = entry.indexOf('@');
         if (separator < 1
@@ -210,7 +210,7 @@
         }
         final int node = Integer.parseInt(entry.substring(0, separator));
         if (seeds.put(node, entry.substring(separator + 1)) != null) {
-            source.rejectAt(place, "the node is there twice");
+            source.rejectAt(place, "the node is listed twice");
         }
     }
 
@@ -221,12 +221,12 @@
                 source.number(SettingsKeys.RECOVER_MS, bounds),
                 source.number(SettingsKeys.CHANGE_MS, bounds),
                 source.number(SettingsKeys.WINDOW_MS, bounds));
-        // why: the control plane's own failover must fit well inside the lease that it grants
+        // The failover of the control plane itself must fit into the configuration lease that it grants.
         final long failoverMs = timing.detectionTime() + 2 * timing.voteDeadline() + timing.configurationHold();
         if (failoverMs > timing.configurationLease()) {
             source.rejectAt(
                     SettingsKeys.CHANGE_MS.place(),
-                    "too short beside deliverMs: a change of control leader would outlast the configuration lease");
+                    "too short for deliverMs: a failover of the control leader would outlast the configuration lease");
         }
         return timing;
     }
@@ -239,7 +239,7 @@
         final int storageNodes = (int) source.number(storageNodesSetting, founding);
         if (storageNodes < replicas) {
             source.rejectAt(
-                    storageNodesSetting.place(), storageNodes + " machines cannot hold " + replicas + " replicas");
+                    storageNodesSetting.place(), storageNodes + " storage nodes cannot hold " + replicas + " replicas");
         }
         return new GroupBootstrap(groups, replicas, storageNodes, (int) source.number(SettingsKeys.TOLERATED_LOSSES));
     }
--- a/programs/src/main/java/brookpath/programs/settings/SettingsSource.java
+++ b/programs/src/main/java/brookpath/programs/settings/SettingsSource.java
@@ -13,8 +13,8 @@
 import org.apache.commons.cli.CommandLine;
 
 /**
- * The values that flags and settings file give, the flags first. What is wrong with a value is collected as a finding,
- * with its place, and reading continues. Used by one thread.
+ * The values given by the flags and the settings file, of which the flags take precedence. An invalid value adds a
+ * finding with its place, and reading continues. Not thread-safe.
  */
 final class SettingsSource {
     private static final String FLAG_PREFIX = "--";
@@ -28,72 +28,72 @@
     SettingsSource(final CommandLine flags, final JsonObject file) {
         this.flags = flags;
         this.file = file;
-        SettingsKeys.FORMER_KEYS.forEach(this::checkFormerKey);
+        SettingsKeys.DEPRECATED_KEYS.forEach(this::checkDeprecatedKey);
     }
 
-    private void checkFormerKey(final String key, final String formerKey) {
-        if (flags.hasOption(formerKey)) {
-            deprecated(FLAG_PREFIX + formerKey, FLAG_PREFIX + key, flags.hasOption(key));
+    private void checkDeprecatedKey(final String key, final String deprecatedKey) {
+        if (flags.hasOption(deprecatedKey)) {
+            warnDeprecated(FLAG_PREFIX + deprecatedKey, FLAG_PREFIX + key, flags.hasOption(key));
         }
-        if (file.containsKey(formerKey)) {
-            deprecated("/" + formerKey, "/" + key, file.containsKey(key));
+        if (file.containsKey(deprecatedKey)) {
+            warnDeprecated("/" + deprecatedKey, "/" + key, file.containsKey(key));
         }
     }
 
-    private void deprecated(final String formerPlace, final String place, final boolean bothAreGiven) {
-        warnings.add(new Finding(formerPlace, "deprecated, will be removed in the next release; use " + place));
+    private void warnDeprecated(final String deprecatedPlace, final String place, final boolean bothAreGiven) {
+        warnings.add(new Finding(deprecatedPlace, "deprecated, will be removed in the next release; use " + place));
         if (bothAreGiven) {
-            findings.add(new Finding(formerPlace, "is the former name of " + place + ", which is given as well"));
+            findings.add(new Finding(deprecatedPlace, "is the former name of " + place + ", which is given as well"));
         }
     }
 
-    /** What is wrong; the settings are good where it is empty in the end. */
+    /** The errors found so far; the settings are valid if it is empty once all are read. */
     List<Finding> findings() {
         return findings;
     }
 
-    /** What works for now, but will not in the next release. */
+    /** Deprecated names and values in use, which the next release removes. */
     List<Finding> warnings() {
         return warnings;
     }
 
-    /** Notes that something is wrong with a setting. */
+    /** Adds a finding about a setting. */
     void reject(final String key, final String reason) {
         findings.add(new Finding(place(key), reason));
     }
 
-    /** Notes that something is wrong at a place. */
+    /** Adds a finding about a place. */
     void rejectAt(final String place, final String reason) {
         findings.add(new Finding(place, reason));
     }
 
-    /** Notes that a setting should be given otherwise. */
+    /** Adds a warning about a setting. */
     void warn(final String key, final String reason) {
         warnings.add(new Finding(place(key), reason));
     }
 
-    /** Where a setting is given: a flag, or a pointer into the file. */
+    /** The place where a setting is given: a flag, or a JSON pointer into the file. */
     private String place(final String key) {
         final String flag = flagName(key);
         return flag != null ? FLAG_PREFIX + flag : "/" + fileKey(key);
     }
 
-    /** The name under which a flag gives the setting, null where none does. */
+    /** The name, current or deprecated, of the flag that gives the setting; null if none does. */
     private String flagName(final String key) {
         if (flags.hasOption(key)) {
             return key;
         }
-        final String formerKey = SettingsKeys.FORMER_KEYS.get(key);
-        return formerKey != null && flags.hasOption(formerKey) ? formerKey : null;
+        final String deprecatedKey = SettingsKeys.DEPRECATED_KEYS.get(key);
+        return deprecatedKey != null && flags.hasOption(deprecatedKey) ? deprecatedKey : null;
     }
 
-    /** The name under which the file gives the setting; the present one where it does not. */
+    /** The key, current or deprecated, under which the file gives the setting; the current one if it does not. */
     private String fileKey(final String key) {
-        final String formerKey = SettingsKeys.FORMER_KEYS.get(key);
-        return formerKey != null && !file.containsKey(key) && file.containsKey(formerKey) ? formerKey : key;
+        final String deprecatedKey = SettingsKeys.DEPRECATED_KEYS.get(key);
+        return deprecatedKey != null && !file.containsKey(key) && file.containsKey(deprecatedKey) ? deprecatedKey : key;
     }
 
-    /** A text that must be given; empty, with a finding, where it is not. */
+    /** A required text; empty, with a finding, if it is not given. */
     String requiredText(final String key) {
         final String text = text(key);
         if (text == null) {
@@ -103,13 +103,13 @@
         return text;
     }
 
-    /** A text, empty where it is not given. */
+    /** An optional text; empty if it is not given. */
     String optionalText(final String key) {
         final String text = text(key);
         return text == null ? "" : text;
     }
 
-    /** Null where it is not given; empty, with a finding, where it is no text. */
+    /** A text; null if it is not given, empty, with a finding, if it is not a text. */
     private String text(final String key) {
         final String flag = flagName(key);
         if (flag != null) {
@@ -126,12 +126,12 @@
         return "";
     }
 
-    /** A host:port that must be given. */
+    /** A required host:port. */
     String requiredAddress(final String key) {
         return checkedAddress(key, requiredText(key));
     }
 
-    /** A host:port, empty where it is not given. */
+    /** An optional host:port; empty if it is not given. */
     String optionalAddress(final String key) {
         return checkedAddress(key, optionalText(key));
     }
@@ -143,7 +143,7 @@
         return address;
     }
 
-    /** The entries of a list, empty where it is not given. */
+    /** The entries of a list; empty if it is not given. */
     List<String> list(final String key) {
         final List<String> entries = new ArrayList<>();
         if (flags.hasOption(key)) {
@@ -154,12 +154,12 @@
         return entries;
     }
 
-    /** Where an entry of a list is given. */
+    /** The place where an entry of a list is given. */
     String placeOfEntry(final String key, final int index) {
         return flags.hasOption(key) ? FLAG_PREFIX + key + ", entry " + (index + 1) : "/" + key + "/" + index;
     }
 
-    /** An object of the file, empty where it is not given; a finding for each of its keys that is not known. */
+    /** An object of the file; empty if it is not given. Adds a finding for each unknown key in it. */
     JsonObject section(final String section, final Set<String> knownKeys) {
         final JsonValue value = file.get(section);
         if (value == null) {
@@ -175,7 +175,7 @@
         return object;
     }
 
-    /** A number of the document itself, which a flag of its name precedes. */
+    /** A number at the top level of the file; a flag with its name takes precedence. */
     long number(final NumberSetting setting) {
         final String flag = flagName(setting.key());
         return flag == null
@@ -183,7 +183,7 @@
                 : checkedNumber(setting, FLAG_PREFIX + flag, flags.getOptionValue(flag));
     }
 
-    /** A number of a section. */
+    /** A number in an object of the file. */
     long number(final NumberSetting setting, final JsonObject section) {
         final JsonValue value = section.get(setting.key());
         if (value != null) {
@@ -204,7 +204,7 @@
         return -1;
     }
 
-    /** A finding for each key of the file that is not known. */
+    /** Adds a finding for each unknown key at the top level of the file. */
     void rejectUnknownKeys(final Set<String> knownKeys) {
         for (final String key : file.keySet()) {
             if (!knownKeys.contains(key)) {
@@ -213,9 +213,9 @@
         }
     }
 
-    /** The values of the deprecated names of a setting's values, replaced by the present ones, with a warning. */
-    String withoutFormerValues(final String key, final String value, final Map<String, String> formerValues) {
-        final String present = formerValues.get(value);
+    /** The value of a setting; a deprecated one is replaced by its current one, with a warning. */
+    String replaceDeprecatedValue(final String key, final String value, final Map<String, String> deprecatedValues) {
+        final String present = deprecatedValues.get(value);
         if (present == null) {
             return value;
         }
--- a/programs/src/main/java/brookpath/programs/settings/SettingsWatch.java
+++ b/programs/src/main/java/brookpath/programs/settings/SettingsWatch.java
@@ -18,10 +18,10 @@
 
 /**
  * Watches the settings file of a running process. A changed file is read and checked as at a start, and adopted
- * completely or not at all: where it is wrong in any way, or changes what cannot change in a running process, its
- * findings are reported and the process keeps its present settings.
+ * completely or not at all: if it has any error, or changes a setting that cannot change in a running process, its
+ * findings are reported and the process keeps its current settings.
  *
- * <p>One thread calls {@link #checkFile}; any thread may read.
+ * <p>One thread calls {@link #checkFile}; any thread may call the other methods.
  */
 public final class SettingsWatch implements SettingsReport {
     private final Path file;
@@ -31,13 +31,13 @@
     private final AtomicInteger changesAdopted = new AtomicInteger();
     private volatile Settings current;
     private volatile List<Finding> findings = List.of();
-    private byte[] contentEvaluated;
-    private byte[] contentSeen;
+    private byte[] evaluatedContent;
+    private byte[] lastContent;
 
     /**
-     * @param args as the process was started; without a settings file among them there is nothing to watch
-     * @param current the settings that the process was started with
-     * @param onChange called with each change that is adopted, by the thread that calls {@link #checkFile}
+     * @param args the command-line arguments of the process; if they name no settings file, nothing is watched
+     * @param current the settings with which the process was started
+     * @param onChange called with the settings of each adopted change, on the thread that calls {@link #checkFile}
      */
     public SettingsWatch(
             final String[] args, final Program program, final Settings current, final Consumer<Settings> onChange) {
@@ -46,11 +46,11 @@
         this.current = current;
         this.onChange = onChange;
         file = SettingsReader.file(args, program);
-        contentEvaluated = readFile();
-        contentSeen = contentEvaluated;
+        evaluatedContent = readFile();
+        lastContent = evaluatedContent;
     }
 
-    /** Null where there is no file. */
+    /** The content of the file; null if there is no file or it cannot be read. */
     private byte[] readFile() {
         try {
             return file == null ? null : Files.readAllBytes(file);
@@ -59,19 +59,20 @@
         }
     }
 
-    /** To be called periodically; true where there was a new content to evaluate. */
+    /** Checks the file for a change, to be called periodically; true if a new content was evaluated. */
     public synchronized boolean checkFile() {
         final byte[] content = readFile();
-        // why: a file that still changes is being written; it is evaluated once it has been the same twice
-        final boolean stable = Arrays.equals(content, contentSeen);
-        contentSeen = content;
-        if (!stable || Arrays.equals(content, contentEvaluated)) {
+        // A file that keeps changing is still being written; it is evaluated once two checks read the same content.
+        final boolean stable = Arrays.equals(content, lastContent);
+        lastContent = content;
+        if (!stable || Arrays.equals(content, evaluatedContent)) {
             return false;
         }
-        contentEvaluated = content;
+        evaluatedContent = content;
         evaluate(
                 content == null
-                        ? SettingsReader.Reading.failed(file.toString(), "is gone; the next start needs it")
+                        ? SettingsReader.Reading.failed(
+                                file.toString(), "missing or unreadable; the next start needs it")
                         : SettingsReader.read(args, program, content));
         return true;
     }
@@ -80,7 +81,7 @@
         reading.warnings().forEach(warning -> Logger.warn("settings: {}", warning));
         final List<Finding> reasons = new ArrayList<>(reading.findings());
         if (reasons.isEmpty()) {
-            reasons.addAll(fixedSettingsChanged(current, reading.settings()));
+            reasons.addAll(changedFixedSettings(current, reading.settings()));
         }
         findings = List.copyOf(reasons);
         if (reasons.isEmpty()) {
@@ -97,8 +98,8 @@
         Logger.info("settings adopted: segmentBytes {}, platform {}", settings.segmentBytes(), settings.platformUrl());
     }
 
-    /** What differs and cannot change in a running process. */
-    private static List<Finding> fixedSettingsChanged(final Settings before, final Settings after) {
+    /** The settings that differ but cannot change in a running process. */
+    private static List<Finding> changedFixedSettings(final Settings before, final Settings after) {
         final List<Finding> changed = new ArrayList<>();
         compare(changed, SettingsKeys.NODE.key(), before.node(), after.node());
         compare(changed, SettingsKeys.ZONE, before.zone(), after.zone());
@@ -127,16 +128,16 @@
             final List<Finding> changed, final String key, final Object before, final Object after) {
         if (!Objects.equals(before, after)) {
             changed.add(new Finding(
-                    "/" + key, "cannot change in a running process (it has " + before + "); restart it for this"));
+                    "/" + key, "cannot change in a running process (current value: " + before + "); restart to apply"));
         }
     }
 
-    /** The settings that the process runs with. */
+    /** The current settings of the process. */
     public Settings current() {
         return current;
     }
 
-    /** Why the file as it is now was rejected; empty where it was adopted. */
+    /** Why the file was rejected when it was last evaluated; empty if it was adopted. */
     public List<Finding> findings() {
         return findings;
     }
--- a/testing/src/test/java/brookpath/testing/FormerCommandsTest.java
+++ b/testing/src/test/java/brookpath/testing/FormerCommandsTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Commands under their former names start the command of the new name with the same arguments, and say so. */
+/** Each deprecated command runs its replacement with the same arguments and prints a deprecation warning. */
 public final class FormerCommandsTest {
     @DataProvider
     public Object[][] commands() {
@@ -19,23 +19,24 @@
     }
 
     @Test(dataProvider = "commands")
-    public void aFormerCommandStartsTheNewOneWithAWarning(final String formerName, final String name)
+    public void aDeprecatedCommandRunsItsReplacementWithAWarning(final String deprecatedName, final String name)
             throws IOException, InterruptedException {
         final Path root = Files.exists(Path.of("bin")) ? Path.of(".") : Path.of("..");
         assertTrue(Files.isExecutable(root.resolve("bin").resolve(name)), "bin/" + name);
         final Path folder = Files.createTempDirectory("commands");
         Files.copy(
-                root.resolve("bin").resolve(formerName),
-                folder.resolve(formerName),
+                root.resolve("bin").resolve(deprecatedName),
+                folder.resolve(deprecatedName),
                 StandardCopyOption.COPY_ATTRIBUTES);
         final Path target = folder.resolve(name);
         Files.writeString(target, "#!/usr/bin/env bash\nprintf '%s|' \"$@\"\nexit 7\n");
         assertTrue(target.toFile().setExecutable(true));
-        final Process process = new ProcessBuilder(folder.resolve(formerName).toString(), "--one", "two words").start();
+        final Process process =
+                new ProcessBuilder(folder.resolve(deprecatedName).toString(), "--one", "two words").start();
         final String output = new String(process.getInputStream().readAllBytes(), UTF_8);
         final String warnings = new String(process.getErrorStream().readAllBytes(), UTF_8);
         assertEquals(process.waitFor(), 7, "the exit code of bin/" + name);
         assertEquals(output, "--one|two words|");
-        assertTrue(warnings.contains(formerName + ": deprecated") && warnings.contains("use " + name), warnings);
+        assertTrue(warnings.contains(deprecatedName + ": deprecated") && warnings.contains("use " + name), warnings);
     }
 }
--- a/testing/src/test/java/brookpath/testing/SettingsTest.java
+++ b/testing/src/test/java/brookpath/testing/SettingsTest.java
@@ -17,7 +17,7 @@
 import java.util.SplittableRandom;
 import org.testng.annotations.Test;
 
-/** Settings and flags: all findings, with their place, together. */
+/** Reads settings and flags: all errors are reported together, each with its place; deprecated names still work. */
 public final class SettingsTest {
     private static Reading read(final Program program, final String json, final String... flags) throws Exception {
         final Path file = Files.createTempFile("settings", ".json");
@@ -37,7 +37,7 @@
                     + "\"seeds\":[\"1@127.0.0.1:2\",\"2@127.0.0.1:3\",\"3@127.0.0.1:4\"],\"segmentBytes\":100000,\"platform\":\"http://127.0.0.1:9/a\"}";
 
     @Test
-    public void goodSettingsAndFlagsOverThem() throws Exception {
+    public void flagsTakePrecedenceOverTheFile() throws Exception {
         final Reading rd = read(Program.DATA_NODE, GOOD, "--zone", "b");
         assertTrue(rd.findings().isEmpty(), rd.findings().toString());
         assertEquals(rd.settings().zone(), "b");
@@ -47,7 +47,7 @@
     }
 
     @Test
-    public void everythingWrongIsToldAtOnce() throws Exception {
+    public void allErrorsAreReportedTogether() throws Exception {
         final String all = read(
                         Program.DATA_NODE,
                         "{\"node\":\"x\",\"zone\":7,\"role\":\"middle\",\"http\":\"nowhere\",\"bounds\":{\"deliverMs\":1,\"pace\":2},"
@@ -72,7 +72,7 @@
     }
 
     @Test
-    public void boundsThatCannotBeMetTogetherAreAFinding() throws Exception {
+    public void contradictoryBoundsAreAFinding() throws Exception {
         final String all = read(
                         Program.DATA_NODE,
                         GOOD.replace("\"node\"", "\"bounds\":{\"deliverMs\":4000,\"changeMs\":1000},\"node\""))
@@ -82,7 +82,7 @@
     }
 
     @Test
-    public void unknownFlagAndMissingFile() {
+    public void anUnknownFlagAndAMissingFileAreFindings() {
         assertTrue(SettingsReader.read(new String[] {"--pace", "3"}, Program.CONTROLLER)
                 .findings()
                 .toString()
@@ -94,7 +94,7 @@
     }
 
     @Test
-    public void theFormerRoleOfAGatewayWorksWithAWarning() throws Exception {
+    public void theDeprecatedRoleOfAGatewayWorksWithAWarning() throws Exception {
         final Reading former = read(Program.DATA_NODE, GOOD.replace("\"gateway\"", "\"front\""));
         assertEquals(former.findings(), List.of());
         assertEquals(former.settings().role(), Role.GATEWAY);
@@ -104,7 +104,7 @@
     }
 
     @Test
-    public void theFormerSettingOfThePeerAddressWorksWithAWarning() throws Exception {
+    public void theDeprecatedKeyOfThePeerAddressWorksWithAWarning() throws Exception {
         final Reading former = read(Program.CONTROLLER, CONTROLLER.replace("\"peers\"", "\"siblings\""));
         assertEquals(former.findings(), List.of());
         assertEquals(former.settings(), read(Program.CONTROLLER, CONTROLLER).settings());
@@ -114,7 +114,7 @@
     }
 
     @Test
-    public void theFormerFlagOfThePeerAddressWorksWithAWarning() throws Exception {
+    public void theDeprecatedFlagOfThePeerAddressWorksWithAWarning() throws Exception {
         final Reading former = read(Program.CONTROLLER, CONTROLLER, "--siblings", "127.0.0.1:7");
         assertEquals(former.findings(), List.of());
         assertEquals(former.settings().peerAddress(), "127.0.0.1:7");
@@ -140,19 +140,19 @@
     }
 
     @Test
-    public void aFileChangedUnderARunningProcessIsTakenWholeOrKeptOut() throws Exception {
+    public void aFileThatChangesWhileTheProcessRunsIsAdoptedCompletelyOrRejected() throws Exception {
         final Path file = Files.createTempFile("settings", ".json");
         final String good = CONTROLLER;
         Files.writeString(file, good);
         final String[] args = {"--settings=" + file};
-        final List<Settings> taken = new ArrayList<>();
+        final List<Settings> adopted = new ArrayList<>();
         final SettingsWatch watch = new SettingsWatch(
                 args,
                 Program.CONTROLLER,
                 SettingsReader.read(args, Program.CONTROLLER).settings(),
-                taken::add);
-        // why: seeds are chosen so that each kind of wrong file follows each other kind; the oracle is what the last
-        // whole good file said
+                adopted::add);
+        // The random seed makes each kind of invalid file follow each other kind; the expected settings are those of
+        // the last valid file.
         final SplittableRandom random = new SplittableRandom(5);
         String platform = "http://127.0.0.1:9/a";
         int changes = 0;
@@ -160,7 +160,7 @@
             final String next = "http://127.0.0.1:9/" + i;
             final String fresh = good.replace("http://127.0.0.1:9/a", next);
             final int kind = random.nextInt(7);
-            boolean fine = kind == 0;
+            boolean valid = kind == 0;
             switch (kind) {
                 case 0 -> Files.writeString(file, fresh);
                 case 1 -> Files.writeString(file, fresh.substring(0, 1 + random.nextInt(fresh.length() - 1)));
@@ -174,20 +174,20 @@
                 }
                 default -> Files.write(file, new byte[] {(byte) random.nextInt(256), 0, 1, (byte) random.nextInt(256)});
             }
-            final boolean atOnce = watch.checkFile();
-            assertFalse(atOnce, "a file was judged at first sight, it may be half written");
+            final boolean evaluatedAtOnce = watch.checkFile();
+            assertFalse(evaluatedAtOnce, "a file was evaluated at the first check, when it may be half written");
             watch.checkFile();
-            if (fine) {
+            if (valid) {
                 platform = next;
                 changes++;
                 assertTrue(watch.findings().isEmpty(), watch.findings().toString());
             } else {
-                assertFalse(watch.findings().isEmpty(), "kind " + kind + " was not found wrong");
+                assertFalse(watch.findings().isEmpty(), "kind " + kind + " was not rejected");
                 assertTrue(watch.json().contains("\"keptOut\":[{\"place\":"), watch.json());
             }
             assertEquals(watch.current().platformUrl(), platform);
             assertEquals(watch.current().zone(), "a");
         }
-        assertTrue(changes > 20 && taken.size() == changes, taken.size() + " of " + changes);
+        assertTrue(changes > 20 && adopted.size() == changes, adopted.size() + " of " + changes);
     }
 }
--- a/testing/src/test/java/brookpath/testing/WireTest.java
+++ b/testing/src/test/java/brookpath/testing/WireTest.java
@@ -9,20 +9,23 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** Two nodes that each dial the other have two sessions, and each uses its own. */
+/**
+ * Two nodes that dial each other have two sessions, and each sends on the one that it dialled. Guards against a peer
+ * being considered dead because its answers arrive on the other session.
+ */
 public final class WireTest {
-    private static final class Box implements Wire.Inbox {
-        final LinkedBlockingQueue<PeerMessage> got = new LinkedBlockingQueue<>();
+    private static final class RecordingInbox implements Wire.Inbox {
+        final LinkedBlockingQueue<PeerMessage> received = new LinkedBlockingQueue<>();
         final LinkedBlockingQueue<Integer> up = new LinkedBlockingQueue<>();
 
         @Override
         public void frame(final int from, final PeerMessage message) {
-            got.add(message);
+            received.add(message);
         }
 
         @Override
         public void connectionLost(final int node) {
-            // why: the sends below say whether one was
+            // Not recorded: a lost session makes one of the sends below fail.
         }
 
         @Override
@@ -32,11 +35,11 @@
     }
 
     @Test
-    public void answersOnTheOtherSessionShowThatANodeLives() throws Exception {
-        final Box one = new Box();
-        final Box two = new Box();
-        // why: the least patience there is, so that whoever takes the other session's answers for silence gives up at
-        // the second message
+    public void answersOnTheOtherSessionKeepAPeerAlive() throws Exception {
+        final RecordingInbox one = new RecordingInbox();
+        final RecordingInbox two = new RecordingInbox();
+        // With this dead-peer timeout, a node that ignores answers on the other session considers the peer dead at the
+        // second message.
         final Wire a = new Wire(new ProcessIdentity(1, 11, 111), one, 100, -1, 1);
         final Wire b = new Wire(new ProcessIdentity(2, 22, 222), two, 100, -1, 1);
         try {
@@ -49,9 +52,9 @@
                     "no sessions");
             for (int i = 0; i < 20; i++) {
                 assertTrue(a.send(2, new PeerMessage.TimeoutNow(i, i)), "message " + i + " was not sent");
-                assertTrue(two.got.poll(10, TimeUnit.SECONDS) != null, "message " + i + " did not arrive");
+                assertTrue(two.received.poll(10, TimeUnit.SECONDS) != null, "message " + i + " did not arrive");
                 assertTrue(b.send(1, new PeerMessage.TimeoutNow(i, i)), "answer " + i + " was not sent");
-                assertTrue(one.got.poll(10, TimeUnit.SECONDS) != null, "answer " + i + " did not arrive");
+                assertTrue(one.received.poll(10, TimeUnit.SECONDS) != null, "answer " + i + " did not arrive");
             }
         } finally {
             a.close();
--- a/testing/src/test/java/brookpath/transport/wire/ChannelIdProbe.java
+++ b/testing/src/test/java/brookpath/transport/wire/ChannelIdProbe.java
@@ -2,7 +2,7 @@
 
 import io.netty.channel.DefaultChannelId;
 
-/** Prints the channel ID that Netty makes in a new process after {@link NettyStart#prepare}. */
+/** Prints a channel ID that Netty generates in a new process after {@link NettyStart#prepare}. */
 final class ChannelIdProbe {
     private ChannelIdProbe() {}
 
--- a/testing/src/test/java/brookpath/transport/wire/NettyStartTest.java
+++ b/testing/src/test/java/brookpath/transport/wire/NettyStartTest.java
@@ -7,13 +7,13 @@
 import org.testng.annotations.Test;
 
 /**
- * Netty is told what it would otherwise search for at its start. In a process of its own, since the classes of this one
- * may have been initialized by another test.
+ * Guards against Netty detecting at its start what {@link NettyStart} sets. Runs in a separate process, since another
+ * test may have initialized Netty's classes in this one.
  */
 @Test(groups = "real-processes")
 public final class NettyStartTest {
     @Test(groups = "real-processes")
-    public void channelIdsDoNotTakeAHardwareAddress() throws Exception {
+    public void channelIdsDoNotUseAHardwareAddress() throws Exception {
         final Process process = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-cp",
@@ -22,8 +22,8 @@
                 .start();
         final String id = new String(process.getInputStream().readAllBytes(), UTF_8);
         process.waitFor();
-        // why: a machine without a hardware address gets a warning in place of it, and its text takes longer to format
-        // than all other steps of the start
-        assertTrue(id.startsWith("0000000000000001-00000001-"), "machine and process were searched for: " + id);
+        // On a machine without a hardware address Netty logs a warning instead, and formatting it takes longer than all
+        // other steps of the start.
+        assertTrue(id.startsWith("0000000000000001-00000001-"), "Netty detected the machine or the process ID: " + id);
     }
 }
--- a/transport/src/main/java/brookpath/transport/http/CommonResource.java
+++ b/transport/src/main/java/brookpath/transport/http/CommonResource.java
@@ -10,21 +10,21 @@
 import jakarta.ws.rs.core.Response;
 import java.util.concurrent.CompletionStage;
 
-/** The readiness and the status of any process. */
+/** Readiness, status and wire statistics, the same on every process. */
 @Path("/v1")
 @Produces(APPLICATION_JSON)
 public final class CommonResource {
     private final RequestDispatcher dispatcher;
     private final SettingsReport settings;
 
-    /** @param settings shown on the status page */
+    /** @param settings reports the state of the settings file for the status page */
     @Inject
     public CommonResource(final RequestDispatcher dispatcher, final SettingsReport settings) {
         this.dispatcher = dispatcher;
         this.settings = settings;
     }
 
-    /** 200 where this process can serve now, else 503; for load balancers and probes. */
+    /** Readiness probe for load balancers: 200 while this process can serve, otherwise 503. */
     @GET
     @Path("/ready")
     public CompletionStage<Response> ready() {
@@ -35,7 +35,7 @@
     @GET
     @Path("/status")
     public CompletionStage<Response> status() {
-        // why: the settings file is the process's, not its state's, so the two are put together here
+        // The node does not know the settings file, so its status and that of the file are merged here.
         return dispatcher.submit(
                 NodeRequest.Status::new,
                 r -> new brookpath.coordination.message.Response(
@@ -45,8 +45,8 @@
     }
 
     /**
-     * Counters of the sessions with peers, and lengths of the queues. Read without the state thread, so it responds
-     * even when that is busy.
+     * Counters of the sessions with peers, and lengths of the queues. Read without the state thread, so that it
+     * responds even while that thread is busy.
      */
     @GET
     @Path("/wire")
--- a/transport/src/main/java/brookpath/transport/http/GatewayResource.java
+++ b/transport/src/main/java/brookpath/transport/http/GatewayResource.java
@@ -23,7 +23,7 @@
 import java.util.List;
 import java.util.concurrent.CompletionStage;
 
-/** The interface for callers of a gateway. docs/operators/caller-interface.md shows it with examples. */
+/** The HTTP interface of a gateway for its callers. docs/operators/caller-interface.md shows it with examples. */
 @Path("/v1")
 @Produces(APPLICATION_JSON)
 public final class GatewayResource {
@@ -39,8 +39,9 @@
     }
 
     /**
-     * Publishes a message. 200 with its position once enough replicas have synced it, 503 where it was certainly not
-     * appended, 504 where that is unknown; a retry with the same sequence is appended at most once.
+     * Publishes a message. 200 with its position once enough replicas have synced it, 503 if it was certainly not
+     * appended, 504 if the outcome is unknown. A message that is retried with the same sequence number is appended at
+     * most once.
      */
     @POST
     @Path("/topics/{space}/{topic}/messages")
@@ -54,17 +55,17 @@
         try {
             body = PublishBody.parse(RequestDispatcher.readBody(in, PublishBody.MAX_BYTES));
         } catch (final PublishBody.RefusedException ex) {
-            return RequestDispatcher.completed(refused(ex));
+            return RequestDispatcher.completed(refusal(ex));
         }
         return dispatcher.submit(id -> new NodeRequest.Publish(
                 id, apiKey(authorization), space + "/" + topic, body.sender(), body.sequence(), body.message()));
     }
 
     /**
-     * Opens a listening session: JSON lines until the session ends.
+     * Opens a listening session, which streams JSON lines until it ends.
      *
-     * @param topics 1 to 64 of them
-     * @param cursor where to resume; null for from now on. 410 where records after it are no longer retained
+     * @param topics 1 to 64 topics
+     * @param cursor where to resume; null to start with new records. 410 if records after it are no longer retained
      */
     @GET
     @Path("/stream")
@@ -73,26 +74,26 @@
             @QueryParam("cursor") final String cursor,
             @HeaderParam("Authorization") final String authorization) {
         final long id = dispatcher.host().nextRequestId();
-        final StreamedSession lines = new StreamedSession(dispatcher.host(), id);
+        final StreamedSession session = new StreamedSession(dispatcher.host(), id);
         return dispatcher
                 .host()
-                .subscribe(id, new NodeRequest.Subscribe(id, apiKey(authorization), topics, cursor), lines)
+                .subscribe(id, new NodeRequest.Subscribe(id, apiKey(authorization), topics, cursor), session)
                 .thenApplyAsync(
                         r -> {
                             if (r.status() != Status.OK.getStatusCode()) {
                                 dispatcher.host().unsubscribe(id);
                                 return RequestDispatcher.toHttp(r);
                             }
-                            return jakarta.ws.rs.core.Response.ok(lines, JSON_LINES)
-                                    .header("Brookpath-Session", session(r))
+                            return jakarta.ws.rs.core.Response.ok(session, JSON_LINES)
+                                    .header("Brookpath-Session", sessionId(r))
                                     .build();
                         },
-                        dispatcher.traffic());
+                        dispatcher.trafficExecutor());
     }
 
-    private static String session(final Response hello) {
+    private static String sessionId(final Response response) {
         try (JsonReader rd =
-                Json.createReader(new ByteArrayInputStream(hello.json().getBytes(UTF_8)))) {
+                Json.createReader(new ByteArrayInputStream(response.json().getBytes(UTF_8)))) {
             return rd.readObject().getString("session");
         }
     }
@@ -100,7 +101,7 @@
     /**
      * Counts the sessions that listen to a topic, on all gateways.
      *
-     * @param session left out of the count; null for none
+     * @param session a session to leave out of the count; null for none
      */
     @GET
     @Path("/topics/{space}/{topic}/listeners")
@@ -112,7 +113,7 @@
         return dispatcher.submit(id -> new NodeRequest.Count(id, apiKey(authorization), space + "/" + topic, session));
     }
 
-    /** Where a publish or a subscription on the topic would be routed now, and why; for diagnosis. */
+    /** Explains where a publish or a subscription on the topic would be routed now, and why; for diagnosis. */
     @GET
     @Path("/explain")
     public CompletionStage<jakarta.ws.rs.core.Response> explain(
@@ -121,9 +122,9 @@
     }
 
     /**
-     * Starts to drain this gateway: it is no longer ready and refuses new sessions with 503.
+     * Starts draining this gateway: it reports that it is not ready and refuses new sessions with 503.
      *
-     * @param on {@code false} to end the drain; anything else, or null, starts it
+     * @param on {@code false} ends the drain; anything else, or null, starts it
      */
     @POST
     @Path("/drain")
@@ -137,7 +138,7 @@
                 : "";
     }
 
-    private static Response refused(final PublishBody.RefusedException ex) {
+    private static Response refusal(final PublishBody.RefusedException ex) {
         final Status status = ex.tooLarge() ? Status.REQUEST_ENTITY_TOO_LARGE : Status.BAD_REQUEST;
         final String json = "{\"outcome\":\"refused\",\"findings\":" + Finding.toJson(ex.findings()) + "}";
         return new Response(status.getStatusCode(), 0, json);
--- a/transport/src/main/java/brookpath/transport/http/OperatorResource.java
+++ b/transport/src/main/java/brookpath/transport/http/OperatorResource.java
@@ -20,7 +20,8 @@
 import java.util.concurrent.CompletionStage;
 
 /**
- * The interface for operators, the same on any controller. docs/operators/operator-interface.md shows it with examples.
+ * The HTTP interface for operators, the same on every controller. docs/operators/operator-interface.md shows it with
+ * examples.
  */
 @Path("/v1")
 @Produces(APPLICATION_JSON)
@@ -34,18 +35,19 @@
     }
 
     /**
-     * Submits a configuration change. 200 once it is in force everywhere, 409 where its base is not the present
-     * version, 504 where the outcome is unknown: the same document may be sent again.
+     * Submits a configuration change. 200 once it is in force everywhere, 409 if it is not based on the current
+     * version, 504 if the outcome is unknown; the same document may then be sent again.
      */
     @POST
     @Path("/changes")
     public CompletionStage<Response> change(final InputStream in) throws IOException {
-        // why: one byte more than allowed is enough for the leader to reject it as too large
+        // One byte above the limit is enough for the control leader to reject the document as too large.
         return operate(ControlRequestKind.CHANGE, in.readNBytes(ConfigurationReader.MAX_BYTES + 1));
     }
 
     /**
-     * What became of a change: 200 confirmed, 202 while it spreads, 404 where no such change was accepted.
+     * The outcome of a change: 200 once it is confirmed, 202 while it is being distributed, 404 if no such change was
+     * accepted.
      *
      * @param id the change ID of the submitted document
      */
@@ -62,7 +64,7 @@
         return operate(ControlRequestKind.CONFIGURATION, new byte[0]);
     }
 
-    /** Retires a storage machine: its replicas are moved to others. {@code on=false} cancels that. */
+    /** Retires a storage node: its replicas are moved to others. {@code on=false} cancels the retirement. */
     @POST
     @Path("/storages/{node}/retire")
     public CompletionStage<Response> retire(@PathParam("node") final int node, @QueryParam("on") final String on) {
@@ -74,7 +76,7 @@
                         .toByteArray());
     }
 
-    /** Transfers a group's leadership to the given node by hand; attempted while that node has every record. */
+    /** Transfers a group's leadership to the given node; attempted only while that node has every record. */
     @POST
     @Path("/groups/{group}/master")
     public CompletionStage<Response> handover(@PathParam("group") final int group, @QueryParam("node") final int node) {
@@ -83,7 +85,7 @@
                 PackedBuffer.writer().putLong(group).putLong(node).toByteArray());
     }
 
-    /** The totals of the usage windows by tenant, and whether each was reported to the platform. */
+    /** The totals of the usage windows by tenant, and whether each window was reported to the platform. */
     @GET
     @Path("/usage")
     public CompletionStage<Response> usage() {
--- a/transport/src/main/java/brookpath/transport/http/PlatformPoster.java
+++ b/transport/src/main/java/brookpath/transport/http/PlatformPoster.java
@@ -13,18 +13,18 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
 
-/** Posts usage reports to the platform over HTTP/1.1, each under its idempotency key. */
+/** Posts usage reports to the platform over HTTP/1.1, each with its idempotency key. */
 public final class PlatformPoster implements Host.Poster {
     private final Duration timeout;
     private final HttpClient http;
     private volatile URI uri;
 
     /**
-     * @param url where reports are posted; empty for nowhere, since totals can also be read from a controller
-     * @param timeoutMs for connecting, and for the complete exchange
+     * @param url where reports are posted; empty to post none, since totals can also be read from a controller
+     * @param timeoutMs the timeout for connecting, and for the complete exchange
      */
     public PlatformPoster(final String url, final long timeoutMs) {
-        url(url);
+        setUrl(url);
         timeout = Duration.ofMillis(timeoutMs);
         http = HttpClient.newBuilder()
                 .version(HttpClient.Version.HTTP_1_1)
@@ -32,8 +32,8 @@
                 .build();
     }
 
-    /** Changes where reports are posted from now on; empty for nowhere. Any thread may call it. */
-    public void url(final String url) {
+    /** Changes where reports are posted from now on; empty to post none. Any thread may call it. */
+    public void setUrl(final String url) {
         uri = url.isEmpty() ? null : URI.create(url);
     }
 
@@ -52,11 +52,13 @@
                                 .build(),
                         HttpResponse.BodyHandlers.discarding())
                 .thenApply(response -> PostOutcome.ofStatus(response.statusCode()))
-                .exceptionally(ex -> unanswered(ex));
+                .exceptionally(ex -> outcomeOfFailure(ex));
     }
 
-    /** Only a failed connect proves that nothing was sent; any later failure leaves the outcome unknown. */
-    private static PostOutcome unanswered(final Throwable ex) {
+    /**
+     * Only a failed connection attempt proves that nothing was sent; after any later failure the outcome is unknown.
+     */
+    private static PostOutcome outcomeOfFailure(final Throwable ex) {
         final Throwable cause = ex instanceof CompletionException ? ex.getCause() : ex;
         return cause instanceof ConnectException || cause instanceof HttpConnectTimeoutException
                 ? PostOutcome.NOT_SENT
--- a/transport/src/main/java/brookpath/transport/http/PublishBody.java
+++ b/transport/src/main/java/brookpath/transport/http/PublishBody.java
@@ -17,12 +17,12 @@
 import java.util.regex.Pattern;
 
 /**
- * The JSON body of a publish, checked.
+ * The validated JSON body of a publish request.
  *
- * @param sequence the sender's number of the message, from 1
+ * @param sequence the sender's sequence number of the message, from 1
  */
 record PublishBody(String sender, long sequence, String message) {
-    /** The largest body that is read, in bytes. */
+    /** The largest body that is accepted, in bytes. */
     static final int MAX_BYTES = 4 * MAX_MESSAGE_BYTES;
 
     private static final List<String> FIELDS = List.of("sender", "sequence", "message");
@@ -30,7 +30,7 @@
     private static final int MAX_SEQUENCE_BITS = 62;
     private static final long NO_SEQUENCE = -1;
 
-    /** The body is refused; the findings say why. */
+    /** The body is refused; the findings state the reasons. */
     static final class RefusedException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -43,7 +43,7 @@
             this.findings = findings;
         }
 
-        /** Whether the body or the message is larger than is allowed, rather than malformed. */
+        /** Whether the body or the message exceeds its size limit, rather than being malformed. */
         boolean tooLarge() {
             return tooLarge;
         }
@@ -53,7 +53,7 @@
         }
     }
 
-    /** @param body null where it was larger than {@link #MAX_BYTES} */
+    /** @param body null if it was larger than {@link #MAX_BYTES} */
     static PublishBody parse(final byte[] body) throws RefusedException {
         if (body == null) {
             throw tooLarge("/", "body is larger than " + MAX_BYTES + " bytes");
@@ -93,7 +93,7 @@
         }
     }
 
-    /** Null where the field is no string. */
+    /** Null if the field is not a string. */
     private static String text(final JsonObject object, final String field) {
         final JsonValue value = object.get(field);
         return value instanceof JsonString string ? string.getString() : null;
--- a/transport/src/main/java/brookpath/transport/http/RequestDispatcher.java
+++ b/transport/src/main/java/brookpath/transport/http/RequestDispatcher.java
@@ -15,19 +15,20 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Submits callers' requests to the state thread and completes the HTTP responses on threads of its own. Thread-safe.
+ * Submits callers' requests to the state thread and completes the HTTP responses on a thread pool of its own.
+ * Thread-safe.
  */
 public final class RequestDispatcher {
     private static final int MILLIS_PER_SECOND = 1_000;
 
     private final Host host;
-    private final ExecutorService traffic = Executors.newCachedThreadPool(run -> {
+    private final ExecutorService trafficExecutor = Executors.newCachedThreadPool(run -> {
         final Thread thread = new Thread(run, "traffic");
         thread.setDaemon(true);
         return thread;
     });
 
-    /** @param host runs the node that decides on the requests */
+    /** @param host runs the node that processes the requests */
     public RequestDispatcher(final Host host) {
         this.host = host;
     }
@@ -36,11 +37,11 @@
         return host;
     }
 
-    ExecutorService traffic() {
-        return traffic;
+    ExecutorService trafficExecutor() {
+        return trafficExecutor;
     }
 
-    /** @param request builds the request for the ID that was assigned to it */
+    /** @param request builds the request with the ID that was assigned to it */
     CompletionStage<jakarta.ws.rs.core.Response> submit(final LongFunction<NodeRequest> request) {
         return submit(request, response -> response);
     }
@@ -48,9 +49,9 @@
     CompletionStage<jakarta.ws.rs.core.Response> submit(
             final LongFunction<NodeRequest> request, final UnaryOperator<Response> transform) {
         final long id = host.nextRequestId();
-        // why: the state thread must not write to a caller's socket
+        // The state thread must not block on a write to a caller's socket.
         return host.submit(id, request.apply(id))
-                .thenApplyAsync(response -> toHttp(transform.apply(response)), traffic);
+                .thenApplyAsync(response -> toHttp(transform.apply(response)), trafficExecutor);
     }
 
     static CompletionStage<jakarta.ws.rs.core.Response> completed(final Response response) {
@@ -62,14 +63,14 @@
                 .type(APPLICATION_JSON)
                 .entity(response.json() + "\n");
         if (response.retryAfterMs() > 0) {
-            // why: the header counts whole seconds only; a second header has the milliseconds
+            // Retry-After is in whole seconds; a second header gives the milliseconds.
             builder.header("Retry-After", (response.retryAfterMs() + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND)
                     .header("Brookpath-Retry-After-Ms", response.retryAfterMs());
         }
         return builder.build();
     }
 
-    /** Reads the body; null where it is longer than {@code max} bytes. */
+    /** Reads the body; null if it is longer than {@code max} bytes. */
     static byte[] readBody(final InputStream in, final int max) throws IOException {
         final byte[] bytes = in.readNBytes(max + 1);
         return bytes.length > max ? null : bytes;
--- a/transport/src/main/java/brookpath/transport/http/SettingsReport.java
+++ b/transport/src/main/java/brookpath/transport/http/SettingsReport.java
@@ -2,6 +2,6 @@
 
 /** The state of the settings file, for the status page. */
 public interface SettingsReport {
-    /** A JSON value, read anew at each call. Called on the dispatcher's threads. */
+    /** The current state as a JSON value. Called on the threads of the HTTP interface. */
     String json();
 }
--- a/transport/src/main/java/brookpath/transport/http/StreamedSession.java
+++ b/transport/src/main/java/brookpath/transport/http/StreamedSession.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.ArrayBlockingQueue;
 import java.util.concurrent.BlockingQueue;
 
-/** The bounded queue of one listening session, and the loop that writes it out on a traffic thread. */
+/** The bounded queue of one listening session, and the loop that writes its lines to the caller on a traffic thread. */
 final class StreamedSession implements Host.Sink, StreamingOutput {
     private static final int QUEUE_CAPACITY = 1024;
     private static final long POLL_MS = 200;
@@ -29,8 +29,8 @@
     }
 
     @Override
-    public boolean offer(final Action.ToSession what) {
-        return queue.offer(((Action.DeliverLine) what).line());
+    public boolean offer(final Action.ToSession delivery) {
+        return queue.offer(((Action.DeliverLine) delivery).line());
     }
 
     @Override
@@ -46,8 +46,8 @@
                 if (line == null) {
                     continue;
                 }
-                // why: checked for each line: after a long pause of the process the key may have been revoked, so
-                // nothing may be sent
+                // Checked before each line: after a long pause of the process the API key may have been revoked, so
+                // nothing may be sent until the lease is renewed.
                 while (!host.mayDeliver() && closeReason == null) {
                     MILLISECONDS.sleep(LEASE_POLL_MS);
                 }
--- a/transport/src/main/java/brookpath/transport/identity/RandomNumbers.java
+++ b/transport/src/main/java/brookpath/transport/identity/RandomNumbers.java
@@ -8,16 +8,16 @@
 import java.security.SecureRandom;
 
 /**
- * Random numbers of cryptographic quality, a few at each start. Read from the kernel where it offers them: the security
- * providers behind {@link SecureRandom}, which read the same source, take longer to load than a process on a small
- * machine can spare.
+ * Random numbers of cryptographic quality, of which each start needs a few. They are read directly from the kernel
+ * where possible: {@link SecureRandom} reads the same source, but loading its security providers delays the start of a
+ * process on a small machine too much.
  */
 public final class RandomNumbers {
     private static final String KERNEL_SOURCE = "/dev/urandom";
 
     private RandomNumbers() {}
 
-    /** Any 64-bit number but zero, which stands for "not known". */
+    /** Any 64-bit number except zero, which stands for "not known". */
     public static long identity() {
         long drawn = 0;
         while (drawn == 0) {
@@ -27,8 +27,8 @@
     }
 
     /**
-     * Where a process's counter of IDs begins: the IDs of two incarnations do not meet. Positive, and with as much room
-     * above it as it was drawn from, so that the IDs never wrap around.
+     * A random start for the counter of IDs of a process, so that the IDs of two incarnations do not collide. Not
+     * negative and below 2^62, so that as many IDs again lie above it and the counter never overflows.
      */
     public static long firstId() {
         return draw() >>> 2;
@@ -42,7 +42,7 @@
             }
             return ByteBuffer.wrap(bytes).getLong();
         } catch (final IOException ex) {
-            // why: not every system has the file
+            // Not every operating system has the file.
             return new SecureRandom().nextLong();
         }
     }
--- a/transport/src/main/java/brookpath/transport/identity/package-info.java
+++ b/transport/src/main/java/brookpath/transport/identity/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Who a process is: {@link brookpath.transport.identity.ProcessIdentity} is its node number, incarnation and machine,
- * immutable; {@link brookpath.transport.identity.RandomNumbers} draws the random ones. Any thread may use both.
+ * The identity of a process: {@link brookpath.transport.identity.ProcessIdentity} is its node number, incarnation and
+ * machine, immutable; {@link brookpath.transport.identity.RandomNumbers} draws the random numbers among them. Any
+ * thread may use both.
  */
 package brookpath.transport.identity;
--- a/transport/src/main/java/brookpath/transport/log/LogRing.java
+++ b/transport/src/main/java/brookpath/transport/log/LogRing.java
@@ -12,9 +12,9 @@
 import java.util.List;
 
 /**
- * The last lines of the process's log, in memory; written out when an error is logged. The state thread logs here
- * directly: it has only finished texts, and the logging library takes longer to load than a small machine can spare at
- * its start. Everything else logs through the library, whose {@link RingWriter} passes the lines on. Thread-safe.
+ * A ring buffer of the last lines of the process's log, written out when an error is logged. The state thread logs here
+ * directly: its messages are already formatted, and loading the logging library delays the start on a small machine too
+ * much. Everything else logs through the library, whose {@link RingWriter} adds the lines here. Thread-safe.
  */
 public final class LogRing {
     private static final int MAX_LINES = 4_096;
@@ -31,11 +31,11 @@
     private LogRing() {}
 
     /** Sets the file that the ring is appended to when an error is logged; null for standard error. */
-    public static void to(final Path path) {
+    public static void setFile(final Path path) {
         file = path;
     }
 
-    /** A copy of the lines in the ring, oldest first; those written out before are not among them. */
+    /** A copy of the lines in the ring, oldest first, without those that were already written out. */
     public static synchronized List<String> lines() {
         return List.copyOf(LINES);
     }
@@ -45,7 +45,7 @@
         add(INFO, text, ECHO);
     }
 
-    /** Adds a line and prints it at once; for rare events that operators order by time. */
+    /** Adds a line and prints it at once; for rare events whose order in time operators need to see. */
     public static void milestone(final String text) {
         add(INFO, text, true);
     }
@@ -60,7 +60,7 @@
         add(now() + " " + level + " " + Thread.currentThread().getName() + " " + text, printed);
     }
 
-    /** Adds a line that is complete, with its time. */
+    /** Adds a line that is already formatted, including its timestamp. */
     static void add(final String line) {
         add(line, ECHO);
     }
@@ -80,7 +80,7 @@
     private static String now() {
         final long ms = System.currentTimeMillis();
         final int nanos = (int) Math.floorMod(ms, (long) MILLIS_PER_SECOND) * NANOS_PER_MILLI;
-        // why: not an Instant, whose text takes the formatters of java.time
+        // Not an Instant, whose text needs the formatters of java.time.
         return LocalDateTime.ofEpochSecond(Math.floorDiv(ms, (long) MILLIS_PER_SECOND), nanos, ZoneOffset.UTC) + "Z";
     }
 
--- a/transport/src/main/java/brookpath/transport/log/RingWriter.java
+++ b/transport/src/main/java/brookpath/transport/log/RingWriter.java
@@ -8,15 +8,15 @@
 import org.tinylog.core.LogEntryValue;
 import org.tinylog.writers.Writer;
 
-/** tinylog's writer: passes its lines on to the {@link LogRing}, which is written out at an error. Thread-safe. */
+/** A tinylog writer that adds the lines to the {@link LogRing}, which is written out at an error. Thread-safe. */
 public final class RingWriter implements Writer {
     /**
-     * Called by tinylog, which finds the writer by its name in tinylog.properties.
+     * Called by tinylog, which instantiates the writer that tinylog.properties names.
      *
-     * @param properties those of the writer in that file; none is read
+     * @param properties the writer's properties in that file; none is used
      */
     public RingWriter(final Map<String, String> properties) {
-        // why: tinylog makes the writer by name; the file is known only once the settings are read
+        // Nothing to set up: LogRing gets its file only once the settings have been read.
     }
 
     @Override
@@ -53,11 +53,11 @@
 
     @Override
     public void flush() {
-        // why: the ring is written out only when an error is logged
+        // The ring is written out only when an error is logged.
     }
 
     @Override
     public void close() {
-        // why: as above
+        // As for flush: only an error writes the ring out.
     }
 }
--- a/transport/src/main/java/brookpath/transport/loop/ActionExecutor.java
+++ b/transport/src/main/java/brookpath/transport/loop/ActionExecutor.java
@@ -7,7 +7,7 @@
 import brookpath.transport.wire.Wire;
 import java.util.List;
 
-/** Executes the actions that the node returned. On the state thread; nothing here waits for a disk or a socket. */
+/** Executes the actions that the node returns, on the state thread, without waiting for a disk or a socket. */
 final class ActionExecutor {
     private final EventQueue events;
     private final Wire wire;
@@ -17,7 +17,7 @@
     private final SessionSinks sinks;
     private final Host.Poster poster;
 
-    /** @param disk null where the machine has no disk; writes are then dropped and never reported as synced */
+    /** @param disk null if the machine has no disk; writes are then dropped and never reported as synced */
     ActionExecutor(
             final EventQueue events,
             final Wire wire,
--- a/transport/src/main/java/brookpath/transport/loop/DiskLoop.java
+++ b/transport/src/main/java/brookpath/transport/loop/DiskLoop.java
@@ -13,14 +13,14 @@
 import org.tinylog.Logger;
 
 /**
- * The disk thread, which owns the write-ahead log: writes what is queued as one batch, syncs it, and reports the number
- * up to which everything is synced. Periodically it reads the log back to find damage.
+ * The disk thread, which owns the write-ahead log: writes all queued actions as one batch, syncs the log, and reports
+ * the number up to which everything is synced. Periodically it scrubs the log, that is, reads it back to detect damage.
  */
 final class DiskLoop implements Runnable {
-    /** Periods of recovery between two scrubs of the log. */
-    private static final int RECOVERIES_PER_SCRUB = 5;
-    /** How often an idle loop checks its timers, and a refused snapshot is retried, in a period of recovery. */
-    private static final int RETRIES_PER_RECOVERY = 4;
+    /** The period of the scrubs of the log, as a multiple of recoverMs. */
+    private static final int RECOVERY_BOUNDS_PER_SCRUB = 5;
+    /** How often in recoverMs an idle loop checks its timers, and a refused snapshot is retried. */
+    private static final int RETRIES_PER_RECOVERY_BOUND = 4;
 
     private final WriteAheadLog writeAheadLog;
     private final DiskWriter writer;
@@ -28,11 +28,11 @@
     private final LoopThreads threads;
     private final long retryMs;
     private final long scrubPeriodMs;
-    private final long diskFullPauseMs;
+    private final long diskFullRetryMs;
     private final BlockingQueue<Action> writes = new LinkedBlockingQueue<>();
     private final List<Action> batch = new ArrayList<>();
     private long nextScrubMs;
-    private long nextSnapshotMs = Long.MAX_VALUE;
+    private long nextSnapshotRetryMs = Long.MAX_VALUE;
     private boolean diskFull;
 
     DiskLoop(
@@ -44,18 +44,18 @@
         this.events = events;
         this.threads = threads;
         writer = new DiskWriter(writeAheadLog);
-        retryMs = timing.recoverMs() / RETRIES_PER_RECOVERY;
-        scrubPeriodMs = RECOVERIES_PER_SCRUB * timing.recoverMs();
-        diskFullPauseMs = timing.diskRetryDelay();
+        retryMs = timing.recoverMs() / RETRIES_PER_RECOVERY_BOUND;
+        scrubPeriodMs = RECOVERY_BOUNDS_PER_SCRUB * timing.recoverMs();
+        diskFullRetryMs = timing.diskRetryDelay();
     }
 
-    /** Any thread: has an action written after all those before it. */
+    /** Queues an action, which is written after those queued before it. Any thread may call it. */
     void add(final Action write) {
         writes.add(write);
     }
 
-    /** How many actions are queued. Any thread. */
-    int waiting() {
+    /** The number of queued actions. Any thread may call it. */
+    int queuedWrites() {
         return writes.size();
     }
 
@@ -67,7 +67,7 @@
                 final Action first = diskFull ? null : writes.poll(retryMs, MILLISECONDS);
                 final long nowMs = SystemClock.monotonicMs();
                 scrubIfDue(nowMs);
-                reportSnapshotIfDue(nowMs);
+                reportRefusedSnapshotIfDue(nowMs);
                 if (first != null || diskFull) {
                     writeBatch(first, nowMs);
                 }
@@ -79,7 +79,7 @@
 
     private void scrubIfDue(final long nowMs) {
         if (nowMs >= nextScrubMs) {
-            // why: damage on the disk is to be found while the state in memory can still replace it
+            // Damage on the disk must be found while the state in memory can still replace it.
             nextScrubMs = nowMs + scrubPeriodMs;
             if (!writeAheadLog.isIntact()) {
                 events.add(Node::damaged);
@@ -87,14 +87,14 @@
         }
     }
 
-    private void reportSnapshotIfDue(final long nowMs) {
-        if (nowMs >= nextSnapshotMs) {
-            nextSnapshotMs = Long.MAX_VALUE;
+    private void reportRefusedSnapshotIfDue(final long nowMs) {
+        if (nowMs >= nextSnapshotRetryMs) {
+            nextSnapshotRetryMs = Long.MAX_VALUE;
             events.add(Node::snapshotRefused);
         }
     }
 
-    /** @param first the action that was already taken from the queue; null for none */
+    /** @param first an action that was already taken from the queue; null for none */
     private void writeBatch(final Action first, final long nowMs) throws InterruptedException {
         batch.clear();
         if (first != null) {
@@ -102,23 +102,23 @@
         }
         writes.drainTo(batch);
         writer.add(batch);
-        diskFull(!writer.write());
+        setDiskFull(!writer.write());
         if (writer.takeSnapshotRefused()) {
-            Logger.warn("no room for a snapshot: the segment goes on");
-            nextSnapshotMs = nowMs + retryMs;
+            Logger.warn("disk is full: snapshot skipped, log continues in its segment");
+            nextSnapshotRetryMs = nowMs + retryMs;
         }
         final long synced = writer.sync();
         events.add((node, time) -> node.synced(synced, time));
         if (diskFull) {
-            Thread.sleep(diskFullPauseMs);
+            Thread.sleep(diskFullRetryMs);
         }
     }
 
-    private void diskFull(final boolean full) {
+    private void setDiskFull(final boolean full) {
         if (full && !diskFull) {
-            Logger.warn("the disk is full: writes wait and are tried again");
+            Logger.warn("disk is full: writes are queued and retried");
         } else if (diskFull && !full) {
-            Logger.info("the disk has room again");
+            Logger.info("disk has free space again: queued writes were written");
         }
         diskFull = full;
     }
--- a/transport/src/main/java/brookpath/transport/loop/DiskWriter.java
+++ b/transport/src/main/java/brookpath/transport/loop/DiskWriter.java
@@ -7,35 +7,35 @@
 import java.util.Collection;
 
 /**
- * Appends the writes of a node to its write-ahead log, in order. What the disk has no space for stays queued and is
- * retried; a snapshot that there is no space for is skipped, since the segment before it still has everything. Not
+ * Appends the writes of a node to its write-ahead log, in order. Writes for which the disk has no space stay queued and
+ * are retried; a snapshot for which it has no space is skipped, since the segment before it still holds everything. Not
  * thread-safe.
  */
 public final class DiskWriter {
     private final WriteAheadLog writeAheadLog;
-    private final ArrayDeque<Action> waiting = new ArrayDeque<>();
+    private final ArrayDeque<Action> queued = new ArrayDeque<>();
     private long written;
     private boolean snapshotRefused;
 
-    /** @param writeAheadLog used by no one else from now on */
+    /** @param writeAheadLog used by this writer alone from now on */
     public DiskWriter(final WriteAheadLog writeAheadLog) {
         this.writeAheadLog = writeAheadLog;
     }
 
-    /** Queues actions ({@link Action.Write} or {@link Action.Roll}) behind those before; nothing is written yet. */
+    /** Queues actions ({@link Action.Write} or {@link Action.Roll}) without writing them yet. */
     public void add(final Collection<Action> writes) {
-        waiting.addAll(writes);
+        queued.addAll(writes);
     }
 
-    /** Writes as much as there is space for; false where the rest stays queued because the disk is full. */
+    /** Writes the queued actions in order; false if the disk is full, in which case the rest stays queued. */
     public boolean write() {
-        while (!waiting.isEmpty()) {
+        while (!queued.isEmpty()) {
             try {
-                written = write(waiting.peek());
+                written = write(queued.peek());
             } catch (final DiskFullException ex) {
                 return false;
             }
-            waiting.poll();
+            queued.poll();
         }
         return true;
     }
@@ -50,7 +50,7 @@
             roll(r);
             return r.number();
         }
-        throw new IllegalArgumentException("not for the disk: " + action);
+        throw new IllegalArgumentException("neither a write nor a roll: " + action);
     }
 
     private void roll(final Action.Roll roll) {
@@ -61,18 +61,18 @@
         }
     }
 
-    /** Syncs what was written; returns the number up to which everything is synced. */
+    /** Syncs the log and returns the number up to which everything is synced. */
     public long sync() {
         writeAheadLog.sync();
         return written;
     }
 
-    /** The number up to which everything is written, synced or not. */
+    /** The number up to which everything is written, whether synced or not. */
     public long written() {
         return written;
     }
 
-    /** Whether a snapshot was skipped for lack of space since the last call. */
+    /** Whether a snapshot was skipped for lack of space since the last call; clears the flag. */
     public boolean takeSnapshotRefused() {
         final boolean refused = snapshotRefused;
         snapshotRefused = false;
--- a/transport/src/main/java/brookpath/transport/loop/EventQueue.java
+++ b/transport/src/main/java/brookpath/transport/loop/EventQueue.java
@@ -10,18 +10,18 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.atomic.AtomicBoolean;
 
-/** The queue of events for the state thread. Any thread adds; the state thread alone polls. */
+/** The queue of events for the state thread. Any thread may add events; only the state thread polls. */
 final class EventQueue {
-    /** Something that happened to the node, and the actions that result. */
+    /** An event that is applied to the node and returns the resulting actions. */
     interface Event {
         List<Action> apply(Node node, Time time);
     }
 
-    /** Beyond this many queued events callers' requests are refused. */
+    /** With more queued events than this, callers' requests are refused. */
     private static final int MAX_EVENTS = 8_192;
-    /** Beyond this many queued events a peer's session is closed. */
+    /** With more queued events than this, the sessions with a peer that sends a message are closed. */
     private static final int MAX_PEER_EVENTS = 4 * MAX_EVENTS;
-    /** Requests a tick of the node; queued at most once. */
+    /** Requests a tick of the node; in the queue at most once. */
     private static final Event TICK = (node, time) -> List.of();
 
     private final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
@@ -31,20 +31,20 @@
         events.add(event);
     }
 
-    /** Has the node ticked soon, without waiting for its timer. */
+    /** Requests a tick of the node before its timer is due. */
     void requestTick() {
         if (tickQueued.compareAndSet(false, true)) {
             events.add(TICK);
         }
     }
 
-    /** The next event; null where none came within the time. */
+    /** The next event; null if none arrives within the given time. */
     Event poll(final long waitMs) throws InterruptedException {
         return waitMs <= 0 ? events.poll() : events.poll(waitMs, MILLISECONDS);
     }
 
-    /** Whether the event requests a tick; from here on a later request is queued again. */
-    @SuppressWarnings("ReferenceEquality") // why: TICK is a sentinel, compared by identity
+    /** Whether the event requests a tick; if so, later requests are queued again. */
+    @SuppressWarnings("ReferenceEquality") // TICK is a sentinel, compared by identity
     boolean takeTick(final Event event) {
         if (event != TICK) {
             return false;
--- a/transport/src/main/java/brookpath/transport/loop/HeartbeatLoop.java
+++ b/transport/src/main/java/brookpath/transport/loop/HeartbeatLoop.java
@@ -17,16 +17,16 @@
 import java.util.concurrent.LinkedBlockingQueue;
 
 /**
- * The replication listener thread: sends heartbeats in rounds, answers those of others, and owns the table of what was
- * received. Other threads pass it heartbeats, entries and peers, and read the table.
+ * The replication listener thread: sends heartbeats in rounds, answers those of peers, and owns the table of the
+ * received ones. Other threads pass it received heartbeats, entries to send and the set of peers, and read the table.
  */
 final class HeartbeatLoop implements Runnable {
-    private static final int MAX_WAITING_HEARTBEATS = 1_024;
+    private static final int MAX_QUEUED_HEARTBEATS = 1_024;
 
-    /** @param heartbeat null where the node has sent none, but a session with it has begun */
+    /** @param heartbeat null if the node sent none, but a session with it has begun */
     private record ReceivedHeartbeat(int from, PeerMessage.Heartbeat heartbeat) {}
 
-    /** Wakes the thread for a requested round though nothing was received. */
+    /** Wakes the thread for a requested round although nothing was received. */
     private static final ReceivedHeartbeat WAKE_UP = new ReceivedHeartbeat(0, null);
 
     private final Node node;
@@ -54,13 +54,13 @@
 
     // ---- from other threads
 
-    /** What was last received from every process: an immutable snapshot. */
+    /** The last heartbeat of every process, as an immutable snapshot. */
     HeartbeatTable table() {
         return table;
     }
 
     /** Sets the nodes that heartbeats are sent to from now on. */
-    void peers(final Set<Integer> newPeers) {
+    void setPeers(final Set<Integer> newPeers) {
         if (!newPeers.equals(peers)) {
             peers = newPeers;
         }
@@ -71,28 +71,28 @@
         status.publish(entries);
     }
 
-    /** Requests a round of heartbeats without waiting for its period. */
+    /** Requests a round of heartbeats before the next one is due. */
     void requestHeartbeat() {
         if (status.requestHeartbeat()) {
             inbox.add(WAKE_UP);
         }
     }
 
-    /** Requests a heartbeat to a node with which a session has just begun. */
+    /** Sends a heartbeat to a node with which a session has just begun. */
     void sessionUp(final int node) {
         inbox.add(new ReceivedHeartbeat(node, null));
     }
 
     void receive(final int from, final PeerMessage.Heartbeat heartbeat) {
-        if (inbox.size() > MAX_WAITING_HEARTBEATS) {
-            // why: a newer heartbeat supersedes an older one
+        if (inbox.size() > MAX_QUEUED_HEARTBEATS) {
+            // A newer heartbeat supersedes an older one.
             inbox.poll();
         }
         inbox.add(new ReceivedHeartbeat(from, heartbeat));
     }
 
-    /** How many received heartbeats are queued. */
-    int waiting() {
+    /** The number of received heartbeats that are queued. */
+    int queuedHeartbeats() {
         return inbox.size();
     }
 
@@ -130,8 +130,8 @@
         return false;
     }
 
-    /** Processes what was received and sends what is due; true where the state thread should read the table. */
-    @SuppressWarnings("ReferenceEquality") // why: WAKE_UP is a sentinel, compared by identity
+    /** Processes the received heartbeat and sends those due; true if the state thread should read the table. */
+    @SuppressWarnings("ReferenceEquality") // WAKE_UP is a sentinel, compared by identity
     private boolean round(
             final HeartbeatMonitor monitor, final ReceivedHeartbeat received, final long nowMs, final Actions out) {
         final boolean heartbeatRequested = status.takeHeartbeatRequest();
@@ -139,7 +139,7 @@
         boolean changed = false;
         if (received != null && received != WAKE_UP) {
             changed = process(monitor, received, nowMs, out);
-            // why: the state thread must see a heartbeat before its sender gets the acknowledgement
+            // The state thread must be able to see a heartbeat before its sender gets the acknowledgement.
             table = monitor.table();
         }
         changed |= monitor.tick(nowMs, out);
--- a/transport/src/main/java/brookpath/transport/loop/Host.java
+++ b/transport/src/main/java/brookpath/transport/loop/Host.java
@@ -18,8 +18,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * Runs one {@link Node} with real threads, clocks, sockets and a disk, and is what the traffic threads see of it. All
- * methods but {@link #start} are for any thread; none of them waits.
+ * Runs one {@link Node} with real threads, clocks, sockets and a disk, and is the only access that traffic threads have
+ * to it. Any thread may call all methods except {@link #start}; none of them blocks.
  */
 public final class Host implements Wire.Inbox, AutoCloseable {
     /** Sends a usage report to the platform. */
@@ -30,10 +30,10 @@
 
     /** The traffic side of a listening session. */
     public interface Sink {
-        /** False when its queue is full: the session is then ended, and its cursors stay valid. */
+        /** Queues a delivery; false if the queue is full. The session is then ended, and its cursors stay valid. */
         boolean offer(Action.ToSession action);
 
-        /** Ends the session; the reason is for the caller to read. */
+        /** Ends the session; the reason is sent to the caller. */
         void close(String reason);
     }
 
@@ -49,11 +49,11 @@
 
     /**
      * @param self the identity of this process, as it is sent to peers
-     * @param writeAheadLog null where the machine has no disk
-     * @param addresses whom the node wants sessions with: addresses by node
-     * @param leaseUntil until when lines may be delivered, in milliseconds of the monotonic clock
-     * @param wireThreads how many threads carry the traffic between peers
-     * @param fatal called on a thread that failed; ends the process
+     * @param writeAheadLog null if the machine has no disk
+     * @param addresses the peers that the node needs sessions with: addresses by node number
+     * @param leaseUntil the time until which lines may be delivered, in milliseconds of the monotonic clock
+     * @param wireThreads the number of event loop threads for the sessions with peers
+     * @param fatal ends the process; called on a thread that failed
      */
     public Host(
             final Node node,
@@ -66,7 +66,8 @@
             final int wireThreads,
             final Runnable fatal) {
         this.timing = timing;
-        // why: never the same as in a former incarnation of this process, however its clock was stepped
+        // Random rather than derived from the clock, so that the IDs never repeat those of an earlier incarnation of
+        // this process, even if its clock was set back.
         requests = new PendingRequests(RandomNumbers.firstId());
         wire = new Wire(self, this, timing.heartbeat() / 2, 3 * timing.deliverMs() / 2, wireThreads);
         threads = new LoopThreads(fatal);
@@ -86,49 +87,51 @@
         }
     }
 
-    /** The status of the sessions with peers, as JSON. */
+    /** Statistics of the sessions with peers, as JSON. */
     public String wireJson() {
         return WireReport.json(wire, state.zones());
     }
 
     /**
-     * The lengths of the queues, and how many requests were refused since the start because they were full, as JSON.
+     * The lengths of the queues, and the number of requests refused since the start because the queues were full, as
+     * JSON.
      */
     public String queuesJson() {
         return "{\"events\":" + events.size() + ",\"jobs\":" + requests.size() + ",\"writes\":"
-                + (disk == null ? 0 : disk.waiting()) + ",\"beats\":" + heartbeats.waiting() + ",\"sessions\":"
-                + sinks.size() + ",\"refusedBusy\":" + requests.refused() + "}";
+                + (disk == null ? 0 : disk.queuedWrites()) + ",\"beats\":" + heartbeats.queuedHeartbeats()
+                + ",\"sessions\":"
+                + sinks.size() + ",\"refusedBusy\":" + requests.refusedCount() + "}";
     }
 
-    /** The sessions with peers, to listen on and to share their event loops. */
+    /** The sessions with peers; used to accept them, and to share their event loops. */
     public Wire wire() {
         return wire;
     }
 
     /**
-     * Whether the lease still permits delivery. Checked right before each line is sent, so that a process that was
-     * paused beyond its lease delivers nothing.
+     * Whether the lease still permits delivery. To be checked right before each line is sent, so that a process that
+     * was paused beyond its lease delivers nothing.
      */
     public boolean mayDeliver() {
         return state.mayDeliver();
     }
 
-    /** Completes once the node first holds the lease on the configuration, before which it serves no caller. */
+    /** Completes once the node first holds the configuration lease; before that it serves no caller. */
     public CompletableFuture<Void> firstLease() {
         return state.firstLease();
     }
 
     // ---- from the traffic threads
 
-    /** An id that no other request of this process has, whatever its incarnation. */
+    /** An ID that no other request of this process has, in this or any other incarnation. */
     public long nextRequestId() {
         return requests.nextId();
     }
 
-    /** Submits a request to the node; completes at once with a 503 refusal where the queues are full. */
+    /** Submits a request to the node; completes at once with a 503 refusal if the queues are full. */
     public CompletableFuture<Response> submit(final long requestId, final NodeRequest request) {
-        if (events.refusesRequests() || requests.full()) {
-            // why: a refusal here is certain, since nothing has begun, and costs the state thread nothing
+        if (events.refusesRequests() || requests.isFull()) {
+            // A refusal at this point is certain, since processing has not begun, and costs the state thread nothing.
             sinks.remove(requestId);
             return requests.refuse(timing.retryAfterMs());
         }
@@ -137,32 +140,32 @@
         return response;
     }
 
-    /** Submits a request that nobody waits for. */
+    /** Submits a request whose response nobody waits for. */
     public void submitWithoutReply(final NodeRequest request) {
         events.add((node, time) -> node.request(request, time));
     }
 
-    /** Submits the request that begins a listening session, whose lines go to the sink. */
+    /** Submits the request that opens a listening session, whose lines are delivered to the sink. */
     public CompletableFuture<Response> subscribe(final long sessionId, final NodeRequest request, final Sink sink) {
         sinks.add(sessionId, sink);
         return submit(sessionId, request);
     }
 
-    /** Ends a listening session whose caller has left. */
+    /** Ends a listening session whose caller has disconnected. */
     public void unsubscribe(final long sessionId) {
         sinks.remove(sessionId);
         submitWithoutReply(new NodeRequest.Unsubscribe(sessionId));
     }
 
-    // ---- from the wire's threads
+    // ---- from Netty's threads
 
     @Override
     public void frame(final int from, final PeerMessage message) {
         if (message instanceof PeerMessage.Heartbeat heartbeat) {
             heartbeats.receive(from, heartbeat);
         } else if (events.refusesPeers()) {
-            // why: what is lost with the session is retried or reported as unsettled, as with any broken session; for
-            // what is merely dropped the sender would wait
+            // Messages lost with a session are retried or reported as unsettled, as with any broken session; if this
+            // one were merely dropped, its sender would wait for an answer.
             wire.closeSessions(from);
         } else {
             events.add((node, time) -> node.message(from, message, time));
@@ -171,9 +174,8 @@
 
     @Override
     public void sessionUp(final int node) {
-        // why: a node that returns exchanges heartbeats at once rather than after the next period; with this node
-        // alone,
-        // since at a start the sessions with all peers begin one after another
+        // A node that returns exchanges heartbeats at once rather than in the next round. Only this node gets one,
+        // since at a start the sessions with all peers begin one after another.
         heartbeats.sessionUp(node);
     }
 
@@ -182,12 +184,12 @@
         events.add((node, time) -> node.connectionLost(lost, time));
     }
 
-    /** Ends the threads and all sessions. */
+    /** Stops the threads and closes all sessions. */
     @Override
     public void close() {
         threads.interrupt();
         wire.close();
-        sinks.closeAll("this node stops");
+        sinks.closeAll("this node is shutting down");
         threads.join();
     }
 }
--- a/transport/src/main/java/brookpath/transport/loop/LoopThreads.java
+++ b/transport/src/main/java/brookpath/transport/loop/LoopThreads.java
@@ -5,11 +5,11 @@
 import org.tinylog.Logger;
 
 /**
- * The threads of a host: named, started here, and interrupted and joined at its end. A thread that fails ends the
- * process through the given handler.
+ * The threads of a host: named, started here, and interrupted and joined when the host is closed. If one fails, the
+ * given handler ends the process.
  */
 final class LoopThreads {
-    /** How long to wait for all threads together to end, in milliseconds; an fsync may take longer. */
+    /** How long to wait for all threads together to end. An fsync may take longer, which is not waited for. */
     private static final long JOIN_TIMEOUT_MS = 500;
 
     private final Runnable fatal;
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Whether the loops are to end. */
+    /** Whether the loops must end. */
     boolean closed() {
         return closed;
     }
@@ -50,7 +50,7 @@
         threads.forEach(Thread::interrupt);
     }
 
-    /** Waits for the threads to end, with a time limit; the calling thread is left out. */
+    /** Waits for the threads to end, up to the time limit; does not wait for the calling thread. */
     void join() {
         final long deadlineMs = SystemClock.monotonicMs() + JOIN_TIMEOUT_MS;
         try {
--- a/transport/src/main/java/brookpath/transport/loop/PendingRequests.java
+++ b/transport/src/main/java/brookpath/transport/loop/PendingRequests.java
@@ -7,18 +7,18 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.atomic.LongAdder;
 
-/** The callers' requests that have no response yet. Thread-safe. */
+/** The callers' requests that have no response yet, by request ID. Thread-safe. */
 final class PendingRequests {
     private static final int MAX_REQUESTS = 8_192;
     private static final int SERVICE_UNAVAILABLE = 503;
     private static final String BUSY =
-            "{\"outcome\":\"refused\",\"code\":\"busy\",\"why\":\"this node has more to do than it can\"}";
+            "{\"outcome\":\"refused\",\"code\":\"busy\",\"why\":\"this node is overloaded\"}";
 
     private final Map<Long, CompletableFuture<Response>> responses = new ConcurrentHashMap<>();
     private final AtomicLong ids;
     private final LongAdder refused = new LongAdder();
 
-    /** @param firstId above it lie IDs that no earlier or later incarnation of this process uses */
+    /** @param firstId the IDs above it are used by no earlier or later incarnation of this process */
     PendingRequests(final long firstId) {
         ids = new AtomicLong(firstId);
     }
@@ -27,7 +27,7 @@
         return ids.incrementAndGet();
     }
 
-    boolean full() {
+    boolean isFull() {
         return responses.size() > MAX_REQUESTS;
     }
 
@@ -37,17 +37,17 @@
         return response;
     }
 
-    /** The response to a request that is refused because too many are pending: nothing of it has begun. */
+    /** Refuses a request because too many are pending; its processing has not begun. */
     CompletableFuture<Response> refuse(final int retryAfterMs) {
         refused.increment();
         return CompletableFuture.completedFuture(new Response(SERVICE_UNAVAILABLE, retryAfterMs, BUSY));
     }
 
-    /** Completes a request; nothing happens where nobody waits for it. */
+    /** Completes a request; does nothing if no such request is pending. */
     void complete(final long requestId, final Response response) {
         final CompletableFuture<Response> pending = responses.remove(requestId);
         if (pending != null) {
-            // why: this process may have been stopped between the decision and this moment
+            // The response may have expired: the process may have been paused since the node decided on it.
             pending.complete(response.at(SystemClock.monotonicMs()));
         }
     }
@@ -56,8 +56,8 @@
         return responses.size();
     }
 
-    /** How many requests were refused by {@link #refuse} since the process started. */
-    long refused() {
+    /** The number of requests that {@link #refuse} refused since the process started. */
+    long refusedCount() {
         return refused.sum();
     }
 }
--- a/transport/src/main/java/brookpath/transport/loop/SessionSinks.java
+++ b/transport/src/main/java/brookpath/transport/loop/SessionSinks.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** The traffic sides of the listening sessions, by session. Thread-safe. */
+/** The sinks of the listening sessions by session ID. Thread-safe. */
 final class SessionSinks {
     private final Map<Long, Host.Sink> sinks = new ConcurrentHashMap<>();
 
@@ -23,7 +23,7 @@
         }
     }
 
-    /** False where the queue of the session was full and the session was closed. */
+    /** Queues a delivery; false if the queue of the session was full, in which case the session was closed. */
     boolean deliver(final Action.ToSession action) {
         final Host.Sink sink = sinks.get(action.sessionId());
         if (sink == null || sink.offer(action)) {
--- a/transport/src/main/java/brookpath/transport/loop/StateLoop.java
+++ b/transport/src/main/java/brookpath/transport/loop/StateLoop.java
@@ -13,8 +13,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * The state thread, which owns the node: applies events and ticks to it one by one and executes the actions that
- * result.
+ * The state thread, which owns the node: applies events and ticks to it one at a time and executes the resulting
+ * actions.
  */
 final class StateLoop implements Runnable {
     private final Node node;
@@ -31,9 +31,9 @@
 
     private volatile long leaseUntilMs = Long.MAX_VALUE;
     private volatile Map<Integer, String> zones = Map.of();
-    private Map<Integer, String> dialled = Map.of();
+    private Map<Integer, String> dialledAddresses = Map.of();
     private long nextTickMs;
-    private long nextZonesMs;
+    private long nextZoneUpdateMs;
 
     StateLoop(
             final Node node,
@@ -56,22 +56,22 @@
         this.leaseUntil = leaseUntil;
     }
 
-    /** Any thread: whether lines may be delivered now. */
+    /** Whether lines may be delivered now. Any thread may call it. */
     boolean mayDeliver() {
         return SystemClock.monotonicMs() < leaseUntilMs;
     }
 
-    /** Any thread: completes, on the state thread, once lines may be delivered for the first time. */
+    /** Completes, on the state thread, once lines may be delivered for the first time. Any thread may call it. */
     CompletableFuture<Void> firstLease() {
         return firstLease;
     }
 
-    /** Any thread: the zones of the nodes that are known. */
+    /** The zones of the known nodes by node number. Any thread may call it. */
     Map<Integer, String> zones() {
         return zones;
     }
 
-    /** On the state thread, or before it has started. */
+    /** Executes actions of the node. To be called on the state thread, or before it has started. */
     void execute(final List<Action> actions) {
         heartbeats.publish(node.entries(SystemClock.now()));
         leaseUntilMs = leaseUntil.getAsLong();
@@ -92,13 +92,13 @@
         }
     }
 
-    /** @param event null where the timer ran out */
+    /** @param event null if none arrived before the next tick was due */
     private void step(final EventQueue.Event event) {
         final HeartbeatTable newest = heartbeats.table();
         final Time time = SystemClock.now();
         final boolean tickRequested = events.takeTick(event);
         if (tickRequested || time.mono() >= nextTickMs) {
-            // why: a vote must be decided on the newest table there is
+            // A vote must be decided on the newest table of heartbeats.
             execute(node.tick(time, newest));
             updateConnections();
             nextTickMs = time.mono() + node.maxTickDelayMs(time);
@@ -109,18 +109,18 @@
         }
     }
 
-    /** Updates the nodes to have sessions and heartbeats with; at each tick rather than each event, to save work. */
+    /** Updates the peers of sessions and of heartbeats. Done at each tick rather than at each event, to save work. */
     private void updateConnections() {
         final long nowMs = SystemClock.monotonicMs();
-        if (nowMs >= nextZonesMs) {
-            nextZonesMs = nowMs + timing.keepAlive();
+        if (nowMs >= nextZoneUpdateMs) {
+            nextZoneUpdateMs = nowMs + timing.keepAlive();
             zones = node.zones();
         }
         final Map<Integer, String> wanted = addresses.apply(node);
-        if (!wanted.equals(dialled)) {
-            dialled = wanted;
+        if (!wanted.equals(dialledAddresses)) {
+            dialledAddresses = wanted;
             wanted.forEach(wire::dial);
         }
-        heartbeats.peers(node.heartbeatPeers());
+        heartbeats.setPeers(node.heartbeatPeers());
     }
 }
--- a/transport/src/main/java/brookpath/transport/loop/SystemClock.java
+++ b/transport/src/main/java/brookpath/transport/loop/SystemClock.java
@@ -13,7 +13,7 @@
         return new Time(monotonicMs(), System.currentTimeMillis());
     }
 
-    /** Monotonic time in milliseconds from an arbitrary origin, the same for the whole process. */
+    /** Monotonic time in milliseconds since an arbitrary origin, which is the same in the whole process. */
     public static long monotonicMs() {
         return System.nanoTime() / NANOS_PER_MILLI;
     }
--- a/transport/src/main/java/brookpath/transport/loop/WireReport.java
+++ b/transport/src/main/java/brookpath/transport/loop/WireReport.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The status of the sessions with peers. */
+/** Statistics of the sessions with peers. */
 final class WireReport {
-    /** Stands for the zone of peers whose zone this process does not know. */
+    /** Reported as the zone of peers whose zone is not known here. */
     private static final String UNKNOWN_ZONE = "?";
 
     private static final class ZoneBytes {
@@ -19,8 +19,8 @@
     private WireReport() {}
 
     /**
-     * @param zones of nodes
-     * @return counts of faults, and bytes by the zone of the other side
+     * @param zones the zones of the nodes by node number
+     * @return counts of faults, and bytes sent and received by the zone of the peer
      */
     static String json(final Wire wire, final Map<Integer, String> zones) {
         final JsonObjectBuilder perZone = Json.createObjectBuilder();
@@ -28,7 +28,7 @@
                 .forEach((zone, bytes) -> perZone.add(
                         zone, Json.createObjectBuilder().add("out", bytes.out).add("in", bytes.in)));
         return Json.createObjectBuilder()
-                .add("malformedFrames", wire.malformed())
+                .add("malformedFrames", wire.malformedFrames())
                 .add("wrongNodes", wire.wrongNodes())
                 .add("bytesPerZone", perZone)
                 .build()
--- a/transport/src/main/java/brookpath/transport/wire/HeapBufferAllocator.java
+++ b/transport/src/main/java/brookpath/transport/wire/HeapBufferAllocator.java
@@ -6,11 +6,11 @@
 import io.netty.buffer.UnpooledHeapByteBuf;
 
 /**
- * Buffers of sockets as arrays on the heap, without a pool. Thread-safe.
+ * Allocates socket buffers as arrays on the heap, without pooling. Thread-safe.
  *
- * <p>Netty's default keeps pools of memory outside the heap. On a process that has just started, its code runs for the
- * first time just when all clients come back, and took a tenth of the processor time of their joins; messages here are
- * small and short-lived, which is what the heap's young generation is made for.
+ * <p>Netty's default allocator pools memory outside the heap. In a process that has just started, its code runs for the
+ * first time while all clients reconnect, and took a tenth of the processor time of their joins. Messages here are
+ * small and short-lived, which suits the young generation of the heap.
  */
 public final class HeapBufferAllocator extends AbstractByteBufAllocator {
     /** The only instance. */
--- a/transport/src/main/java/brookpath/transport/wire/Hello.java
+++ b/transport/src/main/java/brookpath/transport/wire/Hello.java
@@ -5,8 +5,8 @@
 import io.netty.buffer.ByteBufAllocator;
 
 /**
- * The first frame in each direction of a session: who its sender is. The node number comes first, where whoever relays
- * sessions looks for it.
+ * The first frame in each direction of a session, which identifies its sender. The node number comes first, where
+ * relays of sessions look for it.
  */
 final class Hello {
     private static final int MAGIC = 0x62726b31;
@@ -14,7 +14,7 @@
 
     private Hello() {}
 
-    /** The frame behind its length, as it goes on the wire. */
+    /** The frame with its length field, as it is sent. */
     static ByteBuf encode(final ProcessIdentity own, final ByteBufAllocator alloc) {
         return alloc.buffer(Integer.BYTES + BYTES)
                 .writeInt(BYTES)
@@ -24,14 +24,14 @@
                 .writeLong(own.machine());
     }
 
-    /** Throws {@link IllegalArgumentException} for a frame that is no hello. */
+    /** Throws {@link IllegalArgumentException} if the frame is not a hello. */
     static ProcessIdentity decode(final ByteBuf frame) {
         if (frame.readableBytes() != BYTES) {
-            throw new IllegalArgumentException("a session that does not begin with a hello");
+            throw new IllegalArgumentException("first frame of the session is not a hello: wrong length");
         }
         final int node = frame.readInt();
         if (frame.readInt() != MAGIC) {
-            throw new IllegalArgumentException("a session that begins with another kind of hello");
+            throw new IllegalArgumentException("first frame of the session is not a hello: wrong magic number");
         }
         return new ProcessIdentity(node, frame.readLong(), frame.readLong());
     }
--- a/transport/src/main/java/brookpath/transport/wire/NettyLogger.java
+++ b/transport/src/main/java/brookpath/transport/wire/NettyLogger.java
@@ -6,8 +6,8 @@
 import io.netty.util.internal.logging.MessageFormatter;
 
 /**
- * A logger of Netty whose warnings and errors are lines of the log ring; anything below is dropped. No logging
- * framework is loaded for it. Thread-safe.
+ * A logger for Netty that adds warnings and errors to the log ring and drops anything below. It loads no logging
+ * framework. Thread-safe.
  */
 final class NettyLogger extends AbstractInternalLogger {
     private static final long serialVersionUID = 1;
@@ -31,27 +31,27 @@
 
     @Override
     public void trace(final String message) {
-        // below what is kept
+        // Dropped: below the level that is logged.
     }
 
     @Override
     public void trace(final String format, final Object argument) {
-        // below what is kept
+        // Dropped: below the level that is logged.
     }
 
     @Override
     public void trace(final String format, final Object first, final Object second) {
-        // below what is kept
+        // Dropped: below the level that is logged.
     }
 
     @Override
     public void trace(final String format, final Object... arguments) {
-        // below what is kept
+        // Dropped: below the level that is logged.
     }
 
     @Override
     public void trace(final String message, final Throwable cause) {
-        // below what is kept
+        // Dropped: below the level that is logged.
     }
 
     @Override
@@ -61,27 +61,27 @@
 
     @Override
     public void debug(final String message) {
-        // below what is kept
+        // Dropped: below the level that is logged.
     }
 
     @Override
     public void debug(final String format, final Object argument) {
-        // below what is kept
+        // Dropped: below the level that is logged.
     }
 
     @Override
     public void debug(final String format, final Object first, final Object second) {
-        // below what is kept
+        // Dropped: below the level that is logged.
     }
 
     @Override
     public void debug(final String format, final Object... arguments) {
-        // below what is kept
+        // Dropped: below the level that is logged.
     }
 
     @Override
     public void debug(final String message, final Throwable cause) {
-        // below what is kept
+        // Dropped: below the level that is logged.
     }
 
     @Override
@@ -91,27 +91,27 @@
 
     @Override
     public void info(final String message) {
-        // below what is kept
+        // Dropped: below the level that is logged.
     }
 
     @Override
     public void info(final String format, final Object argument) {
-        // below what is kept
+        // Dropped: below the level that is logged.
     }
 
     @Override
     public void info(final String format, final Object first, final Object second) {
-        // below what is kept
+        // Dropped: below the level that is logged.
     }
 
     @Override
     public void info(final String format, final Object... arguments) {
-        // below what is kept
+        // Dropped: below the level that is logged.
     }
 
     @Override
     public void info(final String message, final Throwable cause) {
-        // below what is kept
+        // Dropped: below the level that is logged.
     }
 
     @Override
--- a/transport/src/main/java/brookpath/transport/wire/NettyStart.java
+++ b/transport/src/main/java/brookpath/transport/wire/NettyStart.java
@@ -3,9 +3,10 @@
 import io.netty.util.internal.logging.InternalLoggerFactory;
 
 /**
- * What Netty and the runtime's channels would otherwise find out or set up at their start, which takes a small machine
- * longer than it can spare: the network interfaces and the process for Netty's channel IDs, which nothing here uses,
- * events of the flight recorder, and the logging libraries and selector providers on the class path.
+ * Sets defaults for what Netty and the Java runtime's channels would otherwise detect or set up at their first use,
+ * which delays the start of a process on a small machine too much: the network interfaces and the process ID for
+ * Netty's channel IDs, which are not used here, the events of the flight recorder, and the logging libraries and
+ * selector providers on the class path.
  */
 final class NettyStart {
     private static final String MACHINE_ID = "io.netty.machineId";
@@ -17,22 +18,22 @@
 
     private NettyStart() {}
 
-    /** To be called before the first use of Netty; values that were given on the command line stay. */
+    /** To be called before the first use of Netty. System properties set on the command line take precedence. */
     static void prepare() {
         setDefault(MACHINE_ID, "00:00:00:00:00:00:00:01");
         setDefault(PROCESS_ID, "1");
-        // why: registering the allocator's events was a third of a gateway's start, with no recording to use them
+        // Registering the allocator's events took a third of a gateway's start, although nothing records them.
         setDefault(FLIGHT_RECORDER_EVENTS, "false");
-        // why: all channels here are given HeapBufferAllocator; the default one would set up its pools all the same
+        // All channels here use HeapBufferAllocator, but the default allocator would set up its pools nevertheless.
         setDefault(ALLOCATOR, "unpooled");
         if (isInRuntime(EPOLL)) {
-            // why: without a name the runtime searches every library on the class path for a provider
+            // Without this name the runtime searches every library on the class path for a provider.
             setDefault(SELECTOR_PROVIDER, EPOLL);
         }
         InternalLoggerFactory.setDefaultFactory(NettyLoggerFactory.INSTANCE);
     }
 
-    /** Whether the Java runtime itself has this class, which depends on the operating system. */
+    /** Whether the Java runtime contains this class, which depends on the operating system. */
     private static boolean isInRuntime(final String className) {
         try {
             Class.forName(className, false, null);
--- a/transport/src/main/java/brookpath/transport/wire/Peer.java
+++ b/transport/src/main/java/brookpath/transport/wire/Peer.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * The sessions with one node, all of them with the same incarnation of it. Its monitor orders what comes from the node:
- * once a newer incarnation has connected, nothing of an older one is delivered.
+ * The sessions with one node, all with the same incarnation of it. Access is synchronized, so that once a newer
+ * incarnation has connected, no message of an older one is delivered. Thread-safe.
  */
 final class Peer {
     private long incarnation;
@@ -14,31 +14,31 @@
     private Channel accepted;
 
     /**
-     * A session with this incarnation began. It ends those with another one.
+     * Adds a session with an incarnation, and closes the sessions with any other incarnation.
      *
-     * @param byUs whether this process dialled
-     * @param replaced run before anything of the new incarnation is delivered, where it replaces another
+     * @param dialledByUs whether this process dialled
+     * @param onReplaced run if another incarnation is replaced, before any message of the new one is delivered
      */
     synchronized void begin(
-            final long newIncarnation, final Channel channel, final boolean byUs, final Runnable replaced) {
+            final long newIncarnation, final Channel channel, final boolean dialledByUs, final Runnable onReplaced) {
         if (incarnation != newIncarnation) {
-            final boolean other = dialled != null || accepted != null;
+            final boolean hadSessions = dialled != null || accepted != null;
             close();
             dialled = null;
             accepted = null;
             incarnation = newIncarnation;
-            if (other) {
-                replaced.run();
+            if (hadSessions) {
+                onReplaced.run();
             }
         }
-        if (byUs) {
+        if (dialledByUs) {
             dialled = channel;
         } else {
             accepted = channel;
         }
     }
 
-    /** Delivers a message of an incarnation; false where another one has connected since. */
+    /** Delivers a message of an incarnation; false if another incarnation has connected since. */
     synchronized boolean deliver(final long ofIncarnation, final Runnable delivery) {
         if (incarnation != ofIncarnation) {
             return false;
@@ -47,7 +47,7 @@
         return true;
     }
 
-    /** A session ended; false where it was with an incarnation that has been replaced. */
+    /** Removes a session that ended; false if its incarnation has been replaced. */
     synchronized boolean end(final long ofIncarnation, final Channel channel) {
         if (dialled == channel) {
             dialled = null;
@@ -58,19 +58,19 @@
         return incarnation == ofIncarnation;
     }
 
-    /** The session to send on, null for none. */
+    /** The session to send on; null for none. */
     synchronized Channel channel() {
         return dialled != null && dialled.isActive() ? dialled : accepted;
     }
 
-    /** Ends the session that this process dialled. */
+    /** Closes the session that this process dialled. */
     synchronized void closeDialled() {
         if (dialled != null) {
             dialled.close();
         }
     }
 
-    /** Ends all sessions with the node. */
+    /** Closes all sessions with the node. */
     synchronized void close() {
         final List<Channel> channels = new ArrayList<>();
         if (dialled != null) {
--- a/transport/src/main/java/brookpath/transport/wire/SessionHandler.java
+++ b/transport/src/main/java/brookpath/transport/wire/SessionHandler.java
@@ -10,27 +10,29 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 
-/** One session: the hello in each direction, then the frames. On the session's own Netty thread. */
+/** The handler of one session: the hello in each direction, then frames. Runs on the session's event loop thread. */
 final class SessionHandler extends SimpleChannelInboundHandler<ByteBuf> {
-    /** In place of an expected node: the other side dialled, so it may be any. */
+    /** The expected node of a session that the peer dialled, since any node may do so. */
     static final int ANY_NODE = 0;
 
-    /** Whoever sends no hello for so long is no process of this fleet, or is frozen; a later attempt finds out. */
+    /**
+     * A peer that sends no hello within this time is not a process of this cluster or is frozen; dialling is retried.
+     */
     private static final int HELLO_TIMEOUT_MS = 3_000;
 
     private final Wire wire;
     private final FrameCodec codec = new FrameCodec();
     private final int expectedNode;
     private final String address;
-    /** Who the other side is; null until its hello. */
+    /** The identity of the peer; null until its hello arrives. */
     private ProcessIdentity remote;
 
     private Peer peer;
     private Future<?> helloTimeout;
 
     /**
-     * @param expectedNode whom this process dialled, or {@link #ANY_NODE}
-     * @param address where it dialled
+     * @param expectedNode the node that this process dialled, or {@link #ANY_NODE}
+     * @param address the address that it dialled
      */
     SessionHandler(final Wire wire, final int expectedNode, final String address) {
         this.wire = wire;
@@ -65,7 +67,7 @@
 
     private void receiveHello(final ChannelHandlerContext ctx, final ProcessIdentity sender) {
         helloTimeout.cancel(false);
-        if (dialledByUs() && !wire.isCurrent(expectedNode, address)) {
+        if (dialledByUs() && !wire.isCurrentAddress(expectedNode, address)) {
             ctx.close();
             return;
         }
@@ -78,7 +80,7 @@
             sendHello(ctx);
         }
         remote = sender;
-        wire.heard(sender.node());
+        wire.resetDeadPeerTimer(sender.node());
         peer = wire.peer(sender.node());
         peer.begin(
                 sender.incarnation(),
@@ -91,7 +93,7 @@
     }
 
     private void receiveFrame(final ChannelHandlerContext ctx, final ByteBuf buffer) {
-        wire.heard(remote.node());
+        wire.resetDeadPeerTimer(remote.node());
         final byte[] frame = new byte[buffer.readableBytes()];
         buffer.readBytes(frame);
         final PeerMessage message = codec.decode(frame, 0, frame.length);
@@ -113,9 +115,9 @@
 
     @Override
     public void exceptionCaught(final ChannelHandlerContext ctx, final Throwable cause) {
-        // why: a malformed frame ends this session alone; whatever follows it on the stream cannot be trusted
+        // A malformed frame ends only this session, since whatever follows it in the byte stream cannot be trusted.
         if (!(cause instanceof IOException)) {
-            wire.countMalformed();
+            wire.countMalformedFrame();
         }
         ctx.close();
     }
--- a/transport/src/main/java/brookpath/transport/wire/Wire.java
+++ b/transport/src/main/java/brookpath/transport/wire/Wire.java
@@ -28,13 +28,13 @@
 import jdk.net.ExtendedSocketOptions;
 
 /**
- * Sessions between the processes of a fleet, over TCP: frames with a length field. The first frame each way is a
- * {@link Hello}, which identifies its sender: a dialler sends nothing else before it knows that it reached the node
- * that it meant, and whatever follows a hello counts as from that incarnation of that node alone. Thread-safe; nothing
- * here blocks but {@link #listen}.
+ * Sessions between the processes of a cluster, over TCP, with length-prefixed frames. The first frame in each direction
+ * is a {@link Hello}, which identifies its sender: a process that dials sends nothing else until it knows that it
+ * reached the intended node, and the frames after a hello are attributed to that incarnation of that node. Thread-safe;
+ * only {@link #listen} blocks.
  */
 public final class Wire implements AutoCloseable {
-    /** Receives what arrives from peers. Called on Netty's threads, in order for each node. */
+    /** Receives messages and session events of peers. Called on Netty's threads, in order for each node. */
     public interface Inbox {
         /** A message from a node whose identity is known. */
         void frame(int from, PeerMessage message);
@@ -42,11 +42,11 @@
         /** A session with the node ended, or its process was replaced by a newer incarnation. */
         void connectionLost(int node);
 
-        /** There is a session with the node that was not there before. */
+        /** This process dialled the node and the session with it has begun. */
         void sessionUp(int node);
     }
 
-    /** A session with this many bytes unsent accepts no more; one large frame may still exceed it. */
+    /** A session with more unsent bytes than this accepts no further frames; the last frame may exceed the limit. */
     private static final int HIGH_WATER_MARK_BYTES = 4 << 20;
     /** A machine without power sends nothing, not even a reset; probes find that out where nothing is sent. */
     private static final ChannelOption<Integer> KEEP_ALIVE_IDLE_S =
@@ -58,7 +58,7 @@
             NioChannelOption.of(ExtendedSocketOptions.TCP_KEEPCOUNT);
     private static final int MAX_KEEP_ALIVE_PROBES = 3;
     private static final int LENGTH_BYTES = Integer.BYTES;
-    /** TCP repeats a lost SYN after a second; another attempt to connect is sooner. */
+    /** TCP retransmits a lost SYN only after a second, so another connection attempt is faster. */
     private static final int CONNECT_TIMEOUT_MS = 400;
 
     private static final long NANOS_PER_MILLI = 1_000_000;
@@ -67,8 +67,8 @@
     private final ProcessIdentity self;
     private final Inbox inbox;
     private final long redialMs;
-    private final long deadPeerMs;
-    /** When something was first sent to a node since something last came from it, in monotonic milliseconds. */
+    private final long deadPeerTimeoutMs;
+    /** When the first message since the last one received from a node was sent to it, in monotonic milliseconds. */
     private final Map<Integer, Long> unansweredSinceMs = new ConcurrentHashMap<>();
 
     private final MultiThreadIoEventLoopGroup loops;
@@ -83,21 +83,21 @@
     private Channel server;
 
     /**
-     * @param self the identity that is sent to peers
-     * @param redialMs about how long after a session ended another is tried
-     * @param deadPeerMs the sessions with a node from which nothing came for so long though something was sent are
-     *     ended: it may have lost power
-     * @param threads how many threads carry the traffic
+     * @param self the identity of this process, which is sent to peers
+     * @param redialMs the base of the random delay before a node is dialled again, in milliseconds
+     * @param deadPeerTimeoutMs the sessions with a node from which nothing was received for this long although
+     *     something was sent are closed, since the node may have lost power
+     * @param threads the number of event loop threads
      */
     public Wire(
             final ProcessIdentity self,
             final Inbox inbox,
             final long redialMs,
-            final long deadPeerMs,
+            final long deadPeerTimeoutMs,
             final int threads) {
         NettyStart.prepare();
         this.self = self;
-        this.deadPeerMs = deadPeerMs;
+        this.deadPeerTimeoutMs = deadPeerTimeoutMs;
         loops = new MultiThreadIoEventLoopGroup(threads, NioIoHandler.newFactory());
         this.inbox = inbox;
         this.redialMs = redialMs;
@@ -121,32 +121,32 @@
         return ((InetSocketAddress) server.localAddress()).getPort();
     }
 
-    /** The event loops that carry the traffic, to be shared by other servers of this process. */
+    /** The event loops of the sessions, which other servers of this process may share. */
     public EventLoopGroup loops() {
         return loops;
     }
 
-    /** How many sessions were closed because of a frame that could not be decoded. */
-    public long malformed() {
+    /** The number of sessions closed because of a frame that could not be decoded. */
+    public long malformedFrames() {
         return malformed.sum();
     }
 
-    /** How many sessions were closed because another node answered than the one that was dialled. */
+    /** The number of sessions closed because the peer was not the dialled node, or had the number of this one. */
     public long wrongNodes() {
         return wrongNodes.sum();
     }
 
-    /** Bytes sent since the start by node number; a live view. */
+    /** Bytes sent since the start, by node number; a live view. */
     public Map<Integer, LongAdder> bytesOut() {
         return bytesOut;
     }
 
-    /** Bytes received since the start by node number; a live view. */
+    /** Bytes received since the start, by node number; a live view. */
     public Map<Integer, LongAdder> bytesIn() {
         return bytesIn;
     }
 
-    /** Ends the sessions with a node; whoever dialled dials again. */
+    /** Closes the sessions with a node; the side that dialled dials again. */
     public void closeSessions(final int node) {
         final Peer peer = peers.get(node);
         if (peer != null) {
@@ -154,7 +154,7 @@
         }
     }
 
-    /** Keeps a session to the node from now on. */
+    /** Dials the node, and dials it again whenever the session ends. */
     public void dial(final int node, final String address) {
         if (node != self.node() && !address.isEmpty() && !address.equals(addresses.put(node, address))) {
             final Peer peer = peers.get(node);
@@ -193,15 +193,15 @@
 
     private void redial(final int node, final String address) {
         if (!closed && !loops.isShuttingDown()) {
-            // why: spread, so that a node that comes back is not met by all at the same instant
+            // The random delay keeps a node that comes back from being dialled by all peers at the same moment.
             final long delay = redialMs / 8 + ThreadLocalRandom.current().nextLong(redialMs / 2);
             loops.schedule(() -> connect(node, address), delay, TimeUnit.MILLISECONDS);
         }
     }
 
     /**
-     * Sends a message without blocking; false where it was certainly not sent: no session, or one that is congested or
-     * dead.
+     * Sends a message without blocking; false if it was certainly not sent, because there is no session or because it
+     * is congested or dead.
      */
     public boolean send(final int node, final PeerMessage message) {
         final Peer peer = peers.get(node);
@@ -210,16 +210,15 @@
             return false;
         }
         if (isDead(node)) {
-            // why: by node, not by session: of the two sessions that two nodes may have, one may carry all traffic of
-            // one direction
+            // Decided by node rather than by session: two nodes may have two sessions, each of which may carry the
+            // messages of one direction only.
             unansweredSinceMs.remove(node);
             closeSessions(node);
             return false;
         }
         final byte[] frame = codecs.get().encode(message);
-        // why: the length goes into the same buffer rather than through a handler of its own, which would make two
-        // writes
-        // of one
+        // The length is written into the same buffer, since a separate handler for it would cause two writes instead of
+        // one.
         final ByteBuf buffer = channel.alloc()
                 .buffer(LENGTH_BYTES + frame.length)
                 .writeInt(frame.length)
@@ -234,14 +233,14 @@
         return unsent != null && unsent.totalPendingWriteBytes() > HIGH_WATER_MARK_BYTES;
     }
 
-    /** Whether nothing came from a node for too long, though something was sent; notes that something is sent now. */
+    /** Whether the node has not answered for too long; starts its timer if nothing sent to it is unanswered yet. */
     private boolean isDead(final int node) {
         final long nowMs = System.nanoTime() / NANOS_PER_MILLI;
         final Long sinceMs = unansweredSinceMs.putIfAbsent(node, nowMs);
-        return sinceMs != null && nowMs - sinceMs > deadPeerMs;
+        return sinceMs != null && nowMs - sinceMs > deadPeerTimeoutMs;
     }
 
-    /** @param expectedNode whom this process dials, {@link SessionHandler#ANY_NODE} where the other side does */
+    /** @param expectedNode the node that this process dials; {@link SessionHandler#ANY_NODE} if the peer dials */
     private ChannelInitializer<SocketChannel> pipeline(final int expectedNode, final String address) {
         return new ChannelInitializer<>() {
             @Override
@@ -255,7 +254,7 @@
         };
     }
 
-    // ---- from the sessions
+    // ---- from the session handlers
 
     ProcessIdentity self() {
         return self;
@@ -265,8 +264,8 @@
         return inbox;
     }
 
-    /** Whether this is still where the node is to be reached. */
-    boolean isCurrent(final int node, final String address) {
+    /** Whether this is still the address to dial the node at. */
+    boolean isCurrentAddress(final int node, final String address) {
         return address.equals(addresses.get(node));
     }
 
@@ -274,8 +273,8 @@
         return peers.computeIfAbsent(node, k -> new Peer());
     }
 
-    /** Something came from the node. */
-    void heard(final int node) {
+    /** Records that something was received from the node. */
+    void resetDeadPeerTimer(final int node) {
         unansweredSinceMs.remove(node);
     }
 
@@ -283,7 +282,7 @@
         bytesIn.computeIfAbsent(node, k -> new LongAdder()).add(LENGTH_BYTES + frameLength);
     }
 
-    void countMalformed() {
+    void countMalformedFrame() {
         malformed.increment();
     }
 
