--- a/coordination/src/main/java/brookpath/coordination/configuration/VersionUpdates.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/VersionUpdates.java
@@ -54,7 +54,7 @@
     private byte[] update(final long version) {
         final byte[] newest = documents.lastEntry().getValue();
         final byte[] base = documents.get(version);
-        return base == null ? Delta.whole(newest) : Delta.between(base, newest);
+        return base == null ? Delta.full(newest) : Delta.between(base, newest);
     }
 
     /** Discards all versions when the leadership ends. */
--- a/coordination/src/main/java/brookpath/coordination/group/GroupStateMachine.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupStateMachine.java
@@ -287,7 +287,7 @@
                 + log.committedIndex() + election.waitedFor());
         out.heartbeatNow();
         // why: records of earlier terms count as committed only once a record of this one is
-        append(LogRecord.OPEN, new byte[0], now, 0);
+        append(LogRecord.NO_OP, new byte[0], now, 0);
     }
 
     private void stepDown(final String reason) {
--- a/coordination/src/main/java/brookpath/coordination/group/RaftLog.java
+++ b/coordination/src/main/java/brookpath/coordination/group/RaftLog.java
@@ -132,7 +132,7 @@
 
     /** The wall-clock stamp of the last record in milliseconds, 0 where none is kept. */
     long lastStamp() {
-        return records.isEmpty() ? 0 : records.get(records.size() - 1).stamp();
+        return records.isEmpty() ? 0 : records.get(records.size() - 1).timestamp();
     }
 
     /** Whether a log that ends there is newer than another: by its last term, then by its length. */
--- a/coordination/src/main/java/brookpath/coordination/group/SnapshotReceiver.java
+++ b/coordination/src/main/java/brookpath/coordination/group/SnapshotReceiver.java
@@ -30,7 +30,7 @@
             sum = part.snapshotSum();
             total = part.snapshotTotal();
         }
-        if (part.snapshotOffset() != received.size() || total > WriteAheadLog.MAX_ENTRY) {
+        if (part.snapshotOffset() != received.size() || total > WriteAheadLog.MAX_ENTRY_BYTES) {
             return null;
         }
         received.write(part.snapshot(), 0, part.snapshot().length);
--- a/coordination/src/main/java/brookpath/coordination/node/storage/UsageWindowReporter.java
+++ b/coordination/src/main/java/brookpath/coordination/node/storage/UsageWindowReporter.java
@@ -46,7 +46,7 @@
         final long ended = (client.wall(time) - timing.heartbeat()) / timing.windowMs() - 1;
         if (TopicGroups.stateOf(group).newestClosedWindow(Long.MAX_VALUE) < ended && group.mayAct(time.mono())) {
             final byte[] body = PackedBuffer.writer().putLong(ended).toByteArray();
-            group.append(LogRecord.CLOSE, body, time.mono(), client.wall(time));
+            group.append(LogRecord.USAGE_WINDOW_CLOSE, body, time.mono(), client.wall(time));
         }
     }
 
--- a/coordination/src/main/java/brookpath/coordination/topic/TopicState.java
+++ b/coordination/src/main/java/brookpath/coordination/topic/TopicState.java
@@ -68,13 +68,15 @@
 
     @Override
     public void apply(final LogRecord logRecord) {
-        if (logRecord.kind() == LogRecord.CLOSE) {
+        if (logRecord.kind() == LogRecord.USAGE_WINDOW_CLOSE) {
             usage.close(PackedBuffer.reader(logRecord.body()).getLong(), logRecord.index());
             // decided by the log alone, so that each member forgets the same senders at the same position
-            senders.forget(logRecord.stamp() - FORGET_MS);
+            senders.forget(logRecord.timestamp() - FORGET_MS);
         } else if (logRecord.kind() == LogRecord.PUBLISH) {
-            usage.add(logRecord.stamp(), logRecord.tenant(), logRecord.text().getBytes(UTF_8).length);
-            senders.add(logRecord.topic(), logRecord.sender(), logRecord.seq(), logRecord.index(), logRecord.stamp());
+            usage.add(
+                    logRecord.timestamp(), logRecord.tenant(), logRecord.text().getBytes(UTF_8).length);
+            senders.add(
+                    logRecord.topic(), logRecord.sender(), logRecord.seq(), logRecord.index(), logRecord.timestamp());
         }
     }
 
--- a/programs/src/main/java/brookpath/programs/boot/DataFolder.java
+++ b/programs/src/main/java/brookpath/programs/boot/DataFolder.java
@@ -26,13 +26,13 @@
         final FolderDisk disk = new FolderDisk(Path.of(plan.dataFolder()));
         final long retryPauseMs = plan.timing().diskRetryDelay();
         final MachineIdentity identity =
-                retryWhileDiskIsFull(retryPauseMs, () -> MachineIdentity.of(disk, RandomNumbers.identity()));
+                retryWhileDiskIsFull(retryPauseMs, () -> MachineIdentity.loadOrCreate(disk, RandomNumbers.identity()));
         if (identity.finding() != null) {
             Logger.error("data folder: {}", identity.finding());
         }
         final WriteAheadLog.Recovery recovery = retryWhileDiskIsFull(retryPauseMs, () -> WriteAheadLog.recover(disk));
         recovery.findings().forEach(finding -> Logger.error("data folder: {}", finding));
-        return new DataFolder(identity.number(), recovery.writeAheadLog(), recovery.replayed());
+        return new DataFolder(identity.number(), recovery.writeAheadLog(), recovery.allEntries());
     }
 
     /**
--- a/protocol/src/main/java/brookpath/protocol/frame/FrameCodec.java
+++ b/protocol/src/main/java/brookpath/protocol/frame/FrameCodec.java
@@ -25,7 +25,7 @@
  */
 public final class FrameCodec {
     /** The largest frame in bytes, without the length that precedes it on a session. */
-    public static final int MAX_FRAME = 32 << 20;
+    public static final int MAX_FRAME_BYTES = 32 << 20;
 
     private final FrameWriter writer = new FrameWriter();
     private final FrameReader reader = new FrameReader();
--- a/state/src/main/java/brookpath/state/disk/MachineIdentity.java
+++ b/state/src/main/java/brookpath/state/disk/MachineIdentity.java
@@ -23,7 +23,7 @@
      *
      * @param drawn a random number, not zero
      */
-    public static MachineIdentity of(final Disk disk, final long drawn) {
+    public static MachineIdentity loadOrCreate(final Disk disk, final long drawn) {
         final boolean kept = disk.list().contains(FILE);
         final long number = kept ? read(disk) : 0;
         if (number != 0) {
--- a/state/src/main/java/brookpath/state/record/Delta.java
+++ b/state/src/main/java/brookpath/state/record/Delta.java
@@ -38,7 +38,7 @@
     private Delta() {}
 
     /** The complete byte string, encoded as a difference from an empty base. */
-    public static byte[] whole(final byte[] result) {
+    public static byte[] full(final byte[] result) {
         return between(EMPTY, result);
     }
 
--- a/state/src/main/java/brookpath/state/record/LogRecord.java
+++ b/state/src/main/java/brookpath/state/record/LogRecord.java
@@ -11,13 +11,13 @@
  */
 public final class LogRecord {
     /** Kind of the empty record that a new leader appends first in its term. */
-    public static final int OPEN = 1;
+    public static final int NO_OP = 1;
     /** Kind of a published message; the fields behind the header are those of {@link #publishBody}. */
     public static final int PUBLISH = 2;
     /** Kind of a change to the state of the control group. */
     public static final int CONTROL = 3;
     /** Closes a usage window of its group. */
-    public static final int CLOSE = 4;
+    public static final int USAGE_WINDOW_CLOSE = 4;
     /** The members of its group from here on. */
     public static final int MEMBERS = 5;
 
@@ -159,7 +159,7 @@
     }
 
     /** Wall time in milliseconds, assigned by the leader; never smaller than that of the record before. */
-    public long stamp() {
+    public long timestamp() {
         return buf.getLong(STAMP);
     }
 
@@ -191,7 +191,7 @@
     }
 
     /** How many replicas must have synced the record before the publish is acknowledged. */
-    public int repl() {
+    public int requiredReplicas() {
         return buf.getInt(REPL);
     }
 
--- a/state/src/main/java/brookpath/state/wal/EntryFormat.java
+++ b/state/src/main/java/brookpath/state/wal/EntryFormat.java
@@ -44,7 +44,7 @@
             return NO_ENTRY;
         }
         final int length = file.getInt(position + LENGTH_OFFSET);
-        if (length < 0 || length > WriteAheadLog.MAX_ENTRY || length > room) {
+        if (length < 0 || length > WriteAheadLog.MAX_ENTRY_BYTES || length > room) {
             return NO_ENTRY;
         }
         final long synced = syncedAt(file, position);
--- a/state/src/main/java/brookpath/state/wal/LogRecovery.java
+++ b/state/src/main/java/brookpath/state/wal/LogRecovery.java
@@ -149,7 +149,7 @@
     }
 
     /** The entries that a snapshot packs, then those of its segment: what an owner replays. */
-    static List<byte[]> replayed(final byte[] snapshot, final List<byte[]> entries) {
+    static List<byte[]> allEntries(final byte[] snapshot, final List<byte[]> entries) {
         final List<byte[]> all = new ArrayList<>();
         if (snapshot != null) {
             final PackedBuffer packed = PackedBuffer.reader(snapshot);
--- a/state/src/main/java/brookpath/state/wal/WriteAheadLog.java
+++ b/state/src/main/java/brookpath/state/wal/WriteAheadLog.java
@@ -12,7 +12,7 @@
  */
 public final class WriteAheadLog {
     /** The largest entry or snapshot, in bytes. */
-    public static final int MAX_ENTRY = 64 << 20;
+    public static final int MAX_ENTRY_BYTES = 64 << 20;
 
     private static final byte[] SYNC_MARK = new byte[0];
 
@@ -29,8 +29,8 @@
             List<String> findings,
             boolean damaged) {
         /** The entries that the snapshot packs, then those of the segment: what an owner replays. */
-        public List<byte[]> replayed() {
-            return LogRecovery.replayed(snapshot, entries);
+        public List<byte[]> allEntries() {
+            return LogRecovery.allEntries(snapshot, entries);
         }
     }
 
@@ -43,8 +43,8 @@
     public record Inspection(
             String snapshotName, byte[] snapshot, String segmentName, List<byte[]> entries, List<String> findings) {
         /** The entries that the snapshot packs, then those of the segment. */
-        public List<byte[]> replayed() {
-            return LogRecovery.replayed(snapshot, entries);
+        public List<byte[]> allEntries() {
+            return LogRecovery.allEntries(snapshot, entries);
         }
     }
 
--- a/testing/src/main/java/brookpath/testing/disk/FaultyDisk.java
+++ b/testing/src/main/java/brookpath/testing/disk/FaultyDisk.java
@@ -109,7 +109,7 @@
         final WriteAheadLog.Inspection now = WriteAheadLog.inspect(this);
         wipe();
         final WriteAheadLog writeAheadLog = WriteAheadLog.recover(this).writeAheadLog();
-        for (final byte[] entry : now.replayed()) {
+        for (final byte[] entry : now.allEntries()) {
             writeAheadLog.append(swapped(entry, was, is));
         }
         writeAheadLog.sync();
--- a/testing/src/main/java/brookpath/testing/sim/CrashPoint.java
+++ b/testing/src/main/java/brookpath/testing/sim/CrashPoint.java
@@ -44,7 +44,7 @@
         final LogRecord logRecord = LogRecord.wrap(in.getBytes(), 0);
         return switch (logRecord.kind()) {
             case LogRecord.PUBLISH -> SYNC;
-            case LogRecord.CLOSE -> CLOSE;
+            case LogRecord.USAGE_WINDOW_CLOSE -> CLOSE;
             case LogRecord.MEMBERS -> MEMBERS;
             case LogRecord.CONTROL ->
                 PackedBuffer.reader(logRecord.body()).getLong() == ControlState.USAGE ? USAGE : null;
--- a/testing/src/main/java/brookpath/testing/sim/ProcessLog.java
+++ b/testing/src/main/java/brookpath/testing/sim/ProcessLog.java
@@ -39,7 +39,7 @@
         writeAheadLog = recovery.writeAheadLog();
         writer = new DiskWriter(writeAheadLog);
         cluster.count(recovery.damaged() ? "damaged folders" : "recoveries");
-        return recovery.replayed();
+        return recovery.allEntries();
     }
 
     /** Looks for damaged records every so often. */
--- a/testing/src/main/java/brookpath/testing/sim/SimulatedProcess.java
+++ b/testing/src/main/java/brookpath/testing/sim/SimulatedProcess.java
@@ -124,7 +124,7 @@
 
     private List<byte[]> recover() {
         disk.failing(false);
-        machine = MachineIdentity.of(disk, machine).number();
+        machine = MachineIdentity.loadOrCreate(disk, machine).number();
         return log.recover();
     }
 
--- a/testing/src/test/java/brookpath/coordination/group/LeaderLeaseTest.java
+++ b/testing/src/test/java/brookpath/coordination/group/LeaderLeaseTest.java
@@ -45,7 +45,7 @@
         lease = new LeaderLease(GROUP, SELF, TIMING, roleState, membership, voteStore, log, peers);
         voteStore.vote(TERM, SELF);
         roleState.becomeLeader(1, "won", 0);
-        log.append(LogRecord.of(1, TERM, 0, LogRecord.OPEN, new byte[0], 0));
+        log.append(LogRecord.of(1, TERM, 0, LogRecord.NO_OP, new byte[0], 0));
     }
 
     private static HeartbeatEntry entry(final GroupRole role, final long term, final SyncState sync) {
--- a/testing/src/test/java/brookpath/coordination/group/RaftLogTest.java
+++ b/testing/src/test/java/brookpath/coordination/group/RaftLogTest.java
@@ -25,7 +25,7 @@
     }
 
     private static LogRecord logRecord(final long index, final long term) {
-        return LogRecord.of(index, term, 1_000 + index, LogRecord.OPEN, new byte[0], 0);
+        return LogRecord.of(index, term, 1_000 + index, LogRecord.NO_OP, new byte[0], 0);
     }
 
     private static void append(final RaftLog log, final long term, final int count) {
--- a/testing/src/test/java/brookpath/coordination/group/ReplicaProgressTest.java
+++ b/testing/src/test/java/brookpath/coordination/group/ReplicaProgressTest.java
@@ -30,7 +30,7 @@
         progress = new ReplicaProgress(SELF, membership, log);
         for (long index = 1; index <= 5; index++) {
             final long term = index < OPEN_INDEX ? 1 : OWN_TERM;
-            log.append(LogRecord.of(index, term, 0, LogRecord.OPEN, new byte[0], 0));
+            log.append(LogRecord.of(index, term, 0, LogRecord.NO_OP, new byte[0], 0));
         }
         log.synced(out.writes());
     }
@@ -73,7 +73,7 @@
     @Test
     public void whatTheLeadersOwnDiskHasNotSyncedNeedsTheOthers() {
         lead();
-        log.append(LogRecord.of(6, OWN_TERM, 0, LogRecord.OPEN, new byte[0], 0));
+        log.append(LogRecord.of(6, OWN_TERM, 0, LogRecord.NO_OP, new byte[0], 0));
         progress.voterSynced(2, 6);
         assertEquals(committable(), 5);
         progress.voterSynced(3, 6);
--- a/testing/src/test/java/brookpath/testing/DeltaTest.java
+++ b/testing/src/test/java/brookpath/testing/DeltaTest.java
@@ -81,7 +81,7 @@
     @Test
     public void theWholeFitsAnyBase() throws Delta.MismatchException {
         final byte[] result = random(new Random(2), 1_000);
-        final byte[] whole = Delta.whole(result);
+        final byte[] whole = Delta.full(result);
         assertTrue(DeltaBase.isEmpty(whole));
         assertEquals(Delta.apply(new byte[0], whole), result);
         assertEquals(Delta.apply(random(new Random(3), 500), whole), result);
--- a/testing/src/test/java/brookpath/testing/MachineIdentityTest.java
+++ b/testing/src/test/java/brookpath/testing/MachineIdentityTest.java
@@ -29,36 +29,36 @@
     public void itOutlivesALossOfPowerRightAfterTheFirstStart() {
         for (int seed = 0; seed < 50; seed++) {
             final FaultyDisk disk = new FaultyDisk();
-            assertEquals(MachineIdentity.of(disk, 7), new MachineIdentity(7, null));
+            assertEquals(MachineIdentity.loadOrCreate(disk, 7), new MachineIdentity(7, null));
             disk.powerLoss(new SplittableRandom(seed));
-            assertEquals(MachineIdentity.of(disk, 8), new MachineIdentity(7, null), "seed " + seed);
+            assertEquals(MachineIdentity.loadOrCreate(disk, 8), new MachineIdentity(7, null), "seed " + seed);
             WriteAheadLog.recover(disk);
-            assertEquals(MachineIdentity.of(disk, 9), new MachineIdentity(7, null));
+            assertEquals(MachineIdentity.loadOrCreate(disk, 9), new MachineIdentity(7, null));
         }
     }
 
     @Test
     public void aMachineWithoutItsDiskIsAnotherOne() {
         final FaultyDisk disk = new FaultyDisk();
-        MachineIdentity.of(disk, 7);
+        MachineIdentity.loadOrCreate(disk, 7);
         disk.wipe();
-        assertEquals(MachineIdentity.of(disk, 8).number(), 8);
+        assertEquals(MachineIdentity.loadOrCreate(disk, 8).number(), 8);
     }
 
     @Test
     public void aDamagedIdentityCountsAsThatOfANewMachine() {
         for (int length = 0; length <= 24; length++) {
             final FaultyDisk disk = new FaultyDisk();
-            MachineIdentity.of(disk, 7);
+            MachineIdentity.loadOrCreate(disk, 7);
             final DiskFile file = disk.open(FILE);
             final byte[] bytes = file.readAll();
             file.truncate(0);
             bytes[length % bytes.length] ^= 1;
             file.append(bytes, 0, length);
-            final MachineIdentity after = MachineIdentity.of(disk, 8);
+            final MachineIdentity after = MachineIdentity.loadOrCreate(disk, 8);
             assertEquals(after.number(), 8, length + " bytes");
             assertNotNull(after.finding());
-            assertEquals(MachineIdentity.of(disk, 9), new MachineIdentity(8, null));
+            assertEquals(MachineIdentity.loadOrCreate(disk, 9), new MachineIdentity(8, null));
         }
     }
 
@@ -67,8 +67,8 @@
         final FaultyDisk disk = new FaultyDisk();
         final DiskFile file = disk.open(FILE + ".tmp");
         file.append(new byte[5], 0, 5);
-        assertEquals(MachineIdentity.of(disk, 8), new MachineIdentity(8, null));
-        assertEquals(MachineIdentity.of(disk, 9), new MachineIdentity(8, null));
+        assertEquals(MachineIdentity.loadOrCreate(disk, 8), new MachineIdentity(8, null));
+        assertEquals(MachineIdentity.loadOrCreate(disk, 9), new MachineIdentity(8, null));
     }
 
     private static final Membership MEMBERS = new Membership(3, List.of(new Member(11, 50, "a")), List.of());
@@ -122,7 +122,7 @@
         assertFalse(other.replaces(STORAGE.withMachine(NodeInfo.UNKNOWN_MACHINE)));
         assertFalse(other.withMachine(NodeInfo.UNKNOWN_MACHINE).replaces(STORAGE));
         assertFalse(new NodeInfo(12, "a", "x:1", "two", 78).replaces(STORAGE));
-        assertNull(MachineIdentity.of(new FaultyDisk(), 1).finding());
+        assertNull(MachineIdentity.loadOrCreate(new FaultyDisk(), 1).finding());
     }
 
     @Test
--- a/testing/src/test/java/brookpath/testing/StoredDataTest.java
+++ b/testing/src/test/java/brookpath/testing/StoredDataTest.java
@@ -98,7 +98,7 @@
 
     private void read(final String name, final Path folder, final Reader reader, final List<String> findings) {
         try (FolderDisk disk = new FolderDisk(folder)) {
-            final MachineIdentity identity = MachineIdentity.of(disk, -1);
+            final MachineIdentity identity = MachineIdentity.loadOrCreate(disk, -1);
             golden.assertHolds(name + ", machine", identity.number() + " " + identity.finding());
             final WriteAheadLog.Recovery recovery = WriteAheadLog.recover(disk);
             assertEquals(recovery.findings(), findings);
@@ -157,7 +157,7 @@
     }
 
     private static void replay(final Node node, final WriteAheadLog.Recovery recovery) {
-        recovery.replayed().forEach(entry -> node.replay(entry, START));
+        recovery.allEntries().forEach(entry -> node.replay(entry, START));
     }
 
     private void checkGroup(final String name, final GroupMachine group) {
--- a/testing/src/test/java/brookpath/testing/sim/ConfigurationUpdatesTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ConfigurationUpdatesTest.java
@@ -217,7 +217,7 @@
                 TimingBounds.DEFAULT,
                 out);
         client.tick(NOW);
-        assertTrue(client.onReply(reply(poll(out), 1, Delta.whole(encoded(1))), NOW));
+        assertTrue(client.onReply(reply(poll(out), 1, Delta.full(encoded(1))), NOW));
         assertEquals(client.configuration().version(), 1);
         final ConfigurationPoll second = poll(out);
         assertEquals(second.configurationVersion(), 1);
@@ -225,7 +225,7 @@
         assertEquals(client.configuration().version(), 1, "a difference from another document was taken");
         final ConfigurationPoll third = poll(out);
         assertEquals(third.configurationVersion(), -1, "the whole was not asked for");
-        assertTrue(client.onReply(reply(third, 2, Delta.whole(encoded(2))), NOW));
+        assertTrue(client.onReply(reply(third, 2, Delta.full(encoded(2))), NOW));
         assertEquals(client.configuration().version(), 2);
         assertEquals(poll(out).configurationVersion(), 2);
     }
--- a/testing/src/test/java/brookpath/testing/sim/ReplicaLossScenariosTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ReplicaLossScenariosTest.java
@@ -111,7 +111,7 @@
         final LogRecord was = node.group(g).logRecord(node.group(g).committed());
         final byte[] body = was.body();
         body[body.length - 1] ^= 1;
-        final LogRecord other = LogRecord.of(was.index(), was.term(), was.stamp(), was.kind(), body, 0);
+        final LogRecord other = LogRecord.of(was.index(), was.term(), was.timestamp(), was.kind(), body, 0);
         follower.disk.replace(was.bytes(), other.bytes());
         cluster.restart(follower);
         cluster.run(cluster.now() + 3_000);
--- a/testing/src/test/java/brookpath/testing/sim/TopicStateTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/TopicStateTest.java
@@ -16,7 +16,12 @@
         state.apply(LogRecord.of(
                 1, 1, 51_000, LogRecord.PUBLISH, LogRecord.publishBody(1, 2, "t", "s/a", "ana", "12345"), 0));
         state.apply(LogRecord.of(
-                2, 1, 60_100, LogRecord.CLOSE, PackedBuffer.writer().putLong(5).toByteArray(), 0));
+                2,
+                1,
+                60_100,
+                LogRecord.USAGE_WINDOW_CLOSE,
+                PackedBuffer.writer().putLong(5).toByteArray(),
+                0));
         final List<TopicState.Count> closed = state.counts(-1, 5);
         state.apply(LogRecord.of(
                 3, 2, 59_000, LogRecord.PUBLISH, LogRecord.publishBody(2, 2, "t", "s/a", "ana", "123"), 0));
@@ -36,7 +41,7 @@
                 3,
                 1,
                 3_600_900,
-                LogRecord.CLOSE,
+                LogRecord.USAGE_WINDOW_CLOSE,
                 PackedBuffer.writer().putLong(359).toByteArray(),
                 0));
         assertEquals(state.lookUp("s/a", "ana", 7), 1);
@@ -47,7 +52,7 @@
                     4,
                     1,
                     3_601_100,
-                    LogRecord.CLOSE,
+                    LogRecord.USAGE_WINDOW_CLOSE,
                     PackedBuffer.writer().putLong(360).toByteArray(),
                     0));
             assertEquals(s.lookUp("s/a", "ana", 7), TopicState.NEW);
--- a/tools/src/main/java/brookpath/tools/datafolder/DataFolderCheck.java
+++ b/tools/src/main/java/brookpath/tools/datafolder/DataFolderCheck.java
@@ -70,7 +70,7 @@
             final WriteAheadLog.Inspection log = WriteAheadLog.inspect(new ReadOnlyDisk(folder));
             findingsHere.addAll(log.findings());
             printLog(log);
-            final TreeMap<Integer, GroupMachine> groups = StoredGroups.replay(log.replayed(), findingsHere);
+            final TreeMap<Integer, GroupMachine> groups = StoredGroups.replay(log.allEntries(), findingsHere);
             groups.forEach((id, group) -> checkGroup(id, group, findingsHere));
             groupsByFolder.put(folder.toString(), groups);
         } catch (final UncheckedIOException ex) {
--- a/transport/src/main/java/brookpath/transport/wire/Wire.java
+++ b/transport/src/main/java/brookpath/transport/wire/Wire.java
@@ -249,7 +249,7 @@
                 ch.pipeline()
                         .addLast(
                                 new LengthFieldBasedFrameDecoder(
-                                        FrameCodec.MAX_FRAME, 0, LENGTH_BYTES, 0, LENGTH_BYTES),
+                                        FrameCodec.MAX_FRAME_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES),
                                 new SessionHandler(Wire.this, expectedNode, address));
             }
         };
