--- a/protocol/src/main/java/brookpath/protocol/frame/ConfigurationFrameCodec.java
+++ b/protocol/src/main/java/brookpath/protocol/frame/ConfigurationFrameCodec.java
@@ -10,7 +10,7 @@
 import brookpath.protocol.sbe.ConfigurationReplyFrameDecoder;
 import brookpath.protocol.sbe.ConfigurationReplyFrameEncoder;
 
-/** The poll of the configuration and the cluster metadata, and its reply. */
+/** Polls for the configuration and the cluster metadata, and the replies to them. */
 final class ConfigurationFrameCodec {
     private ConfigurationFrameCodec() {}
 
--- a/protocol/src/main/java/brookpath/protocol/frame/ControlFrameCodec.java
+++ b/protocol/src/main/java/brookpath/protocol/frame/ControlFrameCodec.java
@@ -8,7 +8,7 @@
 import brookpath.protocol.sbe.ControlRequestFrameDecoder;
 import brookpath.protocol.sbe.ControlRequestFrameEncoder;
 
-/** Requests for the control leader, and their replies. */
+/** Requests to the control leader, and the replies to them. */
 final class ControlFrameCodec {
     private ControlFrameCodec() {}
 
--- a/protocol/src/main/java/brookpath/protocol/frame/ElectionFrameCodec.java
+++ b/protocol/src/main/java/brookpath/protocol/frame/ElectionFrameCodec.java
@@ -12,7 +12,7 @@
 import brookpath.protocol.sbe.VoteRequestFrameDecoder;
 import brookpath.protocol.sbe.VoteRequestFrameEncoder;
 
-/** Vote requests and replies, and the request to start an election at once. */
+/** Vote requests and replies, and the request to start an election without waiting for the election timeout. */
 final class ElectionFrameCodec {
     private ElectionFrameCodec() {}
 
--- a/protocol/src/main/java/brookpath/protocol/frame/FrameCodec.java
+++ b/protocol/src/main/java/brookpath/protocol/frame/FrameCodec.java
@@ -20,22 +20,22 @@
 import brookpath.protocol.sbe.VoteRequestFrameDecoder;
 
 /**
- * Encodes peer messages as SBE frames and decodes them; each concern has its own codec. Not thread-safe: the buffers
- * are reused from frame to frame.
+ * Encodes peer messages as SBE frames and decodes them, delegating to one codec for each group of messages. Not
+ * thread-safe, because the buffers are reused.
  */
 public final class FrameCodec {
-    /** The largest frame in bytes, without the length that precedes it on a session. */
+    /** The largest frame in bytes, excluding the length field that precedes it on a session. */
     public static final int MAX_FRAME_BYTES = 32 << 20;
 
     private final FrameWriter writer = new FrameWriter();
     private final FrameReader reader = new FrameReader();
 
-    /** Encodes a message as a frame, header included, into a new array. */
+    /** Encodes a message as a frame, including its header, into a new array. */
     public byte[] encode(final PeerMessage message) {
         return writer.copyFrame(encodeGroupMessage(message));
     }
 
-    /** Messages between the members of a group; the others are passed on. */
+    /** Encodes a message between members of a replication group, or else delegates to {@link #encodeServiceMessage}. */
     private int encodeGroupMessage(final PeerMessage message) {
         if (message instanceof PeerMessage.Heartbeat heartbeat) {
             return HeartbeatFrameCodec.encode(heartbeat, writer);
@@ -53,7 +53,7 @@
         return encodeServiceMessage(message);
     }
 
-    /** Messages between gateways, data nodes and controllers. */
+    /** Encodes a message between gateways, data nodes and controllers. */
     private int encodeServiceMessage(final PeerMessage message) {
         if (message instanceof PeerMessage.Publish request) {
             return TopicFrameCodec.encode(request, writer);
@@ -78,13 +78,13 @@
         } else if (message instanceof PeerMessage.ListenerCountReply reply) {
             return ListenerFrameCodec.encode(reply, writer);
         }
-        throw new IllegalArgumentException("no frame for " + message.getClass());
+        throw new IllegalArgumentException("no codec for message type " + message.getClass());
     }
 
     /**
      * Decodes the frame in the given range of bytes.
      *
-     * @throws MalformedFrameException where the frame is malformed in any way
+     * @throws MalformedFrameException if the frame cannot be decoded
      */
     public PeerMessage decode(final byte[] bytes, final int offset, final int length) {
         try {
@@ -114,7 +114,7 @@
             case ListenerReportFrameDecoder.TEMPLATE_ID -> ListenerFrameCodec.decodeReport(reader);
             case ListenerCountRequestFrameDecoder.TEMPLATE_ID -> ListenerFrameCodec.decodeCountRequest(reader);
             case ListenerCountReplyFrameDecoder.TEMPLATE_ID -> ListenerFrameCodec.decodeCountReply(reader);
-            default -> throw new MalformedFrameException("unknown template " + templateId);
+            default -> throw new MalformedFrameException("unknown template id " + templateId);
         };
     }
 }
--- a/protocol/src/main/java/brookpath/protocol/frame/FrameReader.java
+++ b/protocol/src/main/java/brookpath/protocol/frame/FrameReader.java
@@ -7,9 +7,9 @@
 import org.agrona.DirectBuffer;
 import org.agrona.concurrent.UnsafeBuffer;
 
-/** The view of the frame that is being decoded. Not thread-safe. */
+/** A reusable view of the frame that is being decoded. Not thread-safe. */
 final class FrameReader {
-    /** The accessor of a variable-length field as SBE generates it. */
+    /** The signature of the accessors that SBE generates for variable-length fields. */
     interface VariableField {
         int copyTo(byte[] target, int offset, int length);
     }
@@ -19,13 +19,14 @@
     private final MessageHeaderDecoder header = new MessageHeaderDecoder();
     private final UnsafeBuffer buffer = new UnsafeBuffer(0, 0);
 
-    /** Begins with a frame; throws {@link MalformedFrameException} where it is of another schema or version. */
+    /** Sets the frame to read; throws {@link MalformedFrameException} if it has another schema or version. */
     void wrap(final byte[] bytes, final int offset, final int length) {
         buffer.wrap(bytes, offset, length);
         header.wrap(buffer, 0);
         if (header.schemaId() != MessageHeaderDecoder.SCHEMA_ID
                 || header.version() != MessageHeaderDecoder.SCHEMA_VERSION) {
-            throw new MalformedFrameException("unknown schema " + header.schemaId() + "/" + header.version());
+            throw new MalformedFrameException(
+                    "unknown schema id/version " + header.schemaId() + "/" + header.version());
         }
     }
 
@@ -38,7 +39,7 @@
     }
 
     byte[] readBytes(final int length, final VariableField field) {
-        // why: the length comes from outside; it must not make us allocate more than the frame holds
+        // The length is untrusted input, and must not cause an allocation larger than the frame.
         if (length < 0 || length > buffer.capacity()) {
             throw new MalformedFrameException("field of " + length + " bytes in a frame of " + buffer.capacity());
         }
--- a/protocol/src/main/java/brookpath/protocol/frame/FrameWriter.java
+++ b/protocol/src/main/java/brookpath/protocol/frame/FrameWriter.java
@@ -14,7 +14,7 @@
     private final MessageHeaderEncoder header = new MessageHeaderEncoder();
     private ExpandableArrayBuffer buffer = new ExpandableArrayBuffer(INITIAL_CAPACITY_BYTES);
 
-    /** Where the frame is encoded, from its first byte. */
+    /** The buffer that the frame is encoded into, from offset 0. */
     MutableDirectBuffer buffer() {
         return buffer;
     }
@@ -27,13 +27,13 @@
     /**
      * Copies the encoded frame out of the buffer.
      *
-     * @param bodyLength bytes after the header
+     * @param bodyLength the number of bytes after the header
      */
     byte[] copyFrame(final int bodyLength) {
         final byte[] frame = new byte[MessageHeaderEncoder.ENCODED_LENGTH + bodyLength];
         buffer.getBytes(0, frame);
         if (buffer.capacity() > MAX_RETAINED_CAPACITY_BYTES) {
-            // why: the memory of one full sync must not stay allocated
+            // A buffer that grew for a full sync is replaced, so that its memory does not stay allocated.
             buffer = new ExpandableArrayBuffer(INITIAL_CAPACITY_BYTES);
         }
         return frame;
--- a/protocol/src/main/java/brookpath/protocol/frame/HeartbeatFrameCodec.java
+++ b/protocol/src/main/java/brookpath/protocol/frame/HeartbeatFrameCodec.java
@@ -9,7 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Heartbeats: the state of each group at the sender. */
+/** Heartbeats, which carry the state of each of the sender's groups. */
 final class HeartbeatFrameCodec {
     private HeartbeatFrameCodec() {}
 
@@ -43,8 +43,8 @@
     static PeerMessage.Heartbeat decodeHeartbeat(final FrameReader reader) {
         final HeartbeatFrameDecoder frame =
                 new HeartbeatFrameDecoder().wrapAndApplyHeader(reader.buffer(), 0, reader.header());
-        final long known = frame.known();
-        final boolean same = isSet(frame.same());
+        final long knownDigest = frame.known();
+        final boolean entriesOmitted = isSet(frame.same());
         final List<PeerMessage.HeartbeatEntry> entries = new ArrayList<>();
         for (final HeartbeatFrameDecoder.EntriesDecoder entry : frame.entries()) {
             entries.add(new PeerMessage.HeartbeatEntry(
@@ -61,6 +61,6 @@
                     entry.weight()));
         }
         return new PeerMessage.Heartbeat(
-                isSet(frame.reply()), frame.id(), frame.stamp(), known, same, List.copyOf(entries));
+                isSet(frame.reply()), frame.id(), frame.stamp(), knownDigest, entriesOmitted, List.copyOf(entries));
     }
 }
--- a/protocol/src/main/java/brookpath/protocol/frame/ListenerFrameCodec.java
+++ b/protocol/src/main/java/brookpath/protocol/frame/ListenerFrameCodec.java
@@ -13,7 +13,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Counts of listening sessions: a gateway reports them, and a data node is asked for them. */
+/** Counts of listening sessions: reports of gateways, and requests to a data node and the replies to them. */
 final class ListenerFrameCodec {
     private ListenerFrameCodec() {}
 
--- a/protocol/src/main/java/brookpath/protocol/frame/MalformedFrameException.java
+++ b/protocol/src/main/java/brookpath/protocol/frame/MalformedFrameException.java
@@ -1,6 +1,6 @@
 package brookpath.protocol.frame;
 
-/** A frame that cannot be decoded: of an unknown schema or template, cut short, or with a field that does not fit. */
+/** Thrown if a frame cannot be decoded: unknown schema or template, truncated, or a field length out of range. */
 public final class MalformedFrameException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/protocol/src/main/java/brookpath/protocol/frame/ReplicationFrameCodec.java
+++ b/protocol/src/main/java/brookpath/protocol/frame/ReplicationFrameCodec.java
@@ -12,7 +12,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The pull of a log by a follower, and the records or the snapshot that answer it. */
+/** Pull requests of followers for a log, and the replies with records or a part of a snapshot. */
 final class ReplicationFrameCodec {
     private ReplicationFrameCodec() {}
 
--- a/protocol/src/main/java/brookpath/protocol/frame/TopicFrameCodec.java
+++ b/protocol/src/main/java/brookpath/protocol/frame/TopicFrameCodec.java
@@ -19,7 +19,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Publishes to a topic and fetches of its committed records. */
+/** Publishes to a topic, fetches of committed records, and the replies to both. */
 final class TopicFrameCodec {
     private TopicFrameCodec() {}
 
--- a/protocol/src/main/java/brookpath/protocol/frame/package-info.java
+++ b/protocol/src/main/java/brookpath/protocol/frame/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The frames between processes: {@link brookpath.coordination.message.PeerMessage} to SBE bytes and back. The layout is
- * in {@code peer-schema.xml}; its template ids, field order and widths are the wire format and never change within a
- * schema version. {@link brookpath.protocol.frame.FrameCodec} dispatches to one codec per concern and owns the reused
- * buffers, so each thread has an instance of its own.
+ * Encoding and decoding of the frames between processes: {@link brookpath.coordination.message.PeerMessage} to SBE and
+ * back. {@code peer-schema.xml} defines the layout; its template ids, field order and field widths are the wire format
+ * and never change within a schema version. {@link brookpath.protocol.frame.FrameCodec} dispatches to one codec for
+ * each group of messages. It owns reused buffers, so each thread has its own instance.
  */
 package brookpath.protocol.frame;
--- a/state/src/main/java/brookpath/state/disk/DataFolderInUseException.java
+++ b/state/src/main/java/brookpath/state/disk/DataFolderInUseException.java
@@ -1,6 +1,6 @@
 package brookpath.state.disk;
 
-/** Another process holds the lock of the data folder. */
+/** Thrown if another process holds the lock of the data folder. */
 public final class DataFolderInUseException extends IllegalStateException {
     private static final long serialVersionUID = 1L;
 
--- a/state/src/main/java/brookpath/state/disk/Disk.java
+++ b/state/src/main/java/brookpath/state/disk/Disk.java
@@ -2,20 +2,23 @@
 
 import java.util.List;
 
-/** The data folder. A name or a byte survives a loss of power only once it has been synced. */
+/**
+ * The files of the data folder. Contents survive a power loss only after {@link DiskFile#sync()}, and file names only
+ * after {@link #syncFolder()}.
+ */
 public interface Disk {
-    /** Opens a file, and creates it empty where there is none; throws {@link DiskFullException} without room for it. */
+    /** Opens a file, creating it if it does not exist; throws {@link DiskFullException} if the disk is full. */
     DiskFile open(String name);
 
-    /** The names of all files, sorted. */
+    /** Returns the names of all files, sorted. */
     List<String> list();
 
-    /** Deletes a file where there is one. */
+    /** Deletes a file if it exists. */
     void delete(String name);
 
-    /** Takes effect atomically; durable after {@link #syncFolder()}. */
+    /** Renames a file atomically; the new name is durable only after {@link #syncFolder()}. */
     void rename(String from, String to);
 
-    /** Makes names that were created, renamed or deleted durable. */
+    /** Makes the creation, renaming and deletion of files durable. */
     void syncFolder();
 }
--- a/state/src/main/java/brookpath/state/disk/DiskFile.java
+++ b/state/src/main/java/brookpath/state/disk/DiskFile.java
@@ -2,19 +2,19 @@
 
 /** An append-only file of the data folder. */
 public interface DiskFile {
-    /** Bytes in the file, synced or not. */
+    /** Returns the length of the file in bytes, including those not yet synced. */
     long size();
 
-    /** Throws {@link DiskFullException} where there is no room; part of the bytes may then be in the file. */
+    /** Appends bytes; throws {@link DiskFullException} if the disk is full, possibly after writing some of them. */
     void append(byte[] bytes, int off, int len);
 
-    /** All bytes of the file, synced or not, from the first on. */
+    /** Returns the complete contents of the file, including bytes not yet synced. */
     byte[] readAll();
 
-    /** Makes the bytes of the file durable. */
+    /** Makes the contents of the file durable. */
     void sync();
 
-    /** Shortens the file to this many bytes; the next append begins there. Durable only after {@link #sync()}. */
+    /** Truncates the file to this many bytes; durable only after {@link #sync()}. */
     void truncate(long size);
 
     /** Closes the file without syncing it: appended bytes that were not synced may be lost. */
--- a/state/src/main/java/brookpath/state/disk/DiskFullException.java
+++ b/state/src/main/java/brookpath/state/disk/DiskFullException.java
@@ -5,24 +5,28 @@
 import java.util.List;
 
 /**
- * A write that failed for lack of space. Nothing that was synced is touched by it, and the same write may succeed once
- * there is room again; a failed sync is never reported as this.
+ * Thrown if a write failed because the disk is full. Synced data is unaffected, and the write may be retried once there
+ * is space again. A failed sync is never reported as this exception.
  */
 public final class DiskFullException extends UncheckedIOException {
     private static final long serialVersionUID = 1L;
 
-    /** How operating systems word ENOSPC and EDQUOT; Java passes on no error number. */
-    private static final List<String> WORDINGS = List.of("no space left", "disk quota exceeded", "not enough space");
+    /** The messages of ENOSPC and EDQUOT on the supported systems; Java does not expose the error number. */
+    private static final List<String> DISK_FULL_MESSAGES =
+            List.of("no space left", "disk quota exceeded", "not enough space");
 
-    /** @param cause the failed write as the operating system reported it */
+    /** @param cause the error that the operating system reported for the write */
     public DiskFullException(final IOException cause) {
         super(cause);
     }
 
-    /** The exception to throw for a failed write: this one where the disk is full, else one that ends the process. */
+    /**
+     * Returns the exception to throw for a failed write: a {@link DiskFullException} if the disk is full, otherwise a
+     * plain {@link UncheckedIOException}, which ends the process.
+     */
     public static UncheckedIOException ofWrite(final IOException cause) {
         final String message = String.valueOf(cause.getMessage()).toLowerCase(java.util.Locale.ROOT);
-        return WORDINGS.stream().anyMatch(message::contains)
+        return DISK_FULL_MESSAGES.stream().anyMatch(message::contains)
                 ? new DiskFullException(cause)
                 : new UncheckedIOException(cause);
     }
--- a/state/src/main/java/brookpath/state/disk/FolderDisk.java
+++ b/state/src/main/java/brookpath/state/disk/FolderDisk.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A folder of the file system. Holds a lock on it, so that two processes never share one. */
+/** A {@link Disk} in a folder of the file system. Locks the folder, so that no two processes use it at once. */
 public final class FolderDisk implements Disk, AutoCloseable {
     private static final String LOCK_FILE = "lock";
 
@@ -23,7 +23,7 @@
     private final FileChannel lockChannel;
     private final FileLock lock;
 
-    /** Creates the folder where there is none; throws {@link DataFolderInUseException} where it is locked. */
+    /** Creates the folder if it does not exist; throws {@link DataFolderInUseException} if it is already locked. */
     public FolderDisk(final Path folder) {
         try {
             this.folder = Files.createDirectories(folder);
@@ -78,7 +78,7 @@
 
     @Override
     public void syncFolder() {
-        // why: a new or renamed name is lost with power unless its folder is synced too
+        // A power loss undoes the creation or renaming of a file unless its folder has been synced.
         try (FileChannel channel = FileChannel.open(folder, READ)) {
             channel.force(true);
         } catch (final IOException ex) {
@@ -98,7 +98,8 @@
 
     private static final class ChannelFile implements DiskFile {
         private final FileChannel channel;
-        private long end = -1;
+        /** The offset of the next append; negative until it is read from the channel. */
+        private long endOffset = -1;
 
         ChannelFile(final FileChannel channel) {
             this.channel = channel;
@@ -117,9 +118,9 @@
         public void append(final byte[] bytes, final int off, final int len) {
             try {
                 final ByteBuffer buffer = ByteBuffer.wrap(bytes, off, len);
-                end = end < 0 ? channel.size() : end;
+                endOffset = endOffset < 0 ? channel.size() : endOffset;
                 while (buffer.hasRemaining()) {
-                    end += channel.write(buffer, end);
+                    endOffset += channel.write(buffer, endOffset);
                 }
             } catch (final IOException ex) {
                 throw DiskFullException.ofWrite(ex);
@@ -151,7 +152,7 @@
         public void truncate(final long size) {
             try {
                 channel.truncate(size);
-                end = size;
+                endOffset = size;
             } catch (final IOException ex) {
                 throw new UncheckedIOException(ex);
             }
--- a/state/src/main/java/brookpath/state/disk/MachineIdentity.java
+++ b/state/src/main/java/brookpath/state/disk/MachineIdentity.java
@@ -4,33 +4,34 @@
 import java.util.zip.CRC32C;
 
 /**
- * The number that distinguishes a machine from another one at the same address. It is drawn at the machine's first
- * start, and kept in the data folder from before anything else is written there. A folder whose identity cannot be read
- * counts as that of a new machine: the entries of its log are verified by checksums of their own, and a state that
- * others keep for the old identity (that it is being retired) is safer dropped than inherited.
+ * The random number that distinguishes a machine from another one at the same address. It is generated at the machine's
+ * first start and stored in the data folder before anything else is. A folder whose identity cannot be read counts as
+ * that of a new machine. This is safe: the entries of its log have their own checksums, and a state that other nodes
+ * keep for the old identity, such as a retirement in progress, is better dropped than inherited.
  *
  * @param number never zero
- * @param finding why the stored identity was discarded; null where it was read, or there was none
+ * @param finding why the stored identity was discarded; null if it was read, or if none was stored
  */
 public record MachineIdentity(long number, String finding) {
     private static final String FILE = "machine-id";
-    private static final String UNFINISHED = FILE + ".tmp";
+    private static final String TEMPORARY_FILE = FILE + ".tmp";
     private static final long MAGIC = 0x62726f6f6b696431L;
-    private static final int BYTES = 3 * Long.BYTES;
+    private static final int ENCODED_BYTES = 3 * Long.BYTES;
 
     /**
-     * The identity that the folder keeps; where it keeps none, the drawn one, which is synced before this returns.
+     * Returns the identity that the folder holds. If it holds none, stores the given one and syncs it before returning.
      *
-     * @param drawn a random number, not zero
+     * @param newNumber a random number, not zero
      */
-    public static MachineIdentity loadOrCreate(final Disk disk, final long drawn) {
-        final boolean kept = disk.list().contains(FILE);
-        final long number = kept ? read(disk) : 0;
+    public static MachineIdentity loadOrCreate(final Disk disk, final long newNumber) {
+        final boolean stored = disk.list().contains(FILE);
+        final long number = stored ? read(disk) : 0;
         if (number != 0) {
             return new MachineIdentity(number, null);
         }
-        write(disk, drawn);
-        return new MachineIdentity(drawn, kept ? FILE + ": unreadable, so this counts as a new machine" : null);
+        write(disk, newNumber);
+        return new MachineIdentity(
+                newNumber, stored ? FILE + ": unreadable, so this machine counts as a new one" : null);
     }
 
     private static long read(final Disk disk) {
@@ -41,27 +42,27 @@
         } finally {
             file.close();
         }
-        if (bytes.length != BYTES) {
+        if (bytes.length != ENCODED_BYTES) {
             return 0;
         }
         final ByteBuffer buf = ByteBuffer.wrap(bytes);
-        final boolean whole = buf.getLong() == MAGIC && checksum(bytes) == buf.getLong(2 * Long.BYTES);
-        return whole ? buf.getLong(Long.BYTES) : 0;
+        final boolean intact = buf.getLong() == MAGIC && checksum(bytes) == buf.getLong(2 * Long.BYTES);
+        return intact ? buf.getLong(Long.BYTES) : 0;
     }
 
     private static void write(final Disk disk, final long number) {
-        final byte[] bytes = new byte[BYTES];
+        final byte[] bytes = new byte[ENCODED_BYTES];
         ByteBuffer.wrap(bytes).putLong(MAGIC).putLong(number);
         ByteBuffer.wrap(bytes).putLong(2 * Long.BYTES, checksum(bytes));
-        disk.delete(UNFINISHED);
-        final DiskFile file = disk.open(UNFINISHED);
+        disk.delete(TEMPORARY_FILE);
+        final DiskFile file = disk.open(TEMPORARY_FILE);
         try {
             file.append(bytes, 0, bytes.length);
             file.sync();
         } finally {
             file.close();
         }
-        disk.rename(UNFINISHED, FILE);
+        disk.rename(TEMPORARY_FILE, FILE);
         disk.syncFolder();
     }
 
--- a/state/src/main/java/brookpath/state/record/PackedBuffer.java
+++ b/state/src/main/java/brookpath/state/record/PackedBuffer.java
@@ -6,9 +6,9 @@
 import org.agrona.concurrent.UnsafeBuffer;
 
 /**
- * Writes fields one after another into a buffer, and reads them back in the same order: 64-bit integers, and byte
- * strings behind their length in 32 bits, all in the byte order of the machine (little endian on all that are
- * supported). This is the layout of what is kept on disk. Not thread-safe.
+ * Writes fields one after another into a buffer, or reads them back in the same order. Fields are 64-bit integers and
+ * byte strings, each of which follows its 32-bit length, in the native byte order (little endian on all supported
+ * machines). Data on disk has this layout. Not thread-safe.
  */
 public final class PackedBuffer {
     private static final int INITIAL_CAPACITY_BYTES = 256;
@@ -22,24 +22,24 @@
         this.in = in;
     }
 
-    /** An empty buffer to write to. */
+    /** Returns an empty buffer to write to. */
     public static PackedBuffer writer() {
         return new PackedBuffer(new ExpandableArrayBuffer(INITIAL_CAPACITY_BYTES), null);
     }
 
-    /** A buffer to read from; reads beyond its end throw {@link IndexOutOfBoundsException}. */
+    /** Returns a buffer to read from; reads beyond its end throw {@link IndexOutOfBoundsException}. */
     public static PackedBuffer reader(final byte[] bytes) {
         return new PackedBuffer(null, new UnsafeBuffer(bytes));
     }
 
-    /** Writes 8 bytes. */
+    /** Writes a 64-bit integer. */
     public PackedBuffer putLong(final long value) {
         out.putLong(position, value);
         position += Long.BYTES;
         return this;
     }
 
-    /** Writes the length in 4 bytes, then the bytes. */
+    /** Writes the length as a 32-bit integer, then the bytes. */
     public PackedBuffer putBytes(final byte[] value) {
         out.putInt(position, value.length);
         out.putBytes(position + Integer.BYTES, value);
@@ -52,14 +52,14 @@
         return putBytes(value.getBytes(UTF_8));
     }
 
-    /** A copy of what was written so far. */
+    /** Returns a copy of what was written so far. */
     public byte[] toByteArray() {
         final byte[] bytes = new byte[position];
         out.getBytes(0, bytes);
         return bytes;
     }
 
-    /** Reads what {@link #putLong} wrote; throws {@link IndexOutOfBoundsException} where less than 8 bytes are left. */
+    /** Reads what {@link #putLong} wrote; throws {@link IndexOutOfBoundsException} if fewer than 8 bytes are left. */
     public long getLong() {
         final long value = in.getLong(position);
         position += Long.BYTES;
@@ -85,7 +85,7 @@
         return this;
     }
 
-    /** Whether there is something left to read. */
+    /** Whether bytes are left to read. */
     public boolean hasRemaining() {
         return position < in.capacity();
     }
--- a/state/src/main/java/brookpath/state/wal/CorruptLogException.java
+++ b/state/src/main/java/brookpath/state/wal/CorruptLogException.java
@@ -1,6 +1,6 @@
 package brookpath.state.wal;
 
-/** The data folder holds something that no version of the write-ahead log wrote. */
+/** Thrown if the data folder holds a file whose name no version of the write-ahead log uses. */
 public final class CorruptLogException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/state/src/main/java/brookpath/state/wal/EntryFormat.java
+++ b/state/src/main/java/brookpath/state/wal/EntryFormat.java
@@ -6,9 +6,9 @@
 import java.util.zip.CRC32C;
 
 /**
- * The layout of an entry in a file, little endian: length (4 bytes), checksum (4), how many bytes of the file were
- * synced when the entry was written (8), then the bytes themselves. An entry without bytes is a sync mark: it records
- * only how much was synced.
+ * The layout of an entry in a file, little endian: length of the payload (4 bytes), checksum (4), the synced length of
+ * the file at the time of the write (8), then the payload. The synced length lets recovery distinguish damage from a
+ * torn tail. An entry with an empty payload is a sync mark, which only records the synced length.
  */
 final class EntryFormat {
     static final int HEADER_BYTES = 16;
@@ -22,9 +22,9 @@
     private EntryFormat() {}
 
     /**
-     * The bytes of an entry as they are written.
+     * Encodes an entry.
      *
-     * @param synced how many bytes of the file are synced
+     * @param synced how many bytes of the file have been synced
      */
     static byte[] encode(final byte[] entry, final long synced) {
         final ByteBuffer buffer =
@@ -36,15 +36,15 @@
         return buffer.array();
     }
 
-    /** The length in bytes of the complete entry at a position of a file, {@link #NO_ENTRY} where there is none. */
-    @SuppressWarnings("ByteBufferBackingArray") // why: the buffer wraps a complete file from its first byte
+    /** Returns the payload length of the valid entry at a position of the file, {@link #NO_ENTRY} if there is none. */
+    @SuppressWarnings("ByteBufferBackingArray") // the buffer wraps a complete file from its first byte
     static int lengthAt(final ByteBuffer file, final int position) {
-        final int room = file.capacity() - position - HEADER_BYTES;
-        if (room < 0) {
+        final int available = file.capacity() - position - HEADER_BYTES;
+        if (available < 0) {
             return NO_ENTRY;
         }
         final int length = file.getInt(position + LENGTH_OFFSET);
-        if (length < 0 || length > WriteAheadLog.MAX_ENTRY_BYTES || length > room) {
+        if (length < 0 || length > WriteAheadLog.MAX_ENTRY_BYTES || length > available) {
             return NO_ENTRY;
         }
         final long synced = syncedAt(file, position);
@@ -55,12 +55,12 @@
         return checksum == checksum(file.array(), position, length) ? length : NO_ENTRY;
     }
 
-    /** How many bytes of the file were synced when the entry at the position was written, as the entry records it. */
+    /** Returns how many bytes of the file were synced when the entry at the position was written, as it records. */
     static long syncedAt(final ByteBuffer file, final int position) {
         return file.getLong(position + SYNCED_OFFSET);
     }
 
-    /** Of length, synced bytes and entry; without the length a run of zeros would pass for a sync mark. */
+    /** Covers length, synced length and payload; the length, so that a run of zeros does not pass for a sync mark. */
     private static int checksum(final byte[] file, final int position, final int length) {
         final CRC32C crc = new CRC32C();
         crc.update(file, position + LENGTH_OFFSET, Integer.BYTES);
--- a/state/src/main/java/brookpath/state/wal/LogFiles.java
+++ b/state/src/main/java/brookpath/state/wal/LogFiles.java
@@ -1,8 +1,8 @@
 package brookpath.state.wal;
 
 /**
- * Names of the files of the log: {@code seg-N} holds the entries written since {@code snap-N}, and {@code snap-N.tmp}
- * is a snapshot that is not complete yet.
+ * The file names of the log: segment {@code seg-N} holds the entries written since snapshot {@code snap-N}, and
+ * {@code snap-N.tmp} is a snapshot that is not complete yet.
  */
 final class LogFiles {
     private static final String SEGMENT_PREFIX = "seg-";
@@ -35,18 +35,18 @@
         return name.startsWith(SNAPSHOT_PREFIX);
     }
 
-    /** Whether a segment or snapshot has a number, as all that a log has named have. */
+    /** Whether the name of a segment or snapshot ends in a number, as all that the log writes do. */
     static boolean hasNumber(final String name) {
         final String number = name.substring(name.indexOf('-') + 1);
         return !number.isEmpty() && number.chars().allMatch(c -> c >= '0' && c <= '9');
     }
 
-    /** The number of a segment or snapshot; throws {@link CorruptLogException} where the name has none. */
+    /** Returns the number of a segment or snapshot; throws {@link CorruptLogException} if the name has none. */
     static long number(final String name) {
         try {
             return Long.parseLong(name.substring(name.indexOf('-') + 1));
         } catch (final NumberFormatException ex) {
-            throw new CorruptLogException(name + ": not a file of this log", ex);
+            throw new CorruptLogException(name + ": not a file name of the write-ahead log", ex);
         }
     }
 }
--- a/state/src/main/java/brookpath/state/wal/LogRecovery.java
+++ b/state/src/main/java/brookpath/state/wal/LogRecovery.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.TreeSet;
 
-/** Reads the files of a log back, at the start of a process or to look them over. */
+/** Reads the files of a log, to recover it at the start of a process or only to inspect it. */
 final class LogRecovery {
     private static final long NO_SNAPSHOT = -1;
 
@@ -39,14 +39,14 @@
             return new WriteAheadLog.Recovery(new WriteAheadLog(disk, 0), null, List.of(), findings, true);
         }
         final WriteAheadLog writeAheadLog = new WriteAheadLog(disk, current);
-        writeAheadLog.deleteBefore(current);
+        writeAheadLog.deleteOlderThan(current);
         return new WriteAheadLog.Recovery(writeAheadLog, snapshot, entries, findings, false);
     }
 
     private void listFiles() {
         for (final String name : disk.list()) {
             if (LogFiles.isTemporary(name)) {
-                // why: a snapshot that was not renamed never replaced anything
+                // A snapshot that was never renamed is incomplete, and has not replaced anything.
                 disk.delete(name);
             } else if (LogFiles.isSnapshot(name)) {
                 snapshots.add(LogFiles.number(name));
@@ -56,13 +56,13 @@
         }
     }
 
-    /** Reads the newest snapshot and returns its number, which is that of the segment to append to. */
+    /** Reads the newest snapshot and returns its number, which is also that of the segment to append to. */
     private long readSnapshot() {
         if (snapshots.isEmpty()) {
             final long first = segments.isEmpty() ? 0 : segments.first();
             if (first > 0) {
                 damaged = true;
-                findings.add(LogFiles.segment(first) + ": its snapshot is missing");
+                findings.add(LogFiles.segment(first) + ": the snapshot that it follows is missing");
             }
             return first;
         }
@@ -85,17 +85,17 @@
             damaged = true;
             findings.add(scan.damage());
         } else if (scan.isTorn()) {
-            cutTornTail(name, scan.tornAt());
+            truncateTornTail(name, scan.tornAt());
         }
     }
 
-    /** The bytes after the last complete entry were never confirmed as synced, so nobody counted on them. */
-    private void cutTornTail(final String name, final long tornAt) {
+    /** The bytes from there on were never reported as synced, so nothing relies on them. */
+    private void truncateTornTail(final String name, final long tornAt) {
         final DiskFile file = disk.open(name);
         file.truncate(tornAt);
         file.sync();
         file.close();
-        findings.add(name + ": torn tail cut at byte " + tornAt);
+        findings.add(name + ": torn tail truncated at byte " + tornAt);
     }
 
     private void deleteAll() {
@@ -143,21 +143,21 @@
         if (scan.isDamaged()) {
             findings.add(scan.damage());
         } else if (scan.isTorn()) {
-            findings.add(name + ": torn tail from byte " + scan.tornAt() + "; the next start cuts it");
+            findings.add(name + ": torn tail from byte " + scan.tornAt() + "; the next start truncates it");
         }
         return scan.entries();
     }
 
-    /** The entries that a snapshot packs, then those of its segment: what an owner replays. */
+    /** Returns the entries packed in the snapshot, then those of its segment, in the order of replay. */
     static List<byte[]> allEntries(final byte[] snapshot, final List<byte[]> entries) {
-        final List<byte[]> all = new ArrayList<>();
+        final List<byte[]> allEntries = new ArrayList<>();
         if (snapshot != null) {
-            final PackedBuffer packed = PackedBuffer.reader(snapshot);
-            while (packed.hasRemaining()) {
-                all.add(packed.getBytes());
+            final PackedBuffer packedEntries = PackedBuffer.reader(snapshot);
+            while (packedEntries.hasRemaining()) {
+                allEntries.add(packedEntries.getBytes());
             }
         }
-        all.addAll(entries);
-        return all;
+        allEntries.addAll(entries);
+        return allEntries;
     }
 }
--- a/state/src/main/java/brookpath/state/wal/SegmentScan.java
+++ b/state/src/main/java/brookpath/state/wal/SegmentScan.java
@@ -10,11 +10,11 @@
 import java.util.List;
 
 /**
- * What one file of the log holds.
+ * The contents of one file of the log.
  *
- * @param entries those before the first hole, without the sync marks
- * @param tornAt where a torn tail begins, {@link #NOT_TORN} where there is none
- * @param damage what is wrong with bytes that had been synced, null for nothing
+ * @param entries the entries before the first invalid position, without the sync marks
+ * @param tornAt the offset at which a torn tail begins, {@link #NOT_TORN} if there is none
+ * @param damage a description of damage to synced bytes, null if there is none
  */
 record SegmentScan(List<byte[]> entries, long tornAt, String damage) {
     static final long NOT_TORN = -1;
@@ -27,7 +27,7 @@
         while (position < bytes.length) {
             final int length = EntryFormat.lengthAt(file, position);
             if (length == EntryFormat.NO_ENTRY) {
-                return endingAt(name, file, position, entries);
+                return scanEndingAt(name, file, position, entries);
             }
             final int start = position + EntryFormat.HEADER_BYTES;
             if (length > 0) {
@@ -59,22 +59,22 @@
     }
 
     /**
-     * Writes after the last sync may be missing or torn one by one, so a hole with complete entries behind it is no
-     * damage unless one of those records that the hole had been synced.
+     * After a power loss, each write since the last sync may be complete, torn or missing. Valid entries may therefore
+     * follow an invalid position, which is damage only if one of them records that it had been synced.
      */
-    private static SegmentScan endingAt(
-            final String name, final ByteBuffer file, final int hole, final List<byte[]> entries) {
-        return provenSynced(file, hole)
-                ? new SegmentScan(entries, NOT_TORN, name + ": bad checksum at byte " + hole)
-                : new SegmentScan(entries, hole, null);
+    private static SegmentScan scanEndingAt(
+            final String name, final ByteBuffer file, final int invalidAt, final List<byte[]> entries) {
+        return wasSynced(file, invalidAt)
+                ? new SegmentScan(entries, NOT_TORN, name + ": bad checksum at byte " + invalidAt)
+                : new SegmentScan(entries, invalidAt, null);
     }
 
     /**
-     * Whether a complete entry behind the position records that the position was synced before that entry was written.
+     * Whether a valid entry after the position records that the position had been synced when that entry was written.
      */
-    private static boolean provenSynced(final ByteBuffer file, final int hole) {
-        for (int position = hole + 1; position <= file.capacity() - EntryFormat.HEADER_BYTES; position++) {
-            if (EntryFormat.syncedAt(file, position) > hole
+    private static boolean wasSynced(final ByteBuffer file, final int invalidAt) {
+        for (int position = invalidAt + 1; position <= file.capacity() - EntryFormat.HEADER_BYTES; position++) {
+            if (EntryFormat.syncedAt(file, position) > invalidAt
                     && EntryFormat.lengthAt(file, position) != EntryFormat.NO_ENTRY) {
                 return true;
             }
--- a/state/src/main/java/brookpath/state/wal/WriteAheadLog.java
+++ b/state/src/main/java/brookpath/state/wal/WriteAheadLog.java
@@ -6,21 +6,25 @@
 import java.util.List;
 
 /**
- * The segmented log of one process, with snapshots beside it: {@code seg-N} holds the entries written since
- * {@code snap-N}. Only what was appended before a {@link #sync} survives a loss of power. Not thread-safe; one thread
- * owns it.
+ * The segmented write-ahead log of one process, with snapshots: {@code seg-N} holds the entries written since
+ * {@code snap-N}. Only entries appended before a {@link #sync} are guaranteed to survive a power loss. Not thread-safe;
+ * one thread owns it.
  */
 public final class WriteAheadLog {
-    /** The largest entry or snapshot, in bytes. */
+    /** The largest entry or snapshot in bytes, without the header that precedes it in a file. */
     public static final int MAX_ENTRY_BYTES = 64 << 20;
 
     private static final byte[] SYNC_MARK = new byte[0];
 
     /**
-     * What recovery found. A damaged folder yields no entries: its owner comes back as a member without a disk.
+     * The result of a recovery. A damaged folder is emptied and yields no entries: its owner rejoins its groups as a
+     * member that has lost its disk.
      *
-     * @param snapshot null where there is none
+     * @param writeAheadLog the recovered log, ready to append
+     * @param snapshot the newest snapshot, null if there is none
+     * @param entries the entries of the segment after that snapshot
      * @param findings what an operator should know, one line each
+     * @param damaged whether synced data was damaged or missing
      */
     public record Recovery(
             WriteAheadLog writeAheadLog,
@@ -28,21 +32,21 @@
             List<byte[]> entries,
             List<String> findings,
             boolean damaged) {
-        /** The entries that the snapshot packs, then those of the segment: what an owner replays. */
+        /** Returns the entries packed in the snapshot, then those of the segment, in the order of replay. */
         public List<byte[]> allEntries() {
             return LogRecovery.allEntries(snapshot, entries);
         }
     }
 
     /**
-     * What a folder holds.
+     * The contents of a folder.
      *
-     * @param snapshotName empty where there is no snapshot
-     * @param snapshot null where there is none that can be read
+     * @param snapshotName empty if there is no snapshot
+     * @param snapshot null if there is none, or if it is unreadable
      */
     public record Inspection(
             String snapshotName, byte[] snapshot, String segmentName, List<byte[]> entries, List<String> findings) {
-        /** The entries that the snapshot packs, then those of the segment. */
+        /** Returns the entries packed in the snapshot, then those of the segment, in the order of replay. */
         public List<byte[]> allEntries() {
             return LogRecovery.allEntries(snapshot, entries);
         }
@@ -51,69 +55,70 @@
     private final Disk disk;
     private long segment;
     private DiskFile file;
-    private long size;
-    private long synced;
+    private long segmentSize;
+    private long syncedSize;
 
-    /** Opens a segment for appending behind what it holds. */
+    /** Opens a segment to append after its last entry. */
     WriteAheadLog(final Disk disk, final long segment) {
         this.disk = disk;
         this.segment = segment;
         file = disk.open(LogFiles.segment(segment));
-        size = file.size();
-        synced = size;
+        segmentSize = file.size();
+        syncedSize = segmentSize;
         disk.syncFolder();
     }
 
     /**
-     * Reads what the folder holds, cuts a torn tail, and opens the log to go on. A full disk is no hindrance, except
-     * for the first file of an empty folder. Throws {@link CorruptLogException} where a file has a name that no log
-     * gave it.
+     * Reads the folder, truncates a torn tail and opens the log to append. Succeeds on a full disk, except in a folder
+     * that has no log yet, where it throws {@link DiskFullException}. Throws {@link CorruptLogException} if the name of
+     * a segment or snapshot has no number.
      */
     public static Recovery recover(final Disk disk) {
         return LogRecovery.recover(disk);
     }
 
-    /** Reads what a folder holds, without changing anything in it. */
+    /** Reads a folder without changing anything in it. */
     public static Inspection inspect(final Disk disk) {
         return LogRecovery.inspect(disk);
     }
 
-    /** Throws {@link DiskFullException} where there is no room; the entry is then not in the segment. */
+    /** Appends an entry. Throws {@link DiskFullException} if the disk is full; the segment is then unchanged. */
     public void append(final byte[] entry) {
-        put(entry);
+        write(entry);
     }
 
-    private void put(final byte[] entry) {
-        final byte[] framed = EntryFormat.encode(entry, synced);
+    private void write(final byte[] entry) {
+        final byte[] encoded = EntryFormat.encode(entry, syncedSize);
         try {
-            file.append(framed, 0, framed.length);
+            file.append(encoded, 0, encoded.length);
         } catch (final DiskFullException ex) {
-            // why: the part of it that did fit must not lie before the entries that follow
-            file.truncate(size);
+            // Removes the partly written entry, so that later entries do not follow invalid bytes.
+            file.truncate(segmentSize);
             throw ex;
         }
-        size += framed.length;
+        segmentSize += encoded.length;
     }
 
     /**
-     * Makes durable what was appended before. A mark follows, so that recovery can distinguish damage from a torn tail.
+     * Makes all appended entries durable. Then writes a sync mark, so that recovery can distinguish damage from a torn
+     * tail.
      */
     public void sync() {
-        if (size > synced) {
+        if (segmentSize > syncedSize) {
             file.sync();
-            synced = size;
+            syncedSize = segmentSize;
             try {
-                put(SYNC_MARK);
+                write(SYNC_MARK);
             } catch (final DiskFullException ex) {
-                // why: the sync is valid without its mark; the next entry records as well how much was synced
+                // The sync is valid without its mark, since the next entry records the synced size as well.
                 return;
             }
         }
     }
 
     /**
-     * Reads back what was written since the last snapshot, and that snapshot; false where the disk gives back something
-     * else.
+     * Reads back the current segment and its snapshot and verifies their checksums; false if the disk does not return
+     * valid data.
      */
     public boolean isIntact() {
         final SegmentScan scan = SegmentScan.of(disk, LogFiles.segment(segment));
@@ -124,42 +129,43 @@
         return !disk.list().contains(snapshot) || SegmentScan.of(disk, snapshot).isSnapshot();
     }
 
-    /** The size of the present segment. */
+    /** The size of the current segment in bytes. */
     public long segmentBytes() {
-        return size;
+        return segmentSize;
     }
 
     /**
-     * Starts a new segment that begins with the given snapshot, and deletes everything older. Throws
-     * {@link DiskFullException} where there is no room for the snapshot beside what is there; the present segment then
+     * Writes the given snapshot, starts a new segment after it and deletes the older files. Throws
+     * {@link DiskFullException} if the disk has no space for the snapshot in addition to them; the current segment then
      * stays in use.
      */
     public void roll(final byte[] snapshot) {
         final long next = segment + 1;
-        final DiskFile nextFile = prepare(next, snapshot);
+        final DiskFile nextFile = prepareSegment(next, snapshot);
         disk.syncFolder();
         file.close();
         segment = next;
         file = nextFile;
-        size = 0;
-        synced = 0;
-        deleteBefore(next);
+        segmentSize = 0;
+        syncedSize = 0;
+        deleteOlderThan(next);
     }
 
     /**
-     * Everything that needs space: the snapshot, renamed once it is complete, and the empty segment that follows it.
+     * Writes the snapshot, creates the empty segment that follows it and then gives the snapshot its final name. These
+     * are all the steps that need space.
      */
-    private DiskFile prepare(final long next, final byte[] snapshot) {
+    private DiskFile prepareSegment(final long next, final byte[] snapshot) {
         final String temporaryName = LogFiles.temporarySnapshot(next);
-        DiskFile temporary = null;
+        DiskFile snapshotFile = null;
         DiskFile nextFile = null;
         try {
-            temporary = disk.open(temporaryName);
-            temporary.truncate(0);
-            final byte[] framed = EntryFormat.encode(snapshot, 0);
-            temporary.append(framed, 0, framed.length);
-            temporary.sync();
-            // why: once the snapshot has its name recovery relies on it, so the segment after it must exist before
+            snapshotFile = disk.open(temporaryName);
+            snapshotFile.truncate(0);
+            final byte[] encoded = EntryFormat.encode(snapshot, 0);
+            snapshotFile.append(encoded, 0, encoded.length);
+            snapshotFile.sync();
+            // The segment must exist before the rename: recovery uses a snapshot as soon as it has its final name.
             nextFile = disk.open(LogFiles.segment(next));
             nextFile.truncate(0);
             disk.rename(temporaryName, LogFiles.snapshot(next));
@@ -172,16 +178,16 @@
             disk.delete(temporaryName);
             throw ex;
         } finally {
-            if (temporary != null) {
-                temporary.close();
+            if (snapshotFile != null) {
+                snapshotFile.close();
             }
         }
     }
 
-    /** Deletes the segments and snapshots with a smaller number. */
-    void deleteBefore(final long keep) {
+    /** Deletes the segments and snapshots with a number smaller than this. */
+    void deleteOlderThan(final long number) {
         for (final String name : disk.list()) {
-            if ((LogFiles.isSegment(name) || LogFiles.isSnapshot(name)) && LogFiles.number(name) < keep) {
+            if ((LogFiles.isSegment(name) || LogFiles.isSnapshot(name)) && LogFiles.number(name) < number) {
                 disk.delete(name);
             }
         }
--- a/testing/src/test/java/brookpath/testing/DeltaTest.java
+++ b/testing/src/test/java/brookpath/testing/DeltaTest.java
@@ -11,36 +11,36 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 
-/** Differences between documents: whatever the edits, they give the result they were made for, or nothing. */
+/** A delta gives exactly the result that it was made for, or fails to apply, whatever the edits, the base or damage. */
 public final class DeltaTest {
     private static final int ROUNDS = 2_000;
-    private static final int LARGEST = 4_000;
-    private static final int ALPHABET = 4;
+    private static final int MAX_BASE_BYTES = 4_000;
+    private static final int ALPHABET_SIZE = 4;
 
-    private static byte[] random(final Random random, final int length) {
+    private static byte[] randomBytes(final Random random, final int length) {
         final byte[] bytes = new byte[length];
         for (int i = 0; i < length; i++) {
-            bytes[i] = (byte) ('a' + random.nextInt(ALPHABET));
+            bytes[i] = (byte) ('a' + random.nextInt(ALPHABET_SIZE));
         }
         return bytes;
     }
 
-    /** Removes, inserts, overwrites or moves a piece. */
-    private static byte[] edited(final Random random, final byte[] from) {
-        final int at = random.nextInt(from.length + 1);
-        final int until = at + random.nextInt(Math.min(200, from.length - at) + 1);
-        final byte[] head = Arrays.copyOf(from, at);
-        final byte[] piece = Arrays.copyOfRange(from, at, until);
-        final byte[] tail = Arrays.copyOfRange(from, until, from.length);
+    /** Returns a copy in which a piece is removed, inserted before, overwritten or moved to the front. */
+    private static byte[] edited(final Random random, final byte[] original) {
+        final int at = random.nextInt(original.length + 1);
+        final int until = at + random.nextInt(Math.min(200, original.length - at) + 1);
+        final byte[] head = Arrays.copyOf(original, at);
+        final byte[] piece = Arrays.copyOfRange(original, at, until);
+        final byte[] tail = Arrays.copyOfRange(original, until, original.length);
         return switch (random.nextInt(4)) {
-            case 0 -> join(head, tail);
-            case 1 -> join(head, random(random, random.nextInt(200)), piece, tail);
-            case 2 -> join(head, random(random, piece.length), tail);
-            default -> join(piece, head, tail);
+            case 0 -> concat(head, tail);
+            case 1 -> concat(head, randomBytes(random, random.nextInt(200)), piece, tail);
+            case 2 -> concat(head, randomBytes(random, piece.length), tail);
+            default -> concat(piece, head, tail);
         };
     }
 
-    private static byte[] join(final byte[]... parts) {
+    private static byte[] concat(final byte[]... parts) {
         final byte[] all = new byte[Arrays.stream(parts).mapToInt(p -> p.length).sum()];
         int at = 0;
         for (final byte[] part : parts) {
@@ -51,10 +51,10 @@
     }
 
     @Test
-    public void editsAreReproduced() throws Delta.MismatchException {
+    public void applyingADeltaGivesTheEditedDocument() throws Delta.MismatchException {
         final Random random = new Random(1);
         for (int round = 0; round < ROUNDS; round++) {
-            final byte[] base = random(random, random.nextInt(LARGEST));
+            final byte[] base = randomBytes(random, random.nextInt(MAX_BASE_BYTES));
             byte[] result = base;
             for (int edits = random.nextInt(4); edits > 0; edits--) {
                 result = edited(random, result);
@@ -64,7 +64,7 @@
     }
 
     @Test
-    public void aSmallChangeOfALargeDocumentIsSmall() throws Delta.MismatchException {
+    public void aSmallChangeOfALargeDocumentGivesASmallDelta() throws Delta.MismatchException {
         final StringBuilder text = new StringBuilder();
         for (int i = 0; i < 2_000; i++) {
             text.append("{\"name\":\"space-").append(i).append("\",\"keepingSeconds\":35},");
@@ -79,20 +79,20 @@
     }
 
     @Test
-    public void theWholeFitsAnyBase() throws Delta.MismatchException {
-        final byte[] result = random(new Random(2), 1_000);
-        final byte[] whole = Delta.full(result);
-        assertTrue(DeltaBase.isEmpty(whole));
-        assertEquals(Delta.apply(new byte[0], whole), result);
-        assertEquals(Delta.apply(random(new Random(3), 500), whole), result);
+    public void aFullDeltaAppliesToAnyBase() throws Delta.MismatchException {
+        final byte[] result = randomBytes(new Random(2), 1_000);
+        final byte[] fullDelta = Delta.full(result);
+        assertTrue(DeltaBase.isEmpty(fullDelta));
+        assertEquals(Delta.apply(new byte[0], fullDelta), result);
+        assertEquals(Delta.apply(randomBytes(new Random(3), 500), fullDelta), result);
         assertFalse(DeltaBase.isEmpty(Delta.between(result, result)));
         assertFalse(DeltaBase.isEmpty(new byte[0]));
     }
 
     @Test
-    public void anotherBaseIsRefused() {
+    public void aDifferentBaseIsRejected() {
         final Random random = new Random(4);
-        final byte[] base = random(random, 1_000);
+        final byte[] base = randomBytes(random, 1_000);
         final byte[] delta = Delta.between(base, edited(random, base));
         final byte[] other = base.clone();
         other[500] ^= 1;
@@ -102,10 +102,10 @@
     }
 
     @Test
-    public void aDamagedDifferenceNeverGivesAnotherResult() {
+    public void aDamagedDeltaNeverGivesAWrongResult() {
         final Random random = new Random(5);
         for (int round = 0; round < ROUNDS; round++) {
-            final byte[] base = random(random, 1 + random.nextInt(300));
+            final byte[] base = randomBytes(random, 1 + random.nextInt(300));
             final byte[] result = edited(random, base);
             final byte[] delta = Delta.between(base, result);
             final byte[] damaged =
--- a/testing/src/test/java/brookpath/testing/FrameCodecTest.java
+++ b/testing/src/test/java/brookpath/testing/FrameCodecTest.java
@@ -17,17 +17,17 @@
 import java.util.stream.Stream;
 import org.testng.annotations.Test;
 
-/** Every message there and back, and what malformed frames do. */
+/** Every message decodes to an equal one, and malformed frames only throw. */
 public final class FrameCodecTest {
     private final FrameCodec codec = new FrameCodec();
 
     @Test
-    public void everyMessageComesBackEqual() throws Exception {
+    public void everyMessageDecodesToAnEqualOne() throws Exception {
         int n = 0;
         for (int seed = 0; seed < 200; seed++) {
             final SplittableRandom random = new SplittableRandom(seed);
-            for (final Class<?> type : messages()) {
-                final PeerMessage message = (PeerMessage) make(type, random);
+            for (final Class<?> type : messageTypes()) {
+                final PeerMessage message = (PeerMessage) randomRecord(type, random);
                 final byte[] frame = codec.encode(message);
                 assertEquals(text(codec.decode(frame, 0, frame.length)), text(message));
                 n++;
@@ -37,7 +37,7 @@
     }
 
     @Test
-    public void outcomesKeepTheirWireCodesAndUnknownOnesAreTakenForARetry() {
+    public void outcomesKeepTheirWireCodesAndUnknownCodesAskForARetry() {
         assertEquals(
                 Arrays.stream(PublishOutcome.values()).map(PublishOutcome::code).toList(), List.of(0, 1, 2, 3, 4));
         assertEquals(Arrays.stream(FetchStatus.values()).map(FetchStatus::code).toList(), List.of(0, 1, 2));
@@ -54,12 +54,12 @@
     }
 
     @Test
-    public void malformedFramesThrowAndDoNothingElse() throws Exception {
+    public void malformedFramesOnlyThrow() throws Exception {
         int thrown = 0;
         for (int seed = 0; seed < 500; seed++) {
             final SplittableRandom random = new SplittableRandom(seed);
-            for (final Class<?> type : messages()) {
-                byte[] frame = codec.encode((PeerMessage) make(type, random));
+            for (final Class<?> type : messageTypes()) {
+                byte[] frame = codec.encode((PeerMessage) randomRecord(type, random));
                 for (int flips = 1 + random.nextInt(4); flips > 0; flips--) {
                     frame[random.nextInt(frame.length)] ^= (byte) (1 + random.nextInt(255));
                 }
@@ -73,36 +73,36 @@
                 }
             }
         }
-        assertTrue(thrown > 2_000, "only " + thrown + " malformed frames were refused");
+        assertTrue(thrown > 2_000, "only " + thrown + " malformed frames were rejected");
     }
 
-    private static List<Class<?>> messages() {
-        return messages(PeerMessage.class)
+    private static List<Class<?>> messageTypes() {
+        return messageTypes(PeerMessage.class)
                 .sorted((a, b) -> a.getName().compareTo(b.getName()))
                 .toList();
     }
 
-    /** The permitted records of a sealed interface, also of those that extend it. */
-    private static Stream<Class<?>> messages(final Class<?> type) {
+    /** Returns the permitted records of a sealed interface, including those of its subinterfaces. */
+    private static Stream<Class<?>> messageTypes(final Class<?> type) {
         return Arrays.stream(type.getPermittedSubclasses())
-                .flatMap(kind -> kind.isInterface() ? messages(kind) : Stream.of(kind));
+                .flatMap(kind -> kind.isInterface() ? messageTypes(kind) : Stream.of(kind));
     }
 
-    private static Object make(final Class<?> type, final SplittableRandom random) throws Exception {
-        final RecordComponent[] comps = type.getRecordComponents();
-        final Object[] args = new Object[comps.length];
-        final Class<?>[] types = new Class<?>[comps.length];
-        for (int i = 0; i < comps.length; i++) {
-            types[i] = comps[i].getType();
-            args[i] = value(comps[i], random);
+    private static Object randomRecord(final Class<?> type, final SplittableRandom random) throws Exception {
+        final RecordComponent[] components = type.getRecordComponents();
+        final Object[] args = new Object[components.length];
+        final Class<?>[] types = new Class<?>[components.length];
+        for (int i = 0; i < components.length; i++) {
+            types[i] = components[i].getType();
+            args[i] = randomValue(components[i], random);
         }
         return type.getDeclaredConstructor(types).newInstance(args);
     }
 
-    private static Object value(final RecordComponent comp, final SplittableRandom random) throws Exception {
-        final Class<?> type = comp.getType();
+    private static Object randomValue(final RecordComponent component, final SplittableRandom random) throws Exception {
+        final Class<?> type = component.getType();
         if (type == int.class) {
-            return List.of("role", "sync", "kind", "standing").contains(comp.getName())
+            return List.of("role", "sync", "kind", "standing").contains(component.getName())
                     ? random.nextInt(4)
                     : random.nextInt();
         } else if (type.isEnum()) {
@@ -112,34 +112,40 @@
         } else if (type == boolean.class) {
             return random.nextBoolean();
         } else if (type == String.class) {
-            return word(random);
+            return randomWord(random);
         } else if (type == byte[].class) {
             final byte[] v = new byte[random.nextInt(40)];
             random.nextBytes(v);
             return v;
         }
         final List<Object> list = new ArrayList<>();
-        final String item = comp.getGenericType().getTypeName();
+        final String typeName = component.getGenericType().getTypeName();
         for (int n = random.nextInt(5); n > 0; n--) {
-            if (item.contains("LogRecord>")) {
+            if (typeName.contains("LogRecord>")) {
                 list.add(LogRecord.of(
                         random.nextLong(),
                         random.nextLong(),
                         random.nextLong(),
                         LogRecord.PUBLISH,
                         LogRecord.publishBody(
-                                random.nextLong(), 2, word(random), word(random), word(random), word(random)),
+                                random.nextLong(),
+                                2,
+                                randomWord(random),
+                                randomWord(random),
+                                randomWord(random),
+                                randomWord(random)),
                         0));
-            } else if (item.contains("String>")) {
-                list.add(word(random));
+            } else if (typeName.contains("String>")) {
+                list.add(randomWord(random));
             } else {
-                list.add(make(Class.forName(item.substring(item.indexOf('<') + 1, item.indexOf('>'))), random));
+                list.add(randomRecord(
+                        Class.forName(typeName.substring(typeName.indexOf('<') + 1, typeName.indexOf('>'))), random));
             }
         }
         return list;
     }
 
-    private static String word(final SplittableRandom random) {
+    private static String randomWord(final SplittableRandom random) {
         final StringBuilder sb = new StringBuilder();
         for (int n = random.nextInt(12); n > 0; n--) {
             sb.appendCodePoint(random.nextInt(5) == 0 ? 0x400 + random.nextInt(200) : 'a' + random.nextInt(26));
@@ -147,7 +153,7 @@
         return sb.toString();
     }
 
-    /** Records hold arrays and flyweights, which have no equality of their own. */
+    /** A text to compare values by: arrays and flyweights do not define equality. */
     static String text(final Object v) throws Exception {
         if (v instanceof byte[] b) {
             return Arrays.toString(b);
@@ -161,8 +167,8 @@
             return sb + "]";
         } else if (v instanceof Record) {
             final StringBuilder sb = new StringBuilder(v.getClass().getSimpleName()).append('(');
-            for (final RecordComponent comp : v.getClass().getRecordComponents()) {
-                sb.append(text(comp.getAccessor().invoke(v))).append(',');
+            for (final RecordComponent component : v.getClass().getRecordComponents()) {
+                sb.append(text(component.getAccessor().invoke(v))).append(',');
             }
             return sb + ")";
         }
--- a/testing/src/test/java/brookpath/testing/FrameExamples.java
+++ b/testing/src/test/java/brookpath/testing/FrameExamples.java
@@ -17,12 +17,12 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Fixed messages of every kind that goes between processes, with all fields set and with as few as may be. */
+/** Fixed examples of every message type that processes exchange, with all fields set and with as few as possible. */
 final class FrameExamples {
     private static final int GROUP = 0x01020304;
     private static final int GROUP_VERSION = 0x11121314;
     private static final int NODE = 0x21222324;
-    private static final long TERM_NUMBER = 0x3132333435363738L;
+    private static final long TERM = 0x3132333435363738L;
     private static final long ID = 0x4142434445464748L;
     private static final long POSITION = 0x5152535455565758L;
     private static final long VERSION = 0x6162636465666768L;
@@ -32,7 +32,7 @@
 
     private FrameExamples() {}
 
-    /** The examples by name. */
+    /** Returns the examples by name, as in the golden file. */
     static Map<String, PeerMessage> all() {
         final Map<String, PeerMessage> examples = new TreeMap<>();
         addHeartbeats(examples);
@@ -49,18 +49,18 @@
         final HeartbeatEntry leading = new HeartbeatEntry(
                 GROUP,
                 GROUP_VERSION,
-                TERM_NUMBER,
+                TERM,
                 HeartbeatEntry.LEADER,
                 GroupMachine.SYNC_PEER,
                 POSITION,
                 POSITION + 1,
-                TERM_NUMBER - 1,
+                TERM - 1,
                 POSITION + 2,
                 NODE,
                 50);
         final HeartbeatEntry following =
                 new HeartbeatEntry(1, 2, 3, HeartbeatEntry.FOLLOWER, GroupMachine.SYNC_CATCH_UP, 4, 5, 6, 7, 8, 9);
-        final HeartbeatEntry standing = new HeartbeatEntry(
+        final HeartbeatEntry candidate = new HeartbeatEntry(
                 -1,
                 Integer.MAX_VALUE,
                 Long.MIN_VALUE,
@@ -74,7 +74,7 @@
                 0);
         examples.put(
                 "heartbeat, three groups",
-                new PeerMessage.Heartbeat(false, ID, POSITION, VERSION, false, List.of(leading, following, standing)));
+                new PeerMessage.Heartbeat(false, ID, POSITION, VERSION, false, List.of(leading, following, candidate)));
         examples.put(
                 "heartbeat reply, unchanged", new PeerMessage.Heartbeat(true, ID, POSITION, VERSION, true, List.of()));
         examples.put("heartbeat, nothing set", new PeerMessage.Heartbeat(false, 0, 0, 0, false, List.of()));
@@ -83,11 +83,11 @@
     private static void addVotes(final Map<String, PeerMessage> examples) {
         examples.put(
                 "vote asked for, by order",
-                new PeerMessage.VoteRequest(GROUP, GROUP_VERSION, TERM_NUMBER, POSITION, TERM_NUMBER - 1, 50, 3, true));
+                new PeerMessage.VoteRequest(GROUP, GROUP_VERSION, TERM, POSITION, TERM - 1, 50, 3, true));
         examples.put("vote asked for, nothing set", new PeerMessage.VoteRequest(0, 0, 0, 0, 0, 0, 0, false));
-        examples.put("vote granted", new PeerMessage.VoteReply(GROUP, TERM_NUMBER, true, TERM_NUMBER, ""));
-        examples.put("vote denied", new PeerMessage.VoteReply(GROUP, TERM_NUMBER, false, TERM_NUMBER + 1, SENTENCE));
-        examples.put("stand for election now", new PeerMessage.TimeoutNow(GROUP, TERM_NUMBER));
+        examples.put("vote granted", new PeerMessage.VoteReply(GROUP, TERM, true, TERM, ""));
+        examples.put("vote denied", new PeerMessage.VoteReply(GROUP, TERM, false, TERM + 1, SENTENCE));
+        examples.put("stand for election now", new PeerMessage.TimeoutNow(GROUP, TERM));
         examples.put("stand for election now, nothing set", new PeerMessage.TimeoutNow(0, 0));
     }
 
@@ -97,11 +97,11 @@
                 new PeerMessage.Pull(
                         GROUP,
                         GROUP_VERSION,
-                        TERM_NUMBER,
+                        TERM,
                         POSITION,
-                        TERM_NUMBER - 1,
+                        TERM - 1,
                         POSITION - 1,
-                        TERM_NUMBER - 2,
+                        TERM - 2,
                         POSITION - 2,
                         true,
                         VERSION,
@@ -116,12 +116,12 @@
                 new PullReply(
                         GROUP,
                         GROUP_VERSION,
-                        TERM_NUMBER,
+                        TERM,
                         PullReply.RECORDS,
                         PullReply.ACTING_LEADER,
                         POSITION,
                         POSITION + 1,
-                        TERM_NUMBER - 1,
+                        TERM - 1,
                         POSITION + 2,
                         NO_BYTES,
                         List.of(publish(), control())));
@@ -153,7 +153,7 @@
     private static LogRecord publish() {
         return LogRecord.of(
                 POSITION,
-                TERM_NUMBER,
+                TERM,
                 VERSION,
                 LogRecord.PUBLISH,
                 LogRecord.publishBody(ID, 2, "tenant", "space/topic", "sender", "text \u20ac"),
@@ -161,7 +161,7 @@
     }
 
     private static LogRecord control() {
-        return LogRecord.of(POSITION + 1, TERM_NUMBER, VERSION, LogRecord.CONTROL, BYTES, 78);
+        return LogRecord.of(POSITION + 1, TERM, VERSION, LogRecord.CONTROL, BYTES, 78);
     }
 
     private static void addPublishes(final Map<String, PeerMessage> examples) {
@@ -170,13 +170,10 @@
                 new PeerMessage.Publish(
                         ID, GROUP, VERSION, POSITION, "tenant", "space/topic", "sender", "text \u20ac"));
         examples.put("publish, nothing set", new PeerMessage.Publish(0, 0, 0, 0, "", "", "", ""));
-        examples.put("publish taken", new PublishReply(ID, PublishOutcome.ACCEPTED, POSITION, 0, TERM_NUMBER, ""));
-        examples.put(
-                "publish redirected", new PublishReply(ID, PublishOutcome.NOT_LEADER, 0, NODE, TERM_NUMBER, SENTENCE));
-        examples.put(
-                "publish rejected", new PublishReply(ID, PublishOutcome.REFUSED_FOR_GOOD, 0, 0, TERM_NUMBER, SENTENCE));
-        examples.put(
-                "publish of unknown end", new PublishReply(ID, PublishOutcome.UNSETTLED, 0, 0, TERM_NUMBER, SENTENCE));
+        examples.put("publish taken", new PublishReply(ID, PublishOutcome.ACCEPTED, POSITION, 0, TERM, ""));
+        examples.put("publish redirected", new PublishReply(ID, PublishOutcome.NOT_LEADER, 0, NODE, TERM, SENTENCE));
+        examples.put("publish rejected", new PublishReply(ID, PublishOutcome.REFUSED_FOR_GOOD, 0, 0, TERM, SENTENCE));
+        examples.put("publish of unknown end", new PublishReply(ID, PublishOutcome.UNSETTLED, 0, 0, TERM, SENTENCE));
         examples.put("publish to retry later", new PublishReply(ID, PublishOutcome.BUSY, 0, 0, 0, ""));
     }
 
@@ -230,7 +227,7 @@
         examples.put(
                 "poll answered, all fields",
                 new PeerMessage.ConfigurationReply(
-                        ID, true, NODE, TERM_NUMBER, VERSION, BYTES, VERSION + 1, new byte[] {9, 8}, NODE, POSITION));
+                        ID, true, NODE, TERM, VERSION, BYTES, VERSION + 1, new byte[] {9, 8}, NODE, POSITION));
         examples.put(
                 "poll answered, nothing set",
                 new PeerMessage.ConfigurationReply(0, false, 0, 0, 0, NO_BYTES, 0, NO_BYTES, 0, 0));
--- a/testing/src/test/java/brookpath/testing/GoldenFile.java
+++ b/testing/src/test/java/brookpath/testing/GoldenFile.java
@@ -13,9 +13,9 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * A checked-in file of expected values, one line {@code name | value} each. The system property {@code golden.write}
- * names a directory into which the values of a run are written, for a change of behaviour that is meant; such a run
- * compares all values at its end, and fails where one differs, like any other. Thread-safe.
+ * A checked-in file of expected values, each on a line {@code name | value}. For an intended change of behaviour, the
+ * system property {@code golden.write} names a directory to which the values of a run are written. Such a run compares
+ * all values at its end, and fails like any other if one differs. Thread-safe.
  */
 public final class GoldenFile {
     private static final String WRITE_PROPERTY = "golden.write";
@@ -29,7 +29,7 @@
     /**
      * Reads the file.
      *
-     * @param owner class in whose package the resource lies
+     * @param owner the class whose package contains the resource
      */
     public GoldenFile(final Class<?> owner, final String file) {
         this.file = file;
@@ -43,24 +43,25 @@
         }
     }
 
-    /** The expected values by name. */
+    /** Returns the expected values by name. */
     public Map<String, String> expected() {
         return expected;
     }
 
-    /** Fails where the value is not the one that the file holds under this name. */
+    /** Asserts that the value equals the one in the file under this name. */
     public void assertHolds(final String name, final String value) {
         actual.put(name, value);
         if (directory == null) {
             assertEquals(
                     value,
                     expected.get(name),
-                    "\"" + name + "\" differs from " + file + ". Where the change is meant, -D" + WRITE_PROPERTY
-                            + "=DIRECTORY makes the file anew, and the commit says which lines differ and why; ");
+                    "\"" + name + "\" differs from " + file + ". If the change is intended, run with -D"
+                            + WRITE_PROPERTY
+                            + "=DIRECTORY to write a new file, and say in the commit which lines differ and why; ");
         }
     }
 
-    /** To be called after the last test of a class: writes the values of this run where the system property asks. */
+    /** Writes the values of this run if the system property is set. To be called after the last test of a class. */
     public void write() throws IOException {
         if (directory != null) {
             final TreeMap<String, String> sorted = new TreeMap<>(actual);
@@ -69,7 +70,7 @@
                     sorted.entrySet().stream()
                             .map(entry -> entry.getKey() + SEPARATOR + entry.getValue())
                             .toList());
-            assertEquals(sorted, expected, file + " is out of date");
+            assertEquals(sorted, expected, file + " differs from the values of this run");
         }
     }
 }
--- a/testing/src/test/java/brookpath/testing/GoldenFramesTest.java
+++ b/testing/src/test/java/brookpath/testing/GoldenFramesTest.java
@@ -15,7 +15,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Processes of the last release understand the frames of this one, and the other way round: their bytes are pinned. */
+/** Compares the bytes of frames with a golden file, so that this release and the last understand each other. */
 public final class GoldenFramesTest {
     private final GoldenFile golden = new GoldenFile(GoldenFramesTest.class, "golden-frames.txt");
     private final Map<String, PeerMessage> examples = FrameExamples.all();
@@ -26,12 +26,12 @@
     }
 
     @Test(dataProvider = "names")
-    public void theFrameHasItsBytes(final String name) {
+    public void eachMessageEncodesToItsGoldenBytes(final String name) {
         golden.assertHolds(name, HexFormat.of().formatHex(new FrameCodec().encode(examples.get(name))));
     }
 
     @Test(dataProvider = "names")
-    public void theBytesReadBackAsTheMessage(final String name) throws Exception {
+    public void theGoldenBytesDecodeToTheMessage(final String name) throws Exception {
         final byte[] frame = HexFormat.of().parseHex(golden.expected().get(name));
         assertEquals(
                 FrameCodecTest.text(new FrameCodec().decode(frame, 0, frame.length)),
@@ -39,20 +39,21 @@
     }
 
     @Test
-    public void everyKindOfMessageHasAnExample() {
+    public void everyMessageTypeHasAnExample() {
         assertEquals(
-                examples.values().stream().map(Object::getClass).collect(Collectors.toSet()), kinds(PeerMessage.class));
+                examples.values().stream().map(Object::getClass).collect(Collectors.toSet()),
+                messageTypes(PeerMessage.class));
     }
 
     @Test
-    public void theFileHoldsTheseFramesAndNoOthers() {
+    public void theGoldenFileHoldsExactlyTheExamples() {
         assertEquals(golden.expected().keySet(), examples.keySet());
     }
 
-    /** The permitted implementations of a sealed interface, also of those that extend it. */
-    private static Set<Class<?>> kinds(final Class<?> type) {
+    /** Returns the permitted implementations of a sealed interface, including those of its subinterfaces. */
+    private static Set<Class<?>> messageTypes(final Class<?> type) {
         return Arrays.stream(type.getPermittedSubclasses())
-                .flatMap(kind -> kind.isInterface() ? kinds(kind).stream() : Stream.of(kind))
+                .flatMap(kind -> kind.isInterface() ? messageTypes(kind).stream() : Stream.of(kind))
                 .collect(Collectors.toSet());
     }
 
--- a/testing/src/test/java/brookpath/testing/MachineIdentityTest.java
+++ b/testing/src/test/java/brookpath/testing/MachineIdentityTest.java
@@ -21,12 +21,12 @@
 import java.util.SplittableRandom;
 import org.testng.annotations.Test;
 
-/** A machine keeps its identity on its disk, and the cluster metadata keeps those of all machines. */
+/** A machine stores its identity on its disk, and the cluster metadata stores those of all machines. */
 public final class MachineIdentityTest {
     private static final String FILE = "machine-id";
 
     @Test
-    public void itOutlivesALossOfPowerRightAfterTheFirstStart() {
+    public void theIdentitySurvivesAPowerLossRightAfterTheFirstStart() {
         for (int seed = 0; seed < 50; seed++) {
             final FaultyDisk disk = new FaultyDisk();
             assertEquals(MachineIdentity.loadOrCreate(disk, 7), new MachineIdentity(7, null));
@@ -38,7 +38,7 @@
     }
 
     @Test
-    public void aMachineWithoutItsDiskIsAnotherOne() {
+    public void aMachineWithAnEmptyDiskGetsANewIdentity() {
         final FaultyDisk disk = new FaultyDisk();
         MachineIdentity.loadOrCreate(disk, 7);
         disk.wipe();
@@ -46,7 +46,7 @@
     }
 
     @Test
-    public void aDamagedIdentityCountsAsThatOfANewMachine() {
+    public void aDamagedIdentityIsReplacedByANewOne() {
         for (int length = 0; length <= 24; length++) {
             final FaultyDisk disk = new FaultyDisk();
             MachineIdentity.loadOrCreate(disk, 7);
@@ -63,7 +63,7 @@
     }
 
     @Test
-    public void anUnfinishedWriteIsNoIdentity() {
+    public void anUnfinishedWriteIsIgnored() {
         final FaultyDisk disk = new FaultyDisk();
         final DiskFile file = disk.open(FILE + ".tmp");
         file.append(new byte[5], 0, 5);
@@ -75,7 +75,7 @@
     private static final NodeInfo STORAGE = new NodeInfo(11, "a", "x:1", "one", 77);
 
     @Test
-    public void theMetadataKeepsIdentities() {
+    public void theMetadataStoresIdentities() {
         final ClusterMetadata metadata = new ClusterMetadata(
                 5,
                 List.of(STORAGE),
@@ -107,14 +107,14 @@
     }
 
     @Test
-    public void metadataOfANewerFormatIsRefused() {
+    public void metadataOfANewerFormatIsRejected() {
         final byte[] newer =
                 PackedBuffer.writer().putLong(-3).putLong(5).putLong(0).toByteArray();
         assertThrows(IllegalStateException.class, () -> ClusterMetadata.load(newer));
     }
 
     @Test
-    public void onlyTwoKnownIdentitiesTellMachinesApart() {
+    public void machinesDifferOnlyIfBothIdentitiesAreKnown() {
         final NodeInfo other = new NodeInfo(11, "a", "x:1", "two", 78);
         assertTrue(other.replaces(STORAGE));
         assertTrue(STORAGE.replaces(other));
@@ -126,7 +126,7 @@
     }
 
     @Test
-    public void aNameOutlivesALostDiskButNotAMachineWithoutOne() {
+    public void aNamedMachineStaysTheSameWithANewDiskButAnUnnamedOneDoesNot() {
         assertFalse(STORAGE.withMachine(78).replaces(STORAGE), "the same name with an empty disk is the same machine");
         final NodeInfo unnamed = new NodeInfo(11, "a", "x:1", "", 77);
         assertTrue(unnamed.withMachine(78).replaces(unnamed), "without names the identity alone decides");
--- a/testing/src/test/java/brookpath/testing/StoredDataTest.java
+++ b/testing/src/test/java/brookpath/testing/StoredDataTest.java
@@ -37,8 +37,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Data folders that an earlier release wrote ({@code sim.StoredDataWriter} made them) are read by this one: the logs'
- * ends, the terms and votes, the members, the machine's identity, the snapshot and the configuration.
+ * This release reads data folders of an earlier release, which {@code sim.StoredDataWriter} wrote: the ends of the
+ * logs, the terms and votes, the members, the machine's identity, the snapshot and the configuration.
  */
 public final class StoredDataTest {
     private static final int CONTROLLER = 2;
@@ -47,70 +47,72 @@
     private static final int TOLERATED_LOSSES = 1;
     private static final int ROLL_BYTES = 64 << 10;
     private static final Time START = new Time(0, 0);
-    /** Of an entry in a segment: length, checksum, how much was synced. */
-    private static final int ENTRY_HEAD = 16;
-    /** The kind of the entry that holds the term and the vote; its format follows the kind. */
+    /** The header of an entry in a segment: length, checksum and synced length. */
+    private static final int ENTRY_HEADER_BYTES = 16;
+    /** The kind of the entry that holds the term and the vote, which follow the kind. */
     private static final int VOTE_ENTRY = 3;
 
     private final GoldenFile golden = new GoldenFile(StoredDataTest.class, "stored-data.txt");
 
-    /** Takes what was recovered as the process does at its start, and compares what it finds. */
+    /** Replays a recovered log as a process does at startup, and compares the resulting state. */
     @FunctionalInterface
-    private interface Reader {
-        void read(String name, WriteAheadLog.Recovery recovery);
+    private interface RecoveryCheck {
+        void check(String name, WriteAheadLog.Recovery recovery);
     }
 
     @Test
     public void aControllersFolderIsReadAfterACleanStop() throws Exception {
-        readWhole("controller, clean stop", "controller", this::readController);
+        readAfterCleanStop("controller, clean stop", "controller", this::checkController);
     }
 
     @Test
     public void aControllersFolderIsReadAfterATornWrite() throws Exception {
-        readTorn("controller, torn write", "controller", this::readController);
+        readAfterTornWrite("controller, torn write", "controller", this::checkController);
     }
 
     @Test
     public void aStorageNodesFolderIsReadAfterACleanStop() throws Exception {
-        readWhole("storage node, clean stop", "storage-node", this::readStorageNode);
+        readAfterCleanStop("storage node, clean stop", "storage-node", this::checkStorageNode);
     }
 
     @Test
     public void aStorageNodesFolderIsReadAfterATornWrite() throws Exception {
-        readTorn("storage node, torn write", "storage-node", this::readStorageNode);
+        readAfterTornWrite("storage node, torn write", "storage-node", this::checkStorageNode);
     }
 
-    private void readWhole(final String name, final String folder, final Reader reader) throws Exception {
+    private void readAfterCleanStop(final String name, final String folder, final RecoveryCheck check)
+            throws Exception {
         final Path copied = copy(folder);
-        read(name, copied, reader, List.of());
+        read(name, copied, check, List.of());
     }
 
-    private void readTorn(final String name, final String folder, final Reader reader) throws Exception {
+    private void readAfterTornWrite(final String name, final String folder, final RecoveryCheck check)
+            throws Exception {
         final Path copied = copy(folder);
         final Path segment = segment(copied);
         final byte[] bytes = Files.readAllBytes(segment);
-        final int last = lastEntry(bytes);
+        final int last = lastEntryOffset(bytes);
         final int length = length(bytes, last);
-        Files.write(segment, Arrays.copyOf(bytes, last + ENTRY_HEAD + length / 2));
-        read(name, copied, reader, List.of(segment.getFileName() + ": torn tail cut at byte " + last));
-        assertEquals(Files.size(segment), last, "the torn entry is still there");
+        Files.write(segment, Arrays.copyOf(bytes, last + ENTRY_HEADER_BYTES + length / 2));
+        read(name, copied, check, List.of(segment.getFileName() + ": torn tail truncated at byte " + last));
+        assertEquals(Files.size(segment), last, "the torn entry was not truncated");
     }
 
-    private void read(final String name, final Path folder, final Reader reader, final List<String> findings) {
+    private void read(final String name, final Path folder, final RecoveryCheck check, final List<String> findings) {
         try (FolderDisk disk = new FolderDisk(folder)) {
             final MachineIdentity identity = MachineIdentity.loadOrCreate(disk, -1);
             golden.assertHolds(name + ", machine", identity.number() + " " + identity.finding());
             final WriteAheadLog.Recovery recovery = WriteAheadLog.recover(disk);
             assertEquals(recovery.findings(), findings);
             assertFalse(recovery.damaged());
-            assertTrue(recovery.snapshot() != null, "there is no snapshot in the folder");
+            assertTrue(recovery.snapshot() != null, "the folder has no snapshot");
             golden.assertHolds(name + ", snapshot", sha256(List.of(recovery.snapshot())));
             golden.assertHolds(name + ", entries", recovery.entries().size() + " " + sha256(recovery.entries()));
-            reader.read(name, recovery);
+            check.check(name, recovery);
         }
     }
 
-    private void readController(final String name, final WriteAheadLog.Recovery recovery) {
+    private void checkController(final String name, final WriteAheadLog.Recovery recovery) {
         final ControllerNode node = new ControllerNode(
                 CONTROLLER,
                 List.of(),
@@ -136,7 +138,7 @@
                         + sha256(List.of(metadata.save())));
     }
 
-    private void readStorageNode(final String name, final WriteAheadLog.Recovery recovery) {
+    private void checkStorageNode(final String name, final WriteAheadLog.Recovery recovery) {
         final StorageNode node = new StorageNode(
                 new NodeInfo(STORAGE_NODE, "b", "sim:12", "machine-12", 1),
                 List.of(1, 2, 3),
@@ -146,14 +148,14 @@
                 1,
                 ROLL_BYTES);
         replay(node, recovery);
-        int held = 0;
+        int groupsFound = 0;
         for (int id = 0; id < GROUPS; id++) {
             if (node.group(id) != null) {
                 checkGroup(name, node.group(id));
-                held++;
+                groupsFound++;
             }
         }
-        assertTrue(held > 1, "only " + held + " groups in the folder");
+        assertTrue(groupsFound > 1, "only " + groupsFound + " groups in the folder");
     }
 
     private static void replay(final Node node, final WriteAheadLog.Recovery recovery) {
@@ -188,7 +190,7 @@
         return members.stream().map(m -> m.node() + "/" + m.weight()).collect(Collectors.joining(" "));
     }
 
-    /** A copy that the test may change. */
+    /** Returns a copy of a stored folder, which the test may modify. */
     private static Path copy(final String folder) throws IOException, URISyntaxException {
         final Path from = Path.of(
                 StoredDataTest.class.getResource("stored-data/" + folder).toURI());
@@ -209,10 +211,10 @@
         }
     }
 
-    /** Where the last entry that has bytes begins; those without only say how much is synced. */
-    private static int lastEntry(final byte[] segment) {
+    /** Returns the offset of the last entry with a payload; those without are sync marks. */
+    private static int lastEntryOffset(final byte[] segment) {
         int last = -1;
-        for (int at = 0; at < segment.length; at += ENTRY_HEAD + length(segment, at)) {
+        for (int at = 0; at < segment.length; at += ENTRY_HEADER_BYTES + length(segment, at)) {
             if (length(segment, at) > 0) {
                 last = at;
             }
--- a/testing/src/test/java/brookpath/testing/WriteAheadLogSpaceTest.java
+++ b/testing/src/test/java/brookpath/testing/WriteAheadLogSpaceTest.java
@@ -23,7 +23,7 @@
 import org.testng.SkipException;
 import org.testng.annotations.Test;
 
-/** The write-ahead log on a disk that has too little room, and a power loss at each step of a roll. */
+/** The write-ahead log on a full disk, and with a power loss at each step of a roll. */
 public final class WriteAheadLogSpaceTest {
     private static final byte[] FIRST = filled(1, 100);
     private static final byte[] SECOND = filled(2, 300);
@@ -32,7 +32,7 @@
     private static final int SEEDS = 40;
 
     @Test
-    public void aWriteWithoutRoomLeavesWhatWasThereAndIsTriedAgain() {
+    public void aFailedAppendKeepsEarlierEntriesAndCanBeRetried() {
         final FaultyDisk disk = new FaultyDisk();
         final WriteAheadLog writeAheadLog = WriteAheadLog.recover(disk).writeAheadLog();
         writeAheadLog.append(FIRST);
@@ -52,7 +52,7 @@
     }
 
     @Test
-    public void aSyncCountsThoughThereIsNoRoomForItsMark() {
+    public void aSyncIsValidWithoutSpaceForItsMark() {
         final FaultyDisk disk = new FaultyDisk();
         final WriteAheadLog writeAheadLog = WriteAheadLog.recover(disk).writeAheadLog();
         writeAheadLog.append(FIRST);
@@ -64,7 +64,7 @@
     }
 
     @Test
-    public void aSnapshotWithoutRoomIsLeftOutAndTheSegmentGoesOn() {
+    public void aRollWithoutSpaceForItsSnapshotLeavesTheSegmentInUse() {
         final FaultyDisk disk = new FaultyDisk();
         final WriteAheadLog writeAheadLog = WriteAheadLog.recover(disk).writeAheadLog();
         writeAheadLog.roll(filled(9, 400));
@@ -86,7 +86,7 @@
 
     @Test
     public void aPowerLossAtEachStepOfARollLosesNothing() {
-        int before = 0;
+        int interrupted = 0;
         int rolled = 0;
         for (int step = 0; step < ROLL_STEPS; step++) {
             for (int seed = 0; seed < SEEDS; seed++) {
@@ -98,8 +98,8 @@
                 disk.stepsLeft = step;
                 try {
                     writeAheadLog.roll(filled(8, 200));
-                } catch (final Stopped ex) {
-                    before++;
+                } catch (final StoppedException ex) {
+                    interrupted++;
                 }
                 disk.stepsLeft = Integer.MAX_VALUE;
                 if (seed % 2 == 0) {
@@ -116,10 +116,11 @@
                 assertNextRollIsComplete(disk, after.writeAheadLog());
             }
         }
-        assertTrue(before > 100 && rolled > 20, before + " rolls were broken off, " + rolled + " were there after");
+        assertTrue(
+                interrupted > 100 && rolled > 20, interrupted + " rolls were interrupted, " + rolled + " took effect");
     }
 
-    /** What a roll that was broken off left behind must not come into the next one. */
+    /** The remains of an interrupted roll must not become part of the next one. */
     private static void assertNextRollIsComplete(final StoppingDisk disk, final WriteAheadLog log) {
         log.append(THIRD);
         log.sync();
@@ -131,34 +132,34 @@
         assertEquals(texts(again), List.of(text(SECOND)));
     }
 
-    /** The operating system's own words for a full disk are understood. */
+    /** The error message of the operating system for a full disk is recognized. */
     @Test
-    public void aFullDeviceIsKnownByItsMessage() throws IOException {
+    public void aFullDeviceIsRecognizedByItsErrorMessage() throws IOException {
         final Path full = Path.of("/dev/full");
         if (!Files.exists(full)) {
             throw new SkipException("this system has no /dev/full");
         }
         try (FileChannel channel = FileChannel.open(full, StandardOpenOption.WRITE)) {
             channel.write(ByteBuffer.wrap(FIRST));
-            throw new AssertionError("the full device took a write");
+            throw new AssertionError("the full device accepted a write");
         } catch (final IOException ex) {
             assertTrue(DiskFullException.ofWrite(ex) instanceof DiskFullException, ex.toString());
         }
         assertFalse(DiskFullException.ofWrite(new IOException("Input/output error")) instanceof DiskFullException);
     }
 
-    private static final class Stopped extends RuntimeException {
+    private static final class StoppedException extends RuntimeException {
         private static final long serialVersionUID = 1L;
     }
 
-    /** A disk on which the process dies after so many operations. */
+    /** A disk on which the process stops after a given number of operations. */
     private static final class StoppingDisk implements Disk {
         private final FaultyDisk disk = new FaultyDisk();
         private int stepsLeft = Integer.MAX_VALUE;
 
         private void step() {
             if (stepsLeft-- <= 0) {
-                throw new Stopped();
+                throw new StoppedException();
             }
         }
 
--- a/testing/src/test/java/brookpath/testing/WriteAheadLogTest.java
+++ b/testing/src/test/java/brookpath/testing/WriteAheadLogTest.java
@@ -13,9 +13,9 @@
 import java.util.SplittableRandom;
 import org.testng.annotations.Test;
 
-/** The write-ahead log against an oracle: a list of what was written, and how much of it was synced. */
+/** Compares the write-ahead log with a list of the entries written to it and the number of synced ones. */
 public final class WriteAheadLogTest {
-    /** A log on a faulty disk, beside a list of what was written to it and how much of that was synced. */
+    /** A log on a faulty disk, with the list of the entries written to it and how many of them were synced. */
     private static final class CheckedLog {
         final long seed;
         final SplittableRandom random;
@@ -24,7 +24,7 @@
         List<byte[]> written = new ArrayList<>();
         byte[] snapshot;
         int synced;
-        /** Unsynced entries that losses of power took. */
+        /** How many unsynced entries were lost in power losses. */
         int lost;
 
         CheckedLog(final long seed) {
@@ -96,11 +96,11 @@
             }
             lost += checked.lost;
         }
-        assertTrue(lost > 100, "power losses cut only " + lost + " entries");
+        assertTrue(lost > 100, "power losses removed only " + lost + " entries");
     }
 
     @Test
-    public void damageAmidTheLogIsNeverTakenForATornTail() {
+    public void damageWithinTheLogIsNeverTakenForATornTail() {
         int damaged = 0;
         for (long seed = 0; seed < 300; seed++) {
             final SplittableRandom random = new SplittableRandom(seed);
@@ -114,15 +114,15 @@
             if (!disk.corrupt(random)) {
                 continue;
             }
-            final Recovery logRecord = WriteAheadLog.recover(disk);
-            damaged += logRecord.damaged() ? 1 : 0;
+            final Recovery recovery = WriteAheadLog.recover(disk);
+            damaged += recovery.damaged() ? 1 : 0;
             assertTrue(
-                    logRecord.damaged()
-                            || (logRecord.entries().size() < n
-                                    && !logRecord.findings().isEmpty()),
-                    "seed " + seed + " took damage for whole");
+                    recovery.damaged()
+                            || (recovery.entries().size() < n
+                                    && !recovery.findings().isEmpty()),
+                    "seed " + seed + ": the damage was not reported");
         }
-        assertTrue(damaged > 200, "only " + damaged + " damages were seen");
+        assertTrue(damaged > 200, "only " + damaged + " damaged folders were detected");
     }
 
     private static byte[] bytes(final SplittableRandom random) {
--- a/testing/src/test/java/brookpath/testing/sim/StoredDataWriter.java
+++ b/testing/src/test/java/brookpath/testing/sim/StoredDataWriter.java
@@ -8,12 +8,12 @@
 import java.util.List;
 
 /**
- * Writes the data folders that {@code StoredDataTest} reads: one of a controller and one of a storage node, as they lie
- * on the disk after a clean stop. The arguments are the directory to write to, and nothing else.
+ * Writes the data folders that {@code StoredDataTest} reads: one of a controller and one of a storage node, after a
+ * clean stop. The only argument is the directory to write to.
  *
- * <p>The folders that are checked in were written once, by release 0.1.0 at commit a7d0cd1, with wire schema version 4,
- * log entries of the kinds 1 to 5 and control log bodies of the kinds 3 to 6. They stay as they are: a later release
- * has to read them. A change of the format gets folders of its own beside them. They were written with
+ * <p>The checked-in folders were written by release 0.1.0 at commit a7d0cd1, with wire schema version 4, log entries of
+ * the kinds 1 to 5 and control log bodies of the kinds 3 to 6. They must not be regenerated, since later releases have
+ * to read them; a new format gets additional folders. They were written with
  *
  * <pre>java -cp (test class path of this module) brookpath.testing.sim.StoredDataWriter DIRECTORY</pre>
  */
@@ -39,7 +39,7 @@
         for (int i = 1; i <= CHANGES; i++) {
             settled(document(i, "change-" + i), "change-" + i);
         }
-        // why: an election on both kinds of machine, so that the term and the vote are not the first ones
+        // Elections on both kinds of node, so that the stored terms and votes are not the initial ones.
         restart(leader());
         restart(cluster.processes.get(STORAGE_NODE));
         cluster.run(cluster.now() + BUSY_MS);
