--- a/testing/src/test/java/brookpath/coordination/group/ReplicaProgressTest.java
+++ b/testing/src/test/java/brookpath/coordination/group/ReplicaProgressTest.java
@@ -52,7 +52,8 @@
         assertEquals(committable(), 0);
         progress.voterSynced(2, 5);
         assertEquals(committable(), 5);
-        assertEquals(progress.committable(3, OPEN_INDEX, OWN_TERM), 0, "committable though all three replicas are needed");
+        assertEquals(
+                progress.committable(3, OPEN_INDEX, OWN_TERM), 0, "committable though all three replicas are needed");
     }
 
     @Test
--- a/testing/src/test/java/brookpath/testing/sim/ConfigurationUpdatesTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ConfigurationUpdatesTest.java
@@ -110,7 +110,9 @@
         version = changed(version, "thousands", 0, MOST_SPACES);
         final long before = carriedBytes();
         version = changed(version, "one-more", 1, MOST_SPACES + 1);
-        assertTrue(carriedBytes() - before < 100_000, "a change that adds one space carried " + (carriedBytes() - before) + " bytes");
+        assertTrue(
+                carriedBytes() - before < 100_000,
+                "a change that adds one space carried " + (carriedBytes() - before) + " bytes");
         for (final int id : cluster.gateways) {
             final GatewayNode gateway = (GatewayNode) cluster.processes.get(id).node;
             assertEquals(gateway.client().configuration().version(), version);
--- a/testing/src/test/java/brookpath/testing/sim/ReplicaLossScenariosTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ReplicaLossScenariosTest.java
@@ -72,7 +72,9 @@
         cluster.restart(third);
         cluster.run(cluster.now() + 3_000);
         for (final SimulatedProcess p : List.of(follower, third)) {
-            assertTrue(((TopicState) group(p, g).live()).lookUp("permits/t0", "ana", 1) == -1, "sequence numbers are lost");
+            assertTrue(
+                    ((TopicState) group(p, g).live()).lookUp("permits/t0", "ana", 1) == -1,
+                    "sequence numbers are lost");
         }
         assertNoViolationsAfterQuiescence();
     }
