--- a/testing/src/main/java/brookpath/testing/disk/FaultyDisk.java
+++ b/testing/src/main/java/brookpath/testing/disk/FaultyDisk.java
@@ -110,7 +110,7 @@
         final WriteAheadLog.Inspection inspection = WriteAheadLog.inspect(this);
         wipe();
         final WriteAheadLog writeAheadLog = WriteAheadLog.recover(this).writeAheadLog();
-        for (final byte[] entry : inspection.replayed()) {
+        for (final byte[] entry : inspection.allEntries()) {
             writeAheadLog.append(withReplacement(entry, oldBytes, newBytes));
         }
         writeAheadLog.sync();
--- a/testing/src/test/java/brookpath/testing/sim/ConfigurationUpdatesTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ConfigurationUpdatesTest.java
@@ -222,7 +222,7 @@
                 TimingBounds.DEFAULT,
                 out);
         client.tick(NOW);
-        assertTrue(client.onReply(reply(poll(out), 1, Delta.whole(encoded(1))), NOW));
+        assertTrue(client.onReply(reply(poll(out), 1, Delta.full(encoded(1))), NOW));
         assertEquals(client.configuration().version(), 1);
         final ConfigurationPoll second = poll(out);
         assertEquals(second.configurationVersion(), 1);
@@ -230,7 +230,7 @@
         assertEquals(client.configuration().version(), 1, "a delta from another document was applied");
         final ConfigurationPoll third = poll(out);
         assertEquals(third.configurationVersion(), -1, "the complete document was not requested");
-        assertTrue(client.onReply(reply(third, 2, Delta.whole(encoded(2))), NOW));
+        assertTrue(client.onReply(reply(third, 2, Delta.full(encoded(2))), NOW));
         assertEquals(client.configuration().version(), 2);
         assertEquals(poll(out).configurationVersion(), 2);
     }
--- a/tools/src/main/java/brookpath/tools/datafolder/DataFolderCheck.java
+++ b/tools/src/main/java/brookpath/tools/datafolder/DataFolderCheck.java
@@ -70,7 +70,7 @@
             final WriteAheadLog.Inspection log = WriteAheadLog.inspect(new ReadOnlyDisk(folder));
             folderFindings.addAll(log.findings());
             printLog(log);
-            final TreeMap<Integer, GroupMachine> groups = StoredGroups.replay(log.replayed(), folderFindings);
+            final TreeMap<Integer, GroupMachine> groups = StoredGroups.replay(log.allEntries(), folderFindings);
             groups.forEach((id, group) -> checkGroup(id, group, folderFindings));
             groupsByFolder.put(folder.toString(), groups);
         } catch (final UncheckedIOException ex) {
