--- a/testing/src/main/java/brookpath/testing/fleet/FleetOperators.java
+++ b/testing/src/main/java/brookpath/testing/fleet/FleetOperators.java
@@ -174,7 +174,7 @@
                 && confirmedId != null
                 && !read.getJsonObject("document").getString("changeId").equals(confirmedId);
         if (older || different) {
-            violation("configuration " + newestConfirmed + " was confirmed, but version " + version + " was read back");
+            violation("configuration " + newestConfirmed + " was confirmed, but the version read back is " + version);
         }
     }
 
