--- a/tools/src/main/java/brookpath/tools/datafolder/ReplicaComparison.java
+++ b/tools/src/main/java/brookpath/tools/datafolder/ReplicaComparison.java
@@ -3,8 +3,8 @@
 import brookpath.coordination.group.GroupMachine;
 
 /**
- * Compares two replicas of a group. If both have the same term at an index, their logs must be identical up to it; where
- * the terms differ, the tail of the older term is not committed and is truncated when its node starts.
+ * Compares two replicas of a group. If both have the same term at an index, their logs must be identical up to it;
+ * where the terms differ, the tail of the older term is not committed and is truncated when its node starts.
  */
 final class ReplicaComparison {
     private final GroupMachine first;
