--- a/testing/src/main/java/brookpath/testing/sim/AnswerObserver.java
+++ b/testing/src/main/java/brookpath/testing/sim/AnswerObserver.java
@@ -2,8 +2,8 @@
 
 import brookpath.coordination.message.Response;
 
-/** Sees the answers that processes give to calls, also those that nobody waits for any more. */
+/** Observes the responses of processes to calls, including those whose caller no longer waits for them. */
 interface AnswerObserver {
-    /** A process answers; a status of 0 stands for a connection that broke or a call that timed out. */
+    /** Called for each response; status 0 stands for a broken connection or a call that timed out. */
     void answered(SimulatedProcess from, long callId, Response response);
 }
--- a/testing/src/main/java/brookpath/testing/sim/ControlAnswer.java
+++ b/testing/src/main/java/brookpath/testing/sim/ControlAnswer.java
@@ -8,13 +8,13 @@
 import java.io.ByteArrayInputStream;
 
 /**
- * An answer of the control plane, read.
+ * A parsed response of the control plane.
  *
- * @param kind the call that it answers, as far as it tells; else empty
- * @param subject the change or the machine that it names; else empty
- * @param version the version that it names; else 0
- * @param document the configuration that it holds; else empty
- * @param empty whether it says that a machine holds nothing
+ * @param kind the kind of call that it answers; empty if the response does not tell
+ * @param subject the change or the node that it names; empty for none
+ * @param version the version that it names; 0 for none
+ * @param document the configuration that it contains; empty for none
+ * @param empty whether it reports that a node holds no replicas
  */
 record ControlAnswer(String kind, String subject, long version, String document, boolean empty) {
     static final String CHANGE = "change";
@@ -43,12 +43,12 @@
         return new ControlAnswer("", "", version, "", false);
     }
 
-    /** The change that a configuration came with. */
+    /** The ID of the change that introduced a configuration. */
     static String changeIdOf(final String document) {
         return json(document).getString("changeId", "");
     }
 
-    /** The configuration as its bytes stand in the answer, unread. */
+    /** The configuration exactly as the response contains it, unparsed. */
     private static String document(final String json) {
         return json.substring(json.indexOf(DOCUMENT) + DOCUMENT.length(), json.lastIndexOf('}'));
     }
--- a/testing/src/main/java/brookpath/testing/sim/ControlCall.java
+++ b/testing/src/main/java/brookpath/testing/sim/ControlCall.java
@@ -10,17 +10,17 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** Calls of the control plane as a client makes them: one machine at a time, given up after a second of silence. */
+/** Client calls to the control plane, each to one node; a call without a response times out after a second. */
 final class ControlCall {
-    /** Stands for silence, a reset or an answer that was lost. */
-    static final Response SILENCE = new Response(0, 0, "{}");
+    /** Stands for a time-out, a connection reset or a lost response. */
+    static final Response NO_RESPONSE = new Response(0, 0, "{}");
 
-    private static final long PATIENCE_MS = 1_000;
-    private static final int REACHED = 100;
+    private static final long RESPONSE_TIMEOUT_MS = 1_000;
+    private static final int MIN_HTTP_STATUS = 100;
 
     private final SimulatedCluster cluster;
     private final CallHistory history;
-    /** Machines that callers cannot reach. */
+    /** Nodes that callers cannot reach. */
     final Set<Integer> unreachable = new HashSet<>();
 
     private int lostPercent;
@@ -31,21 +31,21 @@
         cluster.callers.answers = this::answered;
     }
 
-    /** From now on so many of a hundred acknowledgements are lost on their way to the operator. */
+    /** Sets the percentage of acknowledgements that are lost on their way to the operator. */
     void loseAnswers(final int percent) {
         lostPercent = percent;
     }
 
-    /** By chance: is this acknowledgement lost? */
+    /** Decides at random whether this acknowledgement is lost. */
     boolean losesAnswer() {
         return lostPercent > 0 && cluster.random.nextInt(100) < lostPercent;
     }
 
     /**
-     * Calls a machine.
+     * Calls a node.
      *
-     * @param subject what the call is about, as its answer names it
-     * @param then hears of the answer, or of silence
+     * @param subject the change or the node that the call is about, as its response names it
+     * @param then receives the response, or {@link #NO_RESPONSE}
      */
     void call(
             final SimulatedProcess process,
@@ -53,14 +53,14 @@
             final byte[] body,
             final String subject,
             final Consumer<Response> then) {
-        final boolean[] open = {true};
-        final Consumer<Response> once = response -> {
-            if (open[0]) {
-                open[0] = false;
-                then.accept(response.status() < REACHED ? SILENCE : response);
+        final boolean[] pending = {true};
+        final Consumer<Response> completeOnce = response -> {
+            if (pending[0]) {
+                pending[0] = false;
+                then.accept(response.status() < MIN_HTTP_STATUS ? NO_RESPONSE : response);
             }
         };
-        cluster.at(cluster.now() + PATIENCE_MS, () -> once.accept(SILENCE));
+        cluster.at(cluster.now() + RESPONSE_TIMEOUT_MS, () -> completeOnce.accept(NO_RESPONSE));
         if (unreachable.contains(process.id)) {
             return;
         }
@@ -72,13 +72,13 @@
                 },
                 response -> {
                     if (!unreachable.contains(process.id)) {
-                        once.accept(response);
+                        completeOnce.accept(response);
                     }
                 });
     }
 
     private void answered(final SimulatedProcess from, final long callId, final Response response) {
-        if (response.status() >= REACHED && history.knows(callId)) {
+        if (response.status() >= MIN_HTTP_STATUS && history.knows(callId)) {
             final ControlAnswer answer = ControlAnswer.of(response);
             history.answered(
                     cluster.now(), callId, new Answer(from.id, from.incarnation, answer.kind(), answer.subject()));
--- a/testing/src/main/java/brookpath/testing/sim/ControlDay.java
+++ b/testing/src/main/java/brookpath/testing/sim/ControlDay.java
@@ -9,52 +9,54 @@
 import java.util.TreeMap;
 
 /**
- * One seeded day for the control plane: four controllers, four storage machines and two gateways in virtual time,
- * operators with up to eight orders under way, troubles one after another, a last one right after an acknowledgement,
- * and a recovery after which everything is read back.
+ * One seeded simulation of the control plane in virtual time: four controllers, four storage nodes and two gateways,
+ * operators with up to eight changes in flight, one fault after another, a closing fault right after an
+ * acknowledgement, and a recovery after which everything is read back.
  */
 public final class ControlDay {
     private static final FleetSize SIZE = new FleetSize(2, 2, 4, 6, 6, 8, 2);
     private static final long START_MS = 4_000;
-    private static final long FIRST_ORDER_MS = 20_000;
-    private static final long ORDER_EVERY_MS = 700;
-    private static final long READ_EVERY_MS = 700;
-    private static final long PAUSE_MS = 6_000;
-    private static final long WATCH_EVERY_MS = 100;
-    private static final long RECOVER_MS = 16_000;
-    private static final long QUIET_MS = 15_000;
+    private static final long FIRST_CHANGE_TIMEOUT_MS = 20_000;
+    private static final long CHANGE_INTERVAL_MS = 700;
+    private static final long READ_INTERVAL_MS = 700;
+    private static final long MAX_PAUSE_MS = 6_000;
+    private static final long SAMPLE_INTERVAL_MS = 100;
+    private static final long RECOVERY_MS = 16_000;
+    private static final long QUIESCENCE_MS = 15_000;
     private static final long READ_BACK_MS = 12_000;
-    private static final int READ_BACK_TRIES = 5;
-    private static final long LAST_ORDER_MS = 15_000;
+    private static final int READ_BACK_ATTEMPTS = 5;
+    private static final long CLOSING_FAULT_TIMEOUT_MS = 15_000;
 
-    /** What a control day is made of. */
+    /** Seed, length and kinds of faults of a control day. */
     public record Plan(long seed, long lengthMs, EnumSet<ControlFault> faults) {}
 
     /**
-     * What a control day came to.
+     * The result of a control day.
      *
      * @param violations of the rules of the control plane
-     * @param others what the fleet's other oracles found: topics, usage, leaders
+     * @param violationsByRule how many violations of each rule were found
+     * @param otherViolations what the fleet's other oracles found: topics, usage, leaders
+     * @param newestVersion the newest configuration version that was acknowledged
      */
     public record Outcome(
             long seed,
             List<String> violations,
-            Map<ControlRule, Integer> broken,
-            List<String> others,
-            long newest,
+            Map<ControlRule, Integer> violationsByRule,
+            List<String> otherViolations,
+            long newestVersion,
             TreeMap<String, Integer> counts,
             List<String> notes) {
         /** Whether neither the oracles of the control plane nor the others found a violation. */
         public boolean good() {
-            return violations.isEmpty() && others.isEmpty();
+            return violations.isEmpty() && otherViolations.isEmpty();
         }
 
         @Override
         public String toString() {
             final List<String> lines = new ArrayList<>();
-            lines.add("seed " + seed + ": newest version " + newest + ", " + counts);
+            lines.add("seed " + seed + ": newest version " + newestVersion + ", " + counts);
             violations.forEach(line -> lines.add("  " + line));
-            others.forEach(line -> lines.add("  other: " + line));
+            otherViolations.forEach(line -> lines.add("  other: " + line));
             return String.join("\n", lines);
         }
     }
@@ -83,35 +85,35 @@
         return play(plan, ActionObserver.NONE);
     }
 
-    /** Plays the day and shows the observer the actions of all processes. */
+    /** Plays the day and passes the actions of all processes to the observer. */
     public static Outcome play(final Plan plan, final ActionObserver observer) {
         return new ControlDay(plan, observer).play();
     }
 
     private Outcome play() {
-        begin();
-        troubles();
-        close();
+        start();
+        injectFaults();
+        injectClosingFault();
         recover();
         return outcome();
     }
 
-    private void begin() {
+    private void start() {
         cluster.run(START_MS);
         history.availability.disturb(cluster.now());
         operators.order(true);
-        final long giveUpAt = cluster.now() + FIRST_ORDER_MS;
-        while (operators.newest() == 0 && cluster.now() < giveUpAt) {
-            cluster.run(cluster.now() + WATCH_EVERY_MS);
+        final long deadline = cluster.now() + FIRST_CHANGE_TIMEOUT_MS;
+        while (operators.newest() == 0 && cluster.now() < deadline) {
+            cluster.run(cluster.now() + SAMPLE_INTERVAL_MS);
         }
-        clients();
-        watch();
-        operators.work(ORDER_EVERY_MS);
-        operators.read(READ_EVERY_MS);
+        startClients();
+        sampleRunningControllers();
+        operators.work(CHANGE_INTERVAL_MS);
+        operators.read(READ_INTERVAL_MS);
         cluster.run(cluster.now() + MachineFaults.CATCH_UP_MS);
     }
 
-    private void clients() {
+    private void startClients() {
         for (int i = 0; i < SIZE.topics(); i++) {
             cluster.callers.publisher("ana", Callers.topic(i), "key-members", 1_000, 30);
         }
@@ -120,54 +122,54 @@
         }
     }
 
-    private void watch() {
+    private void sampleRunningControllers() {
         final List<Integer> running = fleet.controllers().stream()
                 .filter(process -> process.alive && !process.frozen())
                 .map(process -> process.id)
                 .toList();
         history.watch(cluster.now(), running);
-        cluster.at(cluster.now() + WATCH_EVERY_MS, this::watch);
+        cluster.at(cluster.now() + SAMPLE_INTERVAL_MS, this::sampleRunningControllers);
     }
 
-    /** One kind after another: some at once when the last machine is back, some later, some on top of others. */
-    private void troubles() {
+    /** Injects faults of random kinds: as soon as the previous machine is back, later, or while others still last. */
+    private void injectFaults() {
         final List<ControlFault> kinds = new ArrayList<>(plan.faults());
         final long end = cluster.now() + plan.lengthMs();
         while (cluster.now() < end && !kinds.isEmpty()) {
             final ControlFault kind = kinds.get(cluster.random.nextInt(kinds.size()));
             final boolean caused = faults.causeFault(kind);
             final long pause =
-                    caused && cluster.random.nextBoolean() ? cluster.random.nextLong(PAUSE_MS) : WATCH_EVERY_MS;
+                    caused && cluster.random.nextBoolean() ? cluster.random.nextLong(MAX_PAUSE_MS) : SAMPLE_INTERVAL_MS;
             cluster.run(Math.min(end, cluster.now() + pause));
         }
         cluster.run(end);
     }
 
-    /** The day's last failure comes once all machines are back, right after an acknowledgement. */
-    private void close() {
+    /** Injects the last fault of the day once all machines are back, right after an acknowledgement. */
+    private void injectClosingFault() {
         faults.stop();
-        final boolean calm = plan.faults().isEmpty();
+        final boolean faultless = plan.faults().isEmpty();
         cluster.run(Math.max(cluster.now(), faults.machines().outUntil()));
-        if (calm) {
+        if (faultless) {
             return;
         }
         final boolean[] caused = new boolean[1];
-        faults.close(() -> caused[0] = true);
-        final long giveUpAt = cluster.now() + LAST_ORDER_MS;
-        while (!caused[0] && cluster.now() < giveUpAt) {
+        faults.injectClosingFault(() -> caused[0] = true);
+        final long deadline = cluster.now() + CLOSING_FAULT_TIMEOUT_MS;
+        while (!caused[0] && cluster.now() < deadline) {
             cluster.run(cluster.now() + 1);
         }
-        cluster.count(caused[0] ? "control: closing faults" : "control: no acknowledgement to close on");
+        cluster.count(caused[0] ? "control: closing faults" : "control: no acknowledgement for the closing fault");
         cluster.run(Math.max(cluster.now(), faults.machines().outUntil() - MachineFaults.CATCH_UP_MS + 1));
     }
 
     private void recover() {
         faults.machines().mend();
-        cluster.run(cluster.now() + RECOVER_MS);
+        cluster.run(cluster.now() + RECOVERY_MS);
         operators.quiet();
         cluster.callers.quiet = true;
-        cluster.run(cluster.now() + QUIET_MS);
-        operators.readBack(READ_BACK_TRIES);
+        cluster.run(cluster.now() + QUIESCENCE_MS);
+        operators.readBack(READ_BACK_ATTEMPTS);
         cluster.run(cluster.now() + READ_BACK_MS);
         cluster.history.settle(cluster.now());
         history.settle();
--- a/testing/src/main/java/brookpath/testing/sim/ControlFault.java
+++ b/testing/src/main/java/brookpath/testing/sim/ControlFault.java
@@ -2,59 +2,59 @@
 
 import java.util.EnumSet;
 
-/** What may go wrong on a control day. */
+/** The kinds of faults on a control day. A counted machine is one with a disk: a controller or a storage node. */
 public enum ControlFault {
-    /** A controller is cut off from everybody, callers among them. */
+    /** A controller is cut off from all other processes and from callers. */
     CUT_OFF,
-    /** What a controller sends arrives nowhere; it hears all. */
+    /** Messages from a controller are lost; it still receives. */
     CUT_SENDING,
-    /** What others send to a controller does not arrive; it is heard by all. */
+    /** Messages to a controller are lost; it can still send. */
     CUT_HEARING,
     /** A controller is cut off from the other counted machines; callers and gateways reach it. */
     CUT_FROM_CORE,
     /** A controller is cut off from half of the other counted machines. */
     CUT_FROM_HALF,
-    /** A controller is cut off from the core, new settings name it first, and gateways start again on these. */
+    /** A controller is cut off from the counted machines, and a gateway restarts with settings that name it first. */
     CUT_SEEDS,
-    /** A counted machine stands still. */
+    /** A counted machine freezes. */
     FREEZE,
     /** A counted machine is killed. */
     KILL,
     /** A counted machine loses power. */
     POWER,
-    /** The controller that has just acknowledged a change, or the leader behind it, loses power. */
+    /** The controller that has just acknowledged a change, or the control leader, loses power. */
     POWER_AFTER_ACK,
-    /** The same, and the disk is lost. */
+    /** As {@link #POWER_AFTER_ACK}, and the disk is lost. */
     WIPE_AFTER_ACK,
-    /** A controller is killed soon after it was sent a change. */
+    /** A controller is killed shortly after a change was sent to it. */
     KILL_AFTER_SEND,
-    /** A controller is gone for good; an empty one comes at another number. */
+    /** A controller is permanently lost; an empty one joins under a new node number. */
     REPLACE_CONTROLLER,
-    /** The same, but the new one comes first and the old one is asked to end. */
+    /** As {@link #REPLACE_CONTROLLER}, but the new one joins first and the old one is asked to stop. */
     REPLACE_CONTROLLER_ANNOUNCED,
-    /** Another, empty controller comes at the number of one that is gone. */
+    /** An empty controller takes over the node number of a lost one. */
     REUSE_CONTROLLER_ADDRESS,
-    /** A storage machine is gone for good; an empty one comes at another number. */
+    /** A storage node is permanently lost; an empty one joins under a new node number. */
     REPLACE_STORAGE,
-    /** Another, empty storage machine comes at the number of one that is gone. */
+    /** An empty storage node takes over the node number of a lost one. */
     REUSE_STORAGE_ADDRESS,
-    /** A storage machine is emptied by an order, and shut down. */
+    /** A storage node is retired on request, and shut down. */
     RETIRE,
-    /** The same, and another counted machine loses its disk as soon as that is completed. */
+    /** As {@link #RETIRE}, and any remaining storage node loses its disk once the retirement is complete. */
     RETIRE_THEN_WIPE,
-    /** A storage machine, the leaving one or another, loses its disk right after a retirement is acknowledged. */
+    /** Any storage node, possibly the retiring one, loses its disk right after a retirement is acknowledged. */
     WIPE_DURING_RETIRE,
-    /** The controller that has acknowledged a retirement, or all machines, lose power right then. */
+    /** The control leader or all machines lose power right after a retirement is acknowledged. */
     POWER_AFTER_RETIRE,
-    /** A disk takes its time. */
+    /** A disk is slow. */
     SLOW_DISK,
-    /** A disk answers nothing for a while. */
+    /** A disk does not respond for a while. */
     HANGING_DISK,
-    /** A disk takes no more bytes. */
+    /** A disk is full. */
     FULL_DISK,
-    /** The time of day jumps on some machines, and back. */
+    /** The wall clock of some machines jumps, and later jumps back. */
     CLOCK_STEP,
-    /** A machine is killed and comes up with the very time of day of its last start. */
+    /** A controller is killed and restarts with the same wall-clock time as at its last start. */
     CLOCK_REPEATS,
     /** Most sessions between processes and with callers break. */
     RESETS,
@@ -64,20 +64,20 @@
     KILL_ALL,
     /** All machines lose power right after an acknowledgement. */
     POWER_ALL,
-    /** Hundreds of changes, up to eight at once. */
+    /** Hundreds of changes, up to eight in flight. */
     STORM,
-    /** Hundreds of invalid changes, and then an acknowledged one once more. */
+    /** Hundreds of invalid changes, followed by a repeat of an acknowledged one. */
     REFUSED_ORDERS,
-    /** Pairs of changes made from the same version. */
+    /** Pairs of concurrent changes based on the same version. */
     RACES,
-    /** Seven acknowledgements in ten are lost. */
+    /** 70 % of the acknowledgements are lost. */
     ANSWERS_LOST;
 
-    /** Kinds that take no counted machine out, so that they may come at any moment. */
-    static final EnumSet<ControlFault> WITHOUT_LOSS =
+    /** Kinds that leave all counted machines available, so that they may be injected at any time. */
+    static final EnumSet<ControlFault> WITHOUT_OUTAGE =
             EnumSet.of(CLOCK_STEP, RESETS, STORM, REFUSED_ORDERS, RACES, ANSWERS_LOST);
 
-    /** Kinds that wait for the next acknowledgement or change. */
-    static final EnumSet<ControlFault> ON_AN_ORDER =
+    /** Kinds that are injected at the next acknowledgement or sent change. */
+    static final EnumSet<ControlFault> ON_A_CHANGE =
             EnumSet.of(POWER_AFTER_ACK, WIPE_AFTER_ACK, KILL_AFTER_SEND, KILL_ALL, POWER_ALL);
 }
--- a/testing/src/main/java/brookpath/testing/sim/ControlFaults.java
+++ b/testing/src/main/java/brookpath/testing/sim/ControlFaults.java
@@ -10,11 +10,11 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Brings the troubles of a control day about, each drawn from the day's seed. */
+/** Injects the faults of a control day, which follow from the day's seed. */
 final class ControlFaults implements Operators.Observer {
-    private static final long RETIRE_MS = 30_000;
-    private static final int STORM_MOST = 300;
-    private static final int REFUSED_ORDERS = 500;
+    private static final long RETIREMENT_TIMEOUT_MS = 30_000;
+    private static final int MAX_STORM_CHANGES = 300;
+    private static final int REFUSED_CHANGES = 500;
     private static final int LOST_PERCENT = 70;
 
     private final SimulatedCluster cluster;
@@ -23,8 +23,8 @@
     private final RetireOperator retirements;
     private final ControlCall calls;
     private final MachineFaults machines;
-    /** Waits for the next acknowledgement or change; null for none. */
-    private ControlFault armed;
+    /** The fault to inject at the next acknowledgement or sent change; null for none. */
+    private ControlFault pendingFault;
 
     private long retiringUntil;
     private long disturbedUntil;
@@ -50,26 +50,26 @@
         return machines;
     }
 
-    /** No fault begins any more. */
+    /** Injects no further faults. */
     void stop() {
         stopped = true;
-        armed = null;
+        pendingFault = null;
         calls.loseAnswers(0);
     }
 
-    /** Brings this fault about now, or, where it waits for an order, at the next one; false where it has to wait. */
+    /** Injects the fault now, or at the next change if its kind requires one; false if that is not possible yet. */
     boolean causeFault(final ControlFault fault) {
         if (mustWait(fault)) {
             return false;
         }
         cluster.count("control: " + fault);
-        if (ControlFault.ON_AN_ORDER.contains(fault)) {
-            armed = fault;
+        if (ControlFault.ON_A_CHANGE.contains(fault)) {
+            pendingFault = fault;
             operators.order(true);
-        } else if (ControlFault.WITHOUT_LOSS.contains(fault)) {
-            cause(fault);
+        } else if (ControlFault.WITHOUT_OUTAGE.contains(fault)) {
+            disturb(fault);
         } else {
-            takeOut(fault);
+            injectOutage(fault);
         }
         return true;
     }
@@ -79,15 +79,15 @@
             case STORM, REFUSED_ORDERS -> operators.storming();
             case CLOCK_STEP, RESETS, RACES, ANSWERS_LOST -> cluster.now() < disturbedUntil;
             case RETIRE, RETIRE_THEN_WIPE, WIPE_DURING_RETIRE, POWER_AFTER_RETIRE ->
-                cluster.now() < retiringUntil || !machines.free() || armed != null;
-            default -> !machines.free() || armed != null;
+                cluster.now() < retiringUntil || !machines.free() || pendingFault != null;
+            default -> !machines.free() || pendingFault != null;
         };
     }
 
-    // ---- troubles that take no machine out
+    // ---- faults without an outage
 
-    private void cause(final ControlFault fault) {
-        final long durationMs = span(2_000, 10_000);
+    private void disturb(final ControlFault fault) {
+        final long durationMs = randomMs(2_000, 10_000);
         disturbedUntil = cluster.now() + durationMs;
         switch (fault) {
             case CLOCK_STEP -> {
@@ -96,8 +96,10 @@
             }
             case RESETS -> machines.resets();
             case STORM ->
-                operators.storm(STORM_MOST / 3 + cluster.random.nextInt(STORM_MOST), 20L + cluster.random.nextInt(80));
-            case REFUSED_ORDERS -> operators.refusedOrders(REFUSED_ORDERS);
+                operators.storm(
+                        MAX_STORM_CHANGES / 3 + cluster.random.nextInt(MAX_STORM_CHANGES),
+                        20L + cluster.random.nextInt(80));
+            case REFUSED_ORDERS -> operators.refusedOrders(REFUSED_CHANGES);
             case RACES -> {
                 for (int i = 0; i < 5; i++) {
                     cluster.at(cluster.now() + 400L * i, operators::race);
@@ -111,82 +113,82 @@
         }
     }
 
-    // ---- troubles that take one machine out
+    // ---- faults with an outage of one machine
 
-    private void takeOut(final ControlFault fault) {
+    private void injectOutage(final ControlFault fault) {
         switch (fault) {
             case CUT_OFF, CUT_SENDING, CUT_HEARING, CUT_FROM_CORE, CUT_FROM_HALF, CUT_SEEDS ->
-                cut(fault, controller(), span(9_000, 20_000));
-            case FREEZE -> machines.freeze(counted(), span(500, 15_000));
-            case KILL -> machines.down(counted(), false, span(300, 20_000));
-            case POWER -> machines.down(counted(), true, span(300, 20_000));
-            case REPLACE_CONTROLLER -> machines.replace(controller());
-            case REPLACE_CONTROLLER_ANNOUNCED -> machines.replaceAnnounced(controller());
-            case REUSE_CONTROLLER_ADDRESS -> machines.reuseAddress(controller());
-            case REPLACE_STORAGE -> machines.replace(any(fleet.storages()));
-            case REUSE_STORAGE_ADDRESS -> machines.reuseAddress(any(fleet.storages()));
+                cut(fault, anyController(), randomMs(9_000, 20_000));
+            case FREEZE -> machines.freeze(anyCounted(), randomMs(500, 15_000));
+            case KILL -> machines.down(anyCounted(), false, randomMs(300, 20_000));
+            case POWER -> machines.down(anyCounted(), true, randomMs(300, 20_000));
+            case REPLACE_CONTROLLER -> machines.replace(anyController());
+            case REPLACE_CONTROLLER_ANNOUNCED -> machines.replaceAnnounced(anyController());
+            case REUSE_CONTROLLER_ADDRESS -> machines.reuseAddress(anyController());
+            case REPLACE_STORAGE -> machines.replace(anyOf(fleet.storages()));
+            case REUSE_STORAGE_ADDRESS -> machines.reuseAddress(anyOf(fleet.storages()));
             case RETIRE -> retire(by -> {}, () -> {});
-            case RETIRE_THEN_WIPE -> retire(by -> {}, this::wipeAnyStorage);
-            case WIPE_DURING_RETIRE -> retire(by -> wipeAnyStorage(), () -> {});
-            case POWER_AFTER_RETIRE -> retire(this::powerLossAfter, () -> {});
-            case SLOW_DISK -> machines.slowDisk(counted(), span(20, 800), span(3_000, 15_000));
+            case RETIRE_THEN_WIPE -> retire(by -> {}, this::wipeAnyStorageNode);
+            case WIPE_DURING_RETIRE -> retire(by -> wipeAnyStorageNode(), () -> {});
+            case POWER_AFTER_RETIRE -> retire(this::losePowerAfter, () -> {});
+            case SLOW_DISK -> machines.slowDisk(anyCounted(), randomMs(20, 800), randomMs(3_000, 15_000));
             case HANGING_DISK -> {
-                final long span = span(3_000, 15_000);
-                machines.slowDisk(counted(), span, span);
+                final long durationMs = randomMs(3_000, 15_000);
+                machines.slowDisk(anyCounted(), durationMs, durationMs);
             }
-            case FULL_DISK -> machines.fullDisk(counted(), span(3_000, 10_000));
+            case FULL_DISK -> machines.fullDisk(anyCounted(), randomMs(3_000, 10_000));
             case CLOCK_REPEATS -> {
                 machines.clockRepeats(
-                        controller(),
-                        any(cluster.gateways.stream()
+                        anyController(),
+                        anyOf(cluster.gateways.stream()
                                 .map(cluster.processes::get)
                                 .toList()),
                         3,
-                        span(400, 1_500));
+                        randomMs(400, 1_500));
                 operators.storm(20, 50);
             }
-            case ROLLING_RESTART -> machines.rollingRestart(span(400, 1_000));
+            case ROLLING_RESTART -> machines.rollingRestart(randomMs(400, 1_000));
             default -> throw new IllegalArgumentException(fault.name());
         }
     }
 
-    private void cut(final ControlFault fault, final SimulatedProcess process, final long span) {
+    private void cut(final ControlFault fault, final SimulatedProcess process, final long durationMs) {
         final List<SimulatedProcess> core = machines.others(process, fleet.counted());
         final List<SimulatedProcess> all = machines.others(process, List.copyOf(cluster.processes.values()));
         switch (fault) {
-            case CUT_OFF -> machines.cutFromCallersToo(process, span);
-            case CUT_SENDING -> machines.cut(process, all, SENDING, span);
-            case CUT_HEARING -> machines.cut(process, all, HEARING, span);
-            case CUT_FROM_CORE -> machines.cut(process, core, BOTH, span);
+            case CUT_OFF -> machines.cutFromCallersToo(process, durationMs);
+            case CUT_SENDING -> machines.cut(process, all, SENDING, durationMs);
+            case CUT_HEARING -> machines.cut(process, all, HEARING, durationMs);
+            case CUT_FROM_CORE -> machines.cut(process, core, BOTH, durationMs);
             case CUT_FROM_HALF -> {
                 final List<SimulatedProcess> half = core.stream()
                         .filter(other -> cluster.random.nextBoolean())
                         .toList();
-                machines.cut(process, half, BOTH, span);
+                machines.cut(process, half, BOTH, durationMs);
             }
             default -> {
-                machines.cut(process, core, BOTH, span);
-                startOnSeedsOf(process);
+                machines.cut(process, core, BOTH, durationMs);
+                restartGatewayWithSeed(process);
             }
         }
         operators.race();
     }
 
-    /** New settings name the one first that is cut off, and gateways start on them. */
-    private void startOnSeedsOf(final SimulatedProcess process) {
-        final List<Integer> seeds = new ArrayList<>(List.of(process.id));
-        machines.others(process, fleet.controllers()).forEach(other -> seeds.add(other.id));
+    /** Writes settings that name the isolated controller first, and restarts a gateway with them. */
+    private void restartGatewayWithSeed(final SimulatedProcess isolated) {
+        final List<Integer> seeds = new ArrayList<>(List.of(isolated.id));
+        machines.others(isolated, fleet.controllers()).forEach(other -> seeds.add(other.id));
         fleet.seeds(seeds.subList(0, ControlFleet.SEEDS));
         final SimulatedProcess gateway =
-                any(cluster.gateways.stream().map(cluster.processes::get).toList());
+                anyOf(cluster.gateways.stream().map(cluster.processes::get).toList());
         cluster.kill(gateway, false);
-        cluster.at(cluster.now() + span(200, 1_000), () -> cluster.restart(gateway));
+        cluster.at(cluster.now() + randomMs(200, 1_000), () -> cluster.restart(gateway));
     }
 
-    /** One more storage machine comes, an old one is emptied, and is shut down for good once it holds nothing. */
+    /** Adds a storage node, retires another one, and shuts that down permanently once it holds no replicas. */
     private void retire(final Consumer<SimulatedProcess> acknowledged, final Runnable then) {
-        retiringUntil = cluster.now() + 2 * RETIRE_MS;
-        final SimulatedProcess leaving = any(fleet.storages());
+        retiringUntil = cluster.now() + 2 * RETIREMENT_TIMEOUT_MS;
+        final SimulatedProcess leaving = anyOf(fleet.storages());
         machines.addStorage(leaving.zone);
         cluster.at(cluster.now() + MachineFaults.CATCH_UP_MS, () -> {
             if (leaving.goneForGood || stopped) {
@@ -200,18 +202,18 @@
                 }
             };
             retirements.retire(new RetireOperator.Retirement(
-                    leaving, fleet.name(leaving.id), cluster.now() + RETIRE_MS, acknowledged, emptied));
+                    leaving, fleet.name(leaving.id), cluster.now() + RETIREMENT_TIMEOUT_MS, acknowledged, emptied));
         });
     }
 
-    private void wipeAnyStorage() {
+    private void wipeAnyStorageNode() {
         if (!stopped && machines.free()) {
-            machines.wipe(any(fleet.storages()), span(300, 3_000));
+            machines.wipe(anyOf(fleet.storages()), randomMs(300, 3_000));
         }
     }
 
-    /** The machine that has just acknowledged, the leader behind it, or all machines lose power. */
-    private void powerLossAfter(final SimulatedProcess by) {
+    /** All machines lose power, or the control leader does; without one, the controller that acknowledged. */
+    private void losePowerAfter(final SimulatedProcess by) {
         if (stopped || !machines.free()) {
             return;
         }
@@ -219,25 +221,25 @@
             machines.allDown(true, true);
         } else {
             final SimulatedProcess leader = fleet.controlLeader();
-            machines.down(leader == null ? by : leader, true, span(300, 10_000));
+            machines.down(leader == null ? by : leader, true, randomMs(300, 10_000));
         }
     }
 
-    // ---- troubles that come with an order
+    // ---- faults at an acknowledgement or a sent change
 
     @Override
     public void acknowledged(final SimulatedProcess by) {
-        if (armed == null || armed == KILL_AFTER_SEND || !machines.free()) {
+        if (pendingFault == null || pendingFault == KILL_AFTER_SEND || !machines.free()) {
             return;
         }
-        final ControlFault fault = armed;
-        armed = null;
+        final ControlFault fault = pendingFault;
+        pendingFault = null;
         final SimulatedProcess leader = fleet.controlLeader();
         final SimulatedProcess target = leader == null || cluster.random.nextBoolean() ? by : leader;
         cluster.at(cluster.now() + cluster.random.nextInt(5), () -> {
             switch (fault) {
-                case POWER_AFTER_ACK -> machines.down(target, true, span(300, 10_000));
-                case WIPE_AFTER_ACK -> machines.wipe(target, span(300, 10_000));
+                case POWER_AFTER_ACK -> machines.down(target, true, randomMs(300, 10_000));
+                case WIPE_AFTER_ACK -> machines.wipe(target, randomMs(300, 10_000));
                 case KILL_ALL -> machines.allDown(false, cluster.random.nextBoolean());
                 default -> machines.allDown(true, true);
             }
@@ -246,26 +248,26 @@
 
     @Override
     public void sent(final SimulatedProcess to) {
-        if (armed != KILL_AFTER_SEND || !machines.free()) {
+        if (pendingFault != KILL_AFTER_SEND || !machines.free()) {
             return;
         }
-        armed = null;
-        cluster.at(cluster.now() + span(5, 400), () -> {
+        pendingFault = null;
+        cluster.at(cluster.now() + randomMs(5, 400), () -> {
             final SimulatedProcess leader = fleet.controlLeader();
             final SimulatedProcess target = leader == null || cluster.random.nextBoolean() ? to : leader;
             if (!stopped && machines.free() && !target.goneForGood) {
-                machines.down(target, cluster.random.nextBoolean(), span(300, 5_000));
+                machines.down(target, cluster.random.nextBoolean(), randomMs(300, 5_000));
             }
         });
     }
 
     /**
-     * The day's last failure, right after an acknowledgement: all are killed or lose power, or one loses its disk, now
-     * and then while all others lose power.
+     * Injects the last fault of the day right after an acknowledgement: all counted machines are killed, all machines
+     * lose power, or one machine loses its disk, either alone or while all counted machines lose power.
      */
-    void close(final Runnable struck) {
+    void injectClosingFault(final Runnable injected) {
         final int kind = cluster.random.nextInt(4);
-        cluster.count("control: closed by kind " + kind);
+        cluster.count("control: closing fault of kind " + kind);
         operators.observer(new Operators.Observer() {
             @Override
             public void acknowledged(final SimulatedProcess by) {
@@ -278,36 +280,36 @@
                     if (kind == 3) {
                         machines.allDown(true, false);
                     }
-                    machines.wipe(by, span(300, 3_000));
+                    machines.wipe(by, randomMs(300, 3_000));
                 }
-                struck.run();
+                injected.run();
             }
 
             @Override
             public void sent(final SimulatedProcess to) {
-                // why: the last fault comes at an acknowledgement
+                // The closing fault is injected at an acknowledgement only.
             }
         });
         operators.order(true);
     }
 
-    // ---- draws
+    // ---- random choices
 
-    private long span(final long least, final long most) {
-        return least + cluster.random.nextLong(most - least);
+    private long randomMs(final long min, final long limit) {
+        return min + cluster.random.nextLong(limit - min);
     }
 
-    private <T> T any(final List<T> list) {
+    private <T> T anyOf(final List<T> list) {
         return list.get(cluster.random.nextInt(list.size()));
     }
 
-    /** The control leader in every other draw, else any controller. */
-    private SimulatedProcess controller() {
+    /** The control leader in half of the cases, otherwise any controller. */
+    private SimulatedProcess anyController() {
         final SimulatedProcess leader = fleet.controlLeader();
-        return leader == null || cluster.random.nextBoolean() ? any(fleet.controllers()) : leader;
+        return leader == null || cluster.random.nextBoolean() ? anyOf(fleet.controllers()) : leader;
     }
 
-    private SimulatedProcess counted() {
-        return cluster.random.nextInt(3) == 0 ? any(fleet.storages()) : controller();
+    private SimulatedProcess anyCounted() {
+        return cluster.random.nextInt(3) == 0 ? anyOf(fleet.storages()) : anyController();
     }
 }
--- a/testing/src/main/java/brookpath/testing/sim/ControlFleet.java
+++ b/testing/src/main/java/brookpath/testing/sim/ControlFleet.java
@@ -14,45 +14,45 @@
 import java.util.Map;
 
 /**
- * The processes of a control day: a cluster's fleet with a fourth controller, settings as the users' machines get them,
- * and machines that are replaced by empty ones, at another number or at one that was used before.
+ * The processes of a control day: a cluster's fleet with a fourth controller and with settings as in production, whose
+ * machines can be replaced by empty ones, under a new node number or under one that was used before.
  */
 final class ControlFleet {
-    /** How many controllers a settings file names: at the first start, the founders. */
+    /** How many controllers a settings file names. At the first start these are the founders. */
     static final int SEEDS = 3;
 
     private static final int WEIGHT = 50;
-    private static final int COPIES = 3;
+    private static final int REPLICAS = 3;
     private static final int STORAGES = 4;
     private static final int TOLERATED_LOSSES = 1;
     private static final long ROLL_BYTES = 64 << 10;
 
-    private static final int FIRST_NEW_STORAGE = 101;
-    private static final int FIRST_NEW_CONTROLLER = 201;
+    private static final int FIRST_ADDED_STORAGE = 101;
+    private static final int FIRST_ADDED_CONTROLLER = 201;
 
     private final SimulatedCluster cluster;
     private final Map<Integer, String> names = new HashMap<>();
     private final Map<Integer, Long> startedAt = new HashMap<>();
-    /** The controllers that a settings file names which is written now. */
+    /** The controllers that processes are given as seeds when they start. */
     private List<Integer> seeds;
 
-    private int nextController = FIRST_NEW_CONTROLLER;
-    private int nextStorage = FIRST_NEW_STORAGE;
+    private int nextController = FIRST_ADDED_CONTROLLER;
+    private int nextStorage = FIRST_ADDED_STORAGE;
     private int machines;
 
-    /** Takes over a cluster none of whose processes has started yet. */
+    /** Configures a cluster none of whose processes has started yet. */
     ControlFleet(final SimulatedCluster cluster) {
         this.cluster = cluster;
         seeds = List.copyOf(cluster.controllers);
         for (final int id : cluster.controllers) {
-            cluster.processes.get(id).maker = this::controllerNode;
+            cluster.processes.get(id).nodeFactory = this::controllerNode;
         }
         for (final int id : cluster.storages) {
             names.put(id, nextName());
-            cluster.processes.get(id).maker = this::storageNode;
+            cluster.processes.get(id).nodeFactory = this::storageNode;
         }
         for (final int id : cluster.gateways) {
-            cluster.processes.get(id).maker = this::gatewayNode;
+            cluster.processes.get(id).nodeFactory = this::gatewayNode;
         }
         addController("d").start();
     }
@@ -63,7 +63,7 @@
 
     private Node controllerNode(final SimulatedProcess process, final List<byte[]> entries) {
         startedAt.put(process.id, cluster.now());
-        // why: only the settings of the very first start name founders, as on the users' machines
+        // As in production, only the settings of the very first start name founders.
         final boolean first = process.foundOnStart;
         final List<Member> founders =
                 first ? seeds.stream().map(id -> new Member(id, WEIGHT, "")).toList() : List.of();
@@ -71,7 +71,7 @@
                 info(process, ""),
                 founders,
                 seeds,
-                new GroupBootstrap(cluster.groups, COPIES, STORAGES, TOLERATED_LOSSES),
+                new GroupBootstrap(cluster.groups, REPLICAS, STORAGES, TOLERATED_LOSSES),
                 cluster.timing,
                 cluster.random.nextLong(),
                 firstId(),
@@ -102,32 +102,32 @@
         return new NodeInfo(info.node(), info.zone(), info.address(), name, info.machine());
     }
 
-    /** Where the IDs of an incarnation begin: drawn, as the product's own programs do. */
+    /** The first ID that an incarnation assigns. It is random, as in the production programs. */
     private long firstId() {
         return cluster.random.nextLong() >>> 2;
     }
 
-    /** When a controller started last. */
+    /** The virtual time of a controller's last start. */
     long startedAt(final SimulatedProcess controller) {
         return startedAt.get(controller.id);
     }
 
-    /** What operators call a storage machine. */
+    /** The name by which operators address a storage node. */
     String name(final int storage) {
         return names.get(storage);
     }
 
-    /** Writes the settings of those that start from now on. */
+    /** Sets the seeds of the processes that start from now on. */
     void seeds(final List<Integer> next) {
         seeds = List.copyOf(next);
     }
 
-    /** The seeds that name the present controllers. */
-    void freshSeeds() {
+    /** Sets the seeds to current controllers. */
+    void seedCurrentControllers() {
         seeds(cluster.controllers.subList(0, SEEDS));
     }
 
-    /** An empty controller at a number that nobody had; it does not run yet. */
+    /** Adds an empty controller under an unused node number, without starting it. */
     SimulatedProcess addController(final String zone) {
         final SimulatedProcess added =
                 new SimulatedProcess(cluster, nextController++, zone, true, this::controllerNode);
@@ -137,7 +137,7 @@
         return added;
     }
 
-    /** An empty storage machine at a number that nobody had; it does not run yet. */
+    /** Adds an empty storage node under an unused node number, without starting it. */
     SimulatedProcess addStorage(final String zone) {
         final SimulatedProcess added = new SimulatedProcess(cluster, nextStorage++, zone, true, this::storageNode);
         names.put(added.id, nextName());
@@ -147,21 +147,21 @@
         return added;
     }
 
-    /** A machine is gone for good, with its disk. */
-    void remove(final SimulatedProcess gone) {
-        gone.goneForGood = true;
-        cluster.kill(gone, true);
-        gone.disk.wipe();
-        cluster.controllers.remove((Integer) gone.id);
-        cluster.storages.remove((Integer) gone.id);
+    /** Removes a machine permanently, together with its disk. */
+    void remove(final SimulatedProcess lost) {
+        lost.goneForGood = true;
+        cluster.kill(lost, true);
+        lost.disk.wipe();
+        cluster.controllers.remove((Integer) lost.id);
+        cluster.storages.remove((Integer) lost.id);
     }
 
-    /** From the next start on there is another, empty machine at this number. */
-    void reuseAddress(final SimulatedProcess gone) {
-        cluster.kill(gone, true);
-        gone.disk.wipe();
-        if (names.containsKey(gone.id)) {
-            names.put(gone.id, nextName());
+    /** Replaces a machine by an empty one that has the same node number from the next start on. */
+    void reuseAddress(final SimulatedProcess replaced) {
+        cluster.kill(replaced, true);
+        replaced.disk.wipe();
+        if (names.containsKey(replaced.id)) {
+            names.put(replaced.id, nextName());
         }
     }
 
@@ -177,14 +177,14 @@
         return cluster.storages.stream().map(cluster.processes::get).toList();
     }
 
-    /** The machines with disks, whose loss counts. */
+    /** The machines with disks. Only their outages count towards the tolerated losses. */
     List<SimulatedProcess> counted() {
         final List<SimulatedProcess> all = new ArrayList<>(controllers());
         all.addAll(storages());
         return all;
     }
 
-    /** The controller that may act as the control group's leader, null for none. */
+    /** The controller that may act as the leader of the control group; null for none. */
     SimulatedProcess controlLeader() {
         for (final SimulatedProcess process : controllers()) {
             if (process.alive
--- a/testing/src/main/java/brookpath/testing/sim/ControlSweep.java
+++ b/testing/src/main/java/brookpath/testing/sim/ControlSweep.java
@@ -7,8 +7,8 @@
 import java.util.stream.LongStream;
 
 /**
- * Runs many control days outside CI: {@code bin/control-sweep FIRST COUNT [KIND,...]}. The kind {@code EACH} plays the
- * seeds once for each kind alone. Exits 1 where a rule was broken.
+ * Runs many control days outside CI: {@code bin/control-sweep FIRST COUNT [KIND,...]}. The kind {@code EACH} runs the
+ * seeds once for each kind alone. Exits with status 1 if any violation was found.
  */
 public final class ControlSweep {
     private static final long LENGTH_MS = 120_000;
@@ -16,14 +16,14 @@
 
     private final long first;
     private final long count;
-    private long bad;
+    private long failedDays;
 
     private ControlSweep(final long first, final long count) {
         this.first = first;
         this.count = count;
     }
 
-    /** Plays days from the first seed on, as many as the second argument says, with the given kinds of faults. */
+    /** Runs one day for each seed. The arguments are the first seed, the number of seeds and the kinds of faults. */
     public static void main(final String[] args) {
         final ControlSweep sweep = new ControlSweep(
                 args.length > 0 ? Long.parseLong(args[0]) : 1, args.length > 1 ? Long.parseLong(args[1]) : 20);
@@ -40,10 +40,10 @@
             }
             sweep.play(kinds.isEmpty() ? "all kinds" : kinds, chosen, true);
         }
-        System.exit(sweep.bad == 0 ? 0 : 1);
+        System.exit(sweep.failedDays == 0 ? 0 : 1);
     }
 
-    private void play(final String name, final EnumSet<ControlFault> faults, final boolean inFull) {
+    private void play(final String name, final EnumSet<ControlFault> faults, final boolean verbose) {
         final TreeMap<String, Integer> rules = new TreeMap<>();
         final TreeMap<Long, String> seeds = new TreeMap<>();
         LongStream.range(first, first + count).parallel().forEach(seed -> {
@@ -52,22 +52,22 @@
                 if (!day.good()) {
                     seeds.put(
                             seed,
-                            day.broken()
-                                    + (day.others().isEmpty()
+                            day.violationsByRule()
+                                    + (day.otherViolations().isEmpty()
                                             ? ""
-                                            : " and " + day.others().size() + " others"));
-                    day.broken().forEach((rule, n) -> rules.merge(rule.name(), 1, Integer::sum));
+                                            : " and " + day.otherViolations().size() + " other violations"));
+                    day.violationsByRule().forEach((rule, n) -> rules.merge(rule.name(), 1, Integer::sum));
                 }
-                if (inFull && (!day.good() || count == 1)) {
+                if (verbose && (!day.good() || count == 1)) {
                     System.out.println(day);
                 }
-                if (count == 1 && inFull) {
+                if (count == 1 && verbose) {
                     day.notes().forEach(System.out::println);
                 }
             }
         });
-        bad += seeds.size();
-        System.out.println(name + ": " + count + " seeds, " + seeds.size() + " broken, days by rule " + rules);
-        seeds.forEach((seed, what) -> System.out.println("  seed " + seed + ": " + what));
+        failedDays += seeds.size();
+        System.out.println(name + ": " + count + " seeds, " + seeds.size() + " with violations, days by rule " + rules);
+        seeds.forEach((seed, summary) -> System.out.println("  seed " + seed + ": " + summary));
     }
 }
--- a/testing/src/main/java/brookpath/testing/sim/CrashPoint.java
+++ b/testing/src/main/java/brookpath/testing/sim/CrashPoint.java
@@ -13,28 +13,28 @@
 import brookpath.state.record.LogRecord;
 import brookpath.state.record.PackedBuffer;
 
-/** Where in its work an owner is to die: a position, not a time. */
+/** The step in a leader's work after which its process is to crash. It is a step rather than a time. */
 enum CrashPoint {
-    /** A publish is appended, nothing of it written. */
+    /** A published record is appended but nothing of it is written yet. */
     APPEND,
-    /** A publish is synced here and nobody knows. */
+    /** A published record is synced on the leader, and no other process knows. */
     SYNC,
-    /** The committed position has moved and nobody has been told. */
+    /** The committed position has advanced, and no other process has been json. */
     ACCEPT,
     /** The acceptance has just been sent. */
     ANSWER,
-    /** A window's closing record is synced here. */
+    /** The record that closes a window is synced on the leader. */
     CLOSE,
-    /** A membership record is synced here. */
+    /** A membership record is synced on the leader. */
     MEMBERS,
-    /** A usage total is synced here. */
+    /** A usage total is synced on the leader. */
     USAGE,
-    /** A change has just been confirmed. */
+    /** The confirmation of a change has just been sent. */
     CONFIRM;
 
     private static final int GROUP_RECORD = 1;
 
-    /** The point that is reached with this write's append (APPEND) or its sync (the others), null for none. */
+    /** The point that is reached once this entry is synced, null for none. {@link #SYNC} also marks it for APPEND. */
     static CrashPoint ofWrite(final byte[] entry) {
         final PackedBuffer in = PackedBuffer.reader(entry);
         in.getLong();
@@ -52,39 +52,40 @@
         };
     }
 
-    /** The point that is reached once this has left. */
+    /** The point that is reached once this action has been executed, null for none. */
     static CrashPoint ofAction(final Action action) {
         if (action instanceof Action.Send s
                 && s.message() instanceof PeerMessage.PublishReply r
                 && r.outcome() == PublishOutcome.ACCEPTED) {
             return ANSWER;
         }
-        final String told = action instanceof Action.Respond r
+        final String json = action instanceof Action.Respond r
                 ? r.response().json()
                 : action instanceof Action.Send s && s.message() instanceof PeerMessage.ControlReply r
                         ? new String(r.body(), UTF_8)
                         : "";
-        return told.contains("\"confirmed\"") ? CONFIRM : null;
+        return json.contains("\"confirmed\"") ? CONFIRM : null;
     }
 
-    /** The sum of what this process has committed as a leader. */
+    /** The sum of the committed positions of all groups that this process leads. */
     static long committed(final Node node, final int groups) {
         long sum = 0;
         if (node instanceof StorageNode s) {
             for (int g = 0; g < groups; g++) {
-                sum += s.group(g) == null ? 0 : of(s.group(g));
+                sum += s.group(g) == null ? 0 : committedAsLeader(s.group(g));
             }
-        } else if (node instanceof ControllerNode b) {
-            sum = of(b.group());
+        } else if (node instanceof ControllerNode controller) {
+            sum = committedAsLeader(controller.group());
         }
         return sum;
     }
 
-    private static long of(final GroupMachine g) {
+    private static long committedAsLeader(final GroupMachine g) {
         return g.role() == GroupMachine.LEADER ? g.committed() : 0;
     }
 
-    static boolean owns(final Node node, final int groups) {
+    /** Whether this process leads a group that has committed a record. */
+    static boolean leads(final Node node, final int groups) {
         return committed(node, groups) > 0;
     }
 }
--- a/testing/src/main/java/brookpath/testing/sim/EventQueue.java
+++ b/testing/src/main/java/brookpath/testing/sim/EventQueue.java
@@ -3,8 +3,8 @@
 import java.util.PriorityQueue;
 
 /**
- * Virtual time: tasks run one after another in the order of their times, those of the same time in the order in which
- * they were scheduled. Times are in milliseconds. Not safe for several threads.
+ * Virtual time: runs tasks one after another in the order of their times, and those of the same time in the order in
+ * which they were scheduled. Times are in milliseconds. Not thread-safe.
  */
 public final class EventQueue {
     private record Event(long time, long sequence, Runnable task) {}
@@ -14,7 +14,7 @@
     private long now;
     private long scheduled;
 
-    /** Begins at a time in milliseconds. */
+    /** Creates a queue whose virtual time starts at a time in milliseconds. */
     public EventQueue(final long startTime) {
         now = startTime;
     }
@@ -24,12 +24,12 @@
         return now;
     }
 
-    /** How many tasks were scheduled so far. */
+    /** The number of tasks scheduled so far. */
     public long scheduled() {
         return scheduled;
     }
 
-    /** Schedules a task; one whose time has passed runs next after what is due now. */
+    /** Schedules a task; one whose time has passed runs after the tasks that are due now. */
     public void schedule(final long time, final Runnable task) {
         events.add(new Event(Math.max(now, time), scheduled++, task));
     }
@@ -39,14 +39,14 @@
         return events.isEmpty() ? Long.MAX_VALUE : events.peek().time;
     }
 
-    /** Moves the time on to the next task and runs it. */
+    /** Advances the time to that of the next task and runs it. */
     public void runNext() {
         final Event next = events.remove();
         now = next.time;
         next.task.run();
     }
 
-    /** Runs all tasks up to and at this time, which is the time afterwards. */
+    /** Runs all tasks due up to this time, inclusive, and advances the time to it. */
     public void runUntil(final long until) {
         while (nextTime() <= until) {
             runNext();
--- a/testing/src/main/java/brookpath/testing/sim/MachineFaults.java
+++ b/testing/src/main/java/brookpath/testing/sim/MachineFaults.java
@@ -178,7 +178,7 @@
         final boolean controller = fleet.isController(gone);
         remove(gone);
         final SimulatedProcess next = controller ? fleet.addController(gone.zone) : fleet.addStorage(gone.zone);
-        fleet.freshSeeds();
+        fleet.seedCurrentControllers();
         out(next, REPLACEMENT_GAP_MS);
         cluster.note(next.id, "is to replace node " + gone.id, false);
         cluster.at(cluster.now() + REPLACEMENT_GAP_MS, next::start);
@@ -187,7 +187,7 @@
     /** The new controller comes first; the old one is asked to hand over, and ends. */
     void replaceAnnounced(final SimulatedProcess gone) {
         final SimulatedProcess next = fleet.addController(gone.zone);
-        fleet.freshSeeds();
+        fleet.seedCurrentControllers();
         next.start();
         out(next, CATCH_UP_MS);
         cluster.note(next.id, "is to replace node " + gone.id + ", announced", false);
@@ -197,7 +197,7 @@
                     gone, NodeRequest.GracefulShutdown::new, response -> cluster.count("control: retreats"));
             cluster.at(cluster.now() + RETREAT_MS, () -> {
                 remove(gone);
-                fleet.freshSeeds();
+                fleet.seedCurrentControllers();
             });
         });
     }
--- a/testing/src/main/java/brookpath/testing/sim/Platform.java
+++ b/testing/src/main/java/brookpath/testing/sim/Platform.java
@@ -76,7 +76,7 @@
                     .forEach(t -> cluster.history.usage.reported(
                             cluster.now(),
                             t.getString("tenant"),
-                            end - SimulatedCluster.WALL,
+                            end - SimulatedCluster.WALL_CLOCK_START_MS,
                             t.getJsonNumber("publishes").longValue(),
                             t.getJsonNumber("bytes").longValue(),
                             t.getBoolean("late")));
@@ -91,7 +91,8 @@
         for (final int id : cluster.controllers) {
             if (cluster.processes.get(id).alive && cluster.processes.get(id).node instanceof ControllerNode b) {
                 for (final ControlState.Window w : ((ControlState) b.group().live()).windows()) {
-                    final long end = (w.window() + 1) * cluster.timing.windowMs() - SimulatedCluster.WALL;
+                    final long end =
+                            (w.window() + 1) * cluster.timing.windowMs() - SimulatedCluster.WALL_CLOCK_START_MS;
                     if (w.index() <= b.group().committed()) {
                         w.used()
                                 .forEach(u -> cluster.history.usage.agrees(
--- a/testing/src/main/java/brookpath/testing/sim/ProcessHeartbeats.java
+++ b/testing/src/main/java/brookpath/testing/sim/ProcessHeartbeats.java
@@ -9,18 +9,18 @@
 import java.util.Set;
 
 /**
- * The heartbeat thread of a simulated process. It and the state thread take each other's newest state now and then
- * late, as threads do that were put aside meanwhile.
+ * The heartbeat thread of a simulated process. It and the state thread occasionally pick up each other's newest state
+ * late, as threads do that the scheduler has preempted.
  */
 final class ProcessHeartbeats {
-    private static final int ONE_LAG_IN = 32;
+    private static final int CALLS_PER_LAG = 32;
     private static final int MAX_LAG_MS = 40;
 
     private final SimulatedProcess process;
     private final Actions out = new Actions();
     private final StatusHandoff handoff = new StatusHandoff();
     private HeartbeatMonitor monitor;
-    private HeartbeatTable seen = HeartbeatTable.EMPTY;
+    private HeartbeatTable lastTable = HeartbeatTable.EMPTY;
     private boolean tableLags;
     private boolean entriesLag;
     private Set<Integer> peers = Set.of();
@@ -29,9 +29,9 @@
         this.process = process;
     }
 
-    /** Forgets what a former incarnation knew. */
+    /** Discards the state of the previous incarnation. */
     void reset() {
-        seen = HeartbeatTable.EMPTY;
+        lastTable = HeartbeatTable.EMPTY;
         peers = Set.of();
         tableLags = false;
         entriesLag = false;
@@ -39,49 +39,49 @@
         out.drain();
     }
 
-    /** Begins with the process's new node. */
+    /** Starts monitoring for the process's new node. */
     void start() {
         monitor = new HeartbeatMonitor(
                 process.cluster.timingOf(process.id), process.node.heartbeatPeriod(), process.node.promises());
     }
 
-    /** The table as the state thread has it. */
-    HeartbeatTable seen() {
-        return seen;
+    /** The table that the state thread has taken last. */
+    HeartbeatTable lastTable() {
+        return lastTable;
     }
 
     /** Runs before each event of the state thread. */
     void tick() {
         publishEntries();
-        takeEntriesNowOrLate();
+        takeEntriesNowOrLater();
         monitor.tick(process.mono(), out);
-        takeTableNowOrLate();
+        takeTableNowOrLater();
     }
 
     void onHeartbeat(final int from, final PeerMessage.Heartbeat heartbeat) {
         monitor.onHeartbeat(from, heartbeat, process.mono(), out);
     }
 
-    /** Heartbeats go to the peers that the node names now. */
+    /** Directs heartbeats to the node's current heartbeat peers. */
     void updatePeers() {
-        final Set<Integer> now = process.node.heartbeatPeers();
-        if (!now.equals(peers)) {
-            peers = now;
-            monitor.setPeers(now);
+        final Set<Integer> current = process.node.heartbeatPeers();
+        if (!current.equals(peers)) {
+            peers = current;
+            monitor.setPeers(current);
         }
     }
 
-    /** The state thread asks for a heartbeat without waiting for the period. */
+    /** The state thread requests a heartbeat ahead of the next period. */
     void requestHeartbeat() {
         publishEntries();
         handoff.requestHeartbeat();
-        takeEntriesNowOrLate();
+        takeEntriesNowOrLater();
         send();
     }
 
-    /** The state thread takes the newest table. */
-    void takeTableNowOrLate() {
-        if (monitor.table() != seen && !tableLags) {
+    /** The state thread takes the newest table, at once or after a random lag. */
+    void takeTableNowOrLater() {
+        if (monitor.table() != lastTable && !tableLags) {
             final long lagMs = lagMs();
             if (lagMs == 0) {
                 takeTable();
@@ -99,8 +99,8 @@
     }
 
     private void takeTable() {
-        seen = monitor.table();
-        process.execute(process.node.tick(process.time(), seen));
+        lastTable = monitor.table();
+        process.execute(process.node.tick(process.time(), lastTable));
         send();
     }
 
@@ -108,8 +108,8 @@
         handoff.publish(process.node.entries(process.time()));
     }
 
-    /** The heartbeat thread takes the state thread's newest entries and its request for a heartbeat. */
-    private void takeEntriesNowOrLate() {
+    /** The heartbeat thread takes the state thread's newest entries and heartbeat request, at once or after a lag. */
+    private void takeEntriesNowOrLater() {
         if (entriesLag) {
             return;
         }
@@ -136,7 +136,7 @@
     }
 
     private long lagMs() {
-        return process.cluster.random.nextInt(ONE_LAG_IN) == 0 ? 1 + process.cluster.random.nextInt(MAX_LAG_MS) : 0;
+        return process.cluster.random.nextInt(CALLS_PER_LAG) == 0 ? 1 + process.cluster.random.nextInt(MAX_LAG_MS) : 0;
     }
 
     private void send() {
--- a/testing/src/main/java/brookpath/testing/sim/ProcessLog.java
+++ b/testing/src/main/java/brookpath/testing/sim/ProcessLog.java
@@ -110,8 +110,8 @@
         return cluster.armed != null
                 && batch.stream()
                         .anyMatch(a -> a instanceof Action.Write w && CrashPoint.ofWrite(w.entry()) == cluster.armed)
-                && CrashPoint.owns(process.node, cluster.groups)
-                && cluster.crashes(process);
+                && CrashPoint.leads(process.node, cluster.groups)
+                && cluster.crashIfAllowed(process);
     }
 
     /** What has come meanwhile is written at once, what found the disk full after a pause. */
--- a/testing/src/main/java/brookpath/testing/sim/RetireOperator.java
+++ b/testing/src/main/java/brookpath/testing/sim/RetireOperator.java
@@ -8,23 +8,23 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** An operator who has storage machines emptied by name, and shuts them down once they hold nothing. */
+/** An operator who retires storage nodes by name, and shuts them down once they hold no replicas. */
 final class RetireOperator {
-    private static final long AGAIN_MS = 500;
+    private static final long RETRY_DELAY_MS = 500;
     private static final int OK = 200;
-    private static final int UNKNOWN = 404;
+    private static final int NOT_FOUND = 404;
 
     /**
-     * A machine that is to be emptied.
+     * The retirement of a storage node.
      *
-     * @param giveUpAt an order that was not acknowledged by then is not sent again
-     * @param acknowledged runs with the controller that acknowledges the order
-     * @param emptied runs once a caller has been told that the machine holds nothing
+     * @param deadline a request that has not been acknowledged by then is not sent again
+     * @param acknowledged runs with the controller that acknowledges the request
+     * @param emptied runs once a controller has reported that the node holds no replicas
      */
     record Retirement(
             SimulatedProcess storage,
             String name,
-            long giveUpAt,
+            long deadline,
             Consumer<SimulatedProcess> acknowledged,
             Runnable emptied) {}
 
@@ -44,46 +44,46 @@
         this.calls = calls;
     }
 
-    /** Orders that the machine be emptied, again until that is acknowledged; waits until it is empty. */
+    /** Requests the retirement until it is acknowledged, then polls until the node is empty. */
     void retire(final Retirement retirement) {
         cluster.count("control: retirements");
-        order(retirement);
+        sendUntilAcknowledged(retirement);
     }
 
-    private void order(final Retirement retirement) {
-        if (cluster.now() > retirement.giveUpAt()) {
-            look(retirement);
+    private void sendUntilAcknowledged(final Retirement retirement) {
+        if (cluster.now() > retirement.deadline()) {
+            pollProgress(retirement);
             return;
         }
-        send(retirement, taken -> {
-            if (taken && !calls.losesAnswer()) {
-                look(retirement);
+        send(retirement, accepted -> {
+            if (accepted && !calls.losesAnswer()) {
+                pollProgress(retirement);
             } else {
-                order(retirement);
+                sendUntilAcknowledged(retirement);
             }
         });
     }
 
-    /** Sends the order once; the next step comes a while after its answer. */
+    /** Sends the request once, and runs the next step some time after its response. */
     private void send(final Retirement retirement, final Consumer<Boolean> next) {
         final long startedAt = cluster.now();
-        final SimulatedProcess to = anyController();
+        final SimulatedProcess controller = anyController();
         final String subject = String.valueOf(retirement.storage().id);
-        calls.call(to, ControlAnswer.RETIRE, retirement.name().getBytes(UTF_8), subject, response -> {
-            final boolean taken = response.status() / 100 == 2;
-            if (taken) {
+        calls.call(controller, ControlAnswer.RETIRE, retirement.name().getBytes(UTF_8), subject, response -> {
+            final boolean accepted = response.status() / 100 == 2;
+            if (accepted) {
                 history.retirements.acknowledged(cluster.now(), retirement.name());
-                retirement.acknowledged().accept(to);
+                retirement.acknowledged().accept(controller);
             } else if (Operators.isFinal(response.status())) {
                 cluster.count("control: retirements refused with " + response.status());
                 history.retirements.refused(startedAt, cluster.now(), retirement.name(), response.status());
             }
-            cluster.at(cluster.now() + AGAIN_MS, () -> next.accept(taken));
+            cluster.at(cluster.now() + RETRY_DELAY_MS, () -> next.accept(accepted));
         });
     }
 
-    /** Asks how far it is; in every other turn the order is sent once more, as after a lost acknowledgement. */
-    private void look(final Retirement retirement) {
+    /** Polls the progress; half of the time it also repeats the request, as after a lost acknowledgement. */
+    private void pollProgress(final Retirement retirement) {
         if (retirement.storage().goneForGood || !retirement.name().equals(fleet.name(retirement.storage().id))) {
             return;
         }
@@ -97,18 +97,18 @@
             if (progress == Progress.COMPLETED) {
                 cluster.count("control: retirements completed");
                 retirement.emptied().run();
-                cluster.at(cluster.now() + AGAIN_MS, () -> send(retirement, taken -> {}));
+                cluster.at(cluster.now() + RETRY_DELAY_MS, () -> send(retirement, accepted -> {}));
             } else if (progress == Progress.RUNNING && cluster.random.nextBoolean()) {
-                send(retirement, taken -> look(retirement));
+                send(retirement, accepted -> pollProgress(retirement));
             } else {
-                cluster.at(cluster.now() + AGAIN_MS, () -> look(retirement));
+                cluster.at(cluster.now() + RETRY_DELAY_MS, () -> pollProgress(retirement));
             }
         });
     }
 
-    /** How far the retirement is, null where the answer does not say. */
+    /** The progress of the retirement; null if the response does not tell. */
     private static Progress progress(final Response response) {
-        if (response.status() == UNKNOWN) {
+        if (response.status() == NOT_FOUND) {
             return Progress.UNKNOWN;
         }
         if (response.status() != OK) {
--- a/testing/src/main/java/brookpath/testing/sim/SimulatedCluster.java
+++ b/testing/src/main/java/brookpath/testing/sim/SimulatedCluster.java
@@ -15,9 +15,9 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 
-/** A whole fleet under virtual time: one seed gives one history, always the same. */
+/** A whole fleet in virtual time. Each seed determines one history: a run with the same seed repeats it exactly. */
 public final class SimulatedCluster {
-    static final long WALL = 1_700_000_000_000L;
+    static final long WALL_CLOCK_START_MS = 1_700_000_000_000L;
     private static final long ROLL_BYTES = 64 << 10;
     private static final int MAX_NOTES = 4000;
     private static final int FOUNDING_CONTROLLERS = 3;
@@ -27,24 +27,24 @@
 
     private static final List<Integer> SEEDS = List.of(1, 2, 3);
 
-    /** The one source of random numbers; who draws from it, and in which order, is part of a seed's history. */
+    /** The only source of random numbers. The order in which they are drawn is part of a seed's history. */
     public final SplittableRandom random;
-    /** Periods of the data plane's processes. */
+    /** Timing bounds of the data plane's processes. */
     public final TimingBounds timing;
 
     private final TimingBounds controlTiming;
-    /** What callers saw, and what broke a rule. */
+    /** What callers observed, and the violations found. */
     public final History history = new History();
-    /** All processes by node number, also those that do not run. */
+    /** All processes by node number, including those that are not running. */
     public final TreeMap<Integer, SimulatedProcess> processes = new TreeMap<>();
-    /** How often each kind of event happened. */
+    /** The number of events of each kind. */
     public final TreeMap<String, Integer> counts = new TreeMap<>();
-    /** In which ways the simulation is broken on purpose. */
+    /** The faults deliberately built into the simulation, which the oracles must find. */
     public final EnumSet<Mutation> mutations;
 
     final SimulatedNetwork net = new SimulatedNetwork(this);
     final Callers callers;
-    /** Takes the usage reports. */
+    /** Receives the usage reports. */
     public final Platform platform;
 
     final FleetSize size;
@@ -60,18 +60,18 @@
     private final ArrayDeque<String> notes = new ArrayDeque<>();
     private final LeaderWatch leaders = new LeaderWatch(this);
 
-    /** Set before the first run: how many machines at once the fleet is founded to lose. */
+    /** How many simultaneous machine losses the fleet is founded to tolerate. Must be set before the first run. */
     int toleratedLosses = 1;
 
-    /** Sees the actions of all processes; set before the first run. */
+    /** Observes the actions of all processes. Must be set before the first run. */
     ActionObserver observer = ActionObserver.NONE;
 
-    /** A cluster with the default periods, whose processes start within its first half second. */
+    /** Creates a cluster with the default timing bounds, whose processes start within its first 500 ms. */
     public SimulatedCluster(final long seed, final FleetSize size, final EnumSet<Mutation> mutations) {
         this(seed, size, mutations, TimingBounds.DEFAULT, TimingBounds.DEFAULT);
     }
 
-    /** @param controlTiming of the control plane's processes */
+    /** @param controlTiming timing bounds of the control plane's processes */
     SimulatedCluster(
             final long seed,
             final FleetSize size,
@@ -90,7 +90,7 @@
             addFoundingController(1 + i, ZONES.get(i));
         }
         for (int i = 0; i < ZONES.size(); i++) {
-            storage(FIRST_STORAGE + i, ZONES.get(i));
+            createStorage(FIRST_STORAGE + i, ZONES.get(i));
         }
         for (int i = 0; i < size.gateways(); i++) {
             addGateway(FIRST_GATEWAY + i, ZONES.get(i % ZONES.size()));
@@ -132,7 +132,7 @@
                                 process.info(), SEEDS, timing, SessionOverflow.NONE, process.incarnation << 32)));
     }
 
-    /** One more controller that no founding names, as an operator would add it: empty, with these to ask first. */
+    /** Adds and starts an empty controller that is not a founder, as an operator would, with these seeds. */
     SimulatedProcess addController(final int id, final String zone, final List<Integer> seeds) {
         controllers.add(id);
         final SimulatedProcess added = new SimulatedProcess(this, id, zone, true, (process, entries) -> {
@@ -153,7 +153,7 @@
         return added;
     }
 
-    private SimulatedProcess storage(final int id, final String zone) {
+    private SimulatedProcess createStorage(final int id, final String zone) {
         storages.add(id);
         final SimulatedProcess added = new SimulatedProcess(this, id, zone, true, (process, entries) -> {
             final StorageNode node = new StorageNode(
@@ -165,9 +165,9 @@
         return added;
     }
 
-    /** An empty storage machine that comes later, at a number of its own; it starts at once. */
+    /** Adds and starts an empty storage node under an unused node number. */
     SimulatedProcess addStorage(final int id, final String zone) {
-        final SimulatedProcess added = storage(id, zone);
+        final SimulatedProcess added = createStorage(id, zone);
         note(id, "is added", false);
         outages.down(added);
         added.start();
@@ -179,37 +179,37 @@
         return events.now();
     }
 
-    /** How long groups were without an acting leader, each time, in milliseconds. */
+    /** The durations of all periods in which a group had no acting leader, in milliseconds. */
     public List<Long> leaderless() {
         return leaders.leaderlessMs();
     }
 
-    /** The periods of one process. */
+    /** The timing bounds of one process. */
     TimingBounds timingOf(final int id) {
         return controllers.contains(id) ? controlTiming : timing;
     }
 
-    /** Runs a task at a virtual time, or at once where that has passed. */
+    /** Schedules a task for a virtual time; one whose time has passed runs after the tasks that are due now. */
     public void at(final long time, final Runnable task) {
         events.schedule(time, task);
     }
 
-    /** Runs everything up to a virtual time. */
+    /** Runs all tasks due up to a virtual time, inclusive, and advances the time to it. */
     public void run(final long until) {
         events.runUntil(until);
     }
 
-    /** Counts one event of a kind. */
-    public void count(final String what) {
-        counts.merge(what, 1, Integer::sum);
+    /** Counts an event. */
+    public void count(final String event) {
+        counts.merge(event, 1, Integer::sum);
     }
 
-    /** How often a kind of event happened. */
-    public int counted(final String what) {
-        return counts.getOrDefault(what, 0);
+    /** The number of events of a kind. */
+    public int counted(final String event) {
+        return counts.getOrDefault(event, 0);
     }
 
-    void note(final int node, final String text, final boolean grave) {
+    void note(final int node, final String text, final boolean isError) {
         notes.add(now() + " node " + node + ": " + text);
         if (notes.size() > MAX_NOTES) {
             notes.poll();
@@ -223,12 +223,12 @@
         if (text.contains("full sync")) {
             count("full syncs");
         }
-        if (grave) {
+        if (isError) {
             history.violation(now(), "node " + node + ": " + text);
         }
     }
 
-    /** The newest notes of all nodes, each with its virtual time in milliseconds and its node. */
+    /** The latest notes of all nodes, each with its virtual time in milliseconds and its node number. */
     public List<String> notes() {
         return List.copyOf(notes);
     }
@@ -242,19 +242,19 @@
 
     // ---- faults
 
-    /** Where the next owner that gets there dies; null for nowhere. */
+    /** The crash point at which the next leader that reaches it crashes; null for none. */
     CrashPoint armed;
-    /** Says whether this one may die now, and sees to its return. */
+    /** Decides whether a process may crash now, and schedules its restart if so. */
     java.util.function.Predicate<SimulatedProcess> mayCrash = p -> false;
 
-    boolean crashes(final SimulatedProcess p) {
+    boolean crashIfAllowed(final SimulatedProcess p) {
         final CrashPoint point = armed;
         if (!mayCrash.test(p)) {
             return false;
         }
         armed = null;
         count("died right after " + point);
-        note(p.id, "dies right after " + point, false);
+        note(p.id, "crashes right after " + point, false);
         kill(p, random.nextBoolean());
         return true;
     }
--- a/testing/src/main/java/brookpath/testing/sim/SimulatedNetwork.java
+++ b/testing/src/main/java/brookpath/testing/sim/SimulatedNetwork.java
@@ -8,28 +8,29 @@
 import java.util.Set;
 
 /**
- * The simulated network: ordered sessions with delay, cuts in one or both directions, and loss felt as late repeats.
+ * The simulated network: ordered sessions with delay, cuts in one or both directions, and packet loss, which shows as
+ * retransmission delay.
  */
 final class SimulatedNetwork {
-    private static final long LENGTH_BYTES = 4;
+    private static final long LENGTH_PREFIX_BYTES = 4;
 
     private final SimulatedCluster cluster;
     private final FrameCodec codec = new FrameCodec();
     private final Map<Long, Long> lastAt = new HashMap<>();
     private final Set<Long> cuts = new HashSet<>();
-    /** The newest incarnation of the sender that was heard on each link. */
+    /** The newest incarnation of the sender from which a message has arrived, by link. */
     private final Map<Long, Long> newestIncarnations = new HashMap<>();
 
     private final Map<Long, Long> resetAt = new HashMap<>();
     int lossPerThousand;
     long extraDelay;
-    /** Loss of single links, in one direction. */
+    /** Losses per thousand messages on single links, in one direction. */
     final Map<Long, Integer> linkLoss = new HashMap<>();
-    /** Links that carry no more than so many bits a second, in one direction. */
+    /** The bandwidth of slow links, in one direction. */
     final Map<Long, Integer> linkBitsPerSecond = new HashMap<>();
-    /** How much later messages arrive on single links, in one direction, in milliseconds: a receiver that lags. */
+    /** Extra delay of single links, in one direction, in milliseconds; simulates a lagging receiver. */
     final Map<Long, Long> linkDelayMs = new HashMap<>();
-    /** Bytes between zones so far, by what they were for. */
+    /** Bytes sent between zones so far, by message type. */
     final java.util.TreeMap<String, Long> crossZoneBytes = new java.util.TreeMap<>();
 
     SimulatedNetwork(final SimulatedCluster cluster) {
@@ -56,7 +57,7 @@
         cuts.clear();
     }
 
-    /** Breaks the session between two processes: what is under way is lost, and both hear of it. */
+    /** Breaks the session between two processes: messages in flight are lost, and both processes are notified. */
     void reset(final SimulatedProcess one, final SimulatedProcess other) {
         breakSession(one, other);
         breakSession(other, one);
@@ -71,7 +72,7 @@
         return !resetAt.isEmpty() && resetAt.getOrDefault(link, -1L) >= sentAt;
     }
 
-    /** False where the sender knows at once that nothing left: the other process is not running. */
+    /** Sends a message. Returns false if the receiver is not running, so that the sender knows at once. */
     boolean send(final SimulatedProcess from, final int to, final PeerMessage message) {
         final SimulatedProcess target = cluster.processes.get(to);
         if (target == null || !target.alive) {
@@ -79,38 +80,38 @@
         }
         final byte[] frame = codec.encode(message);
         if (!from.zone.equals(target.zone)) {
-            // why: four more bytes go on each frame, its length
-            crossZoneBytes.merge(message.getClass().getSimpleName(), frame.length + LENGTH_BYTES, Long::sum);
+            // Each frame is preceded by its length in four bytes.
+            crossZoneBytes.merge(message.getClass().getSimpleName(), frame.length + LENGTH_PREFIX_BYTES, Long::sum);
         }
         from.sentMessages++;
-        from.sentBytes += frame.length + LENGTH_BYTES;
-        target.gotBytes += frame.length + LENGTH_BYTES;
+        from.sentBytes += frame.length + LENGTH_PREFIX_BYTES;
+        target.receivedBytes += frame.length + LENGTH_PREFIX_BYTES;
         final long link = link(from.id, to);
-        // why: virtual time has whole milliseconds, so half of one is one by turns
-        final int zones = from.zone.equals(target.zone)
+        // Virtual time has whole milliseconds, so half a millisecond is randomly rounded up or down.
+        final int zoneDelay = from.zone.equals(target.zone)
                 ? 0
                 : (cluster.size.zoneDelayHalfMillis() + cluster.random.nextInt(2)) / 2;
         final long lag = linkDelayMs.isEmpty() ? 0 : linkDelayMs.getOrDefault(link, 0L);
-        long delay = zones + extraDelay + lag + (cluster.random.nextInt(4) == 0 ? 1 : 0);
+        long delay = zoneDelay + extraDelay + lag + (cluster.random.nextInt(4) == 0 ? 1 : 0);
         if (cluster.random.nextInt(1000)
                 < Math.max(lossPerThousand, linkLoss.isEmpty() ? 0 : linkLoss.getOrDefault(link, 0))) {
-            // why: to those above, a lost packet is one that comes late, and everything behind it waits
+            // To the layers above, a lost packet arrives late, and everything sent after it waits.
             delay += 200L << cluster.random.nextInt(2);
         }
         final long at =
-                Math.max(lastAt.getOrDefault(link, 0L), cluster.now() + delay) + transmission(link, frame.length);
+                Math.max(lastAt.getOrDefault(link, 0L), cluster.now() + delay) + transmissionMs(link, frame.length);
         lastAt.put(link, at);
-        arrive(from, from.incarnation, target, target.incarnation, link, frame, at, 0, cluster.now());
+        deliver(from, from.incarnation, target, target.incarnation, link, frame, at, 0, cluster.now());
         return true;
     }
 
-    /** How long a slow link is busy with a frame, in milliseconds. */
-    private long transmission(final long link, final int bytes) {
+    /** The transmission time of a frame on a slow link, in milliseconds; 0 on other links. */
+    private long transmissionMs(final long link, final int bytes) {
         final Integer bitsPerSecond = linkBitsPerSecond.isEmpty() ? null : linkBitsPerSecond.get(link);
         return bitsPerSecond == null ? 0 : bytes * 8_000L / bitsPerSecond;
     }
 
-    private void arrive(
+    private void deliver(
             final SimulatedProcess from,
             final long fromIncarnation,
             final SimulatedProcess to,
@@ -125,19 +126,19 @@
                 return;
             }
             if (cuts.contains(link)) {
-                // why: a short cut delays, and what was sent arrives late and in order; a long one breaks the session
+                // After a short cut, what was sent arrives late and in order; a long cut breaks the session.
                 if (attempts > 8 || !from.alive || from.incarnation != fromIncarnation) {
                     if (from.alive && from.incarnation == fromIncarnation) {
                         from.run(p -> p.node.connectionLost(to.id, p.time()));
                     }
                     return;
                 }
-                final long again = cluster.now() + 250;
-                lastAt.merge(link, again, Math::max);
-                arrive(from, fromIncarnation, to, toIncarnation, link, frame, again, attempts + 1, sentAt);
+                final long retryAt = cluster.now() + 250;
+                lastAt.merge(link, retryAt, Math::max);
+                deliver(from, fromIncarnation, to, toIncarnation, link, frame, retryAt, attempts + 1, sentAt);
                 return;
             }
-            // why: a session is with one incarnation, and a newer one's ends those of the incarnations before it
+            // A session belongs to one incarnation of the sender; that of a newer one ends those of earlier ones.
             if (newestIncarnations.merge(link, fromIncarnation, Math::max) == fromIncarnation) {
                 to.message(from.id, codec.decode(frame, 0, frame.length));
             }
--- a/testing/src/main/java/brookpath/testing/sim/SimulatedProcess.java
+++ b/testing/src/main/java/brookpath/testing/sim/SimulatedProcess.java
@@ -24,20 +24,20 @@
     final int id;
     final FaultyDisk disk;
     final String zone;
-    /** Makes the node of each incarnation; another kind of fleet sets its own before the first start. */
-    BiFunction<SimulatedProcess, List<byte[]>, Node> maker;
+    /** Creates the node of each incarnation. Other kinds of fleets replace it before the first start. */
+    BiFunction<SimulatedProcess, List<byte[]>, Node> nodeFactory;
 
     Node node;
     private final ProcessHeartbeats heartbeats;
     private final ProcessLog log;
     long incarnation;
-    /** The machine's identity: what the disk keeps, or where there is none, another in each incarnation. */
+    /** The machine's identity: the one stored on the disk, or without a disk another one in each incarnation. */
     private long machine;
-    /** What operators call the machine. */
+    /** The name by which operators address the machine. */
     String name;
 
     boolean alive;
-    /** Never to come back: the one disk machine that may be lost for good. */
+    /** Whether this machine is permanently lost and must not be restarted. */
     boolean goneForGood;
 
     long frozenUntil;
@@ -46,13 +46,13 @@
     private long monoBase;
     boolean foundOnStart;
     /**
-     * For measurements: what this process sent and got, and how long its decisions took on the machine that runs the
-     * trial.
+     * For measurements: the traffic of this process, and the real time that its node spent on handling events on the
+     * machine that runs the simulation.
      */
     long sentMessages;
 
     long sentBytes;
-    long gotBytes;
+    long receivedBytes;
     long busyNanos;
     private final ArrayDeque<Function<SimulatedProcess, List<Action>>> backlog = new ArrayDeque<>();
 
@@ -61,24 +61,24 @@
             final int id,
             final String zone,
             final boolean hasDisk,
-            final BiFunction<SimulatedProcess, List<byte[]>, Node> maker) {
+            final BiFunction<SimulatedProcess, List<byte[]>, Node> nodeFactory) {
         this.cluster = cluster;
         this.id = id;
         this.zone = zone;
         name = "machine-" + id;
-        this.maker = maker;
+        this.nodeFactory = nodeFactory;
         disk = hasDisk ? new FaultyDisk() : null;
         heartbeats = new ProcessHeartbeats(this);
         log = new ProcessLog(this);
     }
 
-    /** The process as others are told of it. */
+    /** The information that other processes get about this one. */
     NodeInfo info() {
         return new NodeInfo(id, zone, "sim:" + id, name, machine);
     }
 
     Time time() {
-        return new Time(cluster.now() + monoBase, cluster.now() + skew + SimulatedCluster.WALL);
+        return new Time(cluster.now() + monoBase, cluster.now() + skew + SimulatedCluster.WALL_CLOCK_START_MS);
     }
 
     long mono() {
@@ -94,7 +94,7 @@
         return cluster.now() < frozenUntil;
     }
 
-    /** Starts, or starts again, on whatever its disk still holds. */
+    /** Starts or restarts the process with what its disk still holds. */
     void start() {
         incarnation++;
         alive = true;
@@ -108,11 +108,11 @@
         try {
             entries = disk == null ? List.of() : recover();
         } catch (final UncheckedIOException ex) {
-            cluster.count("would not start");
+            cluster.count("failed starts");
             alive = false;
             return;
         }
-        node = maker.apply(this, entries);
+        node = nodeFactory.apply(this, entries);
         heartbeats.start();
         if (node instanceof ControllerNode controller) {
             execute(controller.start(foundOnStart, time()));
@@ -128,7 +128,7 @@
         return log.recover();
     }
 
-    /** Runs a task later, unless this incarnation has ended by then. */
+    /** Runs a task after a delay, unless this incarnation has ended by then. */
     void after(final long delayMs, final Runnable task) {
         final long scheduledBy = incarnation;
         cluster.at(cluster.now() + delayMs, () -> {
@@ -144,12 +144,12 @@
                 after(frozenUntil - cluster.now(), this::scheduleTick);
                 return;
             }
-            run(p -> p.node.tick(p.time(), p.heartbeats.seen()));
+            run(p -> p.node.tick(p.time(), p.heartbeats.lastTable()));
             scheduleTick();
         });
     }
 
-    /** One event, as the state thread would take it; a frozen process takes it when it wakes. */
+    /** Handles one event as on the state thread. A frozen process handles it once it thaws. */
     void run(final Function<SimulatedProcess, List<Action>> event) {
         if (!alive) {
             return;
@@ -163,18 +163,18 @@
         }
         heartbeats.tick();
         final long before = cluster.armed == CrashPoint.ACCEPT ? CrashPoint.committed(node, cluster.groups) : 0;
-        final long began = System.nanoTime();
+        final long startNanos = System.nanoTime();
         final List<Action> actions = event.apply(this);
-        busyNanos += System.nanoTime() - began;
+        busyNanos += System.nanoTime() - startNanos;
         if (cluster.armed == CrashPoint.ACCEPT
                 && before > 0
                 && CrashPoint.committed(node, cluster.groups) > before
-                && cluster.crashes(this)) {
+                && cluster.crashIfAllowed(this)) {
             return;
         }
         execute(actions);
         if (alive) {
-            heartbeats.takeTableNowOrLate();
+            heartbeats.takeTableNowOrLater();
         }
     }
 
@@ -201,7 +201,7 @@
         run(p -> p.node.request(request, p.time()));
     }
 
-    /** Does what the node has decided, in its order; a crash point that is reached ends it. */
+    /** Executes the node's actions in order, up to a crash point if one is reached. */
     void execute(final List<Action> actions) {
         boolean heartbeatNow = false;
         for (final Action action : actions) {
@@ -256,8 +256,8 @@
         final boolean reached = action instanceof Action.Write write
                 ? cluster.armed == CrashPoint.APPEND
                         && CrashPoint.ofWrite(write.entry()) == CrashPoint.SYNC
-                        && CrashPoint.owns(node, cluster.groups)
+                        && CrashPoint.leads(node, cluster.groups)
                 : CrashPoint.ofAction(action) == cluster.armed;
-        return reached && cluster.crashes(this);
+        return reached && cluster.crashIfAllowed(this);
     }
 }
--- a/testing/src/main/java/brookpath/testing/sim/Slopes.java
+++ b/testing/src/main/java/brookpath/testing/sim/Slopes.java
@@ -33,7 +33,7 @@
             for (final SimulatedProcess p : cluster.processes.values()) {
                 p.sentMessages = 0;
                 p.sentBytes = 0;
-                p.gotBytes = 0;
+                p.receivedBytes = 0;
                 p.busyNanos = 0;
             }
             final int committed = cluster.history.committed();
@@ -102,7 +102,7 @@
             final SimulatedProcess p = cluster.processes.get(id);
             messages += p.sentMessages;
             out += p.sentBytes;
-            in += p.gotBytes;
+            in += p.receivedBytes;
             busy += p.busyNanos;
         }
         final double per = ids.size() * MEASURED_MS / 1_000.0;
--- a/testing/src/main/java/brookpath/testing/sim/package-info.java
+++ b/testing/src/main/java/brookpath/testing/sim/package-info.java
@@ -1,10 +1,10 @@
 /**
- * Simulated days: a whole fleet in virtual time in which production nodes run on simulated processes, disks and links,
- * with callers, operators, a stand-in for the users' platform, and faults.
+ * Deterministic simulation of a whole fleet in virtual time: production nodes run on simulated processes, disks and
+ * links, with callers, operators, a stand-in for the users' platform, and faults. A run is called a day.
  *
  * <p>{@link brookpath.testing.sim.SimulatedCluster} owns virtual time and the processes;
- * {@link brookpath.testing.sim.SimulatedDay} plays a day of the whole fleet and
- * {@link brookpath.testing.sim.ControlDay} one of the control plane. One seed gives one history, always the same: all
- * random numbers come from the cluster's generator, and nothing reads a clock.
+ * {@link brookpath.testing.sim.SimulatedDay} simulates a day of the whole fleet and
+ * {@link brookpath.testing.sim.ControlDay} one of the control plane. A run with the same seed repeats the same history:
+ * all random numbers come from the cluster's generator, and no decision reads the real time.
  */
 package brookpath.testing.sim;
--- a/testing/src/test/java/brookpath/testing/ControlDayTest.java
+++ b/testing/src/test/java/brookpath/testing/ControlDayTest.java
@@ -21,20 +21,20 @@
 import org.testng.annotations.Test;
 
 /**
- * Control days: whatever befalls the controllers and storage machines, one at a time and all at once, callers see
- * nothing that they must never see. Each method from {@link #controllersAreReplaced} on needs a change of the product
- * of its own.
+ * Control days: under failures of controllers and storage nodes, of one machine at a time and of all at once, callers
+ * never observe a violation. Each method from {@link #controllersAreReplaced} on guards one behaviour of the control
+ * plane, which its comment names.
  */
 public final class ControlDayTest {
     private static final long LENGTH_MS = 60_000;
-    /** The length of bin/control-sweep's days, for troubles that need time. */
+    /** The length of bin/control-sweep's days, for faults that take effect late. */
     private static final long LONG_MS = 120_000;
 
     private static final EnumSet<ControlFault> REPLACED_CONTROLLERS =
             EnumSet.of(REPLACE_CONTROLLER, REPLACE_CONTROLLER_ANNOUNCED);
-    private static final EnumSet<ControlFault> CALM = EnumSet.noneOf(ControlFault.class);
+    private static final EnumSet<ControlFault> NO_FAULTS = EnumSet.noneOf(ControlFault.class);
 
-    /** Every kind that has no method of its own below. */
+    /** All kinds of faults that have no test method of their own below. */
     @DataProvider(parallel = true)
     public Object[][] kinds() {
         final EnumSet<ControlFault> kinds = EnumSet.allOf(ControlFault.class);
@@ -67,21 +67,21 @@
     private static void assertGood(final long seed, final ControlFault kind, final long lengthMs) {
         final Outcome day = ControlDay.play(new Plan(seed, lengthMs, EnumSet.of(kind)));
         assertTrue(day.good(), day.toString());
-        assertTrue(day.counts().getOrDefault("control: " + kind, 0) > 0, kind + " never came about: " + day);
+        assertTrue(day.counts().getOrDefault("control: " + kind, 0) > 0, kind + " was never injected: " + day);
         assertBusy(day);
     }
 
-    /** A day on which nothing was done would be good as well. */
+    /** Guards against a day that passes because nothing happened on it. */
     private static void assertBusy(final Outcome day) {
-        assertTrue(day.newest() > 30, day.toString());
+        assertTrue(day.newestVersion() > 30, day.toString());
         assertTrue(day.counts().getOrDefault("control: refused with 409", 0) > 3, day.toString());
         assertTrue(day.counts().getOrDefault("control: repeats", 0) > 3, day.toString());
         assertTrue(day.counts().getOrDefault("deliveries judged", 0) > 100, day.toString());
     }
 
     @Test
-    public void aCalmDayIsGood() {
-        final Outcome day = ControlDay.play(new Plan(1, LENGTH_MS, CALM));
+    public void aDayWithoutFaultsIsGood() {
+        final Outcome day = ControlDay.play(new Plan(1, LENGTH_MS, NO_FAULTS));
         assertTrue(day.good(), day.toString());
         assertBusy(day);
     }
@@ -97,62 +97,62 @@
         assertEquals(ControlDay.play(plan).notes(), ControlDay.play(plan).notes());
     }
 
-    /** Needs: the control group takes new members in and lets those go that are gone for good. */
+    /** Requires that the control group adds new members and removes those that are permanently lost. */
     @Test(dataProvider = "replacedControllers")
     public void controllersAreReplaced(final ControlFault kind) {
         assertGood(1, kind);
     }
 
-    /** Needs: copies of a storage machine that is gone for good are made elsewhere, without an order. */
+    /** Requires that replicas of a permanently lost storage node are recreated elsewhere without a request. */
     @Test
-    public void copiesOfAStorageMachineThatIsGoneAreMadeElsewhere() {
+    public void replicasOfALostStorageNodeAreRecreatedElsewhere() {
         assertGood(1, REPLACE_STORAGE);
     }
 
-    /** Needs: a retirement is acknowledged only once its record is committed. */
+    /** Requires that a retirement is acknowledged only once its record is committed. */
     @Test
     public void aRetirementHoldsOnceItIsAcknowledged() {
         assertGood(1, POWER_AFTER_RETIRE);
     }
 
-    /** Needs: a retirement that was taken is acknowledged again, also where its copies would find no place now. */
+    /** Requires that a repeated retirement request is acknowledged even if its replicas could not be placed now. */
     @Test
-    public void aRetirementThatIsSentAgainIsNotRefused() {
+    public void aRepeatedRetirementRequestIsNotRefused() {
         assertGood(2, WIPE_DURING_RETIRE, LONG_MS);
         assertGood(3, WIPE_DURING_RETIRE, LONG_MS);
     }
 
-    /** Needs: the IDs under which calls travel between processes differ in each life of a process. */
+    /** Requires that each incarnation of a process uses different IDs for its calls to other processes. */
     @Test
-    public void answersReachTheCallThatAskedThoughClocksRepeat() {
+    public void responsesReachTheirCallWhenClocksRepeat() {
         assertGood(1, CLOCK_REPEATS);
     }
 
-    /** Needs: refusals do not push the outcomes of acknowledged changes out of the control state. */
+    /** Requires that refusals do not evict the outcomes of acknowledged changes from the control state. */
     @Test
-    public void aChangeIsRecognisedAfterThousandsOfRefusedOnes() {
+    public void aRepeatedChangeIsRecognisedAfterThousandsOfRefusedOnes() {
         assertGood(1, REFUSED_ORDERS, LONG_MS);
     }
 
-    /** Needs: a controller that does not hear the leader carries calls by way of one that does. */
+    /** Requires that a controller without contact to the leader forwards calls through one that has contact. */
     @Test
     public void allControllersInTouchServe() {
         assertGood(2, CUT_FROM_HALF);
     }
 
-    /** Needs: a controller outside the control group finds the new leader soon after the old one is cut off. */
+    /** Requires that a controller outside the control group soon finds the new leader once the old one is cut off. */
     @Test
     public void allControllersFindTheNewLeader() {
         assertGood(1, CUT_OFF, LONG_MS);
         assertGood(2, CUT_OFF);
     }
 
-    /** Needs all of the above. */
+    /** Requires all of the above. */
     @Test(dataProvider = "seeds")
     public void aDayOfAllKindsIsGood(final long seed) {
         final Outcome day = ControlDay.play(new Plan(seed, LENGTH_MS, EnumSet.allOf(ControlFault.class)));
         assertTrue(day.good(), day.toString());
         assertTrue(day.counts().getOrDefault("control: closing faults", 0) == 1, day.toString());
-        assertTrue(day.newest() > 30, day.toString());
+        assertTrue(day.newestVersion() > 30, day.toString());
     }
 }
--- a/testing/src/test/java/brookpath/testing/sim/ControlStateSizeTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/ControlStateSizeTest.java
@@ -124,7 +124,7 @@
     }
 
     private static Time time(final long mono) {
-        return new Time(mono, SimulatedCluster.WALL + mono);
+        return new Time(mono, SimulatedCluster.WALL_CLOCK_START_MS + mono);
     }
 
     private static int logBytes(final GroupMachine group) {
--- a/testing/src/test/java/brookpath/testing/sim/FullSyncTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/FullSyncTest.java
@@ -107,7 +107,7 @@
                         LogRecord.PUBLISH,
                         LogRecord.publishBody(seq + 1, 2, "members", "permits/large", "ana", new String(text)),
                         leader.mono(),
-                        SimulatedCluster.WALL + cluster.now());
+                        SimulatedCluster.WALL_CLOCK_START_MS + cluster.now());
         if (seq % 10 == 0) {
             cluster.run(cluster.now() + 1);
         }
--- a/testing/src/test/java/brookpath/testing/sim/StartupRedirectTest.java
+++ b/testing/src/test/java/brookpath/testing/sim/StartupRedirectTest.java
@@ -104,7 +104,7 @@
         cluster = ServingCluster.start(61);
         final SimulatedProcess gateway = cluster.processes.get(GATEWAY);
         cluster.kill(gateway, true);
-        gateway.maker = (process, entries) -> new GatewayNode(
+        gateway.nodeFactory = (process, entries) -> new GatewayNode(
                 process.info(),
                 List.copyOf(cluster.controllers),
                 cluster.timing,
