--- a/testing/src/test/java/brookpath/testing/BehaviourDigestTest.java
+++ b/testing/src/test/java/brookpath/testing/BehaviourDigestTest.java
@@ -21,21 +21,21 @@
 import org.testng.annotations.Test;
 
 /**
- * The nodes do what they did: each row plays a seeded run and compares the {@link TraceDigest} of all actions with the
- * one that is checked in. A change of shape or of names keeps all digests. A change of behaviour makes the file anew
- * ({@link GoldenFile} says how), and its commit says which rows differ and why.
+ * The behaviour of the nodes is unchanged: each row runs a seeded simulation and compares the {@link TraceDigest} of
+ * all actions with the stored one. Refactoring and renaming keep all digests. A change of behaviour regenerates the
+ * file ({@link GoldenFile} says how), and its commit says which rows differ and why.
  */
 public final class BehaviourDigestTest {
     private static final String SEPARATOR = " | ";
     private static final long WHOLE_DAY_MS = 20_000;
     private static final long FAULTS_MS = 40_000;
-    private static final long USERS_SIZES_MS = 12_000;
+    private static final long USER_DAY_MS = 12_000;
     private static final long CONTROL_MS = 40_000;
 
     private static final EnumSet<Fault> NO_FAULTS = EnumSet.noneOf(Fault.class);
     private static final EnumSet<Fault> ALL_FAULTS = EnumSet.allOf(Fault.class);
 
-    /** Plays the run of a row under a seed. */
+    /** Runs the simulation of a row with a seed. */
     @FunctionalInterface
     private interface Run {
         void play(long seed, ActionObserver observer);
@@ -75,8 +75,8 @@
             wholeDay("fleet, all faults", 10, Ending.ON_A_FAULT),
             wholeDay("fleet, all faults, one machine never returns", 11, Ending.ONE_GONE),
             wholeDay("fleet, all faults", 12, Ending.ON_A_FAULT),
-            usersDay("first user, all faults", 13, FleetSize.JADRAN),
-            usersDay("second user, all faults", 14, FleetSize.SAJHA),
+            userDay("first user, all faults", 13, FleetSize.JADRAN),
+            userDay("second user, all faults", 14, FleetSize.SAJHA),
             controlDay("control, no fault", 21),
             controlDay(
                     "control, cut off",
@@ -154,7 +154,7 @@
                         SimulatedDay.playFaults(SimulatedDay.Plan.of(s, faults).lasting(FAULTS_MS), observer));
     }
 
-    /** A shorter day of all faults with the recovery after it. */
+    /** A shorter day of all faults, including the recovery after it. */
     private static Row wholeDay(final String name, final long seed, final Ending ending) {
         return row(
                 name,
@@ -166,13 +166,13 @@
                         observer));
     }
 
-    /** A short day of all faults for as many processes and callers as a user has, up to its last fault. */
-    private static Row usersDay(final String name, final long seed, final FleetSize shape) {
+    /** A short day of all faults up to the last one, with as many processes and callers as a user has. */
+    private static Row userDay(final String name, final long seed, final FleetSize size) {
         return row(
                 name,
                 seed,
                 (s, observer) -> SimulatedDay.playFaults(
-                        SimulatedDay.Plan.of(s, ALL_FAULTS).sized(shape).lasting(USERS_SIZES_MS), observer));
+                        SimulatedDay.Plan.of(s, ALL_FAULTS).sized(size).lasting(USER_DAY_MS), observer));
     }
 
     private static Row controlDay(final String name, final long seed, final ControlFault... faults) {
@@ -187,20 +187,20 @@
     }
 
     @Test(dataProvider = "rows")
-    public void theRunDoesWhatItDid(final Object given) {
+    public void behaviourIsUnchanged(final Object given) {
         final Row row = (Row) given;
         golden.assertHolds(row.key(), digestOf(row));
     }
 
-    /** The same run twice in one process gives the same digest; without that the others would prove nothing. */
+    /** Two equal runs in one process give the same digest; otherwise the stored digests would prove nothing. */
     @Test
-    public void theDigestIsRepeatable() {
+    public void digestIsRepeatable() {
         final Row row = controlDay("control, repeated", 31, ControlFault.KILL, ControlFault.REPLACE_STORAGE);
         assertEquals(digestOf(row), digestOf(row));
     }
 
     @Test
-    public void theFileHoldsTheseRowsAndNoOthers() {
+    public void fileHasExactlyTheseRows() {
         assertEquals(
                 new ArrayList<>(golden.expected().keySet()),
                 ROWS.stream().map(Row::key).sorted().toList());
--- a/testing/src/test/java/brookpath/testing/KnownRed.java
+++ b/testing/src/test/java/brookpath/testing/KnownRed.java
@@ -10,9 +10,9 @@
 import org.testng.ITestResult;
 
 /**
- * Passes over the tests that KNOWN-RED.txt lists: they run, and their failure is printed and reported as skipped. A
+ * Reports failures of the tests that KNOWN-RED.txt lists as skipped: those tests run, and their failure is printed. A
  * line begins with the test as {@code Class.method} or {@code Class.method[first parameter]}, followed by {@code " |"}.
- * A test that is not listed fails as always.
+ * Tests that are not listed fail as usual.
  */
 public final class KnownRed implements IInvokedMethodListener {
     @Override
--- a/testing/src/test/java/brookpath/testing/ScriptedNode.java
+++ b/testing/src/test/java/brookpath/testing/ScriptedNode.java
@@ -14,19 +14,19 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.BiConsumer;
 
-/** A node without peers and without a disk whose answers a test writes. */
+/** A node without peers and without a disk whose behaviour is scripted by a test. */
 final class ScriptedNode extends Node {
     private static final int NUMBER = 1;
 
     private final BiConsumer<NodeRequest, Actions> script;
 
-    /** @param script adds the actions that a request leads to; called on the state thread */
+    /** @param script adds the actions that a request causes; called on the state thread */
     ScriptedNode(final BiConsumer<NodeRequest, Actions> script) {
         super(NUMBER, TimingBounds.DEFAULT);
         this.script = script;
     }
 
-    /** Starts the threads of a process around this node, to be closed by the caller. */
+    /** Starts a process that runs this node; the caller must close it. */
     Host start() {
         final Host host = new Host(
                 this,
@@ -35,7 +35,8 @@
                 null,
                 node -> Map.of(),
                 () -> Long.MAX_VALUE,
-                post -> CompletableFuture.failedFuture(new IllegalStateException("a post that no script makes")),
+                post -> CompletableFuture.failedFuture(
+                        new IllegalStateException("unexpected post: scripted nodes post nothing")),
                 1,
                 () -> {});
         host.start(List.of());
@@ -49,22 +50,22 @@
 
     @Override
     protected void onTick(final Time time) {
-        // why: nothing happens by itself here
+        // Only requests cause actions.
     }
 
     @Override
     protected void onMessage(final int from, final PeerMessage message, final Time time) {
-        throw new IllegalStateException("there are no peers");
+        throw new IllegalStateException("unexpected message: a scripted node has no peers");
     }
 
     @Override
     protected void onSynced(final long number, final Time time) {
-        throw new IllegalStateException("there is no disk");
+        throw new IllegalStateException("unexpected entry: a scripted node has no disk");
     }
 
     @Override
     public void replay(final byte[] entry, final Time time) {
-        throw new IllegalStateException("there is no disk");
+        throw new IllegalStateException("unexpected entry: a scripted node has no disk");
     }
 
     @Override
--- a/testing/src/test/java/brookpath/testing/SeedsInParallel.java
+++ b/testing/src/test/java/brookpath/testing/SeedsInParallel.java
@@ -9,13 +9,13 @@
 import java.util.function.LongConsumer;
 import java.util.function.LongFunction;
 
-/** Plays independent simulations of one test method in parallel, one for each seed. */
+/** Runs independent simulations of one test method in parallel, one for each seed. */
 public final class SeedsInParallel {
     private SeedsInParallel() {}
 
     /**
-     * Plays the seeds from {@code first} to {@code last}, both included, and returns the outcomes in the order of the
-     * seeds. An assertion that fails in one of them fails the caller.
+     * Runs the simulation with the seeds from {@code first} to {@code last}, inclusive, and returns the outcomes in the
+     * order of the seeds. A failed assertion in one of the runs fails the caller.
      */
     public static <T> List<T> play(final long first, final long last, final LongFunction<T> simulation)
             throws InterruptedException {
@@ -23,8 +23,8 @@
         try {
             final List<Future<T>> pending = new ArrayList<>();
             for (long seed = first; seed <= last; seed++) {
-                final long played = seed;
-                pending.add(pool.submit(() -> simulation.apply(played)));
+                final long current = seed;
+                pending.add(pool.submit(() -> simulation.apply(current)));
             }
             final List<T> outcomes = new ArrayList<>();
             for (final Future<T> outcome : pending) {
@@ -38,7 +38,7 @@
         }
     }
 
-    /** As {@link #play}, for simulations that assert what there is to know and return nothing. */
+    /** As {@link #play}, for simulations that make their own assertions and return nothing. */
     public static void check(final long first, final long last, final LongConsumer simulation)
             throws InterruptedException {
         play(first, last, seed -> {
--- a/testing/src/test/java/brookpath/testing/TestThreads.java
+++ b/testing/src/test/java/brookpath/testing/TestThreads.java
@@ -4,9 +4,9 @@
 import org.testng.IAlterSuiteListener;
 import org.testng.xml.XmlSuite;
 
-/** Lets tests that run in parallel, and the rows of parallel data providers, use half of the machine's cores. */
+/** Limits parallel tests, and the rows of parallel data providers, to half of the machine's cores. */
 public final class TestThreads implements IAlterSuiteListener {
-    /** As many threads as half of the cores. */
+    /** One thread for every two cores, at least one. */
     static final int COUNT = Math.max(1, Runtime.getRuntime().availableProcessors() / 2);
 
     @Override
--- a/testing/src/test/java/brookpath/testing/TraceDigest.java
+++ b/testing/src/test/java/brookpath/testing/TraceDigest.java
@@ -14,9 +14,9 @@
 import java.util.regex.Pattern;
 
 /**
- * SHA-256 of all actions of a simulated run. What is hashed are the times, the node numbers, the encoded frames, the
- * stored bytes and the responses, under a fixed code for each kind of action. Names in the source code, log lines and
- * sentences that explain a refusal to a person leave no trace in it, so that they may be reworded. Not thread-safe.
+ * SHA-256 over all actions of a simulated run: their times, node numbers, encoded frames, stored bytes and responses,
+ * with a fixed code for each kind of action. Identifiers, log lines and sentences that explain a refusal to a person
+ * are not hashed, so that they may be reworded. Not thread-safe.
  */
 final class TraceDigest implements ActionObserver {
     private static final byte SEND = 1;
@@ -24,13 +24,13 @@
     private static final byte ROLL = 3;
     private static final byte RESPOND = 4;
     private static final byte DELIVER_LINE = 5;
-    private static final byte DELIVER_STORED = 6;
+    private static final byte DELIVER_RECORD = 6;
     private static final byte TOPIC_ENDED = 7;
     private static final byte MOVE = 8;
     private static final byte CLOSE = 9;
     private static final byte POST = 10;
 
-    /** The members of our JSON responses whose value is a sentence for people. */
+    /** The members of JSON responses whose value is an explanation for people. */
     private static final Pattern EXPLANATION =
             Pattern.compile("(\"(?:why|what|because|obstacle)\":)\"(?:[^\"\\\\]|\\\\.)*+\"");
 
@@ -47,12 +47,12 @@
         }
     }
 
-    /** How many actions were hashed so far. */
+    /** The number of actions hashed so far. */
     long actions() {
         return actions;
     }
 
-    /** The digest of all that was observed, in hexadecimal digits. May be asked for once. */
+    /** The digest of all observed actions in hexadecimal. May be called only once. */
     String hex() {
         return HexFormat.of().formatHex(digest.digest());
     }
@@ -60,55 +60,55 @@
     @Override
     public void observe(final long nowMs, final int node, final Action action) {
         if (action instanceof Action.Send a) {
-            begin(SEND, nowMs, node);
+            beginAction(SEND, nowMs, node);
             add(a.node());
             add(codec.encode(withoutExplanation(a.message())));
         } else if (action instanceof Action.Write a) {
-            begin(WRITE, nowMs, node);
+            beginAction(WRITE, nowMs, node);
             add(a.number());
             add(a.entry());
         } else if (action instanceof Action.Roll a) {
-            begin(ROLL, nowMs, node);
+            beginAction(ROLL, nowMs, node);
             add(a.number());
             add(a.snapshot());
         } else if (action instanceof Action.Respond a) {
-            begin(RESPOND, nowMs, node);
+            beginAction(RESPOND, nowMs, node);
             add(a.requestId());
             add(a.response());
         } else if (action instanceof Action.ToSession a) {
             observeSession(nowMs, node, a);
         } else if (action instanceof Action.Post a) {
-            begin(POST, nowMs, node);
+            beginAction(POST, nowMs, node);
             add(a.requestId());
             add(a.key());
             add(a.json());
         }
-        // why: log lines are free to change, and an early heartbeat shows in the frames that it sends
+        // Log lines may change freely, and a heartbeat that is sent early is hashed as the frames that it sends.
     }
 
     private void observeSession(final long nowMs, final int node, final Action.ToSession action) {
         if (action instanceof Action.DeliverLine a) {
-            begin(DELIVER_LINE, nowMs, node);
+            beginAction(DELIVER_LINE, nowMs, node);
             add(a.sessionId());
             add(a.line());
         } else if (action instanceof Action.DeliverRecord a) {
-            begin(DELIVER_STORED, nowMs, node);
+            beginAction(DELIVER_RECORD, nowMs, node);
             add(a.sessionId());
             add(a.logRecord().bytes());
         } else if (action instanceof Action.TopicEnded a) {
-            begin(TOPIC_ENDED, nowMs, node);
+            beginAction(TOPIC_ENDED, nowMs, node);
             add(a.sessionId());
             add(a.topic());
             add(a.reason());
         } else if (action instanceof Action.MoveSession a) {
-            begin(MOVE, nowMs, node);
+            beginAction(MOVE, nowMs, node);
             add(a.sessionId());
             add(a.address());
         } else if (action instanceof Action.CloseSession a) {
-            begin(CLOSE, nowMs, node);
+            beginAction(CLOSE, nowMs, node);
             add(a.sessionId());
         } else {
-            throw new IllegalArgumentException("an action that the digest does not know: " + action);
+            throw new IllegalArgumentException("action is unknown to the digest: " + action);
         }
     }
 
@@ -128,7 +128,7 @@
         return EXPLANATION.matcher(json).replaceAll("$1\"\"");
     }
 
-    private void begin(final byte kind, final long nowMs, final int node) {
+    private void beginAction(final byte kind, final long nowMs, final int node) {
         actions++;
         digest.update(kind);
         add(nowMs);
--- a/testing/src/test/java/brookpath/testing/WithdrawnWordsTest.java
+++ b/testing/src/test/java/brookpath/testing/WithdrawnWordsTest.java
@@ -19,15 +19,15 @@
 import java.util.stream.Stream;
 import org.testng.annotations.Test;
 
-/** The Java sources do not use the words of withdrawn-words.txt, apart from the literals of old-names.txt. */
+/** The Java sources do not use the words in withdrawn-words.txt, except as the literals in old-names.txt. */
 public final class WithdrawnWordsTest {
-    private static final int LEAST_FILES = 150;
-    /** The parts of identifiers, and the words of comments and strings. */
+    private static final int MIN_FILES = 150;
+    /** A word of a comment or a string, or one part of a camel-case identifier. */
     private static final Pattern PART = Pattern.compile("[A-Z]+(?![a-z])|[A-Z]?[a-z]+");
 
     private final Map<String, String> replacements = entries("withdrawn-words.txt");
     private final List<Pattern> oldNames = entries("old-names.txt").keySet().stream()
-            .map(WithdrawnWordsTest::asLiteralFlagOrPlace)
+            .map(WithdrawnWordsTest::literalFlagOrPath)
             .toList();
 
     @Test
@@ -45,7 +45,7 @@
                 }
             }
         }
-        assertTrue(sources.size() > LEAST_FILES, "only " + sources.size() + " files were read");
+        assertTrue(sources.size() > MIN_FILES, "only " + sources.size() + " source files found");
         assertTrue(found.isEmpty(), found.size() + " withdrawn words:\n" + String.join("\n", found));
     }
 
@@ -59,14 +59,14 @@
     }
 
     @Test
-    public void oldNamesAreAllowedAsLiteralsFlagsAndPlacesAlone() {
+    public void oldNamesAreAllowedOnlyAsLiteralsFlagsAndPaths() {
         assertEquals(withdrawnWords("differs(list, \"siblings\", \"{\\\"rosterVersion\\\":\")"), List.of());
         assertEquals(withdrawnWords("say(\"--siblings 1, /siblings: wrong\")"), List.of());
         assertEquals(withdrawnWords("say(\"--siblingsOf /siblings-x\")"), List.of("siblings", "siblings"));
         assertEquals(withdrawnWords("say(\"the siblings\", siblings)"), List.of("siblings", "siblings"));
     }
 
-    /** The entries of the word list that a line of source matches, in the order of the line. */
+    /** The entries of the word list that a source line matches, in order of occurrence. */
     private List<String> withdrawnWords(final String line) {
         String text = line.replace("\\\"", "\"");
         for (final Pattern name : oldNames) {
@@ -81,8 +81,8 @@
         return found;
     }
 
-    /** A name as a whole string literal, as a flag of a command or as a place in a document. */
-    private static Pattern asLiteralFlagOrPlace(final String name) {
+    /** Matches a name as a whole string literal, as a command-line flag or as a path element in a document. */
+    private static Pattern literalFlagOrPath(final String name) {
         final String quoted = Pattern.quote(name);
         return Pattern.compile("\"" + quoted + "\"|(--|/)" + quoted + "(?![\\w-])");
     }
@@ -106,11 +106,11 @@
     }
 
     private static boolean isChecked(final Path file) {
-        // why: this test names the words to show that they are found
+        // This test contains the words itself to show that they are found.
         return file.toString().endsWith(".java") && !file.endsWith("WithdrawnWordsTest.java");
     }
 
-    /** The lines "key = value" of a resource; lines that begin with # are comments. */
+    /** The "key = value" lines of a resource; lines that begin with # are comments. */
     private static Map<String, String> entries(final String resource) {
         final Map<String, String> entries = new TreeMap<>();
         try (InputStream in = WithdrawnWordsTest.class.getResourceAsStream("/" + resource)) {
--- a/testing/src/test/java/brookpath/testing/sim/ClusterScenario.java
+++ b/testing/src/test/java/brookpath/testing/sim/ClusterScenario.java
@@ -17,8 +17,8 @@
 import java.util.function.Consumer;
 
 /**
- * Base of the staged scenarios: a serving fleet in virtual time, in which a test causes one failure by hand. The
- * methods of a class run one after another, each on a cluster of its own.
+ * Base class of scenario tests: a serving fleet in virtual time, into which a test injects one specific failure. The
+ * test methods of a class run one after another, each on its own cluster.
  */
 abstract class ClusterScenario {
     static final int GROUPS = 4;
@@ -53,7 +53,7 @@
         return ((StorageNode) p.node).group(group);
     }
 
-    /** The first other member. */
+    /** The first member of the group other than the leader. */
     final SimulatedProcess followerOf(final SimulatedProcess leader, final int group) {
         return cluster.processes.get(group(leader, group).members().stream()
                 .map(m -> m.node())
@@ -62,21 +62,21 @@
                 .orElseThrow());
     }
 
-    final long millisUntilOtherLeader(final int group, final SimulatedProcess not, final long limit) {
-        final long from = cluster.now();
-        while (cluster.now() < from + limit) {
+    final long millisUntilOtherLeader(final int group, final SimulatedProcess formerLeader, final long timeoutMs) {
+        final long start = cluster.now();
+        while (cluster.now() < start + timeoutMs) {
             cluster.run(cluster.now() + 10);
             final SimulatedProcess p = actingLeader(group);
-            if (p != null && p != not) {
-                return cluster.now() - from;
+            if (p != null && p != formerLeader) {
+                return cluster.now() - start;
             }
         }
         return Long.MAX_VALUE;
     }
 
     /**
-     * Empties the one machine that holds no copy of the group. With nowhere to make another copy, a member that is away
-     * stays a member, however long.
+     * Retires the only storage node that has no replica of the group. A member that is down then remains a member,
+     * since there is no node left on which it could be replaced.
      */
     final void retireSpareMachine(final int group) {
         final int spare = cluster.storages.stream()
@@ -133,15 +133,15 @@
 
     final Response publish(
             final int gateway, final String key, final String topic, final String sender, final long seq) {
-        final Response[] got = new Response[1];
+        final Response[] response = new Response[1];
         cluster.callers.ask(
                 cluster.processes.get(gateway),
                 id -> new NodeRequest.Publish(id, key, topic, sender, seq, "x"),
-                r -> got[0] = r);
-        for (int i = 0; i < 400 && got[0] == null; i++) {
+                r -> response[0] = r);
+        for (int i = 0; i < 400 && response[0] == null; i++) {
             cluster.run(cluster.now() + 10);
         }
-        assertNotNull(got[0], "no response within 4 s");
-        return got[0];
+        assertNotNull(response[0], "no response within 4 s");
+        return response[0];
     }
 }
--- a/testing/src/test/java/brookpath/testing/sim/ServingCluster.java
+++ b/testing/src/test/java/brookpath/testing/sim/ServingCluster.java
@@ -3,7 +3,7 @@
 import brookpath.coordination.TimingBounds;
 import java.util.EnumSet;
 
-/** Starts a small simulated cluster whose first document is confirmed, and whose groups have leaders. */
+/** Starts a small simulated cluster whose first configuration is confirmed and whose groups have leaders. */
 final class ServingCluster {
     private static final long FORMED_MS = 4_000;
     private static final long SERVING_MS = 8_000;
@@ -14,7 +14,7 @@
         return start(seed, TimingBounds.DEFAULT, TimingBounds.DEFAULT);
     }
 
-    /** The same with other periods. */
+    /** As {@link #start(long)}, with other timing bounds. */
     static SimulatedCluster start(final long seed, final TimingBounds timing, final TimingBounds controlTiming) {
         final SimulatedCluster cluster =
                 new SimulatedCluster(seed, FleetSize.SMALL, EnumSet.noneOf(Mutation.class), timing, controlTiming);
