--- a/testing/src/main/java/brookpath/testing/sim/CrashPoint.java
+++ b/testing/src/main/java/brookpath/testing/sim/CrashPoint.java
@@ -19,7 +19,7 @@
     APPEND,
     /** A published record is synced on the leader, and no other process knows. */
     SYNC,
-    /** The committed position has advanced, and no other process has been json. */
+    /** The committed position has advanced, and no other process has been told. */
     ACCEPT,
     /** The acceptance has just been sent. */
     ANSWER,
@@ -34,7 +34,7 @@
 
     private static final int GROUP_RECORD = 1;
 
-    /** The point that is reached once this entry is synced, null for none. {@link #SYNC} also marks it for APPEND. */
+    /** The point that is reached once this entry is synced, null for none. A published record gives {@link #SYNC}. */
     static CrashPoint ofWrite(final byte[] entry) {
         final PackedBuffer in = PackedBuffer.reader(entry);
         in.getLong();
--- a/testing/src/main/java/brookpath/testing/sim/SimulatedNetwork.java
+++ b/testing/src/main/java/brookpath/testing/sim/SimulatedNetwork.java
@@ -26,7 +26,7 @@
     long extraDelay;
     /** Losses per thousand messages on single links, in one direction. */
     final Map<Long, Integer> linkLoss = new HashMap<>();
-    /** The bandwidth of slow links, in one direction. */
+    /** The bandwidth of slow links in bits per second, in one direction. */
     final Map<Long, Integer> linkBitsPerSecond = new HashMap<>();
     /** Extra delay of single links, in one direction, in milliseconds; simulates a lagging receiver. */
     final Map<Long, Long> linkDelayMs = new HashMap<>();
