--- a/testing/src/main/java/brookpath/testing/sim/ControlFault.java
+++ b/testing/src/main/java/brookpath/testing/sim/ControlFault.java
@@ -6,9 +6,9 @@
 public enum ControlFault {
     /** A controller is cut off from all other processes and from callers. */
     CUT_OFF,
-    /** Messages from a controller are lost; it still receives. */
+    /** Messages from a controller do not arrive; it still receives. */
     CUT_SENDING,
-    /** Messages to a controller are lost; it can still send. */
+    /** Messages to a controller do not arrive; it can still send. */
     CUT_HEARING,
     /** A controller is cut off from the other counted machines; callers and gateways reach it. */
     CUT_FROM_CORE,
