--- a/testing/src/test/java/brookpath/platform/GatewayBeforeItsLeaseTest.java
+++ b/testing/src/test/java/brookpath/platform/GatewayBeforeItsLeaseTest.java
@@ -104,7 +104,7 @@
         final Path file = folder.resolve("node.json");
         Files.writeString(file, settings(processorShare));
         final NodeFile settings = NodeFile.read(file, Role.GATEWAY);
-        redirects = Main.redirectClients(settings);
+        redirects = Main.startRedirectServer(settings);
         host = Main.start(settings, SystemClock.monotonicMs()).host();
         opener = new Thread(() -> openToClients(settings), "opener");
         opener.setDaemon(true);
--- a/testing/src/test/java/brookpath/platform/GatewayStartTest.java
+++ b/testing/src/test/java/brookpath/platform/GatewayStartTest.java
@@ -68,7 +68,7 @@
                 .start();
         assertTrue(process.waitFor(TIMEOUT_S, TimeUnit.SECONDS), "the process does not end");
         final String output = Files.readString(folder.resolve(OUTPUT));
-        assertTrue(output.contains("open to clients") && !output.contains("cut short"), output);
+        assertTrue(output.contains("open to clients") && !output.contains("did not complete"), output);
         loaded = Files.readAllLines(folder.resolve(CLASSES));
     }
 
@@ -84,9 +84,12 @@
                     .start();
             try (BufferedReader output = gateway.inputReader()) {
                 assertTrue(output.lines().anyMatch(line -> line.contains("open to clients")), "it never opens");
-                cluster.callUntilSuccessful(
-                        LoopbackCluster.GATEWAY, LoopbackCluster.READINESS_PORT, "GET /brookpath/readiness", "");
-                cluster.runSession(ClassArchiveTraining.KEY);
+                cluster.sendUntilSuccessful(
+                        LoopbackCluster.GATEWAY_MACHINE,
+                        LoopbackCluster.READINESS_PORT,
+                        "GET /brookpath/readiness",
+                        "");
+                cluster.runSession(ClassArchiveTraining.ACCESS_KEY);
             } finally {
                 gateway.destroyForcibly().waitFor();
             }
@@ -163,7 +166,7 @@
         builder.environment()
                 .put(
                         NodeFile.VARIABLE,
-                        cluster.settingsFile(LoopbackCluster.GATEWAY, Role.GATEWAY)
+                        cluster.settingsFile(LoopbackCluster.GATEWAY_MACHINE, Role.GATEWAY)
                                 .toString());
         return builder;
     }
--- a/testing/src/test/java/brookpath/testing/PlatformHttpServerTest.java
+++ b/testing/src/test/java/brookpath/testing/PlatformHttpServerTest.java
@@ -5,9 +5,9 @@
 import static org.testng.Assert.assertFalse;
 import static org.testng.Assert.assertTrue;
 
-import brookpath.platform.control.HttpAnswer;
-import brookpath.platform.control.HttpCall;
 import brookpath.platform.control.PlatformHttpServer;
+import brookpath.platform.control.PlatformRequest;
+import brookpath.platform.control.PlatformResponse;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.embedded.EmbeddedChannel;
@@ -25,18 +25,18 @@
 
     /** Answers nothing by itself: the test completes each call when it likes. */
     private static final class SlowHandler implements PlatformHttpServer.RequestHandler {
-        final List<HttpCall> calls = new ArrayList<>();
-        final List<CompletableFuture<HttpAnswer>> answers = new ArrayList<>();
+        final List<PlatformRequest> calls = new ArrayList<>();
+        final List<CompletableFuture<PlatformResponse>> answers = new ArrayList<>();
 
         @Override
-        public CompletableFuture<HttpAnswer> handle(final HttpCall call) {
+        public CompletableFuture<PlatformResponse> handle(final PlatformRequest call) {
             calls.add(call);
             answers.add(new CompletableFuture<>());
             return answers.get(answers.size() - 1);
         }
 
         void answer(final int call, final int status) {
-            answers.get(call).complete(HttpAnswer.of(status));
+            answers.get(call).complete(PlatformResponse.of(status));
         }
     }
 
