--- a/testing/src/test/java/brookpath/platform/BufferProbe.java
+++ b/testing/src/test/java/brookpath/platform/BufferProbe.java
@@ -2,11 +2,11 @@
 
 import brookpath.state.record.PackedBuffer;
 
-/** Writes to a buffer of the state in a new process; fails where the runtime must open a package for that. */
+/** A program that writes to a state buffer; it fails if that needs a JDK package to be opened to the library. */
 final class BufferProbe {
     private BufferProbe() {}
 
-    /** Takes no arguments. */
+    /** Prints the size of the buffer. */
     public static void main(final String[] args) {
         System.out.println(PackedBuffer.writer().putLong(1).toByteArray().length);
     }
--- a/testing/src/test/java/brookpath/platform/GatewayBeforeItsLeaseTest.java
+++ b/testing/src/test/java/brookpath/platform/GatewayBeforeItsLeaseTest.java
@@ -27,33 +27,28 @@
 import org.testng.annotations.Test;
 
 /**
- * Clients that come to a gateway on a small machine before it has a lease on the configuration.
+ * Clients that connect to a gateway on a small machine before it has a lease on the configuration.
  *
- * <p>The failure: all machines of a large fleet lost power for a moment, and most clients that came back in the two
- * seconds after it could join nowhere in time. The order of events: large gateways could serve again after two seconds;
- * nine clients of ten were led to small gateways all the same, whose ports were closed for another one to two seconds,
- * and tried again and again, mostly at other small ones. The cause: a gateway that cannot serve yet told nobody who
- * can, although its settings name the machines whose gateways are the first to be open.
- *
- * <p>The evidence: on a day of that kind 283 of 3,219 requests of these two seconds were served in time, and 484 of
- * 3,189 where small gateways named such a machine to each client before their first lease. A join costs a small machine
- * 60 to 120 ms, so that four to eight of its 42 clients are served within the half second that they wait, however early
- * it is open.
+ * <p>Guards against clients that cannot join in time after all machines lose power for a moment. Large gateways serve
+ * again after two seconds, but most clients try small gateways, whose ports stay closed for another one to two seconds,
+ * and then try other small ones. The settings of a small gateway name the machines whose gateways are available first,
+ * so it redirects its clients to those. A join takes a small machine 60 to 120 ms, so without redirects it serves four
+ * to eight of its 42 clients within the half second that they wait, however early it accepts them.
  */
 @Test(groups = GatewayStartTest.REAL_PROCESSES)
 public final class GatewayBeforeItsLeaseTest {
     private static final String SELF = "127.0.0.1";
     private static final List<String> SEEDS = List.of("127.0.0.2", "127.0.0.3");
-    private static final double SMALL = 0.06;
-    private static final double LARGE = 0.66;
-    private static final int TRIES = 50;
-    private static final int TRY_PERIOD_MS = 100;
-    private static final int ANSWER_TIMEOUT_MS = 60_000;
+    private static final double SMALL_PROCESSOR_SHARE = 0.06;
+    private static final double LARGE_PROCESSOR_SHARE = 0.66;
+    private static final int MAX_CONNECT_ATTEMPTS = 50;
+    private static final int RETRY_PAUSE_MS = 100;
+    private static final int RESPONSE_TIMEOUT_MS = 60_000;
 
     private Path folder;
     private Host host;
     private RedirectServer redirects;
-    private Thread opener;
+    private Thread openerThread;
     private int frontendPort;
 
     @BeforeMethod(groups = GatewayStartTest.REAL_PROCESSES)
@@ -65,7 +60,7 @@
     @AfterMethod(groups = GatewayStartTest.REAL_PROCESSES, alwaysRun = true)
     public void stop() throws IOException {
         if (host != null) {
-            // why: the opener waits for a lease that never comes; it is a daemon
+            // The opener thread keeps waiting for a lease; it is a daemon thread, so it need not end.
             host.close();
         }
         if (redirects != null) {
@@ -76,27 +71,30 @@
     }
 
     @Test(groups = GatewayStartTest.REAL_PROCESSES)
-    public void aSmallGatewayNamesThoseThatAreOpenFirst() throws Exception {
-        start(SMALL);
-        final List<String> answers = new ArrayList<>();
+    public void smallGatewayRedirectsClientsToTheSeedGateways() throws Exception {
+        start(SMALL_PROCESSOR_SHARE);
+        final List<String> firstLines = new ArrayList<>();
         for (int client = 0; client < 2 * SEEDS.size(); client++) {
-            answers.add(hello("ana-" + client));
+            firstLines.add(hello("ana-" + client));
         }
         for (final String seed : SEEDS) {
             final String move = "MOVE " + seed + ":" + frontendPort;
-            assertEquals(answers.stream().filter(move::equals).count(), 2, "clients are spread evenly: " + answers);
+            assertEquals(
+                    firstLines.stream().filter(move::equals).count(),
+                    2,
+                    "clients are not spread evenly over the seed gateways: " + firstLines);
         }
     }
 
-    /** One that is open in less time than a client waits stays closed until then: its clients go on at once. */
+    /** A gateway that starts faster than clients time out does not redirect: their connections are refused at once. */
     @Test(groups = GatewayStartTest.REAL_PROCESSES)
-    public void aLargeGatewayAcceptsNobodyBeforeItsLease() throws Exception {
-        start(LARGE);
-        TimeUnit.MILLISECONDS.sleep(TRY_PERIOD_MS);
+    public void largeGatewayRefusesConnectionsBeforeItsLease() throws Exception {
+        start(LARGE_PROCESSOR_SHARE);
+        TimeUnit.MILLISECONDS.sleep(RETRY_PAUSE_MS);
         try (Socket socket = new Socket(InetAddress.getByName(SELF), frontendPort)) {
-            assertTrue(socket.isClosed(), "a client was accepted");
+            assertTrue(socket.isClosed(), "a client was accepted before the first lease");
         } catch (final ConnectException ex) {
-            assertTrue(opener.isAlive(), "it still waits for its lease");
+            assertTrue(openerThread.isAlive(), "the gateway no longer waits for its lease");
         }
     }
 
@@ -106,9 +104,9 @@
         final NodeFile settings = NodeFile.read(file, Role.GATEWAY);
         redirects = Main.startRedirectServer(settings);
         host = Main.start(settings, SystemClock.monotonicMs()).host();
-        opener = new Thread(() -> openToClients(settings), "opener");
-        opener.setDaemon(true);
-        opener.start();
+        openerThread = new Thread(() -> openToClients(settings), "opener");
+        openerThread.setDaemon(true);
+        openerThread.start();
     }
 
     private void openToClients(final NodeFile settings) {
@@ -121,18 +119,18 @@
         }
     }
 
-    /** The first line that the gateway answers to a client; it retries until the gateway listens. */
+    /** Returns the gateway's first line to a client; retries until the gateway listens. */
     private String hello(final String client) throws IOException, InterruptedException {
         for (int attempt = 1; ; attempt++) {
             try (Socket socket = new Socket(InetAddress.getByName(SELF), frontendPort)) {
-                socket.setSoTimeout(ANSWER_TIMEOUT_MS);
+                socket.setSoTimeout(RESPONSE_TIMEOUT_MS);
                 socket.getOutputStream().write(("HELLO " + client + " key\r\n").getBytes(US_ASCII));
                 return new BufferedReader(new InputStreamReader(socket.getInputStream(), US_ASCII)).readLine();
             } catch (final ConnectException ex) {
-                if (attempt == TRIES) {
+                if (attempt == MAX_CONNECT_ATTEMPTS) {
                     throw ex;
                 }
-                TimeUnit.MILLISECONDS.sleep(TRY_PERIOD_MS);
+                TimeUnit.MILLISECONDS.sleep(RETRY_PAUSE_MS);
             }
         }
     }
--- a/testing/src/test/java/brookpath/platform/GatewayStartTest.java
+++ b/testing/src/test/java/brookpath/platform/GatewayStartTest.java
@@ -30,32 +30,26 @@
 import org.testng.annotations.Test;
 
 /**
- * What the programs load, from their start to a first session of a client. Counted in classes, not in time, so that the
- * verdict does not depend on the machine.
+ * The classes that the programs load from their start to the first session of a client. Checks classes instead of
+ * times, so that the result does not depend on the machine.
  *
- * <p>The failure: all machines of a large fleet lost power for a moment, and most clients that came back in the two
- * seconds after it could join nowhere. The order of events: large gateways served again after two seconds; gateways on
- * a sixteenth of a core ran after another second, but opened to clients four seconds later, when the clients had given
- * up. The cause: between running and their first lease they did work that serving does not need. At that size each 60
- * milliseconds of processor time are a second.
- *
- * <p>The evidence: of 84 samples of a starting gateway's threads, 27 were in the registration of flight recorder events
- * by Netty's allocator, 6 in the search of all libraries for a JSON provider, 2 in linking a record's {@code equals}.
- * The same start with these avoided took 175 to 210 ms of processor time from running to open, beside load, after 290
- * to 317 on an idle machine.
+ * <p>Guards against gateways that start too slowly after all machines lose power for a moment. With a sixteenth of a
+ * core, 60 ms of processor time take about a second, so work that serving does not need delays the opening to clients
+ * by seconds, until the clients have given up. The costly parts are the flight recorder events that Netty's allocator
+ * registers, the search of all libraries for a JSON provider, and the linking of a record's {@code equals}.
  */
 @Test(groups = GatewayStartTest.REAL_PROCESSES)
 public final class GatewayStartTest {
     /** The group of tests that run alone, see testng.xml. */
     static final String REAL_PROCESSES = "real-processes";
 
-    /** Far above what any start takes; a start that hangs fails the test rather than the build. */
+    /** Much longer than any start takes, so that a start that hangs fails the test and does not block the build. */
     private static final int TIMEOUT_S = 120;
 
     private static final String CLASSES = "classes.txt";
     private static final String GATEWAY_CLASSES = "gateway-classes.txt";
     private static final String OUTPUT = "output.txt";
-    private static final String LINKED_CONCATENATION = "java/lang/invoke/StringConcatFactory";
+    private static final String CONCATENATION_FACTORY = "java/lang/invoke/StringConcatFactory";
 
     private Path folder;
     private List<String> loaded;
@@ -72,18 +66,20 @@
         loaded = Files.readAllLines(folder.resolve(CLASSES));
     }
 
-    /** A gateway in a process of its own, beside a control plane that serves, to the end of a client's session. */
+    /** Runs a gateway in its own process, with a working control plane, until the end of a client's session. */
     @BeforeClass(groups = REAL_PROCESSES, dependsOnMethods = "runTrainingCluster")
     public void runGateway() throws Exception {
         final LoopbackCluster cluster = new LoopbackCluster(Files.createTempDirectory(folder, "cluster"));
         try {
             cluster.start();
             cluster.configure(ClassArchiveTraining.configuration());
-            final Process gateway = gatewayOf(cluster, "-Xlog:class+load:file=" + folder.resolve(GATEWAY_CLASSES))
+            final Process gateway = gatewayProcess(cluster, "-Xlog:class+load:file=" + folder.resolve(GATEWAY_CLASSES))
                     .redirectOutput(ProcessBuilder.Redirect.PIPE)
                     .start();
             try (BufferedReader output = gateway.inputReader()) {
-                assertTrue(output.lines().anyMatch(line -> line.contains("open to clients")), "it never opens");
+                assertTrue(
+                        output.lines().anyMatch(line -> line.contains("open to clients")),
+                        "the gateway never opens to clients");
                 cluster.sendUntilSuccessful(
                         LoopbackCluster.GATEWAY_MACHINE,
                         LoopbackCluster.READINESS_PORT,
@@ -108,9 +104,9 @@
         }
     }
 
-    /** Each begins the names of classes that cost much to load and that no program needs in order to serve. */
+    /** Prefixes of the names of classes that are expensive to load and that no program needs in order to serve. */
     @DataProvider
-    public Object[][] needless() {
+    public Object[][] unneededClasses() {
         return new Object[][] {
             // the logging library, with its management beans and number formats
             {"org.tinylog."},
@@ -122,32 +118,32 @@
         };
     }
 
-    /** As {@link #needless}, of a gateway alone, which parses no documents of operators. */
+    /** As {@link #unneededClasses}, for a gateway, which does not parse the operators' documents either. */
     @DataProvider
-    public Object[][] needlessForAGateway() {
+    public Object[][] classesUnneededByAGateway() {
         return new Object[][] {
             {"jdk.jfr.internal.MetadataRepository"},
             // a logging framework that reads its own configuration
             {"java.util.logging."},
-            // a search through every library on the class path
+            // the search of every library on the class path for service providers
             {"java.util.ServiceLoader$LazyClassPathLookupIterator"},
-            // pools of memory outside the heap
+            // Netty's pools of off-heap memory
             {"io.netty.buffer.AdaptivePoolingAllocator"},
             // equals, hashCode and toString of a record, which are linked at their first use
             {"java.lang.runtime.ObjectMethods"},
-            // the text of a configuration, which the control plane has parsed and checked before
+            // the JSON parser: a gateway gets configurations that the control plane has already parsed and checked
             {"jakarta.json.spi."},
             {"org.eclipse.parsson."}
         };
     }
 
-    @Test(groups = REAL_PROCESSES, dataProvider = "needlessForAGateway")
-    public void aGatewayLoadsNothingNeedlessForItsFirstClients(final String prefix) {
+    @Test(groups = REAL_PROCESSES, dataProvider = "classesUnneededByAGateway")
+    public void gatewayLoadsNoUnneededClassesForItsFirstClients(final String prefix) {
         assertNotLoaded(loadedByGateway, prefix);
     }
 
-    @Test(groups = REAL_PROCESSES, dataProvider = "needless")
-    public void loadsNothingNeedless(final String prefix) {
+    @Test(groups = REAL_PROCESSES, dataProvider = "unneededClasses")
+    public void programsLoadNoUnneededClasses(final String prefix) {
         assertNotLoaded(loaded, prefix);
     }
 
@@ -158,10 +154,10 @@
                 .map(line -> line.substring(line.indexOf(prefix)))
                 .limit(3)
                 .toList();
-        assertEquals(found, List.of(), "needless for a start");
+        assertEquals(found, List.of(), "classes that a start does not need");
     }
 
-    private ProcessBuilder gatewayOf(final LoopbackCluster cluster, final String classLog) throws IOException {
+    private ProcessBuilder gatewayProcess(final LoopbackCluster cluster, final String classLog) throws IOException {
         final ProcessBuilder builder = java(classLog, Main.class, "gateway");
         builder.environment()
                 .put(
@@ -171,9 +167,12 @@
         return builder;
     }
 
-    /** It has nothing to serve yet and no server of its own, but goes on until it finds a controller. */
+    /**
+     * A gateway that cannot reach the control plane has nothing to serve, but keeps running and retries its
+     * controllers.
+     */
     @Test(groups = REAL_PROCESSES)
-    public void aGatewayWithoutAControlPlaneGoesOn() throws Exception {
+    public void gatewayWithoutAControlPlaneKeepsRunning() throws Exception {
         try (ServerSocket controller = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.2"))) {
             controller.setSoTimeout(TIMEOUT_S * 1_000);
             final Path settings = folder.resolve("node.json");
@@ -185,14 +184,14 @@
                 for (int i = 0; i < 2; i++) {
                     controller.accept().close();
                 }
-                assertTrue(process.isAlive(), "the process ended by itself");
+                assertTrue(process.isAlive(), "the process ended before it found a controller");
             } finally {
                 process.destroyForcibly().waitFor();
             }
         }
     }
 
-    /** @param controllerPort where the controllers of the settings listen for peers */
+    /** @param controllerPort the port on which the seed controllers listen for peers */
     private static String settings(final int controllerPort) {
         final int firstPort = controllerPort - 2;
         return "{\"NodeName\":\"gateway-1\",\"IpAddress\":\"127.0.0.1\",\"Zone\":\"z\",\"ListenAddresses\":{"
@@ -203,11 +202,11 @@
     }
 
     /**
-     * Opening a package of the runtime to a library takes two lambdas of the launcher, which are spun at each start: of
-     * 138 ms of processor time until the program has read its arguments, 23 were for that.
+     * Opening a JDK package to a library ({@code --add-opens}) makes the launcher generate two lambdas at each start,
+     * which takes 23 of the 138 ms of processor time until the program has read its arguments.
      */
     @Test(groups = REAL_PROCESSES)
-    public void theStateNeedsNoOpenedPackageOfTheRuntime() throws Exception {
+    public void stateBuffersNeedNoOpenedJdkPackage() throws Exception {
         final Path output = folder.resolve("buffer.txt");
         final Process process = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -238,7 +237,7 @@
                 .redirectOutput(folder.resolve(OUTPUT).toFile());
     }
 
-    /** One class of each module that the programs consist of. */
+    /** One class from each module of the programs. */
     @DataProvider
     public Object[][] modules() {
         return new Object[][] {
@@ -247,23 +246,24 @@
     }
 
     /**
-     * Concatenation that is linked at run time spins a method handle at each place in the code, anew at each start; no
-     * class archive holds them. The runtime's own classes load the factory, so the class files are searched for it.
+     * String concatenation with invokedynamic generates a method handle for each place in the code at each start; a
+     * class archive cannot contain them. JDK classes load the factory as well, so the test searches the class files of
+     * the programs for it instead of the loaded classes.
      */
     @Test(groups = REAL_PROCESSES, dataProvider = "modules")
-    public void concatenationIsCompiledInline(final Class<?> ofModule) throws Exception {
+    public void stringConcatenationIsCompiledInline(final Class<?> ofModule) throws Exception {
         final Path location = Path.of(
                 ofModule.getProtectionDomain().getCodeSource().getLocation().toURI());
         if (Files.isDirectory(location)) {
-            assertNoLinkedConcatenation(location);
+            assertNoConcatenationFactory(location);
             return;
         }
         try (FileSystem jar = FileSystems.newFileSystem(location)) {
-            assertNoLinkedConcatenation(jar.getPath("/"));
+            assertNoConcatenationFactory(jar.getPath("/"));
         }
     }
 
-    private static void assertNoLinkedConcatenation(final Path root) throws IOException {
+    private static void assertNoConcatenationFactory(final Path root) throws IOException {
         final List<Path> files;
         try (Stream<Path> all = Files.walk(root)) {
             files = all.filter(path -> path.toString().endsWith(".class")).toList();
@@ -271,7 +271,7 @@
         assertFalse(files.isEmpty(), "no class files under " + root);
         final List<Path> found = new ArrayList<>();
         for (final Path file : files) {
-            if (new String(Files.readAllBytes(file), ISO_8859_1).contains(LINKED_CONCATENATION)) {
+            if (new String(Files.readAllBytes(file), ISO_8859_1).contains(CONCATENATION_FACTORY)) {
                 found.add(root.relativize(file));
             }
         }
--- a/testing/src/test/java/brookpath/platform/MainTest.java
+++ b/testing/src/test/java/brookpath/platform/MainTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The names by which the deploy file starts a program. */
+/** The program names that the deploy file uses. */
 public final class MainTest {
     @DataProvider
     public Object[][] names() {
@@ -30,14 +30,14 @@
     }
 
     @Test(dataProvider = "names")
-    public void aProgramIsKnownByItsNameWithoutAWarning(final String name, final Role role) {
+    public void currentNameSelectsTheRoleWithoutAWarning(final String name, final Role role) {
         final ByteArrayOutputStream warnings = new ByteArrayOutputStream();
         assertEquals(roleOf(name, warnings), role);
         assertEquals(warnings.toString(UTF_8), "");
     }
 
     @Test(dataProvider = "formerNames")
-    public void aFormerNameWorksWithAWarning(final String formerName, final String name, final Role role) {
+    public void formerNameSelectsTheRoleWithAWarning(final String formerName, final String name, final Role role) {
         final ByteArrayOutputStream warnings = new ByteArrayOutputStream();
         assertEquals(roleOf(formerName, warnings), role);
         final String warning = warnings.toString(UTF_8);
@@ -45,7 +45,7 @@
     }
 
     @Test
-    public void anUnknownNameIsNoProgram() {
+    public void unknownNameSelectsNoRole() {
         assertNull(roleOf("front", new ByteArrayOutputStream()));
     }
 
--- a/testing/src/test/java/brookpath/platform/control/ConfigurationTranslatorTest.java
+++ b/testing/src/test/java/brookpath/platform/control/ConfigurationTranslatorTest.java
@@ -12,7 +12,7 @@
 import brookpath.coordination.configuration.PackedConfiguration;
 import org.testng.annotations.Test;
 
-/** Configurations of the platform as the product judges them. */
+/** How the product validates the platform's configurations after their translation. */
 public final class ConfigurationTranslatorTest {
     private static final String ROUTE =
             "{\"Name\":\"r-1\",\"Hostname\":\"\",\"PathPrefix\":\"kafi810.\",\"RouteKind\":\"retained\",\"TimeoutMs\":1500,"
@@ -21,23 +21,23 @@
             ROUTE.replace("r-1", "r-2").replace("kafi810.", "kalo181.").replace("\"Public\":false", "\"Public\":true");
     private static final String TENANT =
             "{\"Name\":\"nofi360\",\"AccessKeys\":[\"wrr6x73d3zji9n73hh2b\",\"9wu3fexd9dnn2ctnfzs9\"],\"Priority\":1}";
-    private static final String GOOD = "{\"Revision\":7,\"Routes\":[" + ROUTE + "," + OTHER
+    private static final String VALID = "{\"Revision\":7,\"Routes\":[" + ROUTE + "," + OTHER
             + "],\"Services\":[],\"Limits\":{\"MaximumBodyBytes\":262144," + "\"Subscriptions\":200},\"Tenants\":["
             + TENANT + "]}";
 
-    private static ConfigurationReader.Reading judged(
-            final String configuration, final long based, final Configuration present)
+    private static ConfigurationReader.Reading validated(
+            final String configuration, final long basedOn, final Configuration present)
             throws UnreadableConfigurationException {
         return ConfigurationReader.read(
-                ConfigurationTranslator.toChange(configuration.getBytes(UTF_8), based),
+                ConfigurationTranslator.toChange(configuration.getBytes(UTF_8), basedOn),
                 present.version() + 1,
                 new ConfigurationReader.Limits(3, 2),
                 present);
     }
 
     @Test
-    public void aGoodOneIsTakenAndReadBackAsItWas() throws UnreadableConfigurationException {
-        final ConfigurationReader.Reading reading = judged(GOOD, 0, Configuration.NONE);
+    public void validConfigurationIsAcceptedAndReadBackUnchanged() throws UnreadableConfigurationException {
+        final ConfigurationReader.Reading reading = validated(VALID, 0, Configuration.NONE);
         assertTrue(reading.findings().isEmpty(), reading.findings().toString());
         final Configuration configuration = reading.configuration();
         assertEquals(configuration.version(), 7);
@@ -48,62 +48,65 @@
                 && !configuration.spaceOf("kafi810.x").open());
         assertTrue(configuration.tenantOf("9wu3fexd9dnn2ctnfzs9").hasAccessTo("r-2"));
         final String readBack = "{\"version\":7,\"document\":"
-                + new String(ConfigurationTranslator.toChange(GOOD.getBytes(UTF_8), 0), UTF_8) + "}";
-        assertEquals(new String(ConfigurationTranslator.toConfiguration(readBack), UTF_8), GOOD);
-        final byte[] sent = PackedConfiguration.encode(configuration);
-        assertFalse(new String(sent, UTF_8).contains("TargetLatencyMs"));
-        assertEquals(PackedConfiguration.decode(sent).spaceOf("kafi810.2f").retentionMs(), 35_000);
+                + new String(ConfigurationTranslator.toChange(VALID.getBytes(UTF_8), 0), UTF_8) + "}";
+        assertEquals(new String(ConfigurationTranslator.toConfiguration(readBack), UTF_8), VALID);
+        final byte[] encoded = PackedConfiguration.encode(configuration);
+        assertFalse(new String(encoded, UTF_8).contains("TargetLatencyMs"));
+        assertEquals(PackedConfiguration.decode(encoded).spaceOf("kafi810.2f").retentionMs(), 35_000);
     }
 
     @Test
-    public void whatIsInvalidIsFound() throws UnreadableConfigurationException {
-        final Configuration present = judged(GOOD, 0, Configuration.NONE).configuration();
-        final String next = GOOD.replace("\"Revision\":7", "\"Revision\":9");
-        assertTrue(judged(next, 7, present).findings().isEmpty());
-        for (final String wrong : new String[] {
-            GOOD,
-            GOOD.replace("\"Revision\":7", "\"Revision\":5"),
+    public void invalidConfigurationIsRejected() throws UnreadableConfigurationException {
+        final Configuration present = validated(VALID, 0, Configuration.NONE).configuration();
+        final String next = VALID.replace("\"Revision\":7", "\"Revision\":9");
+        assertTrue(validated(next, 7, present).findings().isEmpty());
+        for (final String invalid : new String[] {
+            VALID,
+            VALID.replace("\"Revision\":7", "\"Revision\":5"),
             next.replace("kalo181.", "kafi810."),
             next.replace("\"TimeoutMs\":1500", "\"TimeoutMs\":0"),
             next.replace(TENANT, TENANT + "," + TENANT.replace("nofi360", "fino331"))
         }) {
-            assertFalse(judged(wrong, 7, present).findings().isEmpty(), wrong);
+            assertFalse(validated(invalid, 7, present).findings().isEmpty(), invalid);
         }
-        for (int cut = 0; cut < GOOD.length(); cut += 7) {
-            final String part = GOOD.substring(0, cut);
+        for (int length = 0; length < VALID.length(); length += 7) {
+            final String truncated = VALID.substring(0, length);
             assertThrows(
                     UnreadableConfigurationException.class,
-                    () -> ConfigurationTranslator.toChange(part.getBytes(UTF_8), 0));
+                    () -> ConfigurationTranslator.toChange(truncated.getBytes(UTF_8), 0));
         }
         assertThrows(
                 UnreadableConfigurationException.class,
                 () -> ConfigurationTranslator.toChange(
-                        GOOD.replace("\"Public\":false", "\"Service\":\"none\"").getBytes(UTF_8), 0));
+                        VALID.replace("\"Public\":false", "\"Service\":\"none\"")
+                                .getBytes(UTF_8),
+                        0));
         assertThrows(
                 UnreadableConfigurationException.class,
                 () -> ConfigurationTranslator.toChange(
-                        GOOD.replace("\"Revision\":7", "\"Revision\":7.5").getBytes(UTF_8), 0));
+                        VALID.replace("\"Revision\":7", "\"Revision\":7.5").getBytes(UTF_8), 0));
     }
 
     @Test
-    public void theSameOnTheSameVersionIsTheSameChange() throws UnreadableConfigurationException {
-        final String id = judged(GOOD, 0, Configuration.NONE).configuration().changeId();
-        assertEquals(judged(GOOD, 0, Configuration.NONE).configuration().changeId(), id);
-        assertNotEquals(judged(GOOD, 1, Configuration.NONE).configuration().changeId(), id);
+    public void changeIdDependsOnContentAndBaseVersion() throws UnreadableConfigurationException {
+        final String id =
+                validated(VALID, 0, Configuration.NONE).configuration().changeId();
+        assertEquals(validated(VALID, 0, Configuration.NONE).configuration().changeId(), id);
+        assertNotEquals(validated(VALID, 1, Configuration.NONE).configuration().changeId(), id);
         assertNotEquals(
-                judged(GOOD + " ", 0, Configuration.NONE).configuration().changeId(), id);
+                validated(VALID + " ", 0, Configuration.NONE).configuration().changeId(), id);
     }
 
     @Test
-    public void theLargestConfigurationThatIsReadFitsAChange() throws UnreadableConfigurationException {
+    public void largestAcceptedConfigurationFitsIntoAChange() throws UnreadableConfigurationException {
         final StringBuilder routes = new StringBuilder(ROUTE);
         for (int i = 2; routes.length() < PlatformHttpServer.MAX_BODY_BYTES - 1_000; i++) {
             routes.append(',').append(ROUTE.replace("r-1", "r-" + i).replace("kafi810.", "kafa" + i + "."));
         }
-        final String largest = GOOD.replace(ROUTE + "," + OTHER, routes);
+        final String largest = VALID.replace(ROUTE + "," + OTHER, routes);
         assertTrue(largest.length() <= PlatformHttpServer.MAX_BODY_BYTES, largest.length() + " bytes");
         final byte[] change = ConfigurationTranslator.toChange(largest.getBytes(UTF_8), 0);
         assertTrue(change.length <= ConfigurationReader.MAX_BYTES, change.length + " bytes as a change");
-        assertTrue(judged(largest, 0, Configuration.NONE).findings().isEmpty());
+        assertTrue(validated(largest, 0, Configuration.NONE).findings().isEmpty());
     }
 }
--- a/testing/src/test/java/brookpath/platform/line/LineDecoderTest.java
+++ b/testing/src/test/java/brookpath/platform/line/LineDecoderTest.java
@@ -12,21 +12,21 @@
 import java.util.SplittableRandom;
 import org.testng.annotations.Test;
 
-/** The line protocol against an oracle that knows what was written, however the bytes are cut. */
+/** Compares decoded messages with those that were sent, whatever the boundaries of the reads. */
 public final class LineDecoderTest {
     private static String text(final ClientMessage m) {
         return String.join(" ", m.words()) + "|" + m.body() + "|" + m.rejection();
     }
 
-    private static List<String> read(final EmbeddedChannel ch) {
-        final List<String> got = new ArrayList<>();
-        for (ClientMessage m = ch.readInbound(); m != null; m = ch.readInbound()) {
-            got.add(text(m));
+    private static List<String> read(final EmbeddedChannel channel) {
+        final List<String> decoded = new ArrayList<>();
+        for (ClientMessage m = channel.readInbound(); m != null; m = channel.readInbound()) {
+            decoded.add(text(m));
         }
-        return got;
+        return decoded;
     }
 
-    /** Random messages as a caller sends them, beside what is to be read of them. */
+    /** Random messages as a client sends them, with the expected decoded messages. */
     private static final class RandomMessages {
         final SplittableRandom random;
         final StringBuilder sent = new StringBuilder();
@@ -45,64 +45,64 @@
         }
 
         private void addPublish(final int i) {
-            final int len = switch (random.nextInt(5)) {
+            final int length = switch (random.nextInt(5)) {
                 case 0 -> random.nextInt(20);
                 case 1 -> LineDecoder.MAX_BODY_BYTES + 1 + random.nextInt(50);
                 default -> 20 + random.nextInt(300);
             };
-            final boolean odd = random.nextInt(6) == 0 && len > 0;
-            final String body = "b".repeat(Math.max(0, len - 1)) + (len == 0 ? "" : odd ? "\u0007" : "e");
-            final String head = "PUBLISH t." + i + " " + i + " " + len;
-            sent.append(head).append("\r\n").append(body).append("\r\n");
-            final String flaw = len > LineDecoder.MAX_BODY_BYTES
+            final boolean unprintable = random.nextInt(6) == 0 && length > 0;
+            final String body = "b".repeat(Math.max(0, length - 1)) + (length == 0 ? "" : unprintable ? "\u0007" : "e");
+            final String line = "PUBLISH t." + i + " " + i + " " + length;
+            sent.append(line).append("\r\n").append(body).append("\r\n");
+            final String rejection = length > LineDecoder.MAX_BODY_BYTES
                     ? "TOOLARGE"
-                    : len < LineDecoder.MIN_BODY_BYTES || odd ? "MALFORMED" : null;
-            expected.add(head + "|" + (flaw == null ? body : null) + "|" + flaw);
+                    : length < LineDecoder.MIN_BODY_BYTES || unprintable ? "MALFORMED" : null;
+            expected.add(line + "|" + (rejection == null ? body : null) + "|" + rejection);
         }
     }
 
     @Test
-    public void messagesAreTheSameHoweverTheBytesAreSplit() {
+    public void messagesDoNotDependOnHowTheBytesAreSplit() {
         for (long seed = 0; seed < 300; seed++) {
             final SplittableRandom random = new SplittableRandom(seed);
             final RandomMessages messages = new RandomMessages(random, 20);
-            final EmbeddedChannel ch = new EmbeddedChannel(new LineDecoder());
+            final EmbeddedChannel channel = new EmbeddedChannel(new LineDecoder());
             final byte[] bytes = messages.sent.toString().getBytes(US_ASCII);
-            for (int at = 0; at < bytes.length; ) {
-                final int n = Math.min(bytes.length - at, 1 + random.nextInt(700));
-                ch.writeInbound(Unpooled.copiedBuffer(bytes, at, n));
-                at += n;
+            for (int offset = 0; offset < bytes.length; ) {
+                final int n = Math.min(bytes.length - offset, 1 + random.nextInt(700));
+                channel.writeInbound(Unpooled.copiedBuffer(bytes, offset, n));
+                offset += n;
             }
-            assertEquals(read(ch), messages.expected, "seed " + seed);
-            assertTrue(ch.isActive(), "seed " + seed);
+            assertEquals(read(channel), messages.expected, "seed " + seed);
+            assertTrue(channel.isActive(), "seed " + seed);
         }
     }
 
     @Test
-    public void whatCannotBeToldApartEndsTheConnection() {
-        for (final String nonsense : new String[] {
+    public void unknownMessageBoundaryClosesTheConnection() {
+        for (final String malformed : new String[] {
             "PUBLISH t 1 x\r\n",
             "PUBLISH t 1\r\n",
             "PUBLISH t 1 99999999\r\n",
             "x".repeat(5_000),
             "PUBLISH t 1 20\r\n" + "b".repeat(25)
         }) {
-            final EmbeddedChannel ch = new EmbeddedChannel(new LineDecoder());
-            ch.writeInbound(Unpooled.copiedBuffer(nonsense, US_ASCII));
-            assertFalse(ch.isActive(), nonsense.substring(0, Math.min(30, nonsense.length())));
+            final EmbeddedChannel channel = new EmbeddedChannel(new LineDecoder());
+            channel.writeInbound(Unpooled.copiedBuffer(malformed, US_ASCII));
+            assertFalse(channel.isActive(), malformed.substring(0, Math.min(30, malformed.length())));
         }
     }
 
     @Test
-    public void noBytesMakeItThrow() {
+    public void arbitraryBytesCauseNoException() {
         for (long seed = 0; seed < 500; seed++) {
             final SplittableRandom random = new SplittableRandom(seed);
             final byte[] bytes = new byte[random.nextInt(2_000)];
             random.nextBytes(bytes);
-            final EmbeddedChannel ch = new EmbeddedChannel(new LineDecoder());
-            ch.writeInbound(Unpooled.copiedBuffer("HELLO a b\r\n", US_ASCII), Unpooled.wrappedBuffer(bytes));
-            assertEquals(read(ch).get(0), "HELLO a b|null|null", "seed " + seed);
-            ch.checkException();
+            final EmbeddedChannel channel = new EmbeddedChannel(new LineDecoder());
+            channel.writeInbound(Unpooled.copiedBuffer("HELLO a b\r\n", US_ASCII), Unpooled.wrappedBuffer(bytes));
+            assertEquals(read(channel).get(0), "HELLO a b|null|null", "seed " + seed);
+            channel.checkException();
         }
     }
 }
--- a/testing/src/test/java/brookpath/platform/line/ServerMessagesTest.java
+++ b/testing/src/test/java/brookpath/platform/line/ServerMessagesTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The bytes of the line protocol that a client is sent. */
+/** The encoding of the line protocol messages that are sent to clients. */
 public final class ServerMessagesTest {
     @Test
     public void eachMessageIsOneLine() {
@@ -26,7 +26,7 @@
     }
 
     @Test
-    public void whatARefusalDoesNotNameIsADash() {
+    public void missingFieldOfARefusalIsADash() {
         assertEquals(
                 ServerMessages.refused("PUBLISH", "t.a", "17", RefusalReason.TOOLARGE),
                 "REFUSED PUBLISH t.a 17 TOOLARGE\r\n");
@@ -35,7 +35,7 @@
     }
 
     @Test
-    public void aDeliveryIsALineAndItsBody() {
+    public void deliveryConsistsOfALineAndABody() {
         final LogRecord logRecord = LogRecord.of(
                 9, 1, 1_000, LogRecord.PUBLISH, LogRecord.publishBody(4, 2, "tenant", "t.a", "ana", "river closed"), 0);
         final ByteBuf buffer = ServerMessages.delivery(logRecord, ByteBufAllocator.DEFAULT);
@@ -62,7 +62,7 @@
     }
 
     @Test(dataProvider = "responses")
-    public void eachResponseHasItsReason(final int status, final String code, final RefusalReason reason) {
+    public void eachResponseMapsToAReason(final int status, final String code, final RefusalReason reason) {
         assertEquals(RefusalReason.of(new Response(status, 0, "{}", code)), reason);
     }
 }
--- a/testing/src/test/java/brookpath/testing/GoldenPlatformTest.java
+++ b/testing/src/test/java/brookpath/testing/GoldenPlatformTest.java
@@ -37,18 +37,18 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What clients, operators and the platform read of a node, byte for byte, whatever it does inside. */
+/** The bytes that a node sends to clients, operators and the platform, compared with recorded ones. */
 public final class GoldenPlatformTest {
     private static final String LOCAL = "127.0.0.1:";
-    private static final int PATIENCE_MS = 10_000;
-    private static final long PING_MS = 600_000;
-    /** The topics of this space are answered with the status that follows. */
+    private static final int TIMEOUT_MS = 10_000;
+    private static final long PING_INTERVAL_MS = 600_000;
+    /** The response to a request for such a topic has the status, and the code, that the topic contains. */
     private static final Pattern STATUS_TOPIC = Pattern.compile("status/([0-9]+)-?([a-z]*)");
 
     private static final Pattern BASED_ON = Pattern.compile("\"basedOn\":([0-9]+)");
     private static final String HELLO = "HELLO ana key-1\r\n";
-    /** Asked once all other answers were read, to see that nothing else comes before its own. */
-    private static final String LAST = "AUDIENCE end\r\n";
+    /** Sent after all other responses were read: its own must come next, so that no unexpected line goes unnoticed. */
+    private static final String LAST_REQUEST = "AUDIENCE end\r\n";
 
     private static final String BODY = "a message of 27 characters.";
     private static final String ROUTE =
@@ -59,11 +59,11 @@
     private static final String CONFIGURATION = "{\"Revision\":7,\"Routes\":[" + ROUTE + "," + OPEN_ROUTE
             + "],\"Services\":[{\"Name\":\"s-1\"}],\"Limits\":{\"MaximumBodyBytes\":262144,\"Subscriptions\":200},"
             + "\"Tenants\":[{\"Name\":\"nofi360\",\"AccessKeys\":[\"k1\",\"k2\"],\"Priority\":1}]}";
-    private static final String SMALLEST =
+    private static final String MINIMAL_CONFIGURATION =
             "{\"Revision\":8,\"Routes\":[],\"Services\":[],\"Limits\":{},\"Tenants\":[]}";
 
     private final GoldenFile golden = new GoldenFile(GoldenPlatformTest.class, "golden-platform.txt");
-    /** The configuration changes that reached the node, by the version that they build on. */
+    /** The configuration changes that reached the node, by the version that they are basedOn on. */
     private final Map<Integer, String> changes = new ConcurrentHashMap<>();
 
     private EventLoopGroup loops;
@@ -76,9 +76,9 @@
     @BeforeClass
     public void start() throws Exception {
         loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        host = new ScriptedNode(this::act).start();
+        host = new ScriptedNode(this::respond).start();
         linePort = freePort();
-        new LineServer().listen(LOCAL + linePort, host, loops, PING_MS);
+        new LineServer().listen(LOCAL + linePort, host, loops, PING_INTERVAL_MS);
         operatorPort = freePort();
         PlatformHttpServer.listen(LOCAL + operatorPort, loops, new OperatorRequestHandler(host));
         readinessPort = freePort();
@@ -92,9 +92,9 @@
         golden.write();
     }
 
-    // ---- the node's side
+    // ---- the scripted node
 
-    private void act(final NodeRequest request, final Actions out) {
+    private void respond(final NodeRequest request, final Actions out) {
         if (request instanceof NodeRequest.Open r) {
             out.respond(r.requestId(), response(r.key().equals("key-1") ? "status/200" : "status/401-key"));
         } else if (request instanceof NodeRequest.Publish r) {
@@ -163,15 +163,15 @@
         };
     }
 
-    /** The version that a change builds on is the status that it gets. */
+    /** Responds with the version that the change is basedOn on as the status. */
     private Response change(final String body) {
-        final Matcher based = BASED_ON.matcher(body);
-        final int status = based.find() ? Integer.parseInt(based.group(1)) : 0;
+        final Matcher basedOn = BASED_ON.matcher(body);
+        final int status = basedOn.find() ? Integer.parseInt(basedOn.group(1)) : 0;
         changes.put(status, body);
         return new Response(status, status > 500 ? 1_500 : 0, "{\"outcome\":\"as asked\"}");
     }
 
-    // ---- lines
+    // ---- the line protocol
 
     @DataProvider
     public Object[][] lines() {
@@ -185,28 +185,29 @@
             {"unprintable word", "\u0001\r\n", 1},
             {"before hello, publish", publishLine("status/200"), 1},
             {"before hello, subscribe", "SUBSCRIBE space/a\r\n", 1},
-            {"publish", HELLO + publishLine("status/200") + LAST, 3},
-            {"publish, 401", HELLO + publishLine("status/401") + LAST, 3},
-            {"publish, 403", HELLO + publishLine("status/403") + LAST, 3},
-            {"publish, no such space", HELLO + publishLine("status/403-" + RouteFinder.UNKNOWN_SPACE) + LAST, 3},
-            {"publish, 404", HELLO + publishLine("status/404") + LAST, 3},
-            {"publish, 409", HELLO + publishLine("status/409") + LAST, 3},
-            {"publish, 410", HELLO + publishLine("status/410") + LAST, 3},
-            {"publish, 413", HELLO + publishLine("status/413") + LAST, 3},
-            {"publish, 503", HELLO + publishLine("status/503") + LAST, 3},
-            {"publish, 504", HELLO + publishLine("status/504") + LAST, 3},
-            {"publish, 400", HELLO + publishLine("status/400") + LAST, 3},
+            {"publish", HELLO + publishLine("status/200") + LAST_REQUEST, 3},
+            {"publish, 401", HELLO + publishLine("status/401") + LAST_REQUEST, 3},
+            {"publish, 403", HELLO + publishLine("status/403") + LAST_REQUEST, 3},
+            {"publish, no such space", HELLO + publishLine("status/403-" + RouteFinder.UNKNOWN_SPACE) + LAST_REQUEST, 3
+            },
+            {"publish, 404", HELLO + publishLine("status/404") + LAST_REQUEST, 3},
+            {"publish, 409", HELLO + publishLine("status/409") + LAST_REQUEST, 3},
+            {"publish, 410", HELLO + publishLine("status/410") + LAST_REQUEST, 3},
+            {"publish, 413", HELLO + publishLine("status/413") + LAST_REQUEST, 3},
+            {"publish, 503", HELLO + publishLine("status/503") + LAST_REQUEST, 3},
+            {"publish, 504", HELLO + publishLine("status/504") + LAST_REQUEST, 3},
+            {"publish, 400", HELLO + publishLine("status/400") + LAST_REQUEST, 3},
             {"publish, number missing", HELLO + "PUBLISH space/a x 27\r\n" + BODY + "\r\n", 2},
             {"publish, body too short", HELLO + "PUBLISH space/a 1 4\r\nbody\r\n", 2},
             {"publish, length unreadable", HELLO + "PUBLISH space/a 1 x\r\n", 2},
-            {"subscribe, deliveries", HELLO + "SUBSCRIBE space/delivered\r\n" + LAST, 7},
-            {"subscribe, ended later", HELLO + "SUBSCRIBE space/ended c5\r\n" + LAST, 5},
-            {"subscribe, moved", HELLO + "SUBSCRIBE space/moved c5\r\n" + LAST, 3},
+            {"subscribe, deliveries", HELLO + "SUBSCRIBE space/delivered\r\n" + LAST_REQUEST, 7},
+            {"subscribe, ended later", HELLO + "SUBSCRIBE space/ended c5\r\n" + LAST_REQUEST, 5},
+            {"subscribe, moved", HELLO + "SUBSCRIBE space/moved c5\r\n" + LAST_REQUEST, 3},
             {"subscribe, closed", HELLO + "SUBSCRIBE space/closed c5\r\n", -1},
-            {"subscribe, cursor unreadable", HELLO + "SUBSCRIBE status/400-cursor c5\r\n" + LAST, 3},
+            {"subscribe, cursor unreadable", HELLO + "SUBSCRIBE status/400-cursor c5\r\n" + LAST_REQUEST, 3},
             {"subscribe, too many words", HELLO + "SUBSCRIBE space/a c5 x\r\n", 2},
-            {"detach", HELLO + "DETACH space/a\r\n" + LAST, 3},
-            {"audience, refused", HELLO + "AUDIENCE status/503\r\n" + LAST, 3},
+            {"detach", HELLO + "DETACH space/a\r\n" + LAST_REQUEST, 3},
+            {"audience, refused", HELLO + "AUDIENCE status/503\r\n" + LAST_REQUEST, 3},
         };
     }
 
@@ -215,25 +216,25 @@
     }
 
     @Test(dataProvider = "lines")
-    public void clientsReadTheseLines(final String name, final String sent, final int count) throws IOException {
+    public void clientsReceiveRecordedLines(final String name, final String sent, final int count) throws IOException {
         golden.assertHolds("line, " + name, oneLine(lines(sent, count)));
     }
 
     /**
-     * Sends the lines and reads so many; a negative count reads until the other side closes. The greeting goes alone,
-     * for nothing else may be done before its answer, and so does the last question: answers are written by two
-     * threads, so that of a later question may overtake that of an earlier one that is still open.
+     * Sends the lines and reads the given number of lines; a negative count reads until the node closes the connection.
+     * The HELLO is sent alone, because the session opens only with its response. So is the last request: responses are
+     * written by two threads, so that its response could overtake that of an earlier request that is still pending.
      */
     private String lines(final String sent, final int count) throws IOException {
         try (Socket socket = connect(linePort)) {
-            final boolean greets = sent.startsWith(HELLO);
-            final boolean asksLast = sent.endsWith(LAST);
-            final String greeting = greets ? exchangeLines(socket, HELLO, 1) : "";
-            final String between =
-                    sent.substring(greets ? HELLO.length() : 0, sent.length() - (asksLast ? LAST.length() : 0));
-            final int left = count < 0 ? Integer.MAX_VALUE : count - (greets ? 1 : 0) - (asksLast ? 1 : 0);
-            final String answers = exchangeLines(socket, between, left);
-            return greeting + answers + (asksLast ? exchangeLines(socket, LAST, 1) : "");
+            final boolean startsWithHello = sent.startsWith(HELLO);
+            final boolean endsWithLast = sent.endsWith(LAST_REQUEST);
+            final String helloResponse = startsWithHello ? exchangeLines(socket, HELLO, 1) : "";
+            final String middle = sent.substring(
+                    startsWithHello ? HELLO.length() : 0, sent.length() - (endsWithLast ? LAST_REQUEST.length() : 0));
+            final int left = count < 0 ? Integer.MAX_VALUE : count - (startsWithHello ? 1 : 0) - (endsWithLast ? 1 : 0);
+            final String middleResponses = exchangeLines(socket, middle, left);
+            return helloResponse + middleResponses + (endsWithLast ? exchangeLines(socket, LAST_REQUEST, 1) : "");
         }
     }
 
@@ -242,53 +243,54 @@
         return read(socket, lines);
     }
 
-    // ---- the operator's calls and the readiness
+    // ---- operator requests and the readiness probe
 
     @DataProvider
-    public Object[][] operatorCalls() {
+    public Object[][] operatorRequests() {
         return new Object[][] {
             {"replace", replace(200, CONFIGURATION)},
-            {"replace, smallest", replace(201, SMALLEST)},
+            {"replace, smallest", replace(201, MINIMAL_CONFIGURATION)},
             {"replace, unreadable", replace(202, CONFIGURATION.substring(0, 40))},
             {"replace, service unknown", replace(202, CONFIGURATION.replace("{\"Name\":\"s-1\"}", ""))},
-            {"replace, no version", call("POST", "Configuration.Replace", "", CONFIGURATION)},
+            {"replace, no version", httpRequest("POST", "Configuration.Replace", "", CONFIGURATION)},
             {"replace, out of date", replace(409, CONFIGURATION)},
             {"replace, invalid", replace(422, CONFIGURATION)},
             {"replace, not available", replace(503, CONFIGURATION)},
             {"replace, unsettled", replace(504, CONFIGURATION)},
-            {"read", call("GET", "Configuration.Read", "", "")},
-            {"retire", call("POST", "Retire.Begin/machine-1", "", "")},
-            {"retire, unknown", call("POST", "Retire.Begin/machine-2", "", "")},
-            {"retired, completed", call("GET", "Retire.Read/machine-1", "", "")},
-            {"retired, running", call("GET", "Retire.Read/machine-2", "", "")},
-            {"unknown path", call("GET", "Nonsense", "", "")},
+            {"read", httpRequest("GET", "Configuration.Read", "", "")},
+            {"retire", httpRequest("POST", "Retire.Begin/machine-1", "", "")},
+            {"retire, unknown", httpRequest("POST", "Retire.Begin/machine-2", "", "")},
+            {"retired, completed", httpRequest("GET", "Retire.Read/machine-1", "", "")},
+            {"retired, running", httpRequest("GET", "Retire.Read/machine-2", "", "")},
+            {"unknown path", httpRequest("GET", "Nonsense", "", "")},
             {"not http", "nonsense\r\n\r\n"},
         };
     }
 
-    private static String replace(final int based, final String configuration) {
-        return call("POST", "Configuration.Replace", "X-Brookpath-Based-On-Version: " + based + "\r\n", configuration);
+    private static String replace(final int basedOn, final String configuration) {
+        return httpRequest(
+                "POST", "Configuration.Replace", "X-Brookpath-Based-On-Version: " + basedOn + "\r\n", configuration);
     }
 
-    private static String call(final String method, final String path, final String header, final String body) {
+    private static String httpRequest(final String method, final String path, final String header, final String body) {
         return method + " /brookpath/" + path + " HTTP/1.1\r\nHost: x\r\n" + header + "Content-Length: " + body.length()
                 + "\r\nConnection: close\r\n\r\n" + body;
     }
 
-    @Test(dataProvider = "operatorCalls")
-    public void operatorsReadTheseAnswers(final String name, final String call) throws IOException {
-        golden.assertHolds("operator, " + name, oneLine(exchange(operatorPort, call)));
+    @Test(dataProvider = "operatorRequests")
+    public void operatorsReceiveRecordedResponses(final String name, final String httpRequest) throws IOException {
+        golden.assertHolds("operator, " + name, oneLine(exchange(operatorPort, httpRequest)));
     }
 
-    @Test(dependsOnMethods = "operatorsReadTheseAnswers")
-    public void theNodeGetsTheseChanges() {
+    @Test(dependsOnMethods = "operatorsReceiveRecordedResponses")
+    public void nodeReceivesRecordedChanges() {
         golden.assertHolds("change, of a configuration", changes.get(200));
         golden.assertHolds("change, of the smallest configuration", changes.get(201));
     }
 
     @Test
-    public void theReadinessIsAnsweredSo() throws IOException {
-        final String probe = call("GET", "readiness", "", "");
+    public void readinessProbeReceivesRecordedResponses() throws IOException {
+        final String probe = httpRequest("GET", "readiness", "", "");
         golden.assertHolds("readiness, serving", oneLine(exchange(readinessPort, probe)));
         golden.assertHolds(
                 "readiness, two calls on one connection",
@@ -298,13 +300,13 @@
         readiness = new Response(503, 0, "{}");
         golden.assertHolds("readiness, not serving", oneLine(exchange(readinessPort, probe)));
         golden.assertHolds(
-                "readiness, unknown path", oneLine(exchange(readinessPort, call("GET", "Nonsense", "", ""))));
+                "readiness, unknown path", oneLine(exchange(readinessPort, httpRequest("GET", "Nonsense", "", ""))));
     }
 
-    // ---- what the platform is told
+    // ---- usage reports
 
     @Test
-    public void thePlatformIsToldTheUsageSo() {
+    public void platformReceivesRecordedUsageReport() {
         final Action.Post post = new Action.Post(
                 5,
                 "3",
@@ -312,7 +314,7 @@
                         + "{\"tenant\":\"b\",\"publishes\":4,\"bytes\":9,\"late\":false},"
                         + "{\"tenant\":\"a\",\"publishes\":0,\"bytes\":0,\"late\":true},"
                         + "{\"tenant\":\"\",\"publishes\":1,\"bytes\":2,\"late\":false}]}");
-        final UsagePoster poster = new UsagePoster("machine-1", "10.0.0.9:80", PATIENCE_MS, () -> loops);
+        final UsagePoster poster = new UsagePoster("machine-1", "10.0.0.9:80", TIMEOUT_MS, () -> loops);
         final EmbeddedChannel channel = new EmbeddedChannel(new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(final Channel ch) {
@@ -337,13 +339,13 @@
 
     private static Socket connect(final int port) throws IOException {
         final Socket socket = new Socket("127.0.0.1", port);
-        socket.setSoTimeout(PATIENCE_MS);
+        socket.setSoTimeout(TIMEOUT_MS);
         return socket;
     }
 
-    private static String exchange(final int port, final String call) throws IOException {
+    private static String exchange(final int port, final String httpRequest) throws IOException {
         try (Socket socket = connect(port)) {
-            send(socket, call);
+            send(socket, httpRequest);
             return read(socket, Integer.MAX_VALUE);
         }
     }
@@ -353,20 +355,20 @@
         socket.getOutputStream().flush();
     }
 
-    /** Reads so many lines, or until the other side closes. */
+    /** Reads the given number of lines, or until the other side closes the connection. */
     private static String read(final Socket socket, final int lines) throws IOException {
         final InputStream in = socket.getInputStream();
-        final ByteArrayOutputStream heard = new ByteArrayOutputStream();
+        final ByteArrayOutputStream received = new ByteArrayOutputStream();
         int left = lines;
         while (left > 0) {
             final int next = in.read();
             if (next < 0) {
-                return heard.toString(US_ASCII) + "(closed)";
+                return received.toString(US_ASCII) + "(closed)";
             }
-            heard.write(next);
+            received.write(next);
             left -= next == '\n' ? 1 : 0;
         }
-        return heard.toString(US_ASCII);
+        return received.toString(US_ASCII);
     }
 
     private static String oneLine(final String text) {
--- a/testing/src/test/java/brookpath/testing/NamesTest.java
+++ b/testing/src/test/java/brookpath/testing/NamesTest.java
@@ -12,7 +12,7 @@
 import java.util.stream.Stream;
 import org.testng.annotations.Test;
 
-/** Nothing outside platform/ knows the platform's names. */
+/** The platform's names are used in the platform module only. */
 public final class NamesTest {
     private static final Pattern NAMES = Pattern.compile(
             "X-Brookpath-|BROOKPATH_NODE_FILE|/brookpath/readiness|Configuration\\.(Replace|Read)|Retire\\.(Begin|Read)|"
@@ -20,17 +20,17 @@
                     + "RetentionS|OrderedDelivery|AccessKeys|InstanceCounts|WindowNumber|Revision|HELLO|SUBSCRIBE|DETACH|AUDIENCE|PUBLISH|UNCERTAIN|EXPIRED|ACCEPTED)[\" ]");
 
     @Test
-    public void thePlatformsNamesStandInItsFolderAlone() throws IOException {
+    public void platformNamesOccurInThePlatformModuleOnly() throws IOException {
         final Path root = Files.exists(Path.of("platform")) ? Path.of(".") : Path.of("..");
         final List<String> found = new ArrayList<>();
-        int read = 0;
-        for (final String layer :
+        int filesRead = 0;
+        for (final String module :
                 new String[] {"state", "coordination", "protocol", "transport", "programs", "tools", "testing/src/main"
                 }) {
-            try (Stream<Path> files = Files.walk(root.resolve(layer))) {
+            try (Stream<Path> files = Files.walk(root.resolve(module))) {
                 for (final Path file : files.filter(f -> f.toString().matches(".*/src/.*\\.(java|xml|properties)"))
                         .toList()) {
-                    read++;
+                    filesRead++;
                     final Matcher m = NAMES.matcher(Files.readString(file));
                     if (m.find()) {
                         found.add(file + ": " + m.group());
@@ -38,7 +38,7 @@
                 }
             }
         }
-        assertTrue(read > 60, "only " + read + " files were read");
+        assertTrue(filesRead > 60, "only " + filesRead + " files were read");
         assertTrue(found.isEmpty(), String.join("\n", found));
         try (Stream<Path> files = Files.walk(root.resolve("platform"))) {
             assertTrue(
@@ -49,7 +49,7 @@
                             throw new java.io.UncheckedIOException(ex);
                         }
                     }),
-                    "the pattern finds nothing even where the names are");
+                    "the pattern matches nothing in the platform module either");
         }
     }
 }
--- a/testing/src/test/java/brookpath/testing/UsagePosterTest.java
+++ b/testing/src/test/java/brookpath/testing/UsagePosterTest.java
@@ -18,9 +18,9 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** How a call to the platform may end, and what is known then. */
+/** The outcome of a usage report to the platform, for each way in which the request can end. */
 public final class UsagePosterTest {
-    private static final long DEADLINE_MS = 1_000;
+    private static final long TIMEOUT_MS = 1_000;
     private static final String ADDRESS = "10.0.0.9:80";
     private static final Action.Post REPORT = new Action.Post(
             5,
@@ -29,19 +29,19 @@
                     + "{\"tenant\":\"t\",\"publishes\":4,\"bytes\":9,\"late\":false},"
                     + "{\"tenant\":\"\",\"publishes\":1,\"bytes\":2,\"late\":false}]}");
 
-    private final UsagePoster poster = new UsagePoster("front-1", ADDRESS, DEADLINE_MS, () -> null);
+    private final UsagePoster poster = new UsagePoster("front-1", ADDRESS, TIMEOUT_MS, () -> null);
 
-    /** One call, to a platform that the test plays. */
-    private final class Played {
+    /** One usage report; the test plays the platform. */
+    private final class ReportRequest {
         final CompletableFuture<PostOutcome> outcome = new CompletableFuture<>();
         final EmbeddedChannel channel = new EmbeddedChannel(new ChannelInitializer<Channel>() {
             @Override
-            protected void initChannel(final Channel ch) {
-                poster.install(ch.pipeline(), REPORT, ADDRESS, outcome);
+            protected void initChannel(final Channel newChannel) {
+                poster.install(newChannel.pipeline(), REPORT, ADDRESS, outcome);
             }
         });
 
-        String heard() {
+        String sentText() {
             final StringBuilder text = new StringBuilder();
             for (ByteBuf buf = channel.readOutbound(); buf != null; buf = channel.readOutbound()) {
                 text.append(buf.toString(US_ASCII));
@@ -50,20 +50,20 @@
             return text.toString();
         }
 
-        void answer(final String text) {
+        void respond(final String text) {
             channel.writeInbound(Unpooled.copiedBuffer(text, US_ASCII));
             channel.runPendingTasks();
         }
 
-        void ends(final PostOutcome how) {
-            assertTrue(outcome.isDone(), "its end is not told");
-            assertEquals(outcome.join(), how);
-            assertFalse(channel.isOpen(), "the connection outlives the call");
+        void assertEndedWith(final PostOutcome expected) {
+            assertTrue(outcome.isDone(), "the report has no outcome yet");
+            assertEquals(outcome.join(), expected);
+            assertFalse(channel.isOpen(), "the connection stays open after the report");
         }
     }
 
     @DataProvider
-    public static Object[][] answers() {
+    public static Object[][] responses() {
         return new Object[][] {
             {"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", PostOutcome.ACCEPTED},
             {"HTTP/1.1 409 Conflict\r\nContent-Length: 2\r\n\r\n{}", PostOutcome.FENCED},
@@ -76,51 +76,51 @@
         };
     }
 
-    @Test(dataProvider = "answers")
-    public void anAnswerSaysHowItEnded(final String answer, final PostOutcome outcome) {
-        final Played call = new Played();
-        call.heard();
-        call.answer(answer);
-        call.ends(outcome);
+    @Test(dataProvider = "responses")
+    public void responseDeterminesTheOutcome(final String response, final PostOutcome outcome) {
+        final ReportRequest report = new ReportRequest();
+        report.sentText();
+        report.respond(response);
+        report.assertEndedWith(outcome);
     }
 
     @Test
-    public void afterSilenceItsEndIsUnknownAndNoLateAnswerIsTaken() {
-        final Played call = new Played();
-        call.heard();
-        call.channel.advanceTimeBy(DEADLINE_MS + 1, TimeUnit.MILLISECONDS);
-        call.channel.runScheduledPendingTasks();
-        call.ends(PostOutcome.UNKNOWN);
-        final Played next = new Played();
-        assertFalse(next.outcome.isDone(), "the next call ended with the earlier one");
-        next.answer("HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n");
-        next.ends(PostOutcome.FAILED);
-        assertEquals(call.outcome.join(), PostOutcome.UNKNOWN);
+    public void outcomeAfterATimeoutIsUnknownAndALateResponseIsIgnored() {
+        final ReportRequest report = new ReportRequest();
+        report.sentText();
+        report.channel.advanceTimeBy(TIMEOUT_MS + 1, TimeUnit.MILLISECONDS);
+        report.channel.runScheduledPendingTasks();
+        report.assertEndedWith(PostOutcome.UNKNOWN);
+        final ReportRequest next = new ReportRequest();
+        assertFalse(next.outcome.isDone(), "the next report ended with the earlier one");
+        next.respond("HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n");
+        next.assertEndedWith(PostOutcome.FAILED);
+        assertEquals(report.outcome.join(), PostOutcome.UNKNOWN);
     }
 
     @Test
-    public void aResetAmidTheAnswerLeavesItsEndUnknown() {
-        final Played call = new Played();
-        call.heard();
-        call.answer("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n{\"a");
-        assertFalse(call.outcome.isDone());
-        call.channel.close();
-        call.channel.runPendingTasks();
-        call.ends(PostOutcome.UNKNOWN);
+    public void disconnectDuringTheResponseLeavesTheOutcomeUnknown() {
+        final ReportRequest report = new ReportRequest();
+        report.sentText();
+        report.respond("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n{\"a");
+        assertFalse(report.outcome.isDone());
+        report.channel.close();
+        report.channel.runPendingTasks();
+        report.assertEndedWith(PostOutcome.UNKNOWN);
     }
 
     @Test
-    public void onlyTheFirstAnswerCounts() {
-        final Played call = new Played();
-        call.heard();
-        call.answer("HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-        call.ends(PostOutcome.FAILED);
+    public void onlyTheFirstResponseCounts() {
+        final ReportRequest report = new ReportRequest();
+        report.sentText();
+        report.respond("HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+        report.assertEndedWith(PostOutcome.FAILED);
     }
 
     @Test
-    public void aRepeatIsExact() {
-        final String first = new Played().heard();
-        assertEquals(new Played().heard(), first);
+    public void repeatedReportIsIdentical() {
+        final String first = new ReportRequest().sentText();
+        assertEquals(new ReportRequest().sentText(), first);
         assertTrue(first.startsWith("POST /usage HTTP/1.1\r\n"), first);
         assertTrue(first.contains("X-Brookpath-Fence-Number: 12\r\n"), first);
         assertTrue(first.contains("X-Brookpath-Duty-Holder: front-1\r\n"), first);
