--- a/testing/src/test/java/brookpath/platform/GatewayBeforeItsLeaseTest.java
+++ b/testing/src/test/java/brookpath/platform/GatewayBeforeItsLeaseTest.java
@@ -86,7 +86,7 @@
         }
     }
 
-    /** A gateway that starts faster than clients time out does not redirect: their connections are refused at once. */
+    /** A gateway that starts faster than clients time out refuses connections: they try others at once. */
     @Test(groups = GatewayStartTest.REAL_PROCESSES)
     public void largeGatewayRefusesConnectionsBeforeItsLease() throws Exception {
         start(LARGE_PROCESSOR_SHARE);
--- a/testing/src/test/java/brookpath/testing/GoldenPlatformTest.java
+++ b/testing/src/test/java/brookpath/testing/GoldenPlatformTest.java
@@ -63,7 +63,7 @@
             "{\"Revision\":8,\"Routes\":[],\"Services\":[],\"Limits\":{},\"Tenants\":[]}";
 
     private final GoldenFile golden = new GoldenFile(GoldenPlatformTest.class, "golden-platform.txt");
-    /** The configuration changes that reached the node, by the version that they are basedOn on. */
+    /** The configuration changes that reached the node, by the version that they are based on. */
     private final Map<Integer, String> changes = new ConcurrentHashMap<>();
 
     private EventLoopGroup loops;
@@ -163,7 +163,7 @@
         };
     }
 
-    /** Responds with the version that the change is basedOn on as the status. */
+    /** Responds with the version that the change is based on as the status. */
     private Response change(final String body) {
         final Matcher basedOn = BASED_ON.matcher(body);
         final int status = basedOn.find() ? Integer.parseInt(basedOn.group(1)) : 0;
