--- a/coordination/src/main/java/brookpath/coordination/configuration/VersionUpdates.java
+++ b/coordination/src/main/java/brookpath/coordination/configuration/VersionUpdates.java
@@ -56,7 +56,7 @@
     private byte[] update(final long version) {
         final byte[] newest = documents.lastEntry().getValue();
         final byte[] base = documents.get(version);
-        return base == null ? Delta.whole(newest) : Delta.between(base, newest);
+        return base == null ? Delta.full(newest) : Delta.between(base, newest);
     }
 
     /** Discards all versions; called when the leadership ends. */
--- a/coordination/src/main/java/brookpath/coordination/group/GroupStateMachine.java
+++ b/coordination/src/main/java/brookpath/coordination/group/GroupStateMachine.java
@@ -291,7 +291,7 @@
                 + log.committedIndex() + election.waitedFor());
         out.heartbeatNow();
         // records of earlier terms are committed only together with a record of this one
-        append(LogRecord.OPEN, new byte[0], now, 0);
+        append(LogRecord.NO_OP, new byte[0], now, 0);
     }
 
     private void stepDown(final String reason) {
