--- a/testing/src/test/java/brookpath/testing/FleetSmokeTest.java
+++ b/testing/src/test/java/brookpath/testing/FleetSmokeTest.java
@@ -172,7 +172,7 @@
         final String status = awaitStatus(process, "\"/colour\"");
         assertTrue(status.contains("\"segmentBytes\":123456") && status.contains("\"/zone\""), status);
         Files.delete(process.settings());
-        awaitStatus(process, "is gone");
+        awaitStatus(process, "missing or unreadable; the next start needs it");
         Files.writeString(process.settings(), valid);
         awaitStatus(process, "\"keptOut\":[]");
         assertEquals(change(DOCUMENT).statusCode(), 200, "the process continues with its previous settings");
