--- a/testing/src/main/java/brookpath/testing/model/Choice.java
+++ b/testing/src/main/java/brookpath/testing/model/Choice.java
@@ -4,22 +4,25 @@
 import java.util.List;
 
 /**
- * One decision of an explored schedule. A start state and a list of choices repeat a run exactly.
+ * One step of a schedule. A start state and a list of choices reproduce a run exactly.
  *
- * @param member the member that is meant, or the position of a message in flight, or 0
- * @param detail depends on the kind: milliseconds, what a crash keeps, a member to add or remove
+ * @param member the member concerned, or the position of a message in the list of those in flight, or 0
+ * @param detail depends on the kind: milliseconds, what survives a crash, a member to add or remove
  */
 record Choice(Kind kind, int member, int detail) {
-    /** What may be decided. */
+    /** The kinds of steps. */
     enum Kind {
-        /** All members run for some milliseconds; what is neither cut, held, stalled nor frozen goes its way. */
+        /**
+         * All members run for some milliseconds. Messages are delivered and disks synced unless a cut, a hold, a stall
+         * or a freeze prevents it.
+         */
         RUN,
-        /** Time passes, but only this member sees it; what it sends stays in flight. */
+        /** Time passes and only this member's timers run; what it sends stays in flight. */
         TICK,
         DELIVER,
-        /** The message stays in flight until it is delivered by choice. */
+        /** The message stays in flight until a {@link #DELIVER} step delivers it. */
         DELAY,
-        /** A second copy of the message, which comes late. */
+        /** Adds a second copy of the message, delayed as by {@link #DELAY}. */
         DUPLICATE,
         DROP,
         SYNC,
@@ -34,10 +37,10 @@
         HEAL,
         FREEZE,
         THAW,
-        /** Messages of the group to this member stay in flight; heartbeats are delivered. */
+        /** All messages to this member except heartbeats stay in flight. */
         HOLD,
         RELEASE,
-        /** The member's clock gets ahead by a little. */
+        /** The member's clock is set forward by a small step. */
         SKEW,
         APPEND,
         ADD_LEARNER,
@@ -58,7 +61,7 @@
         return new Choice(Kind.RUN, 0, milliseconds);
     }
 
-    /** Reads what {@link #toString} writes, separated by spaces. */
+    /** Parses choices in the format of {@link #toString}, separated by spaces. */
     static List<Choice> parse(final String text) {
         final List<Choice> choices = new ArrayList<>();
         for (final String word : text.trim().split(" ")) {
--- a/testing/src/main/java/brookpath/testing/model/DigestState.java
+++ b/testing/src/main/java/brookpath/testing/model/DigestState.java
@@ -4,13 +4,13 @@
 import brookpath.state.record.LogRecord;
 import brookpath.state.record.PackedBuffer;
 
-/** The smallest state that follows from a log: a digest of its records. */
+/** A minimal replicated state: a digest of the applied records. */
 final class DigestState implements LogState {
-    private final long keepMs;
+    private final long retentionMs;
     private long digest;
 
-    DigestState(final long keepMs) {
-        this.keepMs = keepMs;
+    DigestState(final long retentionMs) {
+        this.retentionMs = retentionMs;
     }
 
     @Override
@@ -20,7 +20,7 @@
 
     @Override
     public void trimmed(final LogRecord logRecord) {
-        // Nothing is kept per record.
+        // The digest stores nothing per record.
     }
 
     @Override
@@ -35,6 +35,6 @@
 
     @Override
     public boolean keeps(final LogRecord logRecord, final long now, final int newerRecords, final long newerBytes) {
-        return now - logRecord.learnedAt() <= keepMs;
+        return now - logRecord.learnedAt() <= retentionMs;
     }
 }
--- a/testing/src/main/java/brookpath/testing/model/Explorer.java
+++ b/testing/src/main/java/brookpath/testing/model/Explorer.java
@@ -6,8 +6,9 @@
 import java.util.Map;
 
 /**
- * All schedules up to a depth from a start state. Machines cannot be copied, so a state is reached again by its
- * choices; a state that was met before with as many steps left is not expanded again.
+ * Explores all schedules up to a depth from a start state. State machines cannot be copied, so a state is restored by
+ * replaying its choices. A state that was reached before with at least as many steps left is not expanded
+ * again.
  */
 final class Explorer {
     private final StartState start;
@@ -17,13 +18,13 @@
     private long steps;
     private Finding finding;
 
-    /** @param budget of states to visit; what is beyond is not looked at */
+    /** @param budget how many steps to take at most; the exploration stops there */
     Explorer(final StartState start, final long budget) {
         this.start = start;
         this.budget = budget;
     }
 
-    /** Visits everything up to the depth; the first broken schedule, or null. */
+    /** Explores up to the depth; returns the first schedule that violates an invariant, or null. */
     Finding explore(final int depth) {
         try {
             final ModelWorld world = start.create();
@@ -47,29 +48,29 @@
         return steps < budget;
     }
 
-    private void expand(final ModelWorld world, final int left) {
+    private void expand(final ModelWorld world, final int depthLeft) {
         final List<Choice> choices = Choices.of(world);
-        boolean fresh = true;
+        boolean unchanged = true;
         for (final Choice choice : choices) {
             if (finding != null || steps >= budget) {
                 return;
             }
-            final ModelWorld next = fresh ? world : again();
-            fresh = false;
-            step(next, choice, left - 1);
+            final ModelWorld next = unchanged ? world : replayPath();
+            unchanged = false;
+            step(next, choice, depthLeft - 1);
         }
     }
 
-    private void step(final ModelWorld world, final Choice choice, final int left) {
+    private void step(final ModelWorld world, final Choice choice, final int depthLeft) {
         steps++;
         path.add(choice);
         try {
             world.apply(choice);
             final Integer known = seen.get(StateHash.of(world));
-            if (known == null || known < left) {
-                seen.put(StateHash.of(world), left);
-                if (left > 0) {
-                    expand(world, left);
+            if (known == null || known < depthLeft) {
+                seen.put(StateHash.of(world), depthLeft);
+                if (depthLeft > 0) {
+                    expand(world, depthLeft);
                 }
             }
         } catch (final RuntimeException broken) {
@@ -78,7 +79,7 @@
         path.remove(path.size() - 1);
     }
 
-    private ModelWorld again() {
+    private ModelWorld replayPath() {
         final ModelWorld world = start.create();
         path.forEach(world::apply);
         return world;
--- a/testing/src/main/java/brookpath/testing/model/Finding.java
+++ b/testing/src/main/java/brookpath/testing/model/Finding.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** A schedule that breaks an invariant. */
+/** A schedule that violates an invariant. */
 record Finding(StartState start, List<Choice> choices, String violation) {
     /** The kind of violation: its text without the numbers. */
     String kind() {
--- a/testing/src/main/java/brookpath/testing/model/GuidedWalk.java
+++ b/testing/src/main/java/brookpath/testing/model/GuidedWalk.java
@@ -7,14 +7,15 @@
 import java.util.SplittableRandom;
 
 /**
- * A long random schedule that favours what hurts: a crash right after an append or a change, late messages, a frozen
- * leader, a membership change amid an election. Ends with a rest, after which the group has to serve again.
+ * A long random schedule, weighted towards the sequences that are likely to reveal faults: a crash right after an
+ * append or a membership change, delayed messages, a frozen leader, a membership change during an election. At the end
+ * all faults are healed, and the group must serve again.
  */
 final class GuidedWalk {
-    private static final int COMMON = 24;
-    private static final int USUAL = 8;
-    private static final int SELDOM = 2;
-    private static final int AFTERMATH = 5;
+    private static final int HIGH_WEIGHT = 24;
+    private static final int MEDIUM_WEIGHT = 8;
+    private static final int LOW_WEIGHT = 2;
+    private static final int AFTER_ACTION_FACTOR = 5;
 
     private final StartState start;
     private final SplittableRandom random;
@@ -34,7 +35,7 @@
         this.observer = observer;
     }
 
-    /** The broken schedule, or null. */
+    /** Returns the schedule if it violated an invariant, else null. */
     Finding walk(final int length) {
         try {
             world = start.create();
@@ -44,7 +45,7 @@
                 path.add(last);
                 world.apply(last);
             }
-            Schedule.rest(world);
+            Schedule.healAndSettle(world);
             return null;
         } catch (final RuntimeException broken) {
             return new Finding(start, List.copyOf(path), String.valueOf(broken.getMessage()));
@@ -75,32 +76,34 @@
                 return choice;
             }
         }
-        throw new IllegalStateException("weights of " + choices);
+        throw new IllegalStateException("weights do not add up for " + choices);
     }
 
     private int weight(final Choice choice) {
         return switch (choice.kind()) {
-            case RUN -> 2 * COMMON;
-            case DELIVER, SYNC -> USUAL;
-            case DELAY, TICK -> SELDOM;
-            case APPEND, PROMOTE, ADD_LEARNER -> COMMON;
-            case REMOVE -> USUAL;
-            case RESTART -> last.kind() == Kind.CRASH && last.member() == choice.member() ? COMMON : USUAL;
-            case THAW, HEAL, RELEASE, RESUME_DISK, HAND_OVER -> USUAL;
-            case DUPLICATE -> 2 * SELDOM;
-            case DROP, SKEW, WIPE -> SELDOM;
+            case RUN -> 2 * HIGH_WEIGHT;
+            case DELIVER, SYNC -> MEDIUM_WEIGHT;
+            case DELAY, TICK -> LOW_WEIGHT;
+            case APPEND, PROMOTE, ADD_LEARNER -> HIGH_WEIGHT;
+            case REMOVE -> MEDIUM_WEIGHT;
+            case RESTART -> last.kind() == Kind.CRASH && last.member() == choice.member() ? HIGH_WEIGHT : MEDIUM_WEIGHT;
+            case THAW, HEAL, RELEASE, RESUME_DISK, HAND_OVER -> MEDIUM_WEIGHT;
+            case DUPLICATE -> 2 * LOW_WEIGHT;
+            case DROP, SKEW, WIPE -> LOW_WEIGHT;
             case CRASH, CUT, CUT_INBOUND, CUT_OUTBOUND, FREEZE, HOLD, STALL_DISK ->
-                hurts(choice) ? SELDOM * AFTERMATH : SELDOM;
+                isLikelyToRevealFault(choice) ? LOW_WEIGHT * AFTER_ACTION_FACTOR : LOW_WEIGHT;
         };
     }
 
-    /** Right after an append or a change, and the more so at the member that did it. */
-    private boolean hurts(final Choice choice) {
-        final boolean acted = last.kind() == Kind.APPEND
+    /**
+     * Whether the last choice was an append, membership change or leadership transfer, or this fault at another member.
+     */
+    private boolean isLikelyToRevealFault(final Choice choice) {
+        final boolean actionBefore = last.kind() == Kind.APPEND
                 || last.kind() == Kind.PROMOTE
                 || last.kind() == Kind.REMOVE
                 || last.kind() == Kind.ADD_LEARNER
                 || last.kind() == Kind.HAND_OVER;
-        return acted || (last.kind() == choice.kind() && last.member() != choice.member());
+        return actionBefore || (last.kind() == choice.kind() && last.member() != choice.member());
     }
 }
--- a/testing/src/main/java/brookpath/testing/model/History.java
+++ b/testing/src/main/java/brookpath/testing/model/History.java
@@ -6,19 +6,19 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** Records what callers of the group see: appends that are confirmed or stay unclear, and reads at acting leaders. */
+/** Records what callers of the group see: appends, confirmed or with unknown outcome, and reads at acting leaders. */
 final class History {
-    /** Reads beyond these are left out; the search over a history grows with its length. */
-    private static final int MOST_READS = 24;
+    /** Later reads are not recorded: the linearizability search becomes expensive as the history grows. */
+    private static final int MAX_READS = 24;
 
-    private static final int MOST_APPENDS = 24;
+    private static final int MAX_APPENDS = 24;
 
     private static final class Append {
         final long invoked;
         final int member;
         final long term;
         final long index;
-        long returned = Operation.UNCLEAR;
+        long returned = Operation.INDETERMINATE;
 
         Append(final long invoked, final int member, final long term, final long index) {
             this.invoked = invoked;
@@ -35,10 +35,10 @@
     private boolean stopped;
 
     static boolean full(final int appended) {
-        return appended >= MOST_APPENDS;
+        return appended >= MAX_APPENDS;
     }
 
-    /** Nothing more is recorded: the log is about to lose its first values. */
+    /** Discards the history and stops recording, because the log is about to be trimmed and lose its first values. */
     void stop() {
         appends.clear();
         reads.clear();
@@ -52,7 +52,7 @@
         appends.put(value, new Append(++position, m.id, m.group.term(), index));
     }
 
-    /** The leader that took an append confirms it once it is committed there in the same term. */
+    /** A leader confirms an append once it has committed it in the term in which it appended it. */
     void committed(final ModelMember m) {
         final GroupMachine g = m.group;
         if (g.role() != GroupMachine.LEADER) {
@@ -60,7 +60,7 @@
         }
         position++;
         for (final Append append : appends.values()) {
-            if (append.returned == Operation.UNCLEAR
+            if (append.returned == Operation.INDETERMINATE
                     && append.member == m.id
                     && append.term == g.term()
                     && append.index <= g.committed()) {
@@ -71,7 +71,7 @@
     }
 
     void read(final ModelMember m) {
-        // Why: a trimmed log no longer tells its first values.
+        // a trimmed log no longer contains its first values
         if (stopped || m.group.baseIndex() > 0) {
             return;
         }
@@ -80,7 +80,7 @@
         final boolean same = !confirmed
                 && !reads.isEmpty()
                 && reads.get(reads.size() - 1).read().equals(seen);
-        if (!same && reads.size() < MOST_READS) {
+        if (!same && reads.size() < MAX_READS) {
             position++;
             confirmed = false;
             reads.add(new Operation(position, position, 0, seen));
--- a/testing/src/main/java/brookpath/testing/model/Invariants.java
+++ b/testing/src/main/java/brookpath/testing/model/Invariants.java
@@ -11,9 +11,9 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** What must hold after every event, looked at from outside and from the inside of the members. */
+/** The invariants that are checked after every event, on what callers see and on the members' internal state. */
 final class Invariants {
-    /** A record that a leader committed, and in which term. */
+    /** A committed record, and the term in which it was committed. */
     private record Committed(byte[] bytes, long term) {}
 
     private record Ballot(int voter, long term) {}
@@ -24,48 +24,48 @@
     @NotHashed
     private final ModelWorld world;
 
-    private final TreeMap<Long, Committed> committed = new TreeMap<>();
-    private final TreeMap<Long, Integer> leaderOf = new TreeMap<>();
+    private final TreeMap<Long, Committed> committedByIndex = new TreeMap<>();
+    private final TreeMap<Long, Integer> leaderByTerm = new TreeMap<>();
     private final Map<Ballot, Integer> votes = new TreeMap<>((a, b) ->
             a.voter() != b.voter() ? Integer.compare(a.voter(), b.voter()) : Long.compare(a.term(), b.term()));
-    private Membership settled;
+    private Membership settledMembership;
 
     Invariants(final ModelWorld world) {
         this.world = world;
     }
 
     int leaders() {
-        return leaderOf.size();
+        return leaderByTerm.size();
     }
 
     int committedRecords() {
-        return committed.size();
+        return committedByIndex.size();
     }
 
     void afterEvent(final ModelMember m) {
         final GroupMachine g = m.group;
         final boolean leader = g.role() == GroupMachine.LEADER;
         if (leader && m.lastRole != GroupMachine.LEADER) {
-            becameLeader(m);
+            checkNewLeader(m);
         } else if (leader && g.committed() > m.lastCommitted) {
-            leaderCommitted(m);
+            checkCommitQuorum(m);
         }
         if (g.committed() > m.lastCommitted) {
-            compareCommitted(m);
+            checkCommitted(m);
             m.lastCommitted = g.committed();
         }
         m.lastRole = g.role();
-        if (m.rebuildTo > 0 && m.durable().endIndex() >= m.rebuildTo) {
-            m.rebuildTo = 0;
+        if (m.rebuildUntil > 0 && m.durable().endIndex() >= m.rebuildUntil) {
+            m.rebuildUntil = 0;
         }
         if (m.runs() && g.mayAct(world.clock(m))) {
-            acts(m);
+            checkActingLeader(m);
         }
-        oneActing();
+        checkOneActingLeader();
     }
 
     void afterChoice() {
-        oneActing();
+        checkOneActingLeader();
         for (final ModelMember m : world.members) {
             if (m.runs() && m.group.mayAct(world.clock(m))) {
                 history.read(m);
@@ -74,31 +74,31 @@
     }
 
     void afterTime() {
-        oneActing();
+        checkOneActingLeader();
     }
 
-    private void oneActing() {
+    private void checkOneActingLeader() {
         ModelMember acting = null;
         for (final ModelMember m : world.members) {
             if (m.runs() && m.group.mayAct(world.clock(m))) {
                 if (acting != null) {
-                    throw new Violation("members " + acting.id + " and " + m.id + " act as masters at once");
+                    throw new Violation("members " + acting.id + " and " + m.id + " act as leaders at once");
                 }
                 acting = m;
             }
         }
     }
 
-    private void becameLeader(final ModelMember m) {
+    private void checkNewLeader(final ModelMember m) {
         final GroupMachine g = m.group;
-        final Integer other = leaderOf.put(g.term(), m.id);
+        final Integer other = leaderByTerm.put(g.term(), m.id);
         if (other != null && other != m.id) {
-            throw new Violation("epoch " + g.term() + " has two masters, " + other + " and " + m.id);
+            throw new Violation("term " + g.term() + " has two leaders, " + other + " and " + m.id);
         }
-        committed.forEach((index, record) -> {
-            // Why: a leader of an older term that wins late may lack what a later one committed; it cannot act.
+        committedByIndex.forEach((index, record) -> {
+            // A leader of an older term, elected late, may lack what a later leader committed, but it cannot act.
             if (record.term < g.term() && !holds(g, index, record.bytes)) {
-                throw new Violation("master " + m.id + " of epoch " + g.term() + " lacks accepted record " + index);
+                throw new Violation("leader " + m.id + " of term " + g.term() + " lacks committed record " + index);
             }
         });
     }
@@ -108,7 +108,7 @@
                 || (index <= g.endIndex() && Arrays.equals(g.logRecord(index).bytes(), bytes));
     }
 
-    /** Whether a copy has all that the leader committed. */
+    /** Whether a replica has everything that the leader has committed. */
     private static boolean holdsCommitted(final GroupMachine copy, final GroupMachine leader) {
         final long index = leader.committed();
         return index <= leader.baseIndex()
@@ -116,65 +116,65 @@
                 : holds(copy, index, leader.logRecord(index).bytes());
     }
 
-    private void leaderCommitted(final ModelMember m) {
+    private void checkCommitQuorum(final ModelMember m) {
         final GroupMachine g = m.group;
         if (g.committed() < g.openIndex()) {
             throw new Violation(
-                    "master " + m.id + " accepts " + g.committed() + " before its own record at " + g.openIndex());
+                    "leader " + m.id + " commits " + g.committed() + " before the first record of its term at " + g.openIndex());
         }
         final int voters = g.membership().voters().size();
         final int floor = Math.max(Math.min(voters, ModelMember.TOLERATED_LOSSES + 1), majority(voters));
-        int copies = 0;
+        int replicas = 0;
         for (final Member voter : g.membership().voters()) {
             final ModelMember v = world.member(voter.node());
-            // Why: a copy that was lost with its disk may have been counted before.
-            copies += v.wipes > 0 || holdsCommitted(v.durable(), g) ? 1 : 0;
+            // a replica that was lost with its disk may have been counted before the loss
+            replicas += v.wipes > 0 || holdsCommitted(v.durable(), g) ? 1 : 0;
         }
-        if (copies < floor) {
-            throw new Violation("master " + m.id + " accepts " + g.committed() + " with " + copies + " of " + floor
-                    + " synced copies among " + voters + " voters");
+        if (replicas < floor) {
+            throw new Violation("leader " + m.id + " commits " + g.committed() + " with " + replicas + " of " + floor
+                    + " synced replicas among " + voters + " voters");
         }
     }
 
-    private void compareCommitted(final ModelMember m) {
+    private void checkCommitted(final ModelMember m) {
         final GroupMachine g = m.group;
         final long first = Math.max(1, Math.max(g.baseIndex() + 1, m.lastCommitted + 1));
         for (long index = first; index <= g.committed(); index++) {
-            final Committed known = committed.putIfAbsent(
+            final Committed known = committedByIndex.putIfAbsent(
                     index, new Committed(g.logRecord(index).bytes(), g.term()));
             if (known != null && !Arrays.equals(known.bytes, g.logRecord(index).bytes())) {
-                throw new Violation("member " + m.id + " holds another record as accepted at " + index);
+                throw new Violation("member " + m.id + " has another committed record at " + index);
             }
         }
         history.committed(m);
     }
 
-    private void acts(final ModelMember m) {
+    private void checkActingLeader(final ModelMember m) {
         final GroupMachine g = m.group;
         if (g.committed() < g.openIndex()) {
-            throw new Violation("member " + m.id + " acts before its own record at " + g.openIndex() + " is accepted");
+            throw new Violation("member " + m.id + " acts before the first record of its term at " + g.openIndex() + " is committed");
         }
-        if (!committed.isEmpty() && g.committed() < committed.lastKey()) {
-            throw new Violation("member " + m.id + " acts with " + g.committed() + " accepted, " + committed.lastKey()
-                    + " was accepted before");
+        if (!committedByIndex.isEmpty() && g.committed() < committedByIndex.lastKey()) {
+            throw new Violation("member " + m.id + " acts with " + g.committed() + " committed, although "
+                    + committedByIndex.lastKey() + " was committed before");
         }
-        if (!g.hasMembershipInLog() || !g.membershipSettled() || g.membership().equals(settled)) {
+        if (!g.hasMembershipInLog() || !g.membershipSettled() || g.membership().equals(settledMembership)) {
             return;
         }
-        if (settled != null) {
-            follows(settled, g.membership());
+        if (settledMembership != null) {
+            checkMembershipChange(settledMembership, g.membership());
         }
-        settled = g.membership();
+        settledMembership = g.membership();
     }
 
-    private static void follows(final Membership before, final Membership after) {
+    private static void checkMembershipChange(final Membership before, final Membership after) {
         final Set<Integer> all = nodes(before);
         final int shared = (int) nodes(after).stream().filter(all::contains).count();
         all.addAll(nodes(after));
         final int overlap =
                 majority(before.voters().size()) + majority(after.voters().size()) - all.size();
         if (after.version() != before.version() + 1 || all.size() - shared > 1 || overlap < 1) {
-            throw new Violation("membership " + after + " follows " + before);
+            throw new Violation("invalid membership change from " + before + " to " + after);
         }
     }
 
@@ -188,50 +188,54 @@
         return voters / 2 + 1;
     }
 
-    /** Votes are promises: durable before they are told, one for each term, and none by a copy that was lost. */
+    /**
+     * A vote is binding: it is durable before it is sent, there is one for each term, and none comes from a member that
+     * still rebuilds a lost replica.
+     */
     void onSend(final ModelMember m, final int to, final PeerMessage message) {
         if (message instanceof PeerMessage.VoteReply reply && reply.granted()) {
-            voted(m, reply.term(), to);
+            checkVote(m, reply.term(), to);
         } else if (message instanceof PeerMessage.VoteRequest ask) {
-            voted(m, ask.term(), m.id);
+            checkVote(m, ask.term(), m.id);
         } else if (message instanceof PeerMessage.Pull pull
                 && m.wipes > 0
                 && !pull.lost()
                 && m.durable().lost()) {
-            throw new Violation("member " + m.id + " counts again before it is synced that its copy is rebuilt");
+            throw new Violation(
+                    "member " + m.id + " counts as a replica again before it has synced that its replica is rebuilt");
         }
     }
 
-    private void voted(final ModelMember m, final long term, final int candidate) {
+    private void checkVote(final ModelMember m, final long term, final int candidate) {
         if (m.durable().term() < term) {
-            throw new Violation("member " + m.id + " tells of its vote in epoch " + term + " before it is synced");
+            throw new Violation("member " + m.id + " sends its vote in term " + term + " before it is synced");
         }
         final Integer other = votes.put(new Ballot(m.id, term), candidate);
         if (other != null && other != candidate) {
-            throw new Violation("member " + m.id + " votes for " + other + " and " + candidate + " in epoch " + term);
+            throw new Violation("member " + m.id + " votes for " + other + " and " + candidate + " in term " + term);
         }
-        if (m.rebuildTo > 0) {
-            throw new Violation("member " + m.id + " lost its disk and votes before it has " + m.rebuildTo);
+        if (m.rebuildUntil > 0) {
+            throw new Violation("member " + m.id + " lost its disk and votes before its log reaches " + m.rebuildUntil);
         }
     }
 
     void beforeWipe(final ModelMember m) {
-        m.rebuildTo = committed.isEmpty() ? 0 : committed.lastKey();
+        m.rebuildUntil = committedByIndex.isEmpty() ? 0 : committedByIndex.lastKey();
     }
 
     void beforePromotion(final ModelMember leader, final ModelMember learner) {
         final GroupMachine g = leader.group;
-        final boolean copied = holdsCommitted(learner.durable(), g);
-        if (learner.wipes == 0 && !copied) {
-            throw new Violation("learner " + learner.id + " is promoted without a copy up to " + g.committed());
+        final boolean replicated = holdsCommitted(learner.durable(), g);
+        if (learner.wipes == 0 && !replicated) {
+            throw new Violation("learner " + learner.id + " is promoted without a replica up to " + g.committed());
         }
     }
 
-    /** What still differs from one leader that acts and whose log all voters have; null for nothing. */
-    String discord() {
-        final ModelMember leader = world.acting();
+    /** Why the voters have not converged on the log of one acting leader; null if they have. */
+    String disagreement() {
+        final ModelMember leader = world.actingLeader();
         if (leader == null) {
-            return "no master acts though everything is healed; " + Schedule.describe(world);
+            return "no leader acts although all faults are healed; " + Schedule.describe(world);
         }
         final GroupMachine g = leader.group;
         for (final Member voter : g.membership().voters()) {
@@ -240,21 +244,21 @@
                     || other.committed() != g.committed()
                     || other.digestAt(other.endIndex()) != g.digestAt(g.endIndex())
                     || other.lost()) {
-                return "member " + voter.node() + " never catches up; " + Schedule.describe(world);
+                return "member " + voter.node() + " does not catch up; " + Schedule.describe(world);
             }
         }
         return null;
     }
 
-    /** What the callers saw is what one log could have given them. */
-    void linearizable() {
+    /** Checks that one log, with operations applied in some valid order, explains what the callers saw. */
+    void checkLinearizable() {
         final String broken = new Linearizability(history.operations()).check();
         if (broken != null) {
             throw new Violation(broken);
         }
     }
 
-    /** The application's records of a log up to its committed position, oldest first. */
+    /** The sequence numbers of the committed publish records in a log, oldest first. */
     static long[] values(final GroupMachine g) {
         final long[] values = new long[(int) (g.committed() - g.baseIndex())];
         int n = 0;
--- a/testing/src/main/java/brookpath/testing/model/Linearizability.java
+++ b/testing/src/main/java/brookpath/testing/model/Linearizability.java
@@ -6,26 +6,27 @@
 import java.util.Set;
 
 /**
- * Wing and Gong's search for an order of all operations that one log could have given, with a memo of the states that
- * lead nowhere (Lowe). The object: append adds a value at the end, read gives all values.
+ * Checks linearizability with Wing and Gong's search for a valid sequential order of all operations, and Lowe's
+ * memoization of the states that lead to none. The object is a log: append adds a value at the end, read returns all.
  */
 final class Linearizability {
-    private static final int MOST_OPERATIONS = 64;
+    private static final int MAX_OPERATIONS = 64;
 
-    /** Which operations are placed and what the log holds then. */
+    /** Which operations are in the order so far, as a bit set, and the log that results from them. */
     private record Configuration(long placed, List<Long> log) {}
 
     private final List<Operation> operations;
     private final Set<Configuration> deadEnds = new HashSet<>();
 
     Linearizability(final List<Operation> operations) {
-        if (operations.size() > MOST_OPERATIONS) {
-            throw new IllegalArgumentException(operations.size() + " operations");
+        if (operations.size() > MAX_OPERATIONS) {
+            throw new IllegalArgumentException(
+                    "cannot check " + operations.size() + " operations, the limit is " + MAX_OPERATIONS);
         }
         this.operations = operations;
     }
 
-    /** What is wrong, or null where an order exists. */
+    /** An error message, or null if a valid order exists. */
     String check() {
         return place(0, new ArrayList<>()) ? null : "the history is not linearizable: " + operations;
     }
@@ -40,7 +41,7 @@
         final long firstReturn = firstReturn(placed);
         for (int i = 0; i < operations.size(); i++) {
             final Operation op = operations.get(i);
-            // Why: what began after another's end cannot come before it.
+            // an operation that was invoked after another had returned cannot precede it
             if ((placed & 1L << i) != 0 || op.invoked() > firstReturn) {
                 continue;
             }
@@ -63,7 +64,7 @@
 
     private boolean complete(final long placed) {
         for (int i = 0; i < operations.size(); i++) {
-            if ((placed & 1L << i) == 0 && !operations.get(i).isUnclear()) {
+            if ((placed & 1L << i) == 0 && !operations.get(i).isIndeterminate()) {
                 return false;
             }
         }
@@ -71,7 +72,7 @@
     }
 
     private long firstReturn(final long placed) {
-        long first = Operation.UNCLEAR;
+        long first = Operation.INDETERMINATE;
         for (int i = 0; i < operations.size(); i++) {
             first = (placed & 1L << i) == 0 ? Math.min(first, operations.get(i).returned()) : first;
         }
--- a/testing/src/main/java/brookpath/testing/model/MembershipSteps.java
+++ b/testing/src/main/java/brookpath/testing/model/MembershipSteps.java
@@ -5,26 +5,26 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The membership that one step leads to. */
+/** The membership that results from a membership change. */
 final class MembershipSteps {
     private MembershipSteps() {}
 
-    static Membership next(final Membership present, final Choice choice) {
+    static Membership next(final Membership current, final Choice choice) {
         final Member member = ModelWorld.groupMember(choice.detail());
-        final int version = present.version() + 1;
+        final int version = current.version() + 1;
         return switch (choice.kind()) {
-            case ADD_LEARNER -> new Membership(version, present.voters(), with(present.learners(), member));
+            case ADD_LEARNER -> new Membership(version, current.voters(), with(current.learners(), member));
             case PROMOTE ->
-                new Membership(version, with(present.voters(), member), without(present.learners(), member.node()));
-            case REMOVE -> new Membership(version, without(present.voters(), member.node()), present.learners());
+                new Membership(version, with(current.voters(), member), without(current.learners(), member.node()));
+            case REMOVE -> new Membership(version, without(current.voters(), member.node()), current.learners());
             default -> throw new IllegalArgumentException(choice.toString());
         };
     }
 
     private static List<Member> with(final List<Member> list, final Member member) {
-        final List<Member> more = new ArrayList<>(list);
-        more.add(member);
-        return List.copyOf(more);
+        final List<Member> extended = new ArrayList<>(list);
+        extended.add(member);
+        return List.copyOf(extended);
     }
 
     private static List<Member> without(final List<Member> list, final int node) {
--- a/testing/src/main/java/brookpath/testing/model/ModelMember.java
+++ b/testing/src/main/java/brookpath/testing/model/ModelMember.java
@@ -12,14 +12,14 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** One member: the production state machines, and a disk as a list of entries with a synced prefix. */
+/** One member: the production state machines, and a disk modelled as a list of entries with a synced prefix. */
 final class ModelMember {
     static final int GROUP = 0;
     static final int TOLERATED_LOSSES = 1;
 
     final int id;
-    private final long keepMs;
-    private final Set<Integer> others = new TreeSet<>();
+    private final long retentionMs;
+    private final Set<Integer> peers = new TreeSet<>();
 
     final List<byte[]> entries = new ArrayList<>();
     int syncedEntries;
@@ -31,28 +31,28 @@
     boolean held;
     boolean cutInbound;
     boolean cutOutbound;
-    long skew;
+    long skewMs;
     int configuredVersion;
 
-    /** What the checks remember of this member. */
+    /** The role at the last check of the {@link Invariants}, which also keep the next three fields. */
     int lastRole;
 
     long lastCommitted;
     int wipes;
-    /** A wiped member may vote only once its durable log reaches this position; 0 where it was not wiped. */
-    long rebuildTo;
+    /** A wiped member may vote only once its durable log reaches this index; 0 if there is nothing to rebuild. */
+    long rebuildUntil;
 
     GroupMachine group;
     HeartbeatMonitor heartbeats;
     Actions out;
     Actions heartbeatOut;
 
-    ModelMember(final int id, final int members, final long keepMs) {
+    ModelMember(final int id, final int members, final long retentionMs) {
         this.id = id;
-        this.keepMs = keepMs;
+        this.retentionMs = retentionMs;
         for (int node = 1; node <= members; node++) {
             if (node != id) {
-                others.add(node);
+                peers.add(node);
             }
         }
     }
@@ -65,7 +65,7 @@
         heartbeatOut = new Actions();
         final HeartbeatPromises promises = new HeartbeatPromises(TimingBounds.DEFAULT.detectionTime());
         heartbeats = new HeartbeatMonitor(TimingBounds.DEFAULT, TimingBounds.DEFAULT.heartbeat(), promises);
-        heartbeats.setPeers(others);
+        heartbeats.setPeers(peers);
         group = machine(promises, out);
         replay(group, entries.size(), now);
         group.startedAt(now);
@@ -84,7 +84,7 @@
         group.configure(placed, true, now);
     }
 
-    /** What a restart right now would find on the synced part of the disk. */
+    /** The state machine that a restart would recover from the synced part of the disk. */
     GroupMachine durable() {
         final GroupMachine machine =
                 machine(new HeartbeatPromises(TimingBounds.DEFAULT.detectionTime()), new Actions());
@@ -94,7 +94,14 @@
 
     private GroupMachine machine(final HeartbeatPromises promises, final Actions actions) {
         return new GroupMachine(
-                GROUP, id, TimingBounds.DEFAULT, TOLERATED_LOSSES, 1, () -> new DigestState(keepMs), promises, actions);
+                GROUP,
+                id,
+                TimingBounds.DEFAULT,
+                TOLERATED_LOSSES,
+                1,
+                () -> new DigestState(retentionMs),
+                promises,
+                actions);
     }
 
     private void replay(final GroupMachine machine, final int count, final long now) {
@@ -109,7 +116,7 @@
         return syncedEntries < entries.size();
     }
 
-    /** Syncs up to this many entries; the number that the machine knows the last one by. */
+    /** Syncs the first {@code upTo} entries; returns the write number of the last one in the running state machine. */
     long sync(final int upTo) {
         syncedEntries = upTo;
         return (long) upTo - entriesAtStart;
@@ -126,12 +133,12 @@
     }
 
     void wipe() {
-        clear();
+        eraseDisk();
         wipes++;
     }
 
-    /** Nothing is left on the disk. */
-    void clear() {
+    /** Stops the member and erases its disk. */
+    void eraseDisk() {
         crash(Choice.KEEP_NOTHING);
         entries.clear();
         syncedEntries = 0;
--- a/testing/src/main/java/brookpath/testing/model/ModelWorld.java
+++ b/testing/src/main/java/brookpath/testing/model/ModelWorld.java
@@ -11,11 +11,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** All members of one group, the messages in flight and the time. Does what a choice says, and nothing by itself. */
+/** All members of one group, the messages in flight and the time. Changes only by the choices applied to it. */
 final class ModelWorld {
-    /** A message that was sent and is neither delivered nor lost. */
-    record InFlight(int from, int to, PeerMessage message, boolean late) {
-        InFlight delayed() {
+    /** A message that was sent and is neither delivered nor lost yet; a delayed one waits for a step to deliver it. */
+    record InFlight(int from, int to, PeerMessage message, boolean delayed) {
+        InFlight asDelayed() {
             return new InFlight(from, to, message, true);
         }
 
@@ -25,25 +25,25 @@
     }
 
     static final int WEIGHT = 50;
-    private static final long START = 1_000;
-    private static final int MOST_IN_FLIGHT = 400;
-    private static final int SKEW_STEP = 25;
+    private static final long START_MS = 1_000;
+    private static final int MAX_IN_FLIGHT = 400;
+    private static final int SKEW_STEP_MS = 25;
 
     final List<ModelMember> members = new ArrayList<>();
-    final List<InFlight> flying = new ArrayList<>();
+    final List<InFlight> inFlight = new ArrayList<>();
     final Invariants invariants = new Invariants(this);
-    /** Sees the actions of all members. */
+    /** Observes the actions of all members. */
     ActionObserver observer = ActionObserver.NONE;
 
-    long now = START;
+    long now = START_MS;
     Membership placed;
     int appended;
     int changes;
 
-    ModelWorld(final int voters, final int spares, final long keepMs) {
+    ModelWorld(final int voters, final int spares, final long retentionMs) {
         final List<Member> first = new ArrayList<>();
         for (int id = 1; id <= voters + spares; id++) {
-            members.add(new ModelMember(id, voters + spares, keepMs));
+            members.add(new ModelMember(id, voters + spares, retentionMs));
             if (id <= voters) {
                 first.add(groupMember(id));
             }
@@ -51,8 +51,8 @@
         placed = new Membership(1, first, List.of());
         for (final ModelMember m : members) {
             m.start(placed, m.id <= voters, now);
-            obey(m);
-            // Why: a founding counts as done once every founder has it on disk.
+            execute(m);
+            // a group counts as founded only once every founder has synced its founding entry
             sync(m, m.entries.size());
         }
     }
@@ -66,10 +66,10 @@
     }
 
     long clock(final ModelMember m) {
-        return now + m.skew;
+        return now + m.skewMs;
     }
 
-    ModelMember acting() {
+    ModelMember actingLeader() {
         for (final ModelMember m : members) {
             if (m.runs() && m.group.mayAct(clock(m))) {
                 return m;
@@ -83,22 +83,22 @@
                 choice.member() >= 1 && choice.member() <= members.size() ? member(choice.member()) : null;
         switch (choice.kind()) {
             case RUN -> run(choice.detail());
-            case DELIVER -> deliver(flying.remove(choice.member()));
+            case DELIVER -> deliver(inFlight.remove(choice.member()));
             case DELAY ->
-                flying.set(choice.member(), flying.get(choice.member()).delayed());
-            case DUPLICATE -> flying.add(flying.get(choice.member()).delayed());
-            case TICK -> pass(m);
-            case DROP -> flying.remove(choice.member());
+                inFlight.set(choice.member(), inFlight.get(choice.member()).asDelayed());
+            case DUPLICATE -> inFlight.add(inFlight.get(choice.member()).asDelayed());
+            case TICK -> tickOnly(m);
+            case DROP -> inFlight.remove(choice.member());
             case SYNC -> sync(m, choice.detail() == Choice.KEEP_FIRST ? m.syncedEntries + 1 : m.entries.size());
             case APPEND -> append(m);
             case ADD_LEARNER, PROMOTE, REMOVE -> change(m, choice);
             case HAND_OVER -> event(m, () -> m.group.transferLeadership(choice.detail(), clock(m)));
-            default -> disturb(m, choice);
+            default -> applyFault(m, choice);
         }
         invariants.afterChoice();
     }
 
-    private void disturb(final ModelMember m, final Choice choice) {
+    private void applyFault(final ModelMember m, final Choice choice) {
         switch (choice.kind()) {
             case STALL_DISK -> m.diskStalled = true;
             case RESUME_DISK -> m.diskStalled = false;
@@ -113,7 +113,7 @@
             case THAW -> m.frozen = false;
             case HOLD -> m.held = true;
             case RELEASE -> m.held = false;
-            case SKEW -> m.skew += SKEW_STEP;
+            case SKEW -> m.skewMs += SKEW_STEP_MS;
             default -> throw new IllegalArgumentException(choice.toString());
         }
     }
@@ -125,13 +125,13 @@
 
     private void crash(final ModelMember m, final int kept) {
         m.crash(kept);
-        // Why: a process that dies takes its connections along; what it had sent before may still arrive.
-        flying.removeIf(f -> f.to == m.id);
+        // A dying process closes its connections, so messages to it are lost; what it has sent may still arrive.
+        inFlight.removeIf(f -> f.to == m.id);
     }
 
     private void restart(final ModelMember m) {
         m.start(placed, false, clock(m));
-        obey(m);
+        execute(m);
         invariants.afterEvent(m);
     }
 
@@ -160,7 +160,7 @@
 
     void run(final int milliseconds) {
         final long end = now + milliseconds;
-        settle();
+        deliverAndSyncAll();
         while (now < end) {
             now = Math.min(end, now + TimingBounds.DEFAULT.tick());
             invariants.afterTime();
@@ -169,28 +169,26 @@
                     tick(m);
                 }
             }
-            settle();
+            deliverAndSyncAll();
         }
     }
 
-    private void pass(final ModelMember m) {
+    private void tickOnly(final ModelMember m) {
         now += TimingBounds.DEFAULT.tick();
         invariants.afterTime();
         tick(m);
     }
 
     private void tick(final ModelMember m) {
-        place(m);
+        updatePlacement(m);
         event(m, () -> {
             m.heartbeats.tick(clock(m), m.heartbeatOut);
             m.group.tick(clock(m), m.heartbeats.table());
         });
     }
 
-    /**
-     * The cluster metadata follows the newest committed membership, and each member is told of the cluster metadata.
-     */
-    private void place(final ModelMember m) {
+    /** Updates the cluster metadata to the newest committed membership, and configures the member from it. */
+    private void updatePlacement(final ModelMember m) {
         final GroupMachine g = m.group;
         if (g.mayAct(clock(m))
                 && g.hasMembershipInLog()
@@ -199,48 +197,48 @@
             placed = g.membership();
         }
         if (placed.version() > m.configuredVersion) {
-            follow(m);
+            applyPlacement(m);
         }
     }
 
-    /** As a storage machine does: it opens a group that it holds and drops one that it holds no more. */
-    private void follow(final ModelMember m) {
+    /** As a data node does: opens a group that is placed on it and drops one that no longer is. */
+    private void applyPlacement(final ModelMember m) {
         if (placed.holds(m.id)) {
             m.configure(placed, clock(m));
         } else if (m.group.groupVersion() > 0 && m.group.groupVersion() <= placed.version()) {
             invariants.beforeWipe(m);
-            m.clear();
+            m.eraseDisk();
             restart(m);
         }
     }
 
-    /** Delivers and syncs until nothing moves any more. */
-    private void settle() {
-        boolean moved = true;
-        for (int round = 0; moved && round < MOST_IN_FLIGHT; round++) {
-            moved = false;
-            final List<InFlight> batch = new ArrayList<>(flying);
-            flying.clear();
+    /** Delivers messages and syncs disks until nothing more can be delivered or synced. */
+    private void deliverAndSyncAll() {
+        boolean progressed = true;
+        for (int round = 0; progressed && round < MAX_IN_FLIGHT; round++) {
+            progressed = false;
+            final List<InFlight> batch = new ArrayList<>(inFlight);
+            inFlight.clear();
             for (final InFlight f : batch) {
-                if (waits(f)) {
-                    flying.add(f);
+                if (isHeldBack(f)) {
+                    inFlight.add(f);
                 } else {
                     deliver(f);
-                    moved = true;
+                    progressed = true;
                 }
             }
             for (final ModelMember m : members) {
                 if (m.runs() && !m.diskStalled && m.hasUnsynced()) {
                     sync(m, m.entries.size());
-                    moved = true;
+                    progressed = true;
                 }
             }
         }
     }
 
-    private boolean waits(final InFlight f) {
+    private boolean isHeldBack(final InFlight f) {
         final ModelMember to = member(f.to);
-        return to.alive && (f.late || to.frozen || (to.held && !f.isHeartbeat()));
+        return to.alive && (f.delayed || to.frozen || (to.held && !f.isHeartbeat()));
     }
 
     private void deliver(final InFlight f) {
@@ -266,11 +264,11 @@
     private void event(final ModelMember m, final Runnable event) {
         m.heartbeats.setOwnEntries(List.of(m.group.entry(clock(m))));
         event.run();
-        obey(m);
+        execute(m);
         invariants.afterEvent(m);
     }
 
-    private void obey(final ModelMember m) {
+    private void execute(final ModelMember m) {
         boolean heartbeatNow = false;
         final List<Action> actions = new ArrayList<>(m.out.drain());
         actions.addAll(m.heartbeatOut.drain());
@@ -289,13 +287,13 @@
         if (heartbeatNow) {
             m.heartbeats.setOwnEntries(List.of(m.group.entry(clock(m))));
             m.heartbeats.heartbeatNow(clock(m), m.heartbeatOut);
-            obey(m);
+            execute(m);
         }
     }
 
     private void send(final ModelMember m, final Action.Send send) {
-        if (!m.cutOutbound && member(send.node()).alive && flying.size() < MOST_IN_FLIGHT) {
-            flying.add(new InFlight(m.id, send.node(), send.message(), false));
+        if (!m.cutOutbound && member(send.node()).alive && inFlight.size() < MAX_IN_FLIGHT) {
+            inFlight.add(new InFlight(m.id, send.node(), send.message(), false));
         }
     }
 }
--- a/testing/src/main/java/brookpath/testing/model/NotHashed.java
+++ b/testing/src/main/java/brookpath/testing/model/NotHashed.java
@@ -5,7 +5,7 @@
 import java.lang.annotation.RetentionPolicy;
 import java.lang.annotation.Target;
 
-/** A field that is no part of the state that the explorer tells apart. */
+/** Excludes a field from {@link StateHash}, so that it does not distinguish states in the exploration. */
 @Retention(RetentionPolicy.RUNTIME)
 @Target(ElementType.FIELD)
 @interface NotHashed {}
--- a/testing/src/main/java/brookpath/testing/model/Schedule.java
+++ b/testing/src/main/java/brookpath/testing/model/Schedule.java
@@ -6,23 +6,23 @@
 import java.util.List;
 import java.util.function.BiConsumer;
 
-/** Repeats schedules, and shortens those that break something. */
+/** Replays schedules, and shortens those that violate an invariant. */
 final class Schedule {
-    private static final int REST = 1_000;
-    private static final int MOST_REST = 60;
+    private static final int SETTLE_STEP_MS = 1_000;
+    private static final int MAX_SETTLE_SECONDS = 60;
 
     private Schedule() {}
 
-    /** Applies the choices that are possible where they stand, leaves out the others. */
-    static Finding replay(final StartState start, final List<Choice> choices, final boolean rest) {
-        return replay(start, choices, rest, (choice, world) -> {});
+    /** Applies each choice that is possible at its place in the schedule, and skips the others. */
+    static Finding replay(final StartState start, final List<Choice> choices, final boolean healAndSettle) {
+        return replay(start, choices, healAndSettle, (choice, world) -> {});
     }
 
-    /** The same, and shows the world after each choice. */
+    /** The same, calling the watcher after each applied choice. */
     static Finding replay(
             final StartState start,
             final List<Choice> choices,
-            final boolean rest,
+            final boolean healAndSettle,
             final BiConsumer<Choice, ModelWorld> watcher) {
         final List<Choice> done = new ArrayList<>();
         try {
@@ -34,8 +34,8 @@
                     watcher.accept(choice, world);
                 }
             }
-            if (rest) {
-                rest(world);
+            if (healAndSettle) {
+                healAndSettle(world);
             }
             return null;
         } catch (final RuntimeException broken) {
@@ -43,17 +43,20 @@
         }
     }
 
-    /** One line for each member: what it is and why. */
+    /** One line for each member: its role, its log, and the reasons it gives for them. */
     static String describe(final ModelWorld world) {
         final StringBuilder text = new StringBuilder("at " + world.now);
         for (final ModelMember m : world.members) {
             final GroupMachine g = m.group;
             text.append("\n  ").append(m.id).append(m.runs() ? " " : " (not running) ");
-            text.append("role ").append(g.role()).append(", epoch ").append(g.term());
-            text.append(", accepted ").append(g.committed()).append(", synced ").append(g.syncedIndex());
+            text.append("role ").append(g.role()).append(", term ").append(g.term());
+            text.append(", committed ")
+                    .append(g.committed())
+                    .append(", synced ")
+                    .append(g.syncedIndex());
             text.append(", end ").append(g.endIndex()).append(g.lost() ? ", lost" : "");
             text.append(g.mayAct(world.clock(m)) ? ", acts" : "")
-                    .append(", hears ")
+                    .append(", hears leader ")
                     .append(g.leaderHeard());
             text.append(", voters ")
                     .append(g.members().stream().map(Member::node).toList());
@@ -62,8 +65,8 @@
         return text.toString();
     }
 
-    /** Heals everything and waits: then the group must serve again, and all members must agree. */
-    static void rest(final ModelWorld world) {
+    /** Ends all faults and waits: then the group must serve again, and all voters must have the same log. */
+    static void healAndSettle(final ModelWorld world) {
         for (final ModelMember m : world.members) {
             m.diskStalled = false;
             m.held = false;
@@ -74,18 +77,18 @@
                 world.apply(Choice.of(Choice.Kind.RESTART, m.id));
             }
         }
-        world.flying.removeIf(ModelWorld.InFlight::late);
-        for (int second = 0; second < MOST_REST && world.invariants.discord() != null; second++) {
-            world.apply(Choice.run(REST));
+        world.inFlight.removeIf(ModelWorld.InFlight::delayed);
+        for (int second = 0; second < MAX_SETTLE_SECONDS && world.invariants.disagreement() != null; second++) {
+            world.apply(Choice.run(SETTLE_STEP_MS));
         }
-        final String discord = world.invariants.discord();
-        if (discord != null) {
-            throw new Violation(discord);
+        final String disagreement = world.invariants.disagreement();
+        if (disagreement != null) {
+            throw new Violation(disagreement);
         }
-        world.invariants.linearizable();
+        world.invariants.checkLinearizable();
     }
 
-    /** A shorter schedule with the same kind of violation: leaves out ever smaller parts. */
+    /** Shortens a schedule while it keeps the same kind of violation, by leaving out ever smaller parts. */
     static Finding shrink(final Finding found) {
         Finding best = found;
         for (int size = Math.max(1, best.choices().size() / 2); size >= 1; size /= 2) {
--- a/testing/src/main/java/brookpath/testing/model/StateHash.java
+++ b/testing/src/main/java/brookpath/testing/model/StateHash.java
@@ -11,14 +11,15 @@
 import java.util.Set;
 
 /**
- * A digest of everything that a world's future depends on: all fields of the production machines, the disks, the
- * messages in flight, the time, and what the checks remember. Not seen: the state of a machine's random generator.
+ * A digest of everything that a world's future depends on: all fields of the production state machines, the disks, the
+ * messages in flight, the time, and the state of the invariant checks. Not included: the state of a machine's random
+ * number generator.
  *
- * <p>No symmetry is used: the node number breaks ties in elections, so members are never interchangeable.
+ * <p>There is no symmetry reduction: the node number breaks ties in elections, so members are not interchangeable.
  */
 final class StateHash {
     private static final long FACTOR = 0x9E3779B97F4A7C15L;
-    private static final String OWN_CODE = "brookpath.";
+    private static final String PROJECT_PACKAGES = "brookpath.";
 
     private static final ClassValue<List<Field>> FIELDS = new ClassValue<>() {
         @Override
@@ -38,13 +39,13 @@
 
     private static final long SEED = 17;
 
-    /** The digests of the objects of our own code that were met: many are reached on several ways. */
-    private final Map<Object, Long> known;
+    /** The digests of objects of this project that are already computed: many are referenced from several places. */
+    private final Map<Object, Long> digests;
 
     private long digest = SEED;
 
-    private StateHash(final Map<Object, Long> known) {
-        this.known = known;
+    private StateHash(final Map<Object, Long> digests) {
+        this.digests = digests;
     }
 
     static long of(final ModelWorld world) {
@@ -100,12 +101,12 @@
     }
 
     private void addObject(final Object value) {
-        Long own = known.get(value);
+        Long own = digests.get(value);
         if (own == null) {
-            final StateHash hash = new StateHash(known);
+            final StateHash hash = new StateHash(digests);
             hash.addFields(value);
             own = hash.digest;
-            known.put(value, own);
+            digests.put(value, own);
         }
         mix(own);
     }
@@ -113,7 +114,7 @@
     private void addUnordered(final Set<?> set) {
         long sum = set.size();
         for (final Object element : set) {
-            final StateHash own = new StateHash(known);
+            final StateHash own = new StateHash(digests);
             own.add(element);
             sum += own.digest;
         }
@@ -122,7 +123,7 @@
 
     private void addFields(final Object value) {
         final Class<?> type = value.getClass();
-        if (!type.getName().startsWith(OWN_CODE) || type.isHidden()) {
+        if (!type.getName().startsWith(PROJECT_PACKAGES) || type.isHidden()) {
             return;
         }
         try {
--- a/testing/src/main/java/brookpath/testing/model/Violation.java
+++ b/testing/src/main/java/brookpath/testing/model/Violation.java
@@ -1,6 +1,6 @@
 package brookpath.testing.model;
 
-/** A broken invariant. */
+/** Thrown where an invariant is violated. */
 final class Violation extends RuntimeException {
     private static final long serialVersionUID = 1;
 
--- a/testing/src/main/java/brookpath/testing/model/package-info.java
+++ b/testing/src/main/java/brookpath/testing/model/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A model of one replication group: the production state machine explored step by step, exhaustively to a depth and by
- * guided random walks, with invariants checked after each step. {@code bin/model} runs it.
+ * Model checking of one replication group: explores the production state machine exhaustively to a depth and by guided
+ * random walks, and checks invariants after each step. {@code bin/model} runs it.
  */
 package brookpath.testing.model;
--- a/testing/src/test/java/brookpath/testing/model/LinearizabilityTest.java
+++ b/testing/src/test/java/brookpath/testing/model/LinearizabilityTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Histories that one log could, or could not, have given. */
+/** The checker accepts linearizable histories of a log and rejects others. */
 public final class LinearizabilityTest {
     private static Operation append(final long invoked, final long returned, final long value) {
         return new Operation(invoked, returned, value, List.of());
@@ -21,34 +21,34 @@
     }
 
     @Test
-    public void concurrentAppendsMayComeInEitherOrder() {
+    public void concurrentAppendsMayTakeEffectInEitherOrder() {
         assertNull(check(append(1, 5, 1), append(2, 4, 2), read(6, 2L, 1L)));
         assertNull(check(append(1, 5, 1), append(2, 4, 2), read(6, 1L, 2L)));
     }
 
     @Test
-    public void unclearAppendMayTakeEffectLateOrNever() {
-        assertNull(check(append(1, Operation.UNCLEAR, 1), read(2), read(3, 1L)));
-        assertNull(check(append(1, Operation.UNCLEAR, 1), append(2, 3, 2), read(4, 2L)));
+    public void appendOfUnknownOutcomeMayTakeEffectLateOrNever() {
+        assertNull(check(append(1, Operation.INDETERMINATE, 1), read(2), read(3, 1L)));
+        assertNull(check(append(1, Operation.INDETERMINATE, 1), append(2, 3, 2), read(4, 2L)));
     }
 
     @Test
-    public void staleReadIsSeen() {
+    public void staleReadIsRejected() {
         assertNotNull(check(append(1, 2, 1), read(3)));
     }
 
     @Test
-    public void takenBackRecordIsSeen() {
-        assertNotNull(check(append(1, Operation.UNCLEAR, 1), read(2, 1L), read(3)));
+    public void recordThatDisappearsIsRejected() {
+        assertNotNull(check(append(1, Operation.INDETERMINATE, 1), read(2, 1L), read(3)));
     }
 
     @Test
-    public void orderAgainstRealTimeIsSeen() {
+    public void orderAgainstRealTimeIsRejected() {
         assertNotNull(check(append(1, 2, 1), append(3, 4, 2), read(5, 2L, 1L)));
     }
 
     @Test
-    public void confirmedAppendThatIsMissingIsSeen() {
+    public void missingConfirmedAppendIsRejected() {
         assertNotNull(check(append(1, 2, 1), append(3, 4, 2), read(5, 2L)));
     }
 }
