--- a/testing/src/main/java/brookpath/testing/fleet/Subscriber.java
+++ b/testing/src/main/java/brookpath/testing/fleet/Subscriber.java
@@ -76,11 +76,11 @@
         context.measurements().count("subscribe status " + status);
         if (status == GONE) {
             synchronized (context.history()) {
-                context.history().refusedResume(context.now(), listener, RETENTION_MS);
-                listener.entitled = false;
+                context.history().resumeRefused(context.now(), listener, RETENTION_MS);
+                listener.expectsAllMessages = false;
             }
         } else if (status == UNAUTHORIZED) {
-            listener.entitled = false;
+            listener.expectsAllMessages = false;
         }
     }
 
@@ -111,7 +111,7 @@
             if (type.equals("message")) {
                 delivered(line, at);
             } else {
-                context.history().begun(context.now(), listener, positions(cursor));
+                context.history().subscribedAt(context.now(), listener, positions(cursor));
             }
         }
     }
@@ -122,7 +122,7 @@
         final String sender = message.getString("sender");
         final long seq = message.getJsonNumber("sequence").longValue();
         final History history = context.history();
-        history.begunIfNot(context.now(), listener, topic, position);
+        history.subscribedAtOrBefore(context.now(), listener, topic, position);
         history.delivered(
                 context.now(),
                 listener,
--- a/testing/src/main/java/brookpath/testing/oracle/History.java
+++ b/testing/src/main/java/brookpath/testing/oracle/History.java
@@ -42,9 +42,9 @@
         final Set<String> got = new HashSet<>();
         final Map<String, List<String>> spaceOrder = new HashMap<>();
         public int delivered;
-        boolean begun;
+        boolean subscribed;
         /** False once its key was taken away or it came back too late: it may then have missed something. */
-        public boolean entitled = true;
+        public boolean expectsAllMessages = true;
 
         /** The topics that the subscriber listens to. */
         public Set<String> topics() {
@@ -142,16 +142,16 @@
     }
 
     /** The first cursor: what is committed from here on must arrive. */
-    public void begun(final long now, final Listener l, final Map<String, Long> at) {
-        if (!l.begun) {
-            l.begun = true;
+    public void subscribedAt(final long now, final Listener l, final Map<String, Long> at) {
+        if (!l.subscribed) {
+            l.subscribed = true;
             l.from.putAll(at);
         }
     }
 
     /** A line that came before any cursor line: that position, at the latest, is where it began. */
-    public void begunIfNot(final long now, final Listener l, final String topic, final long position) {
-        if (!l.begun) {
+    public void subscribedAtOrBefore(final long now, final Listener l, final String topic, final long position) {
+        if (!l.subscribed) {
             l.from.merge(topic, position - 1, Math::min);
         }
     }
@@ -227,7 +227,7 @@
     }
 
     /** Told that it is too late to resume: only right where something that it missed was older than the space keeps. */
-    public void refusedResume(final long now, final Listener l, final long keepingMs) {
+    public void resumeRefused(final long now, final Listener l, final long keepingMs) {
         long oldest = Long.MAX_VALUE;
         for (final Sent s : sent.values()) {
             if (l.topics.contains(s.topic) && !l.has(s)) {
@@ -249,7 +249,7 @@
     /** After all is quiet: every committed message has reached everyone who listened, and one-order spaces agree. */
     public void settle(final long now) {
         for (final Listener l : listeners) {
-            if (!l.begun) {
+            if (!l.subscribed) {
                 continue;
             }
             for (final String id : l.got) {
@@ -260,7 +260,7 @@
                 }
             }
             for (final Sent s : sent.values()) {
-                if (l.entitled
+                if (l.expectsAllMessages
                         && s.committedAt >= 0
                         && l.topics.contains(s.topic)
                         && s.position > l.from.getOrDefault(s.topic, Long.MAX_VALUE)
--- a/testing/src/main/java/brookpath/testing/oracle/UsageLedger.java
+++ b/testing/src/main/java/brookpath/testing/oracle/UsageLedger.java
@@ -48,7 +48,7 @@
             firstEnd = Math.min(firstEnd, end);
             lateReports += late ? 1 : 0;
             latest = Math.max(latest, now - end);
-            agrees(now, "the platform", tenant, end, publishes, bytes);
+            checkTotal(now, "the platform", tenant, end, publishes, bytes);
         } else if (!other.equals(r)) {
             history.violation(
                     now, "tenant " + tenant + " window ending " + end + " was reported as " + other + " and as " + r);
@@ -56,7 +56,7 @@
     }
 
     /** What one controller holds as a window's total, posted or not: all must hold the same, at all times. */
-    public void agrees(
+    public void checkTotal(
             final long now,
             final String where,
             final String tenant,
--- a/testing/src/main/java/brookpath/testing/oracle/control/Availability.java
+++ b/testing/src/main/java/brookpath/testing/oracle/control/Availability.java
@@ -18,7 +18,7 @@
     public static final long READ_MS = 5_000;
 
     private final ControlViolations violations;
-    private final Map<String, Long> openOrders = new HashMap<>();
+    private final Map<String, Long> openChanges = new HashMap<>();
     private final Map<Integer, Long> servedAt = new HashMap<>();
     private final Map<Integer, Long> exemptUntil = new HashMap<>();
     private long disturbedUntil;
@@ -48,13 +48,13 @@
     }
 
     /** A valid order is sent for the first time, or its time begins anew. */
-    public void ordered(final long now, final String order) {
-        openOrders.put(order, now);
+    public void changeSent(final long now, final String order) {
+        openChanges.put(order, now);
     }
 
     /** An order has its final answer, or its caller has been kept from hearing it. */
-    public void finished(final String order) {
-        openOrders.remove(order);
+    public void changeAnswered(final String order) {
+        openChanges.remove(order);
     }
 
     /** A controller has served a read. */
@@ -68,7 +68,7 @@
             return;
         }
         for (final Iterator<Map.Entry<String, Long>> open =
-                        openOrders.entrySet().iterator();
+                        openChanges.entrySet().iterator();
                 open.hasNext(); ) {
             final Map.Entry<String, Long> order = open.next();
             final long since = Math.max(order.getValue(), settledSince());
--- a/testing/src/main/java/brookpath/testing/sim/Callers.java
+++ b/testing/src/main/java/brookpath/testing/sim/Callers.java
@@ -114,7 +114,7 @@
     private void checkListening() {
         if (!quiet) {
             for (final Subscriber s : subscribers) {
-                if (s.listener.entitled && !s.disconnected) {
+                if (s.listener.expectsAllMessages && !s.disconnected) {
                     service.requested("listening", cluster.now(), s.listeningSince >= 0 && holds(s));
                 }
             }
--- a/testing/src/main/java/brookpath/testing/sim/Operators.java
+++ b/testing/src/main/java/brookpath/testing/sim/Operators.java
@@ -133,7 +133,7 @@
         final Change change = new Change(changeId, newest, text, valid, cluster.now());
         history.changes.sent(change);
         if (valid) {
-            history.availability.ordered(cluster.now(), changeId);
+            history.availability.changeSent(cluster.now(), changeId);
         }
         underWay++;
         send(change, anyController(null), 0);
@@ -150,7 +150,7 @@
     private void repeat(final Change change) {
         cluster.count("control: repeats");
         underWay++;
-        history.availability.ordered(cluster.now(), change.changeId());
+        history.availability.changeSent(cluster.now(), change.changeId());
         send(change, anyController(null), 0);
     }
 
@@ -177,7 +177,7 @@
             taken(change, ControlAnswer.of(response).version());
             if (calls.losesAnswer()) {
                 cluster.count("control: acknowledgements lost");
-                history.availability.finished(change.changeId());
+                history.availability.changeAnswered(change.changeId());
                 again(change, by, tries);
                 return;
             }
@@ -187,7 +187,7 @@
             refused(change, response);
         }
         underWay--;
-        history.availability.finished(change.changeId());
+        history.availability.changeAnswered(change.changeId());
         if (response.status() == OK && observer != null) {
             observer.acknowledged(by);
         }
--- a/testing/src/main/java/brookpath/testing/sim/Platform.java
+++ b/testing/src/main/java/brookpath/testing/sim/Platform.java
@@ -94,7 +94,7 @@
                     final long end = (w.window() + 1) * cluster.timing.windowMs() - SimulatedCluster.WALL;
                     if (w.index() <= b.group().committed()) {
                         w.used()
-                                .forEach(u -> cluster.history.usage.agrees(
+                                .forEach(u -> cluster.history.usage.checkTotal(
                                         cluster.now(), "node " + id, u.tenant(), end, u.publishes(), u.bytes()));
                     }
                 }
--- a/testing/src/main/java/brookpath/testing/sim/Subscriber.java
+++ b/testing/src/main/java/brookpath/testing/sim/Subscriber.java
@@ -60,13 +60,13 @@
                 return;
             }
             if (r.status() == 410) {
-                cluster.history.refusedResume(cluster.now(), listener, Callers.RETENTION_MS);
+                cluster.history.resumeRefused(cluster.now(), listener, Callers.RETENTION_MS);
                 cluster.count("too old to resume");
-                listener.entitled = false;
+                listener.expectsAllMessages = false;
                 return;
             }
             if (r.status() == 401) {
-                listener.entitled = false;
+                listener.expectsAllMessages = false;
                 cluster.count("keys refused");
             }
             cluster.at(cluster.now() + 100 + r.retryAfterMs() + cluster.random.nextInt(300), this::connect);
@@ -83,7 +83,7 @@
             if (!listener.topics().contains(obj.getString("topic"))) {
                 cluster.history.violation(cluster.now(), name + " got an unasked topic");
             }
-            cluster.history.begunIfNot(
+            cluster.history.subscribedAtOrBefore(
                     cluster.now(),
                     listener,
                     obj.getString("topic"),
@@ -106,7 +106,7 @@
             for (final String part : new String(Base64.getUrlDecoder().decode(cursor), UTF_8).split(",")) {
                 at.put(part.substring(0, part.indexOf('@')), Long.parseLong(part.substring(part.indexOf('@') + 1)));
             }
-            cluster.history.begun(cluster.now(), listener, at);
+            cluster.history.subscribedAt(cluster.now(), listener, at);
         }
     }
 
--- a/testing/src/test/java/brookpath/testing/oracle/control/ControlHistoryTest.java
+++ b/testing/src/test/java/brookpath/testing/oracle/control/ControlHistoryTest.java
@@ -222,7 +222,7 @@
     @Test
     public void anOrderWithoutAnswerInSettledTimeIsSeen() {
         history.availability.disturb(1_000);
-        history.availability.ordered(900, "one");
+        history.availability.changeSent(900, "one");
         final long due = 1_000 + Availability.SETTLE_MS + Availability.ACKNOWLEDGE_MS;
         history.watch(due, List.of());
         assertTrue(history.violations.all().isEmpty(), "an unsettled core excuses it until then");
@@ -337,7 +337,7 @@
     public void anCommittedMessageThatNeverArrivesIsSeen() {
         final History topics = new History();
         final History.Listener listener = topics.listener("listener", Set.of("clues/t2"));
-        topics.begun(1, listener, Map.of("clues/t2", 0L));
+        topics.subscribedAt(1, listener, Map.of("clues/t2", 0L));
         topics.committed(20, topics.sending("clues/t2", "ana", 1, "a message"), 1);
         assertTrue(topics.violations().isEmpty());
         topics.settle(100);
