--- a/testing/src/main/java/brookpath/testing/fuzz/FuzzContext.java
+++ b/testing/src/main/java/brookpath/testing/fuzz/FuzzContext.java
@@ -8,7 +8,7 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 
-/** What the parts of one run share: its style, virtual time, random numbers, members and oracle. */
+/** The shared state of one run: its style, virtual time, random numbers, members, network and oracle. */
 final class FuzzContext {
     static final int GROUP = 0;
 
--- a/testing/src/main/java/brookpath/testing/fuzz/FuzzDisk.java
+++ b/testing/src/main/java/brookpath/testing/fuzz/FuzzDisk.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The disk of one member: what is synced outlasts a loss of power, the rest does not. */
+/** The disk of one member: synced entries survive a power failure, unsynced ones do not. */
 final class FuzzDisk {
     static final long USUAL_SYNC_MS = 1;
 
@@ -39,7 +39,7 @@
         lastNumber = write.number();
     }
 
-    /** Begins to sync what was appended, unless a sync is under way. */
+    /** Starts to sync the appended entries, unless a sync is in progress. */
     void sync() {
         if (syncing || unsynced.isEmpty()) {
             return;
--- a/testing/src/main/java/brookpath/testing/fuzz/FuzzFaults.java
+++ b/testing/src/main/java/brookpath/testing/fuzz/FuzzFaults.java
@@ -3,7 +3,7 @@
 import java.util.Collection;
 import java.util.List;
 
-/** Random faults of members and links, one after another. */
+/** Injects random faults of members and links, one after another. */
 final class FuzzFaults {
     private static final int KINDS = 7;
     private static final int MAX_SYNC_MS = 400;
@@ -22,12 +22,12 @@
     void scheduleNext() {
         final long interval = context.style.faultIntervalMs();
         context.after(interval / 2 + context.random.nextLong(interval), () -> {
-            cause(context.anyMember());
+            inject(context.anyMember());
             scheduleNext();
         });
     }
 
-    private void cause(final FuzzMember member) {
+    private void inject(final FuzzMember member) {
         switch (context.random.nextInt(KINDS)) {
             case 0, 1 -> losePower(member);
             case 2 -> member.freeze(freezeMs());
@@ -42,7 +42,7 @@
         return context.random.nextBoolean() ? context.random.nextLong(2_500) : 350 + context.random.nextLong(400);
     }
 
-    /** Often all members at once, since what is synced must outlast even that. */
+    /** In one case of three all members lose power at once, because synced entries must survive even that. */
     private void losePower(final FuzzMember member) {
         final Collection<FuzzMember> affected =
                 context.random.nextInt(3) == 0 ? context.members.values() : List.of(member);
@@ -50,7 +50,7 @@
             if (each.alive()) {
                 crashes++;
                 each.losePower();
-                // why: a member that is back at once has forgotten what it answered, and others still count on it
+                // A member that restarts quickly has lost its unsynced state while others still rely on its replies.
                 context.after(
                         context.random.nextLong(context.random.nextBoolean() ? 150 : 1_500), () -> each.start(false));
             }
--- a/testing/src/main/java/brookpath/testing/fuzz/FuzzMember.java
+++ b/testing/src/main/java/brookpath/testing/fuzz/FuzzMember.java
@@ -14,12 +14,12 @@
 import java.util.List;
 import java.util.TreeSet;
 
-/** One member: the production state machine and heartbeats, driven in virtual time as a process drives them. */
+/** One member: the production state machine and heartbeats, driven in virtual time the way a process drives them. */
 final class FuzzMember {
     private static final int TOPIC_RETENTION_MS = 600_000;
     private static final int USAGE_WINDOW_MS = 10_000;
 
-    /** What the oracle saw of a member at its last check. */
+    /** The state of a member at the oracle's last check. */
     record Observed(int role, String reason, long committed) {}
 
     private final FuzzContext context;
@@ -162,7 +162,7 @@
         });
     }
 
-    /** One event of the state thread; a frozen member takes it when it wakes, unless it has started anew by then. */
+    /** One event of the state thread; a frozen member handles it after the freeze, unless it has restarted by then. */
     void run(final Runnable event) {
         if (!alive) {
             return;
@@ -187,7 +187,7 @@
         observed = new Observed(group.role(), group.why(), group.committed());
     }
 
-    /** Heartbeats go to the members that the newest membership here names, as the nodes have it. */
+    /** Sends heartbeats to the members in the newest membership that this member knows, as a node does. */
     private void updatePeers() {
         final TreeSet<Integer> others = new TreeSet<>();
         if (group.membership().holds(id)) {
@@ -201,7 +201,7 @@
         }
     }
 
-    /** Heartbeats and state are two threads: each takes the other's newest state, now and then late. */
+    /** Heartbeats and state are two threads: each reads the other's newest state, sometimes with a lag. */
     private void takeHeartbeatTable() {
         if (context.now() >= tableLagsUntil) {
             tableLagsUntil = context.now() + lagMs();
@@ -245,7 +245,7 @@
         disk.sync();
     }
 
-    /** Everything up to this write is synced. */
+    /** Called when everything up to this write is synced. */
     void onSynced(final long number) {
         run(() -> group.synced(number, context.now()));
     }
--- a/testing/src/main/java/brookpath/testing/fuzz/FuzzMembershipChanges.java
+++ b/testing/src/main/java/brookpath/testing/fuzz/FuzzMembershipChanges.java
@@ -4,10 +4,10 @@
 import brookpath.coordination.group.Member;
 import brookpath.coordination.group.Membership;
 
-/** Leaders try one change of the membership after another, sensible or not; all nodes learn late what was committed. */
+/** Leaders attempt random membership changes, valid or not; the other nodes learn of committed ones with a delay. */
 final class FuzzMembershipChanges {
     private final FuzzContext context;
-    /** The newest membership that an acting leader has committed, as the other nodes learn of it. */
+    /** The newest membership that an acting leader has committed; the other nodes learn of it from here. */
     private Membership published = Membership.NONE;
 
     private int changes;
@@ -58,7 +58,7 @@
         }
     }
 
-    /** Some next membership, good or bad; null for none. */
+    /** A random next membership, valid or not; null for none. */
     private Membership proposal(final Membership current) {
         final Member any = new Member(1 + context.random.nextInt(context.members.size()), 50, "");
         if (!current.holds(any.node())) {
--- a/testing/src/main/java/brookpath/testing/fuzz/FuzzNetwork.java
+++ b/testing/src/main/java/brookpath/testing/fuzz/FuzzNetwork.java
@@ -9,9 +9,9 @@
     private static final long MAX_PARTITION_MS = 3_000;
 
     private final FuzzContext context;
-    /** Hears nothing and is hardly heard; 0 for none. */
+    /** The node that receives nothing and most of whose messages are lost; 0 for none. */
     private int isolated;
-    /** Bits of the two members that do not hear each other; 0 for none. */
+    /** A bit for each of the two members that cannot reach each other; 0 for none. */
     private int separatedPair;
 
     FuzzNetwork(final FuzzContext context) {
@@ -40,7 +40,7 @@
         context.after(context.random.nextLong(MAX_PARTITION_MS), () -> isolated = 0);
     }
 
-    /** Two members that do not hear each other while a third hears both. */
+    /** Separates two members from each other, while a third one reaches both. */
     void separate(final int node, final int other) {
         separatedPair = pair(node, other);
         context.after(context.random.nextLong(MAX_PARTITION_MS), () -> separatedPair = 0);
--- a/testing/src/main/java/brookpath/testing/fuzz/FuzzOracle.java
+++ b/testing/src/main/java/brookpath/testing/fuzz/FuzzOracle.java
@@ -10,8 +10,8 @@
 import java.util.TreeMap;
 
 /**
- * Looks at the members' inside after each event: one leader a term, one acting leader at a time, committed records that
- * never change and that each later leader has.
+ * Checks the members' internal state after each event: there is one leader per term and one acting leader at a time,
+ * and committed records never change and are in the log of each later leader.
  */
 final class FuzzOracle {
     private static final int MAX_VIOLATIONS = 10;
@@ -53,7 +53,7 @@
         trace.add(context.now() + " " + text);
     }
 
-    /** Checks a member after an event, against what it was at the check before. */
+    /** Checks a member after an event, compared with its state at the previous check. */
     void check(final FuzzMember member, final FuzzMember.Observed before) {
         final GroupMachine group = member.group();
         if (group.role() == GroupMachine.LEADER && before.role() != GroupMachine.LEADER) {
@@ -63,9 +63,9 @@
                 && before.role() == GroupMachine.LEADER
                 && group.committed() > before.committed()
                 && group.committed() < group.openIndex()) {
-            // why: what that can do shows only after three more changes of leader, so the rule itself is looked at
-            violation("leader " + member.id() + " of term " + group.term() + " calls " + group.committed()
-                    + " committed before its own record at " + group.openIndex());
+            // The damage would show only after three more leader changes, so the rule itself is checked.
+            violation("leader " + member.id() + " of term " + group.term() + " commits " + group.committed()
+                    + " before the first record of its term at " + group.openIndex());
         }
         if (!group.why().equals(before.reason())) {
             trace("member " + member.id() + " term " + group.term() + " committed " + group.committed() + " synced "
@@ -81,8 +81,7 @@
             violation("term " + group.term() + " has two leaders, " + other + " and " + node);
         }
         committedByIndex.forEach((index, bytes) -> {
-            // why: an attempt that was won late, in an older term, may lack what a later leader committed; it cannot
-            // act
+            // A leader of an older term, elected late, may lack what a later leader committed, but it cannot act.
             if (committedInTerm.get(index) < group.term() && lacks(group, index, bytes)) {
                 violation("leader " + node + " of term " + group.term() + " lacks committed record " + index);
             }
@@ -119,7 +118,9 @@
         }
     }
 
-    /** What a change must not do, though its harm would show only after further failures. */
+    /**
+     * Checks the rules for membership changes, because the damage of a violation would show only after more failures.
+     */
     void checkChange(final Membership from, final Membership to, final long committedBefore) {
         final List<Member> joining = Membership.missing(to.voters(), from.voters());
         final List<Member> leaving = Membership.missing(from.voters(), to.voters());
@@ -133,7 +134,8 @@
                 .filter(voter -> hasSynced(voter, committedBefore))
                 .count();
         if (replicas < Quorums.floor(to.voters().size(), 1)) {
-            violation("only " + replicas + " of the next voters have what is committed, from " + from + " to " + to);
+            violation("only " + replicas + " of the next voters have synced what is committed, from " + from + " to "
+                    + to);
         }
     }
 
--- a/testing/src/main/java/brookpath/testing/fuzz/FuzzOutcome.java
+++ b/testing/src/main/java/brookpath/testing/fuzz/FuzzOutcome.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * What one run came to.
+ * The result of one run.
  *
  * @param seed of the run
  * @param violations of the group's rules, each with its virtual time in milliseconds; empty for none
- * @param committed records
- * @param leaders elected
- * @param crashes of members
- * @param changes of the membership that were appended
- * @param trace one line a transition of a member
+ * @param committed how many records were committed
+ * @param leaders how many leaders were elected
+ * @param crashes power failures of members
+ * @param changes membership changes that were appended
+ * @param trace one line for each state transition of a member
  */
 public record FuzzOutcome(
         long seed,
--- a/testing/src/main/java/brookpath/testing/fuzz/FuzzStyle.java
+++ b/testing/src/main/java/brookpath/testing/fuzz/FuzzStyle.java
@@ -12,7 +12,7 @@
  * @param lengthMs length of the run in virtual time, in milliseconds
  * @param lagPerThousand how often a thread sees the other thread's state late, of a thousand
  * @param maxLagMs longest such lag, in milliseconds
- * @param spares nodes that are no members at first; where there are any, the leaders change the membership
+ * @param spares nodes that are not members at first; if there are any, the leaders change the membership
  */
 public record FuzzStyle(
         int members,
@@ -30,8 +30,9 @@
             new FuzzStyle(5, 100, 1_500, 500, 60_000, 30, 40, 0),
             new FuzzStyle(3, 5, 3_000, 2_500, 60_000, 30, 40, 0),
             new FuzzStyle(5, 250, 300, 1_500, 60_000, 30, 40, 0),
-            // why: threads that are put aside for long, amid freezes about as long as the detection time, show what one
-            // thread must not assume of the other
+            // Long lags between threads, with freezes about as long as the detection time, reveal where one thread
+            // wrongly
+            // relies on the other's state being current.
             new FuzzStyle(3, 0, 3, 700, 60_000, 300, 200, 0),
             new FuzzStyle(5, 50, 300, 150, 30_000, 30, 40, 0),
             new FuzzStyle(3, 20, 300, 900, 60_000, 30, 40, 2),
--- a/testing/src/main/java/brookpath/testing/fuzz/GroupFuzz.java
+++ b/testing/src/main/java/brookpath/testing/fuzz/GroupFuzz.java
@@ -3,8 +3,8 @@
 import java.util.stream.LongStream;
 
 /**
- * One replication group alone, on a network that loses, delays and reorders far more than TCP would, with members that
- * freeze, lose power and come back, always in numbers that may happen.
+ * Fuzz test of one replication group, on a network that loses, delays and reorders messages far more than TCP would,
+ * with members that freeze, lose power and restart, in numbers that can occur in operation.
  */
 public final class GroupFuzz {
     private static final int TRACE_LINES_SHOWN = 60;
@@ -59,7 +59,7 @@
         });
     }
 
-    /** {@code FIRST COUNT}: many seeds in all styles; exits 1 where one had a violation. */
+    /** {@code FIRST COUNT}: many seeds in all styles; exits 1 if one had a violation. */
     public static void main(final String[] args) {
         final long first = args.length > 0 ? Long.parseLong(args[0]) : 1;
         final long count = args.length > 1 ? Long.parseLong(args[1]) : 100;
@@ -73,7 +73,7 @@
         System.exit(totals.failed == 0 ? 0 : 1);
     }
 
-    /** What all runs came to; several threads add to it. */
+    /** The totals of all runs, updated by several threads. */
     private static final class Totals {
         private final boolean showTrace;
         private long committed;
--- a/testing/src/main/java/brookpath/testing/model/Explorer.java
+++ b/testing/src/main/java/brookpath/testing/model/Explorer.java
@@ -7,8 +7,7 @@
 
 /**
  * Explores all schedules up to a depth from a start state. State machines cannot be copied, so a state is restored by
- * replaying its choices. A state that was reached before with at least as many steps left is not expanded
- * again.
+ * replaying its choices. A state that was reached before with at least as many steps left is not expanded again.
  */
 final class Explorer {
     private final StartState start;
--- a/testing/src/main/java/brookpath/testing/model/Invariants.java
+++ b/testing/src/main/java/brookpath/testing/model/Invariants.java
@@ -119,8 +119,8 @@
     private void checkCommitQuorum(final ModelMember m) {
         final GroupMachine g = m.group;
         if (g.committed() < g.openIndex()) {
-            throw new Violation(
-                    "leader " + m.id + " commits " + g.committed() + " before the first record of its term at " + g.openIndex());
+            throw new Violation("leader " + m.id + " commits " + g.committed()
+                    + " before the first record of its term at " + g.openIndex());
         }
         final int voters = g.membership().voters().size();
         final int floor = Math.max(Math.min(voters, ModelMember.TOLERATED_LOSSES + 1), majority(voters));
@@ -152,7 +152,8 @@
     private void checkActingLeader(final ModelMember m) {
         final GroupMachine g = m.group;
         if (g.committed() < g.openIndex()) {
-            throw new Violation("member " + m.id + " acts before the first record of its term at " + g.openIndex() + " is committed");
+            throw new Violation("member " + m.id + " acts before the first record of its term at " + g.openIndex()
+                    + " is committed");
         }
         if (!committedByIndex.isEmpty() && g.committed() < committedByIndex.lastKey()) {
             throw new Violation("member " + m.id + " acts with " + g.committed() + " committed, although "
--- a/testing/src/main/java/brookpath/testing/mutate/Mutants.java
+++ b/testing/src/main/java/brookpath/testing/mutate/Mutants.java
@@ -19,17 +19,18 @@
 import javax.tools.ToolProvider;
 
 /**
- * Breaks the production code on purpose, one rule at a time, and looks whether a check goes red: first the staged
- * scenes, then a sweep. {@code bin/mutants [SEEDS [NAME-PART]]}; {@code bin/mutants model [NAME-PART]} takes the rules
- * of one replication group, with the model as the check. Outside CI. Exits 1 where a mutant lived.
+ * Mutation testing, outside CI: breaks the production code one rule at a time and tests whether a check fails, first
+ * the scenario tests, then the group fuzz, then a sweep. {@code bin/mutants [SEEDS [NAME-PART]]}; {@code bin/mutants
+ * model [NAME-PART]} takes the rules of one replication group, with the model as the check. Exits 1 if a mutant
+ * survived.
  */
 public final class Mutants {
-    /** The rules that break what the product's processes do together. */
+    /** The mutants of rules for how the processes work together. */
     static final String TABLE = "mutants.txt";
-    /** The rules of one replication group. */
+    /** The mutants of rules of one replication group. */
     static final String MODEL_TABLE = "model-mutants.txt";
 
-    /** One rule to break: the text in a file of the coordination module, and what takes its place. */
+    /** One mutant: a text in a file of the coordination module, and its replacement. */
     record Mutant(String name, String file, String find, String replace, String faults) {
         /** The source file in a checkout of the repository. */
         Path source(final Path checkout) {
@@ -37,21 +38,21 @@
                     .resolve(file);
         }
 
-        /** Where the text stands in the source; throws an IllegalStateException where it is not there. */
+        /** Finds the text in the source; throws an IllegalStateException if it is not there. */
         Matcher locate(final Path checkout) throws IOException {
             final Path source = source(checkout);
             final Matcher found = Pattern.compile(anyLayout(find)).matcher(Files.readString(source));
             if (!found.find()) {
-                throw new IllegalStateException(name + ": its text is not in " + source);
+                throw new IllegalStateException(name + ": its text was not found in " + source);
             }
             return found;
         }
     }
 
     private static final String MODEL = "model";
-    private static final int MOST_SHOWN = 110;
-    /** The staged scenes, and the tests of single state machines that are as quick. */
-    private static final String SCENES = String.join(
+    private static final int MAX_FAILURE_LENGTH = 110;
+    /** The scenario tests, and equally quick tests of single state machines. */
+    private static final String SCENARIOS = String.join(
             ",",
             "brookpath.testing.sim.LeaderElectionScenariosTest",
             "brookpath.testing.sim.LogReplicationScenariosTest",
@@ -79,33 +80,33 @@
 
     private Mutants() {}
 
-    /** Runs the rows whose text holds the second argument; the first is how many seeds, or {@code model}. */
+    /** Runs the mutants whose row contains the second argument; the first is the number of seeds, or {@code model}. */
     public static void main(final String[] args) throws Exception {
         final String seeds = args.length > 0 ? args[0] : "24";
         final boolean model = seeds.equals(MODEL);
         final List<Mutant> mutants = read(model ? MODEL_TABLE : TABLE, args.length < 2 ? "" : args[1]);
-        // why: a check that is red without a mutant says nothing of mutants
-        final Path work = Files.createTempDirectory("whole");
+        // a check that fails without a mutant cannot detect one
+        final Path work = Files.createTempDirectory("baseline");
         final String classPath = System.getProperty("java.class.path");
-        final String whole = model ? byModel(work, classPath) : byScenes(work, classPath);
-        if (whole != null) {
-            System.err.println("mutants: the check is red without any mutant: " + whole);
+        final String baselineFailure = model ? runModel(work, classPath) : runScenarios(work, classPath);
+        if (baselineFailure != null) {
+            System.err.println("mutants: the check fails without any mutant: " + baselineFailure);
             System.exit(1);
         }
         final ExecutorService pool = Executors.newFixedThreadPool(model ? 1 : 4);
         final List<Future<String>> results = new ArrayList<>();
         for (final Mutant m : mutants) {
-            results.add(pool.submit(() -> row(m, seeds)));
+            results.add(pool.submit(() -> runMutant(m, seeds)));
         }
-        int lived = 0;
-        System.out.println("| left out or broken | seen by | what was seen first |\n|---|---|---|");
+        int survived = 0;
+        System.out.println("| mutant | detected by | first failure |\n|---|---|---|");
         for (final Future<String> result : results) {
             System.out.println(result.get());
-            lived += result.get().contains("| NOT SEEN |") ? 1 : 0;
+            survived += result.get().contains("| SURVIVED |") ? 1 : 0;
         }
         pool.shutdown();
-        System.out.println(mutants.size() + " mutants, " + lived + " not seen");
-        System.exit(lived == 0 ? 0 : 1);
+        System.out.println(mutants.size() + " mutants, " + survived + " survived");
+        System.exit(survived == 0 ? 0 : 1);
     }
 
     /** The mutants of a table whose line contains the given text. */
@@ -122,7 +123,8 @@
         return mutants;
     }
 
-    private static String byScenes(final Path work, final String classPath) throws IOException, InterruptedException {
+    private static String runScenarios(final Path work, final String classPath)
+            throws IOException, InterruptedException {
         return run(
                 work,
                 classPath,
@@ -135,10 +137,10 @@
                 "-d",
                 work.resolve("testng").toString(),
                 "-testclass",
-                SCENES);
+                SCENARIOS);
     }
 
-    private static String byModel(final Path work, final String classPath) throws IOException, InterruptedException {
+    private static String runModel(final Path work, final String classPath) throws IOException, InterruptedException {
         return run(work, classPath, "^VIOLATION.*", "brookpath.testing.model.ModelMain", "150", "1", "4000");
     }
 
@@ -146,7 +148,7 @@
         return s.trim().replace("\u0001", "|").replace("\\n", "\n");
     }
 
-    /** A pattern for the text however the formatter breaks its lines. */
+    /** A pattern that matches the text however the formatter breaks its lines. */
     private static String anyLayout(final String text) {
         final StringBuilder pattern = new StringBuilder();
         text.chars()
@@ -156,24 +158,24 @@
         return pattern.toString();
     }
 
-    private static String row(final Mutant m, final String seeds) throws IOException, InterruptedException {
+    private static String runMutant(final Mutant m, final String seeds) throws IOException, InterruptedException {
         final Path work = Files.createTempDirectory("mutant");
         final String cp = System.getProperty("java.class.path");
         final Path out = compile(m, work, cp);
         final String mutatedCp = out + File.pathSeparator + cp;
         if (seeds.equals(MODEL)) {
-            final String broken = byModel(work, mutatedCp);
-            return "| " + m.name + (broken == null ? " | NOT SEEN | |" : " | model | " + broken + " |");
+            final String failure = runModel(work, mutatedCp);
+            return "| " + m.name + (failure == null ? " | SURVIVED | |" : " | model | " + failure + " |");
         }
-        String seen = byScenes(work, mutatedCp);
-        if (seen != null) {
-            return "| " + m.name + " | scene | " + seen + " |";
+        String failure = runScenarios(work, mutatedCp);
+        if (failure != null) {
+            return "| " + m.name + " | scenario | " + failure + " |";
         }
-        seen = run(work, mutatedCp, "^  [0-9]+:.*", "brookpath.testing.fuzz.GroupFuzz", "1", "300");
-        if (seen != null) {
-            return "| " + m.name + " | group fuzz | " + seen + " |";
+        failure = run(work, mutatedCp, "^  [0-9]+:.*", "brookpath.testing.fuzz.GroupFuzz", "1", "300");
+        if (failure != null) {
+            return "| " + m.name + " | group fuzz | " + failure + " |";
         }
-        seen = run(
+        failure = run(
                 work,
                 mutatedCp,
                 "^(  [0-9]+:|seed [0-9]+: java).*",
@@ -181,12 +183,12 @@
                 "1",
                 seeds,
                 m.faults);
-        return seen != null
-                ? "| " + m.name + " | sweep " + m.faults + " | " + seen + " |"
-                : "| " + m.name + " | NOT SEEN | |";
+        return failure != null
+                ? "| " + m.name + " | sweep " + m.faults + " | " + failure + " |"
+                : "| " + m.name + " | SURVIVED | |";
     }
 
-    /** Compiles the mutated file into a directory below {@code work}, and gives that. */
+    /** Compiles the mutated file into a directory below {@code work}, and returns the directory. */
     private static Path compile(final Mutant m, final Path work, final String cp) throws IOException {
         final Matcher found = m.locate(Path.of(""));
         final Path mutated = work.resolve("src").resolve(m.file);
@@ -200,7 +202,7 @@
         return out;
     }
 
-    /** The first line that tells what went red, or null where the run was green. */
+    /** Runs a check; returns the first line that describes its failure, or null if it passed. */
     private static String run(final Path work, final String cp, final String mark, final String... cmd)
             throws IOException, InterruptedException {
         final List<String> all = new ArrayList<>(List.of(
@@ -224,9 +226,9 @@
         for (final String line : Files.readString(out.toPath()).split("\n")) {
             if (mark.startsWith("^") ? line.matches(mark) : line.contains(mark) || line.contains("Exception")) {
                 final String text = line.strip().replace('|', '/').replace("java.lang.AssertionError: ", "");
-                return text.substring(0, Math.min(MOST_SHOWN, text.length()));
+                return text.substring(0, Math.min(MAX_FAILURE_LENGTH, text.length()));
             }
         }
-        return "a scene failed";
+        return "a scenario failed";
     }
 }
--- a/testing/src/main/java/brookpath/testing/mutate/package-info.java
+++ b/testing/src/main/java/brookpath/testing/mutate/package-info.java
@@ -1,2 +1,2 @@
-/** Mutation testing: the production code broken on purpose, one rule at a time, against the tests and sweeps. */
+/** Mutation testing: breaks the production code one rule at a time, and runs the tests and sweeps against it. */
 package brookpath.testing.mutate;
--- a/testing/src/main/java/brookpath/testing/oracle/History.java
+++ b/testing/src/main/java/brookpath/testing/oracle/History.java
@@ -8,9 +8,9 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** What callers saw, and whether it may be so. Knows nothing of the system's insides. */
+/** Records what callers saw and checks that it is valid, without knowledge of the system's internal state. */
 public final class History {
-    /** One message as its sender knows it. */
+    /** One message, as its sender knows it. */
     public static final class Sent {
         public final String topic;
         public final String sender;
@@ -38,12 +38,12 @@
         final Set<String> topics;
         final Map<String, Long> lastPosition = new HashMap<>();
         final Map<String, Long> lastSeq = new HashMap<>();
-        final Map<String, Long> from = new HashMap<>();
-        final Set<String> got = new HashSet<>();
-        final Map<String, List<String>> spaceOrder = new HashMap<>();
+        final Map<String, Long> startPositions = new HashMap<>();
+        final Set<String> received = new HashSet<>();
+        final Map<String, List<String>> receivedBySpace = new HashMap<>();
         public int delivered;
         boolean subscribed;
-        /** False once its key was taken away or it came back too late: it may then have missed something. */
+        /** False once its key was removed or it reconnected too late to resume, so that it may have missed messages. */
         public boolean expectsAllMessages = true;
 
         /** The topics that the subscriber listens to. */
@@ -71,10 +71,10 @@
     private final TreeMap<Long, String> confirmedConfigurations = new TreeMap<>();
     private final List<Long> latencies = new ArrayList<>();
     private int committed;
-    /** What was reported of usage. */
+    /** The usage that was reported to the platform. */
     public final UsageLedger usage = new UsageLedger(this);
 
-    /** Notes that something was seen that may not be so; only the first ones are kept. */
+    /** Records a violation; only the first ones are kept. */
     public void violation(final long now, final String what) {
         if (violations.size() < MAX_VIOLATIONS) {
             violations.add(now + ": " + what);
@@ -86,17 +86,17 @@
         return violations;
     }
 
-    /** Messages whose senders were told that they are committed. */
+    /** How many messages were acknowledged to their senders as committed. */
     public int committed() {
         return committed;
     }
 
-    /** Deliveries to all listeners together. */
+    /** The total number of deliveries to all listeners. */
     public int delivered() {
         return listeners.stream().mapToInt(l -> l.delivered).sum();
     }
 
-    /** Times from commit to delivery, in milliseconds. */
+    /** The times from commit to delivery, in milliseconds. */
     public List<Long> latencies() {
         return latencies;
     }
@@ -110,12 +110,12 @@
         return sent.values();
     }
 
-    /** A message is about to be sent; a retry gives the message of the first attempt. */
+    /** Records that a message is about to be sent; a retry returns the message of the first attempt. */
     public Sent sending(final String topic, final String sender, final long seq, final String text) {
         return sent.computeIfAbsent(id(topic, sender, seq), k -> new Sent(topic, sender, seq, text));
     }
 
-    /** A sender was told that its message is committed at this position. */
+    /** Records that a sender received the acknowledgement that its message is committed at this position. */
     public void committed(final long now, final Sent s, final long position) {
         if (s.committedAt < 0) {
             s.committedAt = now;
@@ -125,12 +125,12 @@
             if (other != null && !other.equals(id(s.topic, s.sender, s.seq))) {
                 violation(
                         now,
-                        "position " + position + " of " + s.topic + " was given to " + other + " and to "
+                        "position " + position + " of " + s.topic + " was acknowledged for " + other + " and for "
                                 + id(s.topic, s.sender, s.seq));
             }
         } else if (s.position != position) {
             violation(
-                    now, id(s.topic, s.sender, s.seq) + " was accepted at " + s.position + " and then at " + position);
+                    now, id(s.topic, s.sender, s.seq) + " was committed at " + s.position + " and then at " + position);
         }
     }
 
@@ -141,26 +141,26 @@
         return l;
     }
 
-    /** The first cursor: what is committed from here on must arrive. */
+    /** Records the listener's first cursor: what is committed after it must be delivered. */
     public void subscribedAt(final long now, final Listener l, final Map<String, Long> at) {
         if (!l.subscribed) {
             l.subscribed = true;
-            l.from.putAll(at);
+            l.startPositions.putAll(at);
         }
     }
 
-    /** A line that came before any cursor line: that position, at the latest, is where it began. */
+    /** Records a message that arrived before the first cursor: the subscription began at its position or before. */
     public void subscribedAtOrBefore(final long now, final Listener l, final String topic, final long position) {
         if (!l.subscribed) {
-            l.from.merge(topic, position - 1, Math::min);
+            l.startPositions.merge(topic, position - 1, Math::min);
         }
     }
 
     /**
-     * A message as a listener got it.
+     * Records that a listener received a message.
      *
-     * @param one whether the topic's space promises one order over all its topics
-     * @param listeningSince since when the listener has been there, for its latency; negative where that is not checked
+     * @param totalOrder whether the topic's space guarantees one order over all its topics
+     * @param listeningSince when the listener connected, for the latency; negative if the latency is not measured
      */
     public void delivered(
             final long now,
@@ -170,35 +170,35 @@
             final String sender,
             final long seq,
             final String text,
-            final boolean one,
+            final boolean totalOrder,
             final long listeningSince) {
         final String id = id(topic, sender, seq);
         final Sent s = sent.get(id);
         l.delivered++;
         if (!l.topics.contains(topic)) {
-            violation(now, l.name + " got " + id + " on a topic that it never asked for");
+            violation(now, l.name + " got " + id + " on a topic that it did not subscribe to");
         }
         if (s == null || !s.text.equals(text)) {
-            violation(now, l.name + " got " + id + " that nobody sent so");
+            violation(now, l.name + " got " + id + " that was not sent with this text");
             return;
         }
-        if (!l.got.add(id)) {
+        if (!l.received.add(id)) {
             violation(now, l.name + " got " + id + " twice");
         }
         checkOrder(now, l, topic, position, sender, seq);
         checkPosition(now, topic, position, id);
-        if (one) {
-            l.spaceOrder
+        if (totalOrder) {
+            l.receivedBySpace
                     .computeIfAbsent(topic.substring(0, topic.indexOf('/')), k -> new ArrayList<>())
                     .add(id);
         }
-        // who was away when it was committed gets it on coming back, which says nothing of the delivery
+        // A listener that was not connected at the commit gets it on reconnecting, which is not a delivery latency.
         if (s.committedAt >= listeningSince && listeningSince >= 0) {
             latencies.add(now - s.committedAt);
         }
     }
 
-    /** A sender's sequences and a topic's positions rise. */
+    /** Checks that the sequence numbers of a sender and the positions of a topic increase. */
     private void checkOrder(
             final long now,
             final Listener l,
@@ -216,84 +216,92 @@
         }
     }
 
-    /** A position holds the same message for everyone. */
+    /** Checks that a position holds the same message for all listeners. */
     private void checkPosition(final long now, final String topic, final long position, final String id) {
         final String other = byPosition.putIfAbsent(topic + "@" + position, id);
         if (other != null && !other.equals(id)) {
             violation(
                     now,
-                    "position " + position + " of " + topic + " is " + other + " for one and " + id + " for another");
+                    "position " + position + " of " + topic + " is " + other + " for one listener and " + id
+                            + " for another");
         }
     }
 
-    /** Told that it is too late to resume: only right where something that it missed was older than the space keeps. */
-    public void resumeRefused(final long now, final Listener l, final long keepingMs) {
+    /** Checks a refused resume: it is valid only if a missed message was older than the retention of the space. */
+    public void resumeRefused(final long now, final Listener l, final long retentionMs) {
         long oldest = Long.MAX_VALUE;
         for (final Sent s : sent.values()) {
             if (l.topics.contains(s.topic) && !l.has(s)) {
-                if (s.committedAt >= 0 && s.position > l.from.getOrDefault(s.topic, Long.MAX_VALUE)) {
+                if (s.committedAt >= 0 && s.position > l.startPositions.getOrDefault(s.topic, Long.MAX_VALUE)) {
                     oldest = Math.min(oldest, s.committedAt);
                 } else if (s.committedAt < 0 && s.maybeAppended) {
-                    // it may be in the log all the same, and no later than this
+                    // It may have been appended without an acknowledgement, at the earliest when its first attempt
+                    // began.
                     oldest = Math.min(oldest, s.sentAt);
                 }
             }
         }
-        if (now - oldest < keepingMs) {
+        if (now - oldest < retentionMs) {
             violation(
                     now,
-                    l.name + " could not resume, though the oldest that it missed was " + (now - oldest) + " ms old");
+                    l.name + " could not resume, although the oldest message that it missed was only " + (now - oldest)
+                            + " ms old");
         }
     }
 
-    /** After all is quiet: every committed message has reached everyone who listened, and one-order spaces agree. */
+    /**
+     * Checks, once all calls and deliveries are complete, that every committed message has reached each of its
+     * listeners and that listeners agree on the order in spaces with one order.
+     */
     public void settle(final long now) {
         for (final Listener l : listeners) {
             if (!l.subscribed) {
                 continue;
             }
-            for (final String id : l.got) {
-                // only now are all responses in; a message may reach a listener before its sender hears of it
+            for (final String id : l.received) {
+                // Checked only at the end, because a message may reach a listener before the response reaches its
+                // sender.
                 final Sent s = sent.get(id);
                 if (!s.maybeAppended && s.committedAt < 0) {
-                    violation(now, l.name + " got " + id + " that was refused every time");
+                    violation(now, l.name + " got " + id + " although every attempt to send it was refused");
                 }
             }
             for (final Sent s : sent.values()) {
                 if (l.expectsAllMessages
                         && s.committedAt >= 0
                         && l.topics.contains(s.topic)
-                        && s.position > l.from.getOrDefault(s.topic, Long.MAX_VALUE)
-                        && !l.got.contains(id(s.topic, s.sender, s.seq))) {
+                        && s.position > l.startPositions.getOrDefault(s.topic, Long.MAX_VALUE)
+                        && !l.received.contains(id(s.topic, s.sender, s.seq))) {
                     violation(
                             now,
-                            l.name + " never got accepted " + id(s.topic, s.sender, s.seq) + " at " + s.position
-                                    + ", accepted at time " + s.committedAt + "; it began at " + l.from.get(s.topic));
+                            l.name + " never got committed " + id(s.topic, s.sender, s.seq) + " at " + s.position
+                                    + ", committed at time " + s.committedAt + "; its subscription began at "
+                                    + l.startPositions.get(s.topic));
                 }
             }
         }
         for (int i = 0; i < listeners.size(); i++) {
             for (int j = i + 1; j < listeners.size(); j++) {
-                sameOrder(now, listeners.get(i), listeners.get(j));
+                checkSameOrder(now, listeners.get(i), listeners.get(j));
             }
         }
     }
 
-    private void sameOrder(final long now, final Listener a, final Listener b) {
-        for (final String space : a.spaceOrder.keySet()) {
-            final List<String> x = new ArrayList<>(a.spaceOrder.get(space));
-            final List<String> y = new ArrayList<>(b.spaceOrder.getOrDefault(space, List.of()));
+    private void checkSameOrder(final long now, final Listener a, final Listener b) {
+        for (final String space : a.receivedBySpace.keySet()) {
+            final List<String> x = new ArrayList<>(a.receivedBySpace.get(space));
+            final List<String> y = new ArrayList<>(b.receivedBySpace.getOrDefault(space, List.of()));
             x.retainAll(new HashSet<>(y));
             y.retainAll(new HashSet<>(x));
             if (!x.equals(y)) {
-                violation(now, a.name + " and " + b.name + " saw two orders in space " + space);
+                violation(now, a.name + " and " + b.name + " received different orders in space " + space);
             }
         }
     }
 
     // ---- configurations
 
-    /** A change was confirmed as this version: no other may be. */
+    /** Records that a change was confirmed as this version; no other change may be. */
     public void confirmed(final long now, final long version, final String changeId) {
         final String other = confirmedConfigurations.put(version, changeId);
         if (other != null && !other.equals(changeId)) {
--- a/testing/src/main/java/brookpath/testing/oracle/UsageLedger.java
+++ b/testing/src/main/java/brookpath/testing/oracle/UsageLedger.java
@@ -7,11 +7,11 @@
 import java.util.function.Predicate;
 
 /**
- * What was reported to the platform, per window, against what the senders know, the clock on the wall, and what each
- * controller would tell.
+ * Checks the usage that was reported to the platform, per window, against what the senders know, the true time, and the
+ * totals that each controller holds.
  */
 public final class UsageLedger {
-    /** How far the fleet's clock may be from the true one. */
+    /** How far the fleet's clock may differ from the true time. */
     private static final long MAX_CLOCK_ERROR_MS = 1_000;
 
     /** A window is reported at most this long after its end. */
@@ -26,13 +26,14 @@
     private int lateReports;
     private long latest;
 
-    /** Checks against what this history knows was sent, and adds its violations there. */
+    /** Checks against the messages in this history, and adds violations to it. */
     public UsageLedger(final History history) {
         this.history = history;
     }
 
     /**
-     * A report as the platform got it, with the true end of its window. Again under the same key it must say the same.
+     * Records a report that the platform received, with the true end of its window. A repeated report of the same
+     * window must hold the same numbers.
      */
     public void reported(
             final long now,
@@ -55,7 +56,7 @@
         }
     }
 
-    /** What one controller holds as a window's total, posted or not: all must hold the same, at all times. */
+    /** Checks that all controllers hold the same totals of a window, whether it is reported yet or not. */
     public void checkTotal(
             final long now,
             final String where,
@@ -68,15 +69,15 @@
         if (other != null && !other.equals(numbers)) {
             history.violation(
                     now,
-                    where + " has for tenant " + tenant + " window ending " + end + " " + numbers + ", another had "
+                    where + " has " + numbers + " for tenant " + tenant + " window ending " + end + ", another has "
                             + other);
         }
     }
 
     /**
-     * Each window of each tenant has been reported once its time is up.
+     * Checks that each window of each tenant is reported in time.
      *
-     * @param exemptUntil platform or control plane out until then
+     * @param exemptUntil until when the platform or the control plane was unavailable
      */
     public void checkInTime(final long now, final List<String> tenants, final long windowMs, final long exemptUntil) {
         for (long end = firstEnd; Math.max(end, exemptUntil) + MAX_REPORT_DELAY_MS < now; end += windowMs) {
@@ -92,12 +93,12 @@
         }
     }
 
-    /** How many windows of tenants were reported. */
+    /** How many windows were reported, over all tenants. */
     public int reports() {
         return reports.values().stream().mapToInt(TreeMap::size).sum();
     }
 
-    /** How many reports said that they hold late counts. */
+    /** How many reports are marked as containing late counts. */
     public int lateReports() {
         return lateReports;
     }
@@ -108,8 +109,9 @@
     }
 
     /**
-     * Counts window by window: through each window no more is reported than had been sent, and no less than had been
-     * committed, unless a later report says that it holds late counts. In the end everything committed is counted once.
+     * Checks the cumulative count window by window: up to each window no more is reported than had been sent, and no
+     * less than had been committed, unless a later report is marked as containing late counts. In the end every
+     * committed message is counted once.
      */
     public void settle(final long now, final String tenant, final Predicate<History.Sent> of) {
         final List<Long> sentAt = new ArrayList<>();
@@ -132,7 +134,7 @@
             history.violation(
                     now,
                     "tenant " + tenant + " was reported " + reported + " publishes, had " + committedAt.size()
-                            + " accepted and at most " + sentAt.size() + " in the logs");
+                            + " committed and at most " + sentAt.size() + " in the logs");
         }
     }
 
@@ -159,7 +161,7 @@
             history.violation(
                     now,
                     through + ", " + least
-                            + " were accepted by then, and no later report says that it holds late ones");
+                            + " were committed by then, and no later report is marked as containing late counts");
         }
     }
 }
--- a/testing/src/main/java/brookpath/testing/oracle/control/Availability.java
+++ b/testing/src/main/java/brookpath/testing/oracle/control/Availability.java
@@ -6,15 +6,15 @@
 import java.util.Map;
 
 /**
- * Whether the control plane answers while the core is settled: no machine of it has been stopped, started, frozen, cut
- * off, joined again, reset, slowed or had its clock stepped for a while.
+ * Checks that the control plane answers while the core is settled, which means that for {@link #SETTLE_MS} none of its
+ * machines was stopped, started, frozen, cut off, reconnected, reset, slowed or had its clock stepped.
  */
 public final class Availability {
     /** The core is settled this long after the last disturbance. */
     public static final long SETTLE_MS = 4_000;
-    /** In settled time a valid order has its final answer within this. */
+    /** While the core is settled, a valid change gets its final answer within this time. */
     public static final long ACKNOWLEDGE_MS = 5_000;
-    /** In settled time a controller that nothing ails serves a read at least this often. */
+    /** While the core is settled, a controller without a fault serves a read at least this often. */
     public static final long READ_MS = 5_000;
 
     private final ControlViolations violations;
@@ -23,17 +23,17 @@
     private final Map<Integer, Long> exemptUntil = new HashMap<>();
     private long disturbedUntil;
 
-    /** Adds what it finds to these violations. */
+    /** Adds the violations that it finds to these. */
     public Availability(final ControlViolations violations) {
         this.violations = violations;
     }
 
-    /** Trouble in the core that ends at this moment, now or later. */
+    /** Records a disturbance of the core that ends at this time, which may lie in the future. */
     public void disturb(final long until) {
         disturbedUntil = Math.max(disturbedUntil, until);
     }
 
-    /** This controller is down, frozen or cut off until then. */
+    /** Records that this controller is down, frozen or cut off until then. */
     public void exempt(final int node, final long until) {
         exemptUntil.merge(node, until, Math::max);
     }
@@ -47,22 +47,22 @@
         return disturbedUntil + SETTLE_MS;
     }
 
-    /** A valid order is sent for the first time, or its time begins anew. */
-    public void changeSent(final long now, final String order) {
-        openChanges.put(order, now);
+    /** Records that a valid change is sent for the first time, or restarts its time limit. */
+    public void changeSent(final long now, final String changeId) {
+        openChanges.put(changeId, now);
     }
 
-    /** An order has its final answer, or its caller has been kept from hearing it. */
-    public void changeAnswered(final String order) {
-        openChanges.remove(order);
+    /** Records that a change got its final answer, or that the answer cannot reach its caller. */
+    public void changeAnswered(final String changeId) {
+        openChanges.remove(changeId);
     }
 
-    /** A controller has served a read. */
+    /** Records that a controller has served a read. */
     public void served(final long now, final int node) {
         servedAt.put(node, now);
     }
 
-    /** From time to time, with the controllers that run: is anything overdue? */
+    /** Checks whether an answer or a read is overdue; called periodically with the running controllers. */
     public void watch(final long now, final Collection<Integer> controllers) {
         if (!settled(now)) {
             return;
@@ -70,14 +70,14 @@
         for (final Iterator<Map.Entry<String, Long>> open =
                         openChanges.entrySet().iterator();
                 open.hasNext(); ) {
-            final Map.Entry<String, Long> order = open.next();
-            final long since = Math.max(order.getValue(), settledSince());
+            final Map.Entry<String, Long> change = open.next();
+            final long since = Math.max(change.getValue(), settledSince());
             if (now - since > ACKNOWLEDGE_MS) {
                 open.remove();
                 violations.add(
                         now,
                         ControlRule.NOT_ANSWERED,
-                        order.getKey() + " has no final answer, though the core was settled from " + since);
+                        change.getKey() + " has no final answer, although the core was settled from " + since);
             }
         }
         for (final int node : controllers) {
--- a/testing/src/main/java/brookpath/testing/oracle/control/CallHistory.java
+++ b/testing/src/main/java/brookpath/testing/oracle/control/CallHistory.java
@@ -4,21 +4,22 @@
 import java.util.Map;
 
 /**
- * Which call each answer belongs to: the same process in the same incarnation, the same kind of call, the same subject.
+ * Checks that each answer matches its call: it comes from the same process in the same incarnation, and has the same
+ * kind and subject.
  */
 public final class CallHistory {
     /**
      * A call to a process.
      *
-     * @param incarnation counts the starts of the process, so that an answer after a restart is told from one before
-     * @param subject what the call is about, as its answer names it; empty where an answer names nothing
+     * @param incarnation how often the process has started, which distinguishes answers before and after a restart
+     * @param subject what the call is about, as its answer names it; empty if the answer names none
      */
     public record Call(int node, long incarnation, String kind, String subject) {}
 
     /**
-     * What an answer says that it is about.
+     * An answer from a process.
      *
-     * @param kind empty where the answer does not tell, as with most refusals
+     * @param kind empty if the answer does not contain it, as with most refusals
      */
     public record Answer(int node, long incarnation, String kind, String subject) {}
 
@@ -26,26 +27,26 @@
     private final Map<Long, Call> calls = new HashMap<>();
     private final Map<Long, Boolean> answered = new HashMap<>();
 
-    /** Adds what it finds to these violations. */
+    /** Adds the violations that it finds to these. */
     public CallHistory(final ControlViolations violations) {
         this.violations = violations;
     }
 
-    /** A call has reached the process. */
+    /** Records that a call has reached the process. */
     public void asked(final long callId, final Call call) {
         calls.put(callId, call);
     }
 
-    /** Whether this is one of the calls that are checked here. */
+    /** Whether this call was recorded here. */
     public boolean knows(final long callId) {
         return calls.containsKey(callId);
     }
 
-    /** A process has answered a call. */
+    /** Checks the answer of a process to a call. */
     public void answered(final long at, final long callId, final Answer answer) {
         final Call call = calls.get(callId);
         if (call == null) {
-            violations.add(at, ControlRule.WRONG_ANSWER, answer + " answers call " + callId + ", which nobody made");
+            violations.add(at, ControlRule.WRONG_ANSWER, answer + " answers call " + callId + ", which does not exist");
             return;
         }
         if (answered.put(callId, true) != null) {
@@ -57,7 +58,8 @@
                 && !call.subject().isEmpty()
                 && !answer.subject().equals(call.subject());
         if (otherProcess || otherKind || otherSubject) {
-            violations.add(at, ControlRule.WRONG_ANSWER, "call " + callId + ", " + call + ", was given " + answer);
+            violations.add(
+                    at, ControlRule.WRONG_ANSWER, "call " + callId + ", " + call + ", was answered with " + answer);
         }
     }
 }
--- a/testing/src/main/java/brookpath/testing/oracle/control/ControlHistory.java
+++ b/testing/src/main/java/brookpath/testing/oracle/control/ControlHistory.java
@@ -3,27 +3,28 @@
 import java.util.Collection;
 
 /**
- * All that callers of the control plane saw in a day, and whether it may be so. Knows nothing of the system's insides.
+ * Records what callers of the control plane saw in a run and checks that it is valid, without knowledge of the system's
+ * internal state.
  */
 public final class ControlHistory {
-    /** Every broken rule. */
+    /** The violations of all rules. */
     public final ControlViolations violations = new ControlViolations();
-    /** Changes and reads of the configuration. */
+    /** Checks changes and reads of the configuration. */
     public final ChangeHistory changes = new ChangeHistory(violations);
-    /** Retirements of machines. */
+    /** Checks retirements of machines. */
     public final RetireHistory retirements = new RetireHistory(violations);
-    /** Which call each answer belongs to. */
+    /** Checks that answers match their calls. */
     public final CallHistory calls = new CallHistory(violations);
-    /** Calls that had to be answered in time. */
+    /** Checks that calls are answered in time. */
     public final Availability availability = new Availability(violations);
 
-    /** From time to time, with the controllers that run. */
+    /** Checks time limits; called periodically with the running controllers. */
     public void watch(final long now, final Collection<Integer> controllers) {
         availability.watch(now, controllers);
         retirements.watch(now, availability.settled(now));
     }
 
-    /** At the end of the day. */
+    /** Runs the checks that are possible only at the end of a run. */
     public void settle() {
         changes.settle();
     }
--- a/testing/src/main/java/brookpath/testing/oracle/control/ControlViolations.java
+++ b/testing/src/main/java/brookpath/testing/oracle/control/ControlViolations.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** The rules that were broken, when and how. */
+/** The violations of the control plane's rules that were found. */
 public final class ControlViolations {
-    private static final int MOST_PER_RULE = 8;
+    private static final int MAX_PER_RULE = 8;
 
-    /** One broken rule, as seen at a moment of virtual time. */
+    /** One violation of a rule, found at a time of the virtual clock. */
     public record Violation(long at, ControlRule rule, String text) {
         @Override
         public String toString() {
@@ -20,9 +20,9 @@
     private final List<Violation> violations = new ArrayList<>();
     private final Map<ControlRule, Integer> counts = new EnumMap<>(ControlRule.class);
 
-    /** Notes a broken rule; all are counted, only the first ones of each rule are kept in words. */
+    /** Records a violation; all are counted, and the first ones of each rule are kept with their text. */
     public void add(final long at, final ControlRule rule, final String text) {
-        if (counts.merge(rule, 1, Integer::sum) <= MOST_PER_RULE) {
+        if (counts.merge(rule, 1, Integer::sum) <= MAX_PER_RULE) {
             violations.add(new Violation(at, rule, text));
         }
     }
@@ -32,7 +32,7 @@
         return List.copyOf(violations);
     }
 
-    /** How often each rule was broken. */
+    /** How often each rule was violated. */
     public Map<ControlRule, Integer> counts() {
         return Map.copyOf(counts);
     }
--- a/testing/src/main/java/brookpath/testing/oracle/control/RetireHistory.java
+++ b/testing/src/main/java/brookpath/testing/oracle/control/RetireHistory.java
@@ -3,12 +3,12 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Orders to empty a storage machine, as their callers saw them. */
+/** Checks retirements of storage machines, as their callers saw them. */
 public final class RetireHistory {
-    /** An acknowledged retirement completes within this much settled time. */
+    /** An acknowledged retirement completes within this time, counted while the core is settled. */
     public static final long COMPLETE_MS = 30_000;
 
-    /** How far a retirement is, as a caller is told. */
+    /** The progress of a retirement, as reported to a caller. */
     public enum Progress {
         UNKNOWN,
         RUNNING,
@@ -16,19 +16,19 @@
     }
 
     private static final class Retirement {
-        long takenAt = Long.MAX_VALUE;
+        long acceptedAt = Long.MAX_VALUE;
         boolean acknowledged;
         long settledMs;
         boolean completed;
         boolean removed;
-        boolean checked;
+        boolean reported;
     }
 
     private final ControlViolations violations;
     private final Map<String, Retirement> retirements = new TreeMap<>();
     private long watchedAt;
 
-    /** Adds what it finds to these violations. */
+    /** Adds the violations that it finds to these. */
     public RetireHistory(final ControlViolations violations) {
         this.violations = violations;
     }
@@ -37,51 +37,51 @@
         return retirements.computeIfAbsent(name, key -> new Retirement());
     }
 
-    /** An order to empty the machine was acknowledged, whether or not the answer arrived. */
+    /** Records that a retirement was acknowledged, whether or not the answer arrived. */
     public void acknowledged(final long at, final String name) {
         final Retirement retirement = of(name);
         retirement.acknowledged = true;
-        retirement.takenAt = Math.min(retirement.takenAt, at);
+        retirement.acceptedAt = Math.min(retirement.acceptedAt, at);
     }
 
-    /** An order to empty the machine was refused with a status from 400 to 499. */
+    /** Checks a refusal of a retirement, with a status from 400 to 499. */
     public void refused(final long startedAt, final long at, final String name, final int status) {
         final Retirement retirement = of(name);
-        if (startedAt > retirement.takenAt) {
+        if (startedAt > retirement.acceptedAt) {
             violations.add(
                     at,
                     ControlRule.RETIREMENT,
-                    "the retirement of " + name + " was taken at " + retirement.takenAt + ", and refused with " + status
-                            + " when it was sent again");
+                    "the retirement of " + name + " was accepted at " + retirement.acceptedAt + " but refused with "
+                            + status + " when it was sent again");
         }
     }
 
-    /** A caller asked how far the retirement is. */
+    /** Checks the progress of a retirement that was reported to a caller. */
     public void progress(final long startedAt, final long at, final String name, final Progress progress) {
         final Retirement retirement = of(name);
         if (progress == Progress.UNKNOWN) {
-            if (startedAt > retirement.takenAt && !retirement.removed) {
+            if (startedAt > retirement.acceptedAt && !retirement.removed) {
                 violations.add(
                         at,
                         ControlRule.RETIREMENT,
-                        "the retirement of " + name + " was taken at " + retirement.takenAt + " and is unknown");
+                        "the retirement of " + name + " was accepted at " + retirement.acceptedAt + " but is unknown");
             }
             return;
         }
-        retirement.takenAt = Math.min(retirement.takenAt, at);
+        retirement.acceptedAt = Math.min(retirement.acceptedAt, at);
         if (progress == Progress.COMPLETED) {
             retirement.completed = true;
         } else if (retirement.completed && !retirement.removed) {
-            violations.add(at, ControlRule.RETIREMENT, "the retirement of " + name + " was completed and runs again");
+            violations.add(at, ControlRule.RETIREMENT, "the retirement of " + name + " was completed but runs again");
         }
     }
 
-    /** The emptied machine has been shut down for good. */
+    /** Records that the retired machine was shut down permanently. */
     public void removed(final String name) {
         of(name).removed = true;
     }
 
-    /** From time to time: an acknowledged retirement has to get on while the core is settled. */
+    /** Checks, called periodically, that acknowledged retirements complete while the core is settled. */
     public void watch(final long now, final boolean settled) {
         final long step = now - watchedAt;
         watchedAt = now;
@@ -90,13 +90,13 @@
                 return;
             }
             retirement.settledMs += settled ? step : 0;
-            if (retirement.settledMs > COMPLETE_MS && !retirement.checked) {
-                retirement.checked = true;
+            if (retirement.settledMs > COMPLETE_MS && !retirement.reported) {
+                retirement.reported = true;
                 violations.add(
                         now,
                         ControlRule.RETIREMENT,
                         "the retirement of " + name + " has not completed in " + retirement.settledMs
-                                + " ms of settled time");
+                                + " ms while the core was settled");
             }
         });
     }
--- a/testing/src/main/java/brookpath/testing/oracle/package-info.java
+++ b/testing/src/main/java/brookpath/testing/oracle/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What must never happen, checked from outside: the history of everything that callers sent and received, and the
- * ledger of reported usage.
+ * Black-box oracles: the history of everything that callers sent and received, and the ledger of reported usage, both
+ * checked for violations.
  */
 package brookpath.testing.oracle;
--- a/testing/src/test/java/brookpath/testing/fuzz/GroupFuzzTest.java
+++ b/testing/src/test/java/brookpath/testing/fuzz/GroupFuzzTest.java
@@ -5,10 +5,10 @@
 import brookpath.testing.SeedsInParallel;
 import org.testng.annotations.Test;
 
-/** One group on a network worse than any: election and replication against an oracle that sees the inside. */
+/** Election and replication of one group on a very unreliable network, checked by an oracle of the internal state. */
 public final class GroupFuzzTest {
     @Test
-    public void electionAndReplicationHoldOnABadNetwork() throws InterruptedException {
+    public void electionAndReplicationAreSafeOnAnUnreliableNetwork() throws InterruptedException {
         long committed = 0;
         int leaders = 0;
         int changes = 0;
--- a/testing/src/test/java/brookpath/testing/mutate/MutantTableTest.java
+++ b/testing/src/test/java/brookpath/testing/mutate/MutantTableTest.java
@@ -10,19 +10,19 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** The tables of mutants follow the code: {@code bin/mutants} finds what each row breaks. */
+/** The tables of mutants match the code, so that {@code bin/mutants} can apply each row. */
 public final class MutantTableTest {
     @Test
-    public void eachRowOfTheTableIsFoundInTheCode() throws IOException {
+    public void textOfEachMutantIsInTheCode() throws IOException {
         assertEquals(missing(Mutants.TABLE), List.of());
     }
 
     @Test
-    public void eachRowOfTheModelsTableIsFoundInTheCode() throws IOException {
+    public void textOfEachModelMutantIsInTheCode() throws IOException {
         assertEquals(missing(Mutants.MODEL_TABLE), List.of());
     }
 
-    /** The rows whose text is not in the file that they name. */
+    /** Error messages for the rows whose text is not in the file that they name. */
     private static List<String> missing(final String table) throws IOException {
         final List<Mutants.Mutant> mutants = Mutants.read(table, "");
         assertTrue(mutants.size() > 10, "only " + mutants.size() + " rows in " + table);
@@ -37,7 +37,7 @@
         return missing;
     }
 
-    /** The top directory of the checkout: tests run in the directory of their module. */
+    /** The top directory of the checkout, found upwards because tests run in the directory of their module. */
     private static Path checkout() {
         Path directory = Path.of("").toAbsolutePath();
         while (!Files.isDirectory(directory.resolve("coordination"))) {
--- a/testing/src/test/java/brookpath/testing/oracle/control/ControlHistoryTest.java
+++ b/testing/src/test/java/brookpath/testing/oracle/control/ControlHistoryTest.java
@@ -24,7 +24,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Each judge of the control plane sees the history that it is there for, and no other. */
+/** Each check of the control plane's history detects the violation of its own rule, and no other. */
 public final class ControlHistoryTest {
     private static final int CONTROLLER = 1;
 
@@ -47,7 +47,7 @@
         return "{\"changeId\":\"" + changeId + "\"}";
     }
 
-    private void assertBroken(final ControlRule rule) {
+    private void assertViolates(final ControlRule rule) {
         history.settle();
         assertEquals(
                 history.violations.counts().keySet(),
@@ -55,14 +55,14 @@
                 history.violations.all().toString());
     }
 
-    private void assertGood() {
+    private void assertNoViolation() {
         history.settle();
         assertTrue(history.violations.all().isEmpty(), history.violations.all().toString());
     }
 
-    /** Two changes in a row, a lost race, a repeat, reads, a retirement: as it should be. */
+    /** Two successive changes, a change that lost against a concurrent one, a repeat, reads and a retirement. */
     @Test
-    public void aGoodHistoryIsGood() {
+    public void validHistoryHasNoViolation() {
         sent(10, "first", 0);
         history.changes.acknowledged(20, "first", 1);
         sent(30, "second", 1);
@@ -76,265 +76,267 @@
         history.retirements.acknowledged(90, "machine-1");
         history.retirements.progress(91, 92, "machine-1", Progress.RUNNING);
         history.retirements.progress(93, 94, "machine-1", Progress.COMPLETED);
-        assertGood();
+        assertNoViolation();
     }
 
-    // ---- (a) one change for each version
+    // ---- (a) one change per version
 
     @Test
-    public void twoAcknowledgedOnOneVersionAreSeen() {
+    public void twoAcknowledgedChangesBasedOnOneVersionAreDetected() {
         sent(10, "one", 0);
         sent(10, "other", 0);
         history.changes.acknowledged(20, "one", 1);
         history.changes.acknowledged(21, "other", 2);
-        assertBroken(ONE_CHANGE_PER_VERSION);
+        assertViolates(ONE_CHANGE_PER_VERSION);
     }
 
     @Test
-    public void oneVersionForTwoChangesIsSeen() {
+    public void oneVersionForTwoChangesIsDetected() {
         sent(10, "one", 0);
         sent(10, "other", 1);
         history.changes.acknowledged(20, "one", 2);
         history.changes.acknowledged(20, "other", 2);
-        assertBroken(ONE_CHANGE_PER_VERSION);
+        assertViolates(ONE_CHANGE_PER_VERSION);
     }
 
     @Test
-    public void anotherChangeReadUnderAnAcknowledgedVersionIsSeen() {
+    public void anotherChangeReadUnderAnAcknowledgedVersionIsDetected() {
         sent(10, "one", 0);
         sent(10, "other", 0);
         history.changes.acknowledged(20, "one", 1);
         read(30, 31, 1, "other");
-        assertBroken(ONE_CHANGE_PER_VERSION);
+        assertViolates(ONE_CHANGE_PER_VERSION);
     }
 
     // ---- (b) read back
 
     @Test
-    public void anOlderReadBackIsSeen() {
+    public void anOlderReadBackIsDetected() {
         sent(10, "one", 0);
         sent(30, "two", 1);
         history.changes.acknowledged(20, "one", 1);
         history.changes.acknowledged(40, "two", 2);
         history.changes.readBack(35, 50, 1, "one", documentOf("one"));
-        assertBroken(READ_BACK);
+        assertViolates(READ_BACK);
     }
 
     @Test
-    public void otherBytesReadBackAreSeen() {
+    public void differentBytesReadBackAreDetected() {
         sent(10, "one", 0);
         history.changes.acknowledged(20, "one", 1);
         history.changes.readBack(30, 40, 1, "one", documentOf("one") + " ");
-        assertBroken(READ_BACK);
+        assertViolates(READ_BACK);
     }
 
     @Test
-    public void nothingReadBackIsSeen() {
+    public void failedReadBackIsDetected() {
         sent(10, "one", 0);
         history.changes.acknowledged(20, "one", 1);
         history.changes.readBackFailed(50, 503);
-        assertBroken(READ_BACK);
+        assertViolates(READ_BACK);
     }
 
     @Test
-    public void anInvalidOrUnsentChangeInForceIsSeen() {
+    public void anInvalidOrUnsentChangeInForceIsDetected() {
         history.changes.sent(new Change("nonsense", 0, "{}", false, 10));
         history.changes.acknowledged(20, "nonsense", 1);
         read(30, 31, 1, "nobody's");
-        assertBroken(INVALID_IN_FORCE);
+        assertViolates(INVALID_IN_FORCE);
     }
 
-    // ---- (c) reads are linearizable
+    // ---- (c) linearizable reads
 
     @Test
-    public void aReadAfterAnAcknowledgementThatGivesAnOlderVersionIsSeen() {
+    public void olderVersionReadAfterAnAcknowledgementIsDetected() {
         sent(10, "one", 0);
         sent(25, "two", 1);
         history.changes.acknowledged(20, "one", 1);
         history.changes.acknowledged(40, "two", 2);
         read(39, 45, 1, "one");
-        assertTrue(history.violations.all().isEmpty(), "a read that began before may give the older version");
+        assertTrue(
+                history.violations.all().isEmpty(),
+                "a read that began before the acknowledgement may return the older version");
         read(41, 45, 1, "one");
-        assertBroken(STALE_READ);
+        assertViolates(STALE_READ);
     }
 
     @Test
-    public void aReadAfterANewerReadThatGivesAnOlderVersionIsSeen() {
+    public void olderVersionReadAfterANewerOneIsDetected() {
         sent(10, "one", 0);
         sent(25, "two", 1);
         history.changes.acknowledged(20, "one", 1);
         read(30, 32, 2, "two");
         read(33, 36, 1, "one");
-        assertBroken(STALE_READ);
+        assertViolates(STALE_READ);
     }
 
     @Test
-    public void noConfigurationAfterAnAcknowledgementIsSeen() {
+    public void missingConfigurationAfterAnAcknowledgementIsDetected() {
         sent(10, "one", 0);
         history.changes.acknowledged(20, "one", 1);
         history.changes.read(30, 31, 0, "", "");
-        assertBroken(STALE_READ);
+        assertViolates(STALE_READ);
     }
 
     @Test
-    public void aNewChangeUnderAnOldVersionIsSeen() {
+    public void aNewChangeUnderAnOldVersionIsDetected() {
         sent(10, "one", 0);
         history.changes.acknowledged(20, "one", 5);
         sent(30, "two", 5);
         history.changes.acknowledged(40, "two", 4);
-        assertBroken(STALE_READ);
+        assertViolates(STALE_READ);
     }
 
     // ---- (d) and (e) refusals
 
     @Test
-    public void aRefusedRepeatOfAnAcknowledgedChangeIsSeen() {
+    public void aRefusedRepeatOfAnAcknowledgedChangeIsDetected() {
         sent(10, "one", 0);
         history.changes.acknowledged(20, "one", 1);
         history.changes.refused(30, "one", 409);
-        assertBroken(REPEAT_REFUSED);
+        assertViolates(REPEAT_REFUSED);
     }
 
     @Test
-    public void aRefusalOfAChangeThatIsLaterFoundTakenIsSeen() {
+    public void refusalOfAChangeThatIsReadLaterIsDetected() {
         sent(10, "one", 0);
         history.changes.refused(30, "one", 409);
         read(40, 41, 1, "one");
-        assertBroken(REPEAT_REFUSED);
+        assertViolates(REPEAT_REFUSED);
     }
 
     @Test
-    public void staleThoughNothingNewerWasInForceIsSeen() {
+    public void refusalAsStaleWithoutANewerVersionIsDetected() {
         sent(10, "one", 0);
         history.changes.acknowledged(20, "one", 1);
         sent(30, "two", 1);
         history.changes.refused(40, "two", 409);
-        assertBroken(REFUSED_WITHOUT_CAUSE);
+        assertViolates(REFUSED_WITHOUT_CAUSE);
     }
 
     @Test
-    public void aValidChangeCalledInvalidIsSeen() {
+    public void refusalOfAValidChangeAsInvalidIsDetected() {
         sent(10, "one", 0);
         history.changes.refused(40, "one", 422);
-        assertBroken(REFUSED_WITHOUT_CAUSE);
+        assertViolates(REFUSED_WITHOUT_CAUSE);
     }
 
     @Test
-    public void anOrderWithoutAnswerInSettledTimeIsSeen() {
+    public void unansweredChangeWhileSettledIsDetected() {
         history.availability.disturb(1_000);
         history.availability.changeSent(900, "one");
         final long due = 1_000 + Availability.SETTLE_MS + Availability.ACKNOWLEDGE_MS;
         history.watch(due, List.of());
-        assertTrue(history.violations.all().isEmpty(), "an unsettled core excuses it until then");
+        assertTrue(history.violations.all().isEmpty(), "the time limit has not passed yet since the core settled");
         history.watch(due + 1, List.of());
-        assertBroken(NOT_ANSWERED);
+        assertViolates(NOT_ANSWERED);
     }
 
     // ---- (f) retirements
 
     @Test
-    public void aForgottenRetirementIsSeen() {
+    public void aForgottenRetirementIsDetected() {
         history.retirements.acknowledged(10, "machine-1");
         history.retirements.progress(20, 21, "machine-1", Progress.UNKNOWN);
-        assertBroken(RETIREMENT);
+        assertViolates(RETIREMENT);
     }
 
     @Test
-    public void aRefusedRepeatOfARetirementIsSeen() {
+    public void aRefusedRepeatOfARetirementIsDetected() {
         history.retirements.refused(1, 2, "machine-1", 409);
         history.retirements.acknowledged(10, "machine-1");
-        assertTrue(history.violations.all().isEmpty(), "what was not taken yet may be refused");
+        assertTrue(history.violations.all().isEmpty(), "a retirement that was not accepted yet may be refused");
         history.retirements.removed("machine-1");
         history.retirements.refused(20, 21, "machine-1", 404);
-        assertBroken(RETIREMENT);
+        assertViolates(RETIREMENT);
     }
 
     @Test
-    public void aRetirementThatRunsAgainIsSeen() {
+    public void aRetirementThatRunsAgainIsDetected() {
         history.retirements.acknowledged(10, "machine-1");
         history.retirements.progress(20, 21, "machine-1", Progress.COMPLETED);
         history.retirements.progress(30, 31, "machine-1", Progress.RUNNING);
-        assertBroken(RETIREMENT);
+        assertViolates(RETIREMENT);
     }
 
     @Test
-    public void aRetirementThatNeverCompletesIsSeen() {
+    public void aRetirementThatNeverCompletesIsDetected() {
         final long start = Availability.SETTLE_MS;
         history.watch(start, List.of());
         history.retirements.acknowledged(start, "machine-1");
         history.watch(start + RetireHistory.COMPLETE_MS, List.of());
         history.watch(start + RetireHistory.COMPLETE_MS + 1, List.of());
-        assertBroken(RETIREMENT);
+        assertViolates(RETIREMENT);
     }
 
     // ---- (g) answers
 
     @Test
-    public void anAnswerToNothingAskedIsSeen() {
+    public void anAnswerWithoutACallIsDetected() {
         history.calls.answered(10, 7, new Answer(CONTROLLER, 1, "", ""));
-        assertBroken(WRONG_ANSWER);
+        assertViolates(WRONG_ANSWER);
     }
 
     @Test
-    public void aSecondAnswerIsSeen() {
+    public void aSecondAnswerIsDetected() {
         history.calls.asked(7, new Call(CONTROLLER, 1, "change", "one"));
         history.calls.answered(10, 7, new Answer(CONTROLLER, 1, "", ""));
         history.calls.answered(11, 7, new Answer(CONTROLLER, 1, "change", "one"));
-        assertBroken(WRONG_ANSWER);
+        assertViolates(WRONG_ANSWER);
     }
 
     @Test
-    public void anAnswerAfterARestartIsSeen() {
+    public void anAnswerAfterARestartIsDetected() {
         history.calls.asked(7, new Call(CONTROLLER, 1, "change", "one"));
         history.calls.answered(10, 7, new Answer(CONTROLLER, 2, "change", "one"));
-        assertBroken(WRONG_ANSWER);
+        assertViolates(WRONG_ANSWER);
     }
 
     @Test
-    public void anAnswerFromAnotherProcessIsSeen() {
+    public void anAnswerFromAnotherProcessIsDetected() {
         history.calls.asked(7, new Call(CONTROLLER, 1, "change", "one"));
         history.calls.answered(10, 7, new Answer(CONTROLLER + 1, 1, "change", "one"));
-        assertBroken(WRONG_ANSWER);
+        assertViolates(WRONG_ANSWER);
     }
 
     @Test
-    public void anAnswerToAnotherOrderIsSeen() {
+    public void anAnswerToAnotherSubjectIsDetected() {
         history.calls.asked(7, new Call(CONTROLLER, 1, "change", "one"));
         history.calls.answered(10, 7, new Answer(CONTROLLER, 1, "change", "two"));
-        assertBroken(WRONG_ANSWER);
+        assertViolates(WRONG_ANSWER);
     }
 
     @Test
-    public void anAnswerToAnotherKindOfCallIsSeen() {
+    public void anAnswerToAnotherKindOfCallIsDetected() {
         history.calls.asked(7, new Call(CONTROLLER, 1, "change", "one"));
         history.calls.answered(10, 7, new Answer(CONTROLLER, 1, "spec", ""));
-        assertBroken(WRONG_ANSWER);
+        assertViolates(WRONG_ANSWER);
     }
 
     // ---- (h) availability
 
     @Test
-    public void aControllerThatServesNoReadsInSettledTimeIsSeen() {
+    public void aControllerThatServesNoReadsWhileSettledIsDetected() {
         history.availability.disturb(1_000);
         final long due = 1_000 + Availability.SETTLE_MS + Availability.READ_MS;
         history.watch(due, List.of(CONTROLLER));
-        assertTrue(history.violations.all().isEmpty(), "the bound is not over yet");
+        assertTrue(history.violations.all().isEmpty(), "the time limit has not passed yet");
         history.watch(due + 1, List.of(CONTROLLER));
-        assertBroken(UNAVAILABLE);
+        assertViolates(UNAVAILABLE);
     }
 
     @Test
-    public void aControllerThatIsCutOffIsExcused() {
+    public void aControllerThatIsCutOffIsExempt() {
         history.availability.disturb(1_000);
         history.availability.exempt(CONTROLLER, 20_000);
         history.watch(20_000, List.of(CONTROLLER));
-        assertGood();
+        assertNoViolation();
     }
 
     // ---- (i) topics
 
     @Test
-    public void anCommittedMessageThatNeverArrivesIsSeen() {
+    public void committedMessageThatNeverArrivesIsDetected() {
         final History topics = new History();
         final History.Listener listener = topics.listener("listener", Set.of("clues/t2"));
         topics.subscribedAt(1, listener, Map.of("clues/t2", 0L));
