--- a/testing/src/main/java/brookpath/testing/model/Linearizability.java
+++ b/testing/src/main/java/brookpath/testing/model/Linearizability.java
@@ -20,8 +20,7 @@
 
     Linearizability(final List<Operation> operations) {
         if (operations.size() > MAX_OPERATIONS) {
-            throw new IllegalArgumentException(
-                    "cannot check " + operations.size() + " operations, the limit is " + MAX_OPERATIONS);
+            throw new IllegalArgumentException(operations.size() + " operations are too many to check");
         }
         this.operations = operations;
     }
--- a/testing/src/main/java/brookpath/testing/oracle/History.java
+++ b/testing/src/main/java/brookpath/testing/oracle/History.java
@@ -53,7 +53,7 @@
 
         /** Whether the subscriber got this message. */
         public boolean has(final Sent s) {
-            return got.contains(id(s.topic, s.sender, s.seq));
+            return received.contains(id(s.topic, s.sender, s.seq));
         }
 
         Listener(final String name, final Set<String> topics) {
--- a/testing/src/main/java/brookpath/testing/oracle/UsageLedger.java
+++ b/testing/src/main/java/brookpath/testing/oracle/UsageLedger.java
@@ -69,8 +69,8 @@
         if (other != null && !other.equals(numbers)) {
             history.violation(
                     now,
-                    where + " has " + numbers + " for tenant " + tenant + " window ending " + end + ", another has "
-                            + other);
+                    where + " has for tenant " + tenant + " window ending " + end + " a total of " + numbers
+                            + ", another has " + other);
         }
     }
 
