--- a/testing/src/main/java/brookpath/testing/sim/ProcessLog.java
+++ b/testing/src/main/java/brookpath/testing/sim/ProcessLog.java
@@ -39,7 +39,7 @@
         writeAheadLog = recovery.writeAheadLog();
         writer = new DiskWriter(writeAheadLog);
         cluster.count(recovery.damaged() ? "damaged folders" : "recoveries");
-        return recovery.replayed();
+        return recovery.allEntries();
     }
 
     /** Looks for damaged records every so often. */
@@ -110,8 +110,8 @@
         return cluster.armed != null
                 && batch.stream()
                         .anyMatch(a -> a instanceof Action.Write w && CrashPoint.ofWrite(w.entry()) == cluster.armed)
-                && CrashPoint.owns(process.node, cluster.groups)
-                && cluster.crashes(process);
+                && CrashPoint.leads(process.node, cluster.groups)
+                && cluster.crashIfAllowed(process);
     }
 
     /** What has come meanwhile is written at once, what found the disk full after a pause. */
