--- a/testing/src/main/java/brookpath/testing/fuzz/FuzzFaults.java
+++ b/testing/src/main/java/brookpath/testing/fuzz/FuzzFaults.java
@@ -50,7 +50,8 @@
             if (each.alive()) {
                 crashes++;
                 each.losePower();
-                // A member that restarts quickly has lost its unsynced state while others still rely on its replies.
+                // A member that restarts quickly has forgotten what it answered, while others still rely on its
+                // answers.
                 context.after(
                         context.random.nextLong(context.random.nextBoolean() ? 150 : 1_500), () -> each.start(false));
             }
--- a/testing/src/main/java/brookpath/testing/fuzz/FuzzStyle.java
+++ b/testing/src/main/java/brookpath/testing/fuzz/FuzzStyle.java
@@ -31,8 +31,7 @@
             new FuzzStyle(3, 5, 3_000, 2_500, 60_000, 30, 40, 0),
             new FuzzStyle(5, 250, 300, 1_500, 60_000, 30, 40, 0),
             // Long lags between threads, with freezes about as long as the detection time, reveal where one thread
-            // wrongly
-            // relies on the other's state being current.
+            // wrongly relies on the other's state being current.
             new FuzzStyle(3, 0, 3, 700, 60_000, 300, 200, 0),
             new FuzzStyle(5, 50, 300, 150, 30_000, 30, 40, 0),
             new FuzzStyle(3, 20, 300, 900, 60_000, 30, 40, 2),
--- a/testing/src/main/java/brookpath/testing/oracle/History.java
+++ b/testing/src/main/java/brookpath/testing/oracle/History.java
@@ -235,8 +235,7 @@
                 if (s.committedAt >= 0 && s.position > l.startPositions.getOrDefault(s.topic, Long.MAX_VALUE)) {
                     oldest = Math.min(oldest, s.committedAt);
                 } else if (s.committedAt < 0 && s.maybeAppended) {
-                    // It may have been appended without an acknowledgement, at the earliest when its first attempt
-                    // began.
+                    // It may have been appended without an acknowledgement, but not before its first attempt began.
                     oldest = Math.min(oldest, s.sentAt);
                 }
             }
@@ -259,8 +258,7 @@
                 continue;
             }
             for (final String id : l.received) {
-                // Checked only at the end, because a message may reach a listener before the response reaches its
-                // sender.
+                // Checked only at the end: a message may reach a listener before the response reaches its sender.
                 final Sent s = sent.get(id);
                 if (!s.maybeAppended && s.committedAt < 0) {
                     violation(now, l.name + " got " + id + " although every attempt to send it was refused");
--- a/testing/src/main/java/brookpath/testing/sim/Platform.java
+++ b/testing/src/main/java/brookpath/testing/sim/Platform.java
@@ -91,7 +91,8 @@
         for (final int id : cluster.controllers) {
             if (cluster.processes.get(id).alive && cluster.processes.get(id).node instanceof ControllerNode b) {
                 for (final ControlState.Window w : ((ControlState) b.group().live()).windows()) {
-                    final long end = (w.window() + 1) * cluster.timing.windowMs() - SimulatedCluster.WALL_CLOCK_START_MS;
+                    final long end =
+                            (w.window() + 1) * cluster.timing.windowMs() - SimulatedCluster.WALL_CLOCK_START_MS;
                     if (w.index() <= b.group().committed()) {
                         w.used()
                                 .forEach(u -> cluster.history.usage.checkTotal(
