--- a/testing/src/main/java/brookpath/testing/sim/Platform.java
+++ b/testing/src/main/java/brookpath/testing/sim/Platform.java
@@ -95,7 +95,7 @@
                             (w.window() + 1) * cluster.timing.windowMs() - SimulatedCluster.WALL_CLOCK_START_MS;
                     if (w.index() <= b.group().committed()) {
                         w.used()
-                                .forEach(u -> cluster.history.usage.agrees(
+                                .forEach(u -> cluster.history.usage.checkTotal(
                                         cluster.now(), "node " + id, u.tenant(), end, u.publishes(), u.bytes()));
                     }
                 }
