--- a/testing/src/main/java/brookpath/testing/sim/AvailabilityOracle.java
+++ b/testing/src/main/java/brookpath/testing/sim/AvailabilityOracle.java
@@ -42,7 +42,7 @@
             list.removeIf(a -> a.at < from);
             // why: of one or two requests nothing can be said of most
             if (due && all >= (kind.equals("change") ? 2 : 4)) {
-                cluster.count("service judged: " + kind.replaceAll("[0-9]+", "N"));
+                cluster.count("availability checked: " + kind.replaceAll("[0-9]+", "N"));
                 if (2 * good < all) {
                     cluster.history.violation(
                             cluster.now(),
--- a/testing/src/main/java/brookpath/testing/sim/ControlDay.java
+++ b/testing/src/main/java/brookpath/testing/sim/ControlDay.java
@@ -106,7 +106,7 @@
         }
         clients();
         watch();
-        operators.work(ORDER_EVERY_MS);
+        operators.placeOrders(ORDER_EVERY_MS);
         operators.read(READ_EVERY_MS);
         cluster.run(cluster.now() + MachineFaults.CATCH_UP_MS);
     }
@@ -162,7 +162,7 @@
     }
 
     private void recover() {
-        faults.machines().mend();
+        faults.machines().endFaults();
         cluster.run(cluster.now() + RECOVER_MS);
         operators.quiet();
         cluster.callers.quiet = true;
--- a/testing/src/main/java/brookpath/testing/sim/ControlFaults.java
+++ b/testing/src/main/java/brookpath/testing/sim/ControlFaults.java
@@ -79,8 +79,8 @@
             case STORM, REFUSED_ORDERS -> operators.storming();
             case CLOCK_STEP, RESETS, RACES, ANSWERS_LOST -> cluster.now() < disturbedUntil;
             case RETIRE, RETIRE_THEN_WIPE, WIPE_DURING_RETIRE, POWER_AFTER_RETIRE ->
-                cluster.now() < retiringUntil || !machines.free() || armed != null;
-            default -> !machines.free() || armed != null;
+                cluster.now() < retiringUntil || !machines.allBack() || armed != null;
+            default -> !machines.allBack() || armed != null;
         };
     }
 
@@ -94,7 +94,7 @@
                 final long by = 1_000 + cluster.random.nextLong(9_000);
                 machines.clockStep(cluster.random.nextBoolean() ? by : -by, durationMs);
             }
-            case RESETS -> machines.resets();
+            case RESETS -> machines.resetSessions();
             case STORM ->
                 operators.storm(STORM_MOST / 3 + cluster.random.nextInt(STORM_MOST), 20L + cluster.random.nextInt(80));
             case REFUSED_ORDERS -> operators.refusedOrders(REFUSED_ORDERS);
@@ -118,8 +118,8 @@
             case CUT_OFF, CUT_SENDING, CUT_HEARING, CUT_FROM_CORE, CUT_FROM_HALF, CUT_SEEDS ->
                 cut(fault, controller(), span(9_000, 20_000));
             case FREEZE -> machines.freeze(counted(), span(500, 15_000));
-            case KILL -> machines.down(counted(), false, span(300, 20_000));
-            case POWER -> machines.down(counted(), true, span(300, 20_000));
+            case KILL -> machines.takeDown(counted(), false, span(300, 20_000));
+            case POWER -> machines.takeDown(counted(), true, span(300, 20_000));
             case REPLACE_CONTROLLER -> machines.replace(controller());
             case REPLACE_CONTROLLER_ANNOUNCED -> machines.replaceAnnounced(controller());
             case REUSE_CONTROLLER_ADDRESS -> machines.reuseAddress(controller());
@@ -136,7 +136,7 @@
             }
             case FULL_DISK -> machines.fullDisk(counted(), span(3_000, 10_000));
             case CLOCK_REPEATS -> {
-                machines.clockRepeats(
+                machines.restartWithRepeatedClock(
                         controller(),
                         any(cluster.gateways.stream()
                                 .map(cluster.processes::get)
@@ -154,7 +154,7 @@
         final List<SimulatedProcess> core = machines.others(process, fleet.counted());
         final List<SimulatedProcess> all = machines.others(process, List.copyOf(cluster.processes.values()));
         switch (fault) {
-            case CUT_OFF -> machines.cutFromCallersToo(process, span);
+            case CUT_OFF -> machines.cutIncludingCallers(process, span);
             case CUT_SENDING -> machines.cut(process, all, SENDING, span);
             case CUT_HEARING -> machines.cut(process, all, HEARING, span);
             case CUT_FROM_CORE -> machines.cut(process, core, BOTH, span);
@@ -205,21 +205,21 @@
     }
 
     private void wipeAnyStorage() {
-        if (!stopped && machines.free()) {
+        if (!stopped && machines.allBack()) {
             machines.wipe(any(fleet.storages()), span(300, 3_000));
         }
     }
 
     /** The machine that has just acknowledged, the leader behind it, or all machines lose power. */
     private void powerLossAfter(final SimulatedProcess by) {
-        if (stopped || !machines.free()) {
+        if (stopped || !machines.allBack()) {
             return;
         }
         if (cluster.random.nextBoolean()) {
-            machines.allDown(true, true);
+            machines.takeAllDown(true, true);
         } else {
             final SimulatedProcess leader = fleet.controlLeader();
-            machines.down(leader == null ? by : leader, true, span(300, 10_000));
+            machines.takeDown(leader == null ? by : leader, true, span(300, 10_000));
         }
     }
 
@@ -227,7 +227,7 @@
 
     @Override
     public void acknowledged(final SimulatedProcess by) {
-        if (armed == null || armed == KILL_AFTER_SEND || !machines.free()) {
+        if (armed == null || armed == KILL_AFTER_SEND || !machines.allBack()) {
             return;
         }
         final ControlFault fault = armed;
@@ -236,25 +236,25 @@
         final SimulatedProcess target = leader == null || cluster.random.nextBoolean() ? by : leader;
         cluster.at(cluster.now() + cluster.random.nextInt(5), () -> {
             switch (fault) {
-                case POWER_AFTER_ACK -> machines.down(target, true, span(300, 10_000));
+                case POWER_AFTER_ACK -> machines.takeDown(target, true, span(300, 10_000));
                 case WIPE_AFTER_ACK -> machines.wipe(target, span(300, 10_000));
-                case KILL_ALL -> machines.allDown(false, cluster.random.nextBoolean());
-                default -> machines.allDown(true, true);
+                case KILL_ALL -> machines.takeAllDown(false, cluster.random.nextBoolean());
+                default -> machines.takeAllDown(true, true);
             }
         });
     }
 
     @Override
     public void sent(final SimulatedProcess to) {
-        if (armed != KILL_AFTER_SEND || !machines.free()) {
+        if (armed != KILL_AFTER_SEND || !machines.allBack()) {
             return;
         }
         armed = null;
         cluster.at(cluster.now() + span(5, 400), () -> {
             final SimulatedProcess leader = fleet.controlLeader();
             final SimulatedProcess target = leader == null || cluster.random.nextBoolean() ? to : leader;
-            if (!stopped && machines.free() && !target.goneForGood) {
-                machines.down(target, cluster.random.nextBoolean(), span(300, 5_000));
+            if (!stopped && machines.allBack() && !target.goneForGood) {
+                machines.takeDown(target, cluster.random.nextBoolean(), span(300, 5_000));
             }
         });
     }
@@ -271,12 +271,12 @@
             public void acknowledged(final SimulatedProcess by) {
                 operators.observer(null);
                 if (kind == 0) {
-                    machines.allDown(false, false);
+                    machines.takeAllDown(false, false);
                 } else if (kind == 1) {
-                    machines.allDown(true, true);
+                    machines.takeAllDown(true, true);
                 } else {
                     if (kind == 3) {
-                        machines.allDown(true, false);
+                        machines.takeAllDown(true, false);
                     }
                     machines.wipe(by, span(300, 3_000));
                 }
--- a/testing/src/main/java/brookpath/testing/sim/ControlFleet.java
+++ b/testing/src/main/java/brookpath/testing/sim/ControlFleet.java
@@ -133,7 +133,7 @@
                 new SimulatedProcess(cluster, nextController++, zone, true, this::controllerNode);
         cluster.processes.put(added.id, added);
         cluster.controllers.add(added.id);
-        cluster.outages.down(added);
+        cluster.outages.recordDown(added);
         return added;
     }
 
@@ -143,7 +143,7 @@
         names.put(added.id, nextName());
         cluster.processes.put(added.id, added);
         cluster.storages.add(added.id);
-        cluster.outages.down(added);
+        cluster.outages.recordDown(added);
         return added;
     }
 
--- a/testing/src/main/java/brookpath/testing/sim/DeliveryLatencyOracle.java
+++ b/testing/src/main/java/brookpath/testing/sim/DeliveryLatencyOracle.java
@@ -19,7 +19,7 @@
     void committed(final Sent s) {
         final int group = callers.groupOf(s.topic);
         for (final Subscriber sub : callers.listeningTo(s.topic)) {
-            cluster.count("deliveries judged");
+            cluster.count("deliveries checked");
             look(s, sub, sub.sessionId, group, s.committedAt + cluster.timing.deliverMs());
         }
     }
--- a/testing/src/main/java/brookpath/testing/sim/ExpectedOutages.java
+++ b/testing/src/main/java/brookpath/testing/sim/ExpectedOutages.java
@@ -76,7 +76,7 @@
     }
 
     /** Went down between two checks. */
-    void down(final SimulatedProcess p) {
+    void recordDown(final SimulatedProcess p) {
         downUntil.put(p.id, cluster.now());
         machinesOutUntil = cluster.now();
     }
--- a/testing/src/main/java/brookpath/testing/sim/MachineFaults.java
+++ b/testing/src/main/java/brookpath/testing/sim/MachineFaults.java
@@ -13,10 +13,10 @@
     static final long CATCH_UP_MS = 4_000;
 
     private static final long REPLACEMENT_GAP_MS = 1_000;
-    private static final long RETREAT_MS = 500;
+    private static final long GRACEFUL_SHUTDOWN_MS = 500;
     private static final long DISK_SYNC_MS = 2;
-    private static final long REPEATED_DOWN_MS = 200;
-    private static final long RESTART_EVERY_MS = 1_000;
+    private static final long REPEATED_RESTART_DOWN_MS = 200;
+    private static final long RESTART_PERIOD_MS = 1_000;
 
     private final SimulatedCluster cluster;
     private final ControlFleet fleet;
@@ -36,7 +36,7 @@
     }
 
     /** Whether all counted machines are back. */
-    boolean free() {
+    boolean allBack() {
         return cluster.now() >= outUntil;
     }
 
@@ -45,7 +45,7 @@
     }
 
     /** A machine is out from now until it is back at that moment and has caught up. */
-    private void out(final SimulatedProcess process, final long durationMs) {
+    private void markOut(final SimulatedProcess process, final long durationMs) {
         final long backAt = cluster.now() + durationMs;
         outUntil = Math.max(outUntil, backAt + CATCH_UP_MS);
         disturb();
@@ -60,21 +60,21 @@
 
     // ---- down and back
 
-    void down(final SimulatedProcess process, final boolean powerLoss, final long durationMs) {
-        out(process, durationMs);
+    void takeDown(final SimulatedProcess process, final boolean powerLoss, final long durationMs) {
+        markOut(process, durationMs);
         cluster.kill(process, powerLoss);
-        cluster.at(cluster.now() + durationMs, () -> back(process));
+        cluster.at(cluster.now() + durationMs, () -> restart(process));
     }
 
     /** Starts what does not run, unless it was shut down for good meanwhile. */
-    private void back(final SimulatedProcess process) {
+    private void restart(final SimulatedProcess process) {
         if (!process.goneForGood) {
             cluster.restart(process);
         }
     }
 
     void wipe(final SimulatedProcess process, final long durationMs) {
-        down(process, true, durationMs);
+        takeDown(process, true, durationMs);
         process.disk.wipe();
     }
 
@@ -82,32 +82,32 @@
      * A controller restarts several times in a row, each time with the time of day of its last start, as without a
      * battery; a gateway stands still meanwhile, so that changes wait for its lease and are under way at each restart.
      */
-    void clockRepeats(
+    void restartWithRepeatedClock(
             final SimulatedProcess controller, final SimulatedProcess gateway, final int restarts, final long upMs) {
         final long skew = controller.skew;
-        cluster.freeze(gateway, restarts * (REPEATED_DOWN_MS + upMs));
+        cluster.freeze(gateway, restarts * (REPEATED_RESTART_DOWN_MS + upMs));
         for (int i = 0; i < restarts; i++) {
-            cluster.at(cluster.now() + i * (REPEATED_DOWN_MS + upMs), () -> {
-                controller.skew -= cluster.now() + REPEATED_DOWN_MS - fleet.startedAt(controller);
-                down(controller, false, REPEATED_DOWN_MS);
+            cluster.at(cluster.now() + i * (REPEATED_RESTART_DOWN_MS + upMs), () -> {
+                controller.skew -= cluster.now() + REPEATED_RESTART_DOWN_MS - fleet.startedAt(controller);
+                takeDown(controller, false, REPEATED_RESTART_DOWN_MS);
             });
         }
-        final long durationMs = restarts * (REPEATED_DOWN_MS + upMs);
-        out(controller, durationMs);
+        final long durationMs = restarts * (REPEATED_RESTART_DOWN_MS + upMs);
+        markOut(controller, durationMs);
         cluster.at(cluster.now() + durationMs, () -> controller.skew = skew);
     }
 
     void freeze(final SimulatedProcess process, final long durationMs) {
-        out(process, durationMs);
+        markOut(process, durationMs);
         cluster.freeze(process, durationMs);
     }
 
     /** All counted machines, or all there are, go at once and come back one by one. */
-    void allDown(final boolean powerLoss, final boolean gatewaysToo) {
+    void takeAllDown(final boolean powerLoss, final boolean gatewaysToo) {
         final List<SimulatedProcess> all = gatewaysToo ? List.copyOf(cluster.processes.values()) : fleet.counted();
         for (final SimulatedProcess process : all) {
             if (!process.goneForGood) {
-                down(process, powerLoss, 200 + cluster.random.nextLong(1_500));
+                takeDown(process, powerLoss, 200 + cluster.random.nextLong(1_500));
             }
         }
     }
@@ -115,7 +115,7 @@
     void rollingRestart(final long downMs) {
         long at = 0;
         for (final SimulatedProcess process : fleet.controllers()) {
-            cluster.at(cluster.now() + at, () -> down(process, false, downMs));
+            cluster.at(cluster.now() + at, () -> takeDown(process, false, downMs));
             at += downMs + CATCH_UP_MS;
         }
         outUntil = Math.max(outUntil, cluster.now() + at);
@@ -135,8 +135,8 @@
             final List<SimulatedProcess> from,
             final Direction direction,
             final long durationMs) {
-        out(process, durationMs);
-        excuseThoseCutFromCore(from, durationMs);
+        markOut(process, durationMs);
+        exemptThoseCutFromCore(from, durationMs);
         cluster.note(process.id, "is cut off, " + direction + ", for " + durationMs, false);
         for (final SimulatedProcess other : from) {
             if (direction != Direction.HEARING) {
@@ -153,7 +153,7 @@
      * A controller is in touch only where it reaches every other that itself reaches more than half of them; whoever is
      * cut off from such a one is excused.
      */
-    private void excuseThoseCutFromCore(final List<SimulatedProcess> from, final long durationMs) {
+    private void exemptThoseCutFromCore(final List<SimulatedProcess> from, final long durationMs) {
         final List<SimulatedProcess> cut =
                 from.stream().filter(fleet::isController).toList();
         if (2 * (fleet.controllers().size() - cut.size()) > fleet.controllers().size()) {
@@ -161,7 +161,7 @@
         }
     }
 
-    void cutFromCallersToo(final SimulatedProcess process, final long durationMs) {
+    void cutIncludingCallers(final SimulatedProcess process, final long durationMs) {
         cut(process, others(process, List.copyOf(cluster.processes.values())), Direction.BOTH, durationMs);
         calls.unreachable.add(process.id);
         cluster.at(cluster.now() + durationMs, () -> calls.unreachable.remove(process.id));
@@ -179,7 +179,7 @@
         remove(gone);
         final SimulatedProcess next = controller ? fleet.addController(gone.zone) : fleet.addStorage(gone.zone);
         fleet.freshSeeds();
-        out(next, REPLACEMENT_GAP_MS);
+        markOut(next, REPLACEMENT_GAP_MS);
         cluster.note(next.id, "is to replace node " + gone.id, false);
         cluster.at(cluster.now() + REPLACEMENT_GAP_MS, next::start);
     }
@@ -189,13 +189,13 @@
         final SimulatedProcess next = fleet.addController(gone.zone);
         fleet.freshSeeds();
         next.start();
-        out(next, CATCH_UP_MS);
+        markOut(next, CATCH_UP_MS);
         cluster.note(next.id, "is to replace node " + gone.id + ", announced", false);
         cluster.at(cluster.now() + CATCH_UP_MS, () -> {
-            out(gone, RETREAT_MS);
+            markOut(gone, GRACEFUL_SHUTDOWN_MS);
             cluster.callers.ask(
-                    gone, NodeRequest.GracefulShutdown::new, response -> cluster.count("control: retreats"));
-            cluster.at(cluster.now() + RETREAT_MS, () -> {
+                    gone, NodeRequest.GracefulShutdown::new, response -> cluster.count("control: graceful shutdowns"));
+            cluster.at(cluster.now() + GRACEFUL_SHUTDOWN_MS, () -> {
                 remove(gone);
                 fleet.freshSeeds();
             });
@@ -213,25 +213,25 @@
 
     /** Another, empty machine comes at the number of one that is gone. */
     void reuseAddress(final SimulatedProcess gone) {
-        out(gone, REPLACEMENT_GAP_MS);
+        markOut(gone, REPLACEMENT_GAP_MS);
         if (!fleet.isController(gone)) {
             history.retirements.removed(fleet.name(gone.id));
         }
         fleet.reuseAddress(gone);
-        cluster.at(cluster.now() + REPLACEMENT_GAP_MS, () -> back(gone));
+        cluster.at(cluster.now() + REPLACEMENT_GAP_MS, () -> restart(gone));
     }
 
     /** One more storage machine, before another one is emptied. */
     void addStorage(final String zone) {
         final SimulatedProcess added = fleet.addStorage(zone);
-        out(added, 0);
+        markOut(added, 0);
         added.start();
     }
 
     // ---- disks
 
     void slowDisk(final SimulatedProcess process, final long syncMs, final long durationMs) {
-        out(process, durationMs);
+        markOut(process, durationMs);
         history.availability.disturb(cluster.now() + durationMs);
         process.syncMs = syncMs;
         cluster.at(cluster.now() + durationMs, () -> process.syncMs = DISK_SYNC_MS);
@@ -239,15 +239,15 @@
 
     /** The disk takes no bytes; whoever looks after the process starts it again and again should it end. */
     void fullDisk(final SimulatedProcess process, final long durationMs) {
-        out(process, durationMs);
+        markOut(process, durationMs);
         history.availability.disturb(cluster.now() + durationMs);
         process.disk.full(true);
-        for (long at = RESTART_EVERY_MS; at < durationMs; at += RESTART_EVERY_MS) {
-            cluster.at(cluster.now() + at, () -> back(process));
+        for (long at = RESTART_PERIOD_MS; at < durationMs; at += RESTART_PERIOD_MS) {
+            cluster.at(cluster.now() + at, () -> restart(process));
         }
         cluster.at(cluster.now() + durationMs, () -> {
             process.disk.full(false);
-            back(process);
+            restart(process);
         });
     }
 
@@ -267,7 +267,7 @@
     }
 
     /** Most sessions between processes break, and those with callers. */
-    void resets() {
+    void resetSessions() {
         final List<SimulatedProcess> all =
                 cluster.processes.values().stream().filter(p -> p.alive).toList();
         for (int i = 0; i < all.size(); i++) {
@@ -282,7 +282,7 @@
     }
 
     /** The last failure of a day is over: nothing is cut or slowed any more. */
-    void mend() {
+    void endFaults() {
         cluster.net.heal();
         calls.unreachable.clear();
         for (final SimulatedProcess process : cluster.processes.values()) {
@@ -290,7 +290,7 @@
             if (process.disk != null) {
                 process.disk.full(false);
             }
-            back(process);
+            restart(process);
         }
         disturb();
     }
--- a/testing/src/main/java/brookpath/testing/sim/Operators.java
+++ b/testing/src/main/java/brookpath/testing/sim/Operators.java
@@ -76,7 +76,7 @@
     // ---- orders
 
     /** An order now and then, two at once on one version, nonsense, an old order once more. */
-    void work(final long every) {
+    void placeOrders(final long every) {
         if (quiet) {
             return;
         }
@@ -86,7 +86,7 @@
             case 2 -> repeat();
             default -> order(true);
         }
-        cluster.at(cluster.now() + every / 2 + cluster.random.nextLong(every), () -> work(every));
+        cluster.at(cluster.now() + every / 2 + cluster.random.nextLong(every), () -> placeOrders(every));
     }
 
     /** Two operators make different changes from the same version, at once. */
--- a/testing/src/main/java/brookpath/testing/sim/Publisher.java
+++ b/testing/src/main/java/brookpath/testing/sim/Publisher.java
@@ -81,7 +81,7 @@
         cluster.history.committed(now, sent, Callers.json(response.json()).getInt("position"));
         if (first) {
             callers.deliveryLatency.committed(sent);
-            cluster.sendToAccept.add(now - sent.sentAt);
+            cluster.publishLatencies.add(now - sent.sentAt);
         }
         publishNext(sent);
     }
--- a/testing/src/main/java/brookpath/testing/sim/SimulatedCluster.java
+++ b/testing/src/main/java/brookpath/testing/sim/SimulatedCluster.java
@@ -51,7 +51,7 @@
     final int groups;
     final ExpectedOutages outages = new ExpectedOutages(this);
     /** Times from the first attempt of a publish to its acknowledgement, in milliseconds. */
-    public final List<Long> sendToAccept = new ArrayList<>();
+    public final List<Long> publishLatencies = new ArrayList<>();
 
     final List<Integer> controllers = new ArrayList<>();
     final List<Integer> storages = new ArrayList<>();
@@ -169,7 +169,7 @@
     SimulatedProcess addStorage(final int id, final String zone) {
         final SimulatedProcess added = storage(id, zone);
         note(id, "is added", false);
-        outages.down(added);
+        outages.recordDown(added);
         added.start();
         return added;
     }
@@ -265,7 +265,7 @@
         }
         p.alive = false;
         p.incarnation++;
-        outages.down(p);
+        outages.recordDown(p);
         if (powerLoss && p.disk != null) {
             p.disk.powerLoss(random);
         }
--- a/testing/src/main/java/brookpath/testing/sim/SimulatedDay.java
+++ b/testing/src/main/java/brookpath/testing/sim/SimulatedDay.java
@@ -63,35 +63,35 @@
                     4_000,
                     faults,
                     EnumSet.noneOf(Mutation.class),
-                    faults.isEmpty() ? Ending.CALM : Ending.ON_A_FAULT);
+                    faults.isEmpty() ? Ending.NO_FAULT : Ending.FAULT);
         }
 
         /** The same day on code that breaks one rule. */
-        public Plan broken(final Mutation mutation) {
+        public Plan withMutation(final Mutation mutation) {
             return new Plan(seed, size, lengthMs, faultEveryMs, faults, EnumSet.of(mutation), ending);
         }
 
         /** The same day with another ending. */
-        public Plan ending(final Ending other) {
+        public Plan withEnding(final Ending other) {
             return new Plan(seed, size, lengthMs, faultEveryMs, faults, mutations, other);
         }
 
         /** The same day of a fleet of another size. */
-        public Plan sized(final FleetSize other) {
+        public Plan withSize(final FleetSize other) {
             return new Plan(seed, other, lengthMs, faultEveryMs, faults, mutations, ending);
         }
 
         /** The same day of another length, in milliseconds of the simulation. */
-        public Plan lasting(final long ms) {
+        public Plan withLength(final long ms) {
             return new Plan(seed, size, ms, faultEveryMs, faults, mutations, ending);
         }
     }
 
     /** How a day ends: without a failure, on one, or on one whose machine, one with a disk, is never seen again. */
     public enum Ending {
-        CALM,
-        ON_A_FAULT,
-        ONE_GONE
+        NO_FAULT,
+        FAULT,
+        MACHINE_LOST
     }
 
     /** What a day came to. */
@@ -102,7 +102,7 @@
             int delivered,
             TreeMap<String, Integer> counts,
             List<Long> latencies,
-            List<Long> sendToAccept,
+            List<Long> publishLatencies,
             List<Long> leaderless,
             TreeMap<String, Long> crossZoneBytes,
             List<String> notes,
@@ -149,7 +149,7 @@
     }
 
     /** The cluster of a calm day after its callers have been about for the plan's length, for measurements. */
-    static SimulatedCluster calm(final Plan plan) {
+    static SimulatedCluster withoutFaults(final Plan plan) {
         final SimulatedDay day = new SimulatedDay(plan, ActionObserver.NONE);
         day.begin();
         day.cluster.run(day.cluster.now() + plan.lengthMs);
@@ -192,11 +192,11 @@
             }
         }
         cluster.run(end);
-        if (plan.ending != Ending.CALM && !faults.isEmpty()) {
+        if (plan.ending != Ending.NO_FAULT && !faults.isEmpty()) {
             failures.causeFault(faults.get(cluster.random.nextInt(faults.size())));
             cluster.run(cluster.now() + 1_000);
         }
-        if (plan.ending == Ending.ONE_GONE) {
+        if (plan.ending == Ending.MACHINE_LOST) {
             failures.loseOne();
         }
     }
@@ -265,7 +265,7 @@
                 cluster.history.delivered(),
                 cluster.counts,
                 cluster.history.latencies(),
-                cluster.sendToAccept,
+                cluster.publishLatencies,
                 cluster.leaderless(),
                 cluster.net.crossZoneBytes,
                 cluster.notes(),
--- a/testing/src/main/java/brookpath/testing/sim/Slopes.java
+++ b/testing/src/main/java/brookpath/testing/sim/Slopes.java
@@ -27,9 +27,9 @@
                 new FleetSize(16, 11, 450, 1_600, 8, 95, 3),
                 new FleetSize(16, 11, 450, 400, 8, 380, 3))) {
             final SimulatedCluster cluster =
-                    SimulatedDay.calm(SimulatedDay.Plan.of(1, EnumSet.noneOf(SimulatedDay.Fault.class))
-                            .sized(size)
-                            .lasting(WARM_MS));
+                    SimulatedDay.withoutFaults(SimulatedDay.Plan.of(1, EnumSet.noneOf(SimulatedDay.Fault.class))
+                            .withSize(size)
+                            .withLength(WARM_MS));
             for (final SimulatedProcess p : cluster.processes.values()) {
                 p.sentMessages = 0;
                 p.sentBytes = 0;
@@ -56,8 +56,8 @@
     /** Heap of one gateway per session that listens to two topics of 1,000. */
     private static void memory() {
         final SimulatedCluster cluster =
-                SimulatedDay.calm(SimulatedDay.Plan.of(1, EnumSet.noneOf(SimulatedDay.Fault.class))
-                        .lasting(WARM_MS));
+                SimulatedDay.withoutFaults(SimulatedDay.Plan.of(1, EnumSet.noneOf(SimulatedDay.Fault.class))
+                        .withLength(WARM_MS));
         cluster.callers.quiet = true;
         cluster.run(cluster.now() + 5_000);
         final SimulatedProcess gateway = cluster.processes.get(cluster.gateways.get(0));
--- a/testing/src/main/java/brookpath/testing/sim/ZoneBytes.java
+++ b/testing/src/main/java/brookpath/testing/sim/ZoneBytes.java
@@ -16,8 +16,8 @@
         for (final String name : new String[] {"jadran", "sajha"}) {
             final SimulatedDay.Outcome day =
                     SimulatedDay.play(SimulatedDay.Plan.of(1, EnumSet.noneOf(SimulatedDay.Fault.class))
-                            .sized(name.equals("sajha") ? FleetSize.SAJHA : FleetSize.JADRAN)
-                            .lasting(LENGTH));
+                            .withSize(name.equals("sajha") ? FleetSize.SAJHA : FleetSize.JADRAN)
+                            .withLength(LENGTH));
             final long all = day.crossZoneBytes().values().stream()
                     .mapToLong(Long::longValue)
                     .sum();
--- a/testing/src/test/java/brookpath/testing/BehaviourDigestTest.java
+++ b/testing/src/test/java/brookpath/testing/BehaviourDigestTest.java
@@ -72,9 +72,9 @@
                     "fleet, clocks, races and the platform",
                     9,
                     EnumSet.of(Fault.CLOCK, Fault.RACE, Fault.PLATFORM, Fault.LAST_ACT)),
-            wholeDay("fleet, all faults", 10, Ending.ON_A_FAULT),
-            wholeDay("fleet, all faults, one machine never returns", 11, Ending.ONE_GONE),
-            wholeDay("fleet, all faults", 12, Ending.ON_A_FAULT),
+            wholeDay("fleet, all faults", 10, Ending.FAULT),
+            wholeDay("fleet, all faults, one machine never returns", 11, Ending.MACHINE_LOST),
+            wholeDay("fleet, all faults", 12, Ending.FAULT),
             usersDay("first user, all faults", 13, FleetSize.JADRAN),
             usersDay("second user, all faults", 14, FleetSize.SAJHA),
             controlDay("control, no fault", 21),
@@ -151,7 +151,7 @@
                 name,
                 seed,
                 (s, observer) ->
-                        SimulatedDay.playFaults(SimulatedDay.Plan.of(s, faults).lasting(FAULTS_MS), observer));
+                        SimulatedDay.playFaults(SimulatedDay.Plan.of(s, faults).withLength(FAULTS_MS), observer));
     }
 
     /** A shorter day of all faults with the recovery after it. */
@@ -161,8 +161,8 @@
                 seed,
                 (s, observer) -> SimulatedDay.play(
                         SimulatedDay.Plan.of(s, ALL_FAULTS)
-                                .lasting(WHOLE_DAY_MS)
-                                .ending(ending),
+                                .withLength(WHOLE_DAY_MS)
+                                .withEnding(ending),
                         observer));
     }
 
@@ -172,7 +172,7 @@
                 name,
                 seed,
                 (s, observer) -> SimulatedDay.playFaults(
-                        SimulatedDay.Plan.of(s, ALL_FAULTS).sized(shape).lasting(USERS_SIZES_MS), observer));
+                        SimulatedDay.Plan.of(s, ALL_FAULTS).withSize(shape).withLength(USERS_SIZES_MS), observer));
     }
 
     private static Row controlDay(final String name, final long seed, final ControlFault... faults) {
--- a/testing/src/test/java/brookpath/testing/ControlDayTest.java
+++ b/testing/src/test/java/brookpath/testing/ControlDayTest.java
@@ -76,7 +76,7 @@
         assertTrue(day.newest() > 30, day.toString());
         assertTrue(day.counts().getOrDefault("control: refused with 409", 0) > 3, day.toString());
         assertTrue(day.counts().getOrDefault("control: repeats", 0) > 3, day.toString());
-        assertTrue(day.counts().getOrDefault("deliveries judged", 0) > 100, day.toString());
+        assertTrue(day.counts().getOrDefault("deliveries checked", 0) > 100, day.toString());
     }
 
     @Test
--- a/testing/src/test/java/brookpath/testing/DayTest.java
+++ b/testing/src/test/java/brookpath/testing/DayTest.java
@@ -43,9 +43,10 @@
             for (final String kind :
                     List.of("publish to group N", "count in group N", "resume", "listening", "change")) {
                 assertTrue(
-                        day.counts().getOrDefault("service judged: " + kind, 0) > 0, kind + " was not judged: " + day);
+                        day.counts().getOrDefault("availability checked: " + kind, 0) > 0,
+                        kind + " was not judged: " + day);
             }
-            assertTrue(day.counts().get("deliveries judged") > 3_000, day.toString());
+            assertTrue(day.counts().get("deliveries checked") > 3_000, day.toString());
             assertTrue(day.committed() > 800 && day.delivered() > 3 * day.committed(), day.toString());
             assertTrue(
                     day.counts().get("changes confirmed") >= 3 && day.counts().get("faults") >= 8, day.toString());
@@ -60,12 +61,12 @@
     @Test(dataProvider = "fleetSizes")
     public void onACalmDayMessagesArriveInTheUsualTime(final FleetSize size) {
         final Outcome day = SimulatedDay.play(
-                Plan.of(3, EnumSet.noneOf(Fault.class)).sized(size).lasting(20_000));
+                Plan.of(3, EnumSet.noneOf(Fault.class)).withSize(size).withLength(20_000));
         assertTrue(day.good(), day.toString());
         assertTrue(
                 day.latencies().size() > 1_000 && day.latencies().stream().allMatch(ms -> ms <= 100),
                 "late on a calm day: " + day);
-        assertTrue(day.sendToAccept().stream().allMatch(ms -> ms <= 50), "slow to accept on a calm day: " + day);
+        assertTrue(day.publishLatencies().stream().allMatch(ms -> ms <= 50), "slow to accept on a calm day: " + day);
     }
 
     @DataProvider(parallel = true)
@@ -76,7 +77,7 @@
     @Test(dataProvider = "fourSeeds")
     public void allIsReadBackThoughTheLastFailuresVictimNeverReturns(final long seed) {
         final Outcome day =
-                SimulatedDay.play(Plan.of(seed, EnumSet.allOf(Fault.class)).ending(Ending.ONE_GONE));
+                SimulatedDay.play(Plan.of(seed, EnumSet.allOf(Fault.class)).withEnding(Ending.MACHINE_LOST));
         assertTrue(day.good(), day.toString());
         assertEquals((int) day.counts().get("gone for good"), 1, day.toString());
     }
@@ -104,7 +105,7 @@
     @Test(dataProvider = "usersFleetSizes")
     public void aDayOfTheUsersOwnSizes(final FleetSize size) {
         final Outcome day = SimulatedDay.play(
-                Plan.of(5, EnumSet.allOf(Fault.class)).sized(size).lasting(40_000));
+                Plan.of(5, EnumSet.allOf(Fault.class)).withSize(size).withLength(40_000));
         assertTrue(day.good(), day.toString());
         assertTrue(day.committed() > 1_500 && day.counts().get("faults") >= 8, day.toString());
     }
@@ -119,7 +120,7 @@
     public void leftOutSyncIsSeen() {
         boolean seen = false;
         for (long seed = 1; seed <= 6 && !seen; seed++) {
-            seen = !SimulatedDay.play(Plan.of(seed, EnumSet.of(BLACKOUT)).broken(Mutation.NO_FSYNC))
+            seen = !SimulatedDay.play(Plan.of(seed, EnumSet.of(BLACKOUT)).withMutation(Mutation.NO_FSYNC))
                     .good();
         }
         assertTrue(seen, "a disk that never syncs went unnoticed");
