--- a/testing/src/main/java/brookpath/testing/sim/Callers.java
+++ b/testing/src/main/java/brookpath/testing/sim/Callers.java
@@ -18,13 +18,13 @@
 import java.util.function.Consumer;
 import java.util.function.LongFunction;
 
-/** Stand-in publishers and subscribers. They see only what HTTP would show them. */
+/** Simulated publishers and subscribers, which see only what a client sees over HTTP. */
 public final class Callers {
     static final long REQUEST_TIMEOUT_MS = 3_000;
     static final long RETENTION_MS = 30_000;
     private static final long MAX_DISCONNECTED_MS = 20_000;
     static final String[] SPACES = {"permits", "closures", "clues"};
-    /** Tenants whose keys operators take away and give back; half of the sessions use the second. */
+    /** Tenants whose keys operators revoke and restore; half of the sessions use the key of the second. */
     static final List<String> REVOCABLE_TENANTS = List.of("guest", "half");
 
     private final SimulatedCluster cluster;
@@ -33,12 +33,12 @@
     final Map<Long, Subscriber> sessions = new TreeMap<>();
     private final List<Subscriber> subscribers = new ArrayList<>();
     final DeliveryLatencyOracle deliveryLatency;
-    final AvailabilityOracle service;
-    /** Who changes the configuration while these callers are about. */
+    final AvailabilityOracle availability;
+    /** Operators that change the configuration while these callers run. */
     final DayOperators operators;
 
     private long requestIds;
-    /** Sees every answer before its caller does. */
+    /** Is told of every answer before its caller. */
     AnswerObserver answers = (from, requestId, response) -> {};
 
     boolean quiet;
@@ -46,9 +46,9 @@
     Callers(final SimulatedCluster cluster) {
         this.cluster = cluster;
         deliveryLatency = new DeliveryLatencyOracle(cluster, this);
-        service = new AvailabilityOracle(cluster);
+        availability = new AvailabilityOracle(cluster);
         operators = new DayOperators(cluster, this);
-        cluster.at(1_000, this::checkListening);
+        cluster.at(1_000, this::checkListeners);
         cluster.at(500, this::probeReadiness);
     }
 
@@ -56,7 +56,7 @@
         return topic.startsWith("clues/");
     }
 
-    /** The space's name, which is the beginning of its topics' names where the document says nothing else. */
+    /** The space of a topic: the part of its name before the slash, unless the document sets another prefix. */
     public static String spaceOf(final String topic) {
         return topic.substring(0, topic.indexOf('/'));
     }
@@ -65,12 +65,12 @@
         return SPACES[i % SPACES.length] + "/t" + i;
     }
 
-    /** Senders' names tell their tenant: "half-7" is one of "half"; a name without a dash is a member. */
+    /** The tenant in a sender's name: "half-7" belongs to "half"; a name without a dash belongs to "members". */
     static String tenantOf(final String sender) {
         return sender.contains("-") ? sender.substring(0, sender.indexOf('-')) : "members";
     }
 
-    /** All tenants of every document. */
+    /** The tenants that every document names. */
     List<String> tenants() {
         final List<String> list = new ArrayList<>(List.of("members"));
         list.addAll(REVOCABLE_TENANTS);
@@ -80,16 +80,16 @@
         return list;
     }
 
-    /** What sessions heard that join their topics one by one, in order. */
+    /** Actions for sessions that join their topics one by one, in order. */
     final List<Action.ToSession> sessionActions = new ArrayList<>();
 
-    boolean holds(final Subscriber s) {
+    boolean isOpen(final Subscriber s) {
         return sessions.get(s.sessionId) == s;
     }
 
     List<Subscriber> listeningTo(final String topic) {
         return subscribers.stream()
-                .filter(s -> s.listeningSince >= 0 && s.listener.topics().contains(topic) && holds(s))
+                .filter(s -> s.listeningSince >= 0 && s.listener.topics().contains(topic) && isOpen(s))
                 .toList();
     }
 
@@ -97,11 +97,11 @@
         return Placement.groupOf(topic, new Configuration.Space(spaceOf(topic), 0, oneOrder(topic), 0), cluster.groups);
     }
 
-    private final Map<Integer, String> topicIn = new HashMap<>();
+    private final Map<Integer, String> topicOfGroup = new HashMap<>();
 
-    /** Some topic of the group, asked about or not. */
-    private String topicIn(final int group) {
-        return topicIn.computeIfAbsent(group, g -> {
+    /** A topic of the group that nobody publishes to. */
+    private String topicOfGroup(final int group) {
+        return topicOfGroup.computeIfAbsent(group, g -> {
             int i = 0;
             while (groupOf("permits/asked" + i) != g) {
                 i++;
@@ -110,27 +110,27 @@
         });
     }
 
-    /** Who ought to be listening and is, twice a second; and somebody asks how many listen. */
-    private void checkListening() {
+    /** Twice a second, records which entitled subscribers are listening and asks for a listener count per group. */
+    private void checkListeners() {
         if (!quiet) {
             for (final Subscriber s : subscribers) {
                 if (s.listener.entitled && !s.disconnected) {
-                    service.requested("listening", cluster.now(), s.listeningSince >= 0 && holds(s));
+                    availability.recordRequest("listening", cluster.now(), s.listeningSince >= 0 && isOpen(s));
                 }
             }
             for (int g = 0; g < cluster.groups && operators.anyConfirmed(); g++) {
                 final long at = cluster.now();
-                final String topic = topicIn(g);
+                final String topic = topicOfGroup(g);
                 ask(
                         anyGateway(),
                         id -> new NodeRequest.Count(id, "key-members", topic, ""),
-                        r -> service.requested("count in group " + groupOf(topic), at, r.status() == 200));
+                        r -> availability.recordRequest("count in group " + groupOf(topic), at, r.status() == 200));
             }
         }
-        cluster.at(cluster.now() + 500, this::checkListening);
+        cluster.at(cluster.now() + 500, this::checkListeners);
     }
 
-    // ---- what the processes give back
+    // ---- answers and deliveries of the processes
 
     void respond(final SimulatedProcess from, final long requestId, final Response r) {
         answers.answered(from, requestId, r);
@@ -156,11 +156,11 @@
         final Subscriber s = sessions.remove(sessionId);
         if (s != null) {
             cluster.count("sessions closed");
-            cluster.at(cluster.now(), () -> s.gone(why));
+            cluster.at(cluster.now(), () -> s.onClosed(why));
         }
     }
 
-    /** A process died: whatever was asked of it gets a reset. */
+    /** Resets all requests to a process that died, and its sessions. */
     void resetConnections(final SimulatedProcess p) {
         for (final long id : new ArrayList<>(requestAt.keySet())) {
             if (requestAt.get(id) == p.id) {
@@ -174,7 +174,7 @@
         }
     }
 
-    /** Breaks nearly all sessions at once. */
+    /** Breaks about 95 % of the sessions at once. */
     void resetAll() {
         cluster.count("mass resets");
         for (final long id : new ArrayList<>(sessions.keySet())) {
@@ -203,19 +203,19 @@
         return id;
     }
 
-    /** Nobody waits for the answer any more. */
+    /** Drops the answer of a request. */
     void forget(final long requestId) {
         waiting.remove(requestId);
         requestAt.remove(requestId);
     }
 
-    /** One of those that the platform holds for ready. */
+    /** A random gateway among those that the platform considers ready; among all if it considers none ready. */
     SimulatedProcess anyGateway() {
         final List<Integer> from = ready.isEmpty() ? cluster.gateways : ready;
         return cluster.processes.get(from.get(cluster.random.nextInt(from.size())));
     }
 
-    /** One that takes connections at all. */
+    /** A random controller that accepts connections. */
     SimulatedProcess anyController() {
         final List<Integer> from = cluster.controllers.stream()
                 .filter(id -> cluster.processes.get(id).alive)
@@ -225,18 +225,18 @@
 
     private List<Integer> ready = new ArrayList<>();
 
-    /** The platform's part: it asks each gateway, and hands nobody to those that say no or nothing. */
+    /** Probes the gateways as the platform does, which sends no callers to one that does not answer that it is ready. */
     private void probeReadiness() {
-        final List<Integer> now = new ArrayList<>();
+        final List<Integer> readyNow = new ArrayList<>();
         for (final int id : cluster.gateways) {
             ask(cluster.processes.get(id), NodeRequest.ReadinessProbe::new, r -> {
                 if (r.status() == 200) {
-                    now.add(id);
+                    readyNow.add(id);
                 }
             });
         }
         cluster.at(cluster.now() + 250, () -> {
-            ready = now;
+            ready = readyNow;
             probeReadiness();
         });
     }
@@ -249,7 +249,7 @@
 
     // ---- publishers
 
-    /** Begins a sender that publishes about every {@code periodMs}, each message in at most so many attempts. */
+    /** Starts a sender that publishes about every {@code periodMs}, with at most so many attempts for each message. */
     void publisher(
             final String sender, final String topic, final String key, final long periodMs, final int maxAttempts) {
         new Publisher(cluster, this, sender, topic, key, periodMs, maxAttempts).publish(1);
@@ -266,7 +266,7 @@
                 () -> s.disconnectTemporarily(MAX_DISCONNECTED_MS, 40_000));
     }
 
-    /** Begins a subscriber that disconnects and comes back all the time. */
+    /** Starts a subscriber that keeps disconnecting and reconnecting. */
     void reconnectingSubscriber(final String name, final String key, final List<String> topics) {
         final Subscriber s = new Subscriber(cluster, this, name, key, topics);
         subscribers.add(s);
--- a/testing/src/main/java/brookpath/testing/sim/DayFaults.java
+++ b/testing/src/main/java/brookpath/testing/sim/DayFaults.java
@@ -11,8 +11,8 @@
 import java.util.Map;
 
 /**
- * Brings failures about in a simulated day: never more than one storage machine and one controller out at a time, as
- * the users must survive.
+ * Injects the faults of a simulated day. A fault takes a machine down only while all other machines of its role are
+ * healthy, because the users must survive the loss of one machine at a time; a blackout takes all down at once.
  */
 final class DayFaults {
     private static final int MAX_WRONG_CLOCKS = 2;
@@ -20,7 +20,7 @@
 
     private final SimulatedCluster cluster;
     private long drainingUntil;
-    /** What a failure had still in store does not come randomProcess more. */
+    /** Whether the faults are over; steps of a fault that are still scheduled then take no machine down. */
     private boolean ended;
 
     DayFaults(final SimulatedCluster cluster) {
@@ -34,8 +34,8 @@
         };
     }
 
-    /** Ends everything that is still broken, and brings scheduleRestart every machine that is not gone for good. */
-    void end() {
+    /** Ends all faults and restarts every machine that is not gone for good. */
+    void endFaults() {
         ended = true;
         cluster.armed = null;
         cluster.net.linkLoss.clear();
@@ -54,11 +54,11 @@
         }
     }
 
-    /** One machine with a disk is lost with all it had, right after it acted, and never comes scheduleRestart. */
-    void loseOne() {
+    /** Removes a machine for good, with its disk: a controller or a process that leads a group. */
+    void loseMachineForGood() {
         SimulatedProcess p = null;
         for (int i = 0; i < 200 && (p == null || !peersHealthy(p)); i++) {
-            // why: never two at a time; the machine that the last fault took down is waited for
+            // waits for the machine that the last fault took down, so that no two are out at once
             cluster.run(cluster.now() + 100);
             p = cluster.random.nextInt(3) == 0 ? randomProcess(cluster.controllers) : randomLeader();
         }
@@ -71,7 +71,7 @@
         }
     }
 
-    /** Brings about one failure of this kind. */
+    /** Injects one fault of this kind. */
     void causeFault(final Fault fault) {
         final SimulatedProcess p = target();
         final long durationMs = 300 + cluster.random.nextLong(5_000);
@@ -88,18 +88,18 @@
             case LOSS -> losePackets(durationMs);
             case SLOW_NET -> slowNetwork(durationMs);
             case SLOW_DISK -> slowDisk(p, durationMs);
-            case CLOCK -> setClockWrong(p);
+            case CLOCK -> skewClock(p);
             case BLACKOUT -> blackout();
             case PLATFORM -> disturbPlatform(durationMs);
             case RESETS -> cluster.callers.resetAll();
             case FULL_DISK -> fillDisk(p, durationMs);
             case STALLS -> stallDisksInTurn();
             case LINK_LOSS -> loseLinks(p, durationMs);
-            case RETIRE -> retireForAWhile(durationMs);
+            case RETIRE -> retireTemporarily(durationMs);
             case SWITCHOVER -> switchover();
-            case DRAIN -> drainForAWhile(durationMs);
+            case DRAIN -> drainTemporarily(durationMs);
             case GATEWAYS_RESTART -> restartGateways();
-            case RACE -> raceWhileTheLeaderDies(durationMs);
+            case RACE -> raceWhileLeaderDies(durationMs);
             case ROT -> damageReplica(p);
             case LAST_ACT -> armCrashPoint();
             case ROLLING -> restartAllInTurn();
@@ -169,8 +169,8 @@
         cluster.at(cluster.now() + durationMs, () -> p.syncMs = USUAL_SYNC_MS);
     }
 
-    private void setClockWrong(final SimulatedProcess p) {
-        // why: which clock is right is told by the most; a few wrong ones must not matter, wherever they are
+    private void skewClock(final SimulatedProcess p) {
+        // the time of day is taken from the majority of clocks, so a few wrong ones must not matter on any process
         final List<SimulatedProcess> wrong = new ArrayList<>(
                 cluster.processes.values().stream().filter(o -> o.skew != 0).toList());
         if (wrong.size() >= MAX_WRONG_CLOCKS) {
@@ -181,7 +181,7 @@
     }
 
     private void blackout() {
-        // why: only synced bytes count, so even all machines losing power at once loses nothing committed
+        // only synced bytes count as written, so a power loss of all machines at once loses nothing committed
         cluster.count("blackouts");
         for (final SimulatedProcess each : cluster.processes.values()) {
             cluster.kill(each, true);
@@ -190,7 +190,7 @@
     }
 
     private void disturbPlatform(final long durationMs) {
-        cluster.count("platform troubles");
+        cluster.count("platform disturbances");
         cluster.platform.disturb(durationMs * (cluster.random.nextInt(3) == 0 ? 8 : 2), cluster.random.nextBoolean());
     }
 
@@ -198,7 +198,7 @@
         if (p.disk != null && peersHealthy(p)) {
             cluster.count("full disks");
             p.disk.full(true);
-            // why: whoever looks after it starts it again and again, full or not
+            // the service manager restarts the process again and again, whether the disk is still full or not
             for (long at = 1_000; at < durationMs; at += 1_000) {
                 scheduleRestart(p, at);
             }
@@ -226,7 +226,7 @@
         cluster.at(cluster.now() + durationMs, cluster.net.linkLoss::clear);
     }
 
-    private void retireForAWhile(final long durationMs) {
+    private void retireTemporarily(final long durationMs) {
         final int node = randomProcess(cluster.storages).id;
         cluster.callers.operators.operate(
                 "retire", PackedBuffer.writer().putLong(node).putLong(1).toByteArray());
@@ -245,8 +245,8 @@
                         .toByteArray());
     }
 
-    private void drainForAWhile(final long durationMs) {
-        // why: who drains all gateways at once has asked for it
+    private void drainTemporarily(final long durationMs) {
+        // draining all gateways at once takes the service down by request, which is no fault to survive
         if (cluster.now() >= drainingUntil) {
             final SimulatedProcess gateway = randomProcess(cluster.gateways);
             drainingUntil = cluster.now() + 2 * durationMs + 1_000;
@@ -258,7 +258,7 @@
     }
 
     private void restartGateways() {
-        cluster.count("all fronts restarted");
+        cluster.count("all gateways restarted");
         for (final int id : cluster.gateways) {
             cluster.at(cluster.now() + cluster.random.nextInt(200), () -> {
                 if (!ended) {
@@ -269,7 +269,7 @@
         }
     }
 
-    private void raceWhileTheLeaderDies(final long durationMs) {
+    private void raceWhileLeaderDies(final long durationMs) {
         cluster.callers.operators.race();
         cluster.at(
                 cluster.now() + 3 + cluster.random.nextInt(30),
@@ -277,9 +277,9 @@
     }
 
     private void damageReplica(final SimulatedProcess p) {
-        // why: one replica decays on a running machine, on its disk or in its memory
+        // one replica on a running machine is damaged, on its disk or in memory
         if (p.disk != null && peersHealthy(p) && cluster.random.nextInt(3) == 0) {
-            cluster.count(p.disk.corrupt(cluster.random) ? "rotten disks" : "no rot");
+            cluster.count(p.disk.corrupt(cluster.random) ? "damaged disks" : "no data to damage");
         } else if (p.node() instanceof StorageNode s && peersHealthy(p)) {
             final GroupMachine g = s.group(cluster.random.nextInt(cluster.groups));
             if (g != null && g.committed() > g.baseIndex()) {
@@ -288,7 +288,7 @@
                         .bytes();
                 final int at = logRecord.length - 1 - cluster.random.nextInt(8);
                 logRecord[at] = (byte) (logRecord[at] ^ 1 << cluster.random.nextInt(8));
-                cluster.count("rotten records");
+                cluster.count("damaged records");
             }
         }
     }
@@ -307,8 +307,8 @@
         }
     }
 
-    private SimulatedProcess randomProcess(final List<Integer> of) {
-        return cluster.processes.get(of.get(cluster.random.nextInt(of.size())));
+    private SimulatedProcess randomProcess(final List<Integer> ids) {
+        return cluster.processes.get(ids.get(cluster.random.nextInt(ids.size())));
     }
 
     private SimulatedProcess target() {
@@ -331,7 +331,7 @@
         return p.alive;
     }
 
-    /** A member that is being rebuilt is out, too. */
+    /** A member that is being rebuilt counts as out. */
     private boolean isRebuilding(final SimulatedProcess p) {
         if (p.node() instanceof StorageNode s) {
             for (int g = 0; g < cluster.groups; g++) {
@@ -340,7 +340,8 @@
                 }
             }
         }
-        return p.node() instanceof ControllerNode b && b.group().lost();
+        return p.node() instanceof ControllerNode controller
+                && controller.group().lost();
     }
 
     private void scheduleRestart(final SimulatedProcess p, final long after) {
@@ -352,13 +353,13 @@
     }
 
     private void takeDown(
-            final SimulatedProcess p, final boolean power, final long durationMs, final Runnable meanwhile) {
+            final SimulatedProcess p, final boolean power, final long durationMs, final Runnable whileDown) {
         if (p == null || ended || !peersHealthy(p)) {
             return;
         }
         cluster.count(power ? "power losses" : "kills");
         cluster.kill(p, power);
-        meanwhile.run();
+        whileDown.run();
         scheduleRestart(p, durationMs);
     }
 
@@ -372,7 +373,7 @@
         return null;
     }
 
-    /** A member that leaders something just now. */
+    /** A random process that currently acts as leader of a group; null if there is none. */
     private SimulatedProcess randomLeader() {
         final List<SimulatedProcess> leaders = new ArrayList<>();
         for (final Map.Entry<Integer, SimulatedProcess> e : cluster.processes.entrySet()) {
@@ -385,8 +386,8 @@
                 }
             } else if (p.alive
                     && !p.frozen()
-                    && p.node() instanceof ControllerNode b
-                    && b.group().mayAct(p.mono())) {
+                    && p.node() instanceof ControllerNode controller
+                    && controller.group().mayAct(p.mono())) {
                 leaders.add(p);
             }
         }
--- a/testing/src/main/java/brookpath/testing/sim/DayOperators.java
+++ b/testing/src/main/java/brookpath/testing/sim/DayOperators.java
@@ -17,16 +17,16 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
-/** Stand-in operators of a day, who race each other, and what every process shows of what was confirmed to them. */
+/** Simulated operators, whose changes race each other; checks each process against the changes confirmed to them. */
 final class DayOperators {
-    private static final long REMOVED_KEY_MS = 5_000;
+    private static final long REVOCATION_BOUND_MS = 5_000;
 
     private final SimulatedCluster cluster;
     private final Callers callers;
-    private final Map<Integer, Long> shown = new HashMap<>();
+    private final Map<Integer, Long> lastLeasedVersions = new HashMap<>();
     private final TreeMap<Long, Long> confirmedAt = new TreeMap<>();
     private final Map<String, Long> removedAt = new HashMap<>();
-    private final Map<String, Integer> grantsUnderWay = new HashMap<>();
+    private final Map<String, Integer> pendingGrants = new HashMap<>();
     private final Set<String> refused = new LinkedHashSet<>();
     private int changes;
 
@@ -39,18 +39,18 @@
         return !confirmedAt.isEmpty();
     }
 
-    /** A key was good for something, which it must not be once its removal has been confirmed for long enough. */
-    void keyUsed(final String key, final String did) {
+    /** Checks a successful use of a key: a key must stop working within a bound after its removal was confirmed. */
+    void checkKeyUse(final String key, final String use) {
         final Long at = removedAt.get(key);
-        // why: a change under way may give the key back before its operator hears of it
-        if (at != null && grantsUnderWay.getOrDefault(key, 0) == 0 && cluster.now() > at + REMOVED_KEY_MS) {
+        // a pending change may restore the key before its operator gets the response
+        if (at != null && pendingGrants.getOrDefault(key, 0) == 0 && cluster.now() > at + REVOCATION_BOUND_MS) {
             cluster.history.violation(
                     cluster.now(),
-                    "key " + key + " " + did + " " + (cluster.now() - at) + " ms after its removal was confirmed");
+                    "key " + key + " " + use + " " + (cluster.now() - at) + " ms after its removal was confirmed");
         }
     }
 
-    /** The whole configuration; the keys that may come and go are there where their tenant is in the list. */
+    /** A whole configuration document; a revocable key is in it where its tenant is in the list. */
     String document(final long basedOn, final String changeId, final List<String> withKeys) {
         final StringBuilder sb =
                 new StringBuilder("{\"basedOn\":" + basedOn + ",\"changeId\":\"" + changeId + "\",\"spaces\":[");
@@ -80,12 +80,13 @@
         return document(basedOn, changeId, withGuest ? Callers.REVOCABLE_TENANTS : List.of("half"));
     }
 
-    /** Hands a document to any controller, again and again under the same ID until it gets a final outcome. */
+    /** Sends a document to any controller, and retries with the same change ID until it gets a final outcome. */
     void change(final String doc, final String changeId, final Consumer<Response> then) {
         final SimulatedProcess p = callers.anyController();
         final long at = cluster.now();
         callers.ask(p, id -> new NodeRequest.Operate(id, ControlRequestKind.CHANGE, doc.getBytes(UTF_8)), r -> {
-            callers.service.requested("change", at, r.status() == 200 || (r.status() >= 400 && r.status() < 500));
+            callers.availability.recordRequest(
+                    "change", at, r.status() == 200 || (r.status() >= 400 && r.status() < 500));
             if (r.status() == 200) {
                 final long version = Callers.json(r.json()).getInt("version");
                 confirmed(version, changeId);
@@ -100,15 +101,15 @@
         });
     }
 
-    /** A change was confirmed to an operator, and has to hold from now on. */
+    /** Records a change that was confirmed to an operator and must hold from now on. */
     void confirmed(final long version, final String changeId) {
         cluster.history.confirmed(cluster.now(), version, changeId);
         confirmedAt.putIfAbsent(version, cluster.now());
         cluster.count("changes confirmed");
     }
 
-    /** Two operators race on the newest version that one of them read, now and then with nonsense. */
-    void raceOnAndOn(final long every) {
+    /** Sends one or two changes based on the newest version that was read, some of them invalid; repeats this. */
+    void raceRepeatedly(final long periodMs) {
         if (callers.quiet) {
             return;
         }
@@ -118,47 +119,48 @@
                 final long version = Callers.json(r.json()).getInt("version");
                 final int racers = 1 + cluster.random.nextInt(2);
                 for (int i = 0; i < racers; i++) {
-                    turn(version, cluster.random.nextInt(5) == 0);
+                    sendRandomChange(version, cluster.random.nextInt(5) == 0);
                 }
             }
-            cluster.at(cluster.now() + every / 2 + cluster.random.nextLong(every), () -> raceOnAndOn(every));
+            cluster.at(
+                    cluster.now() + periodMs / 2 + cluster.random.nextLong(periodMs), () -> raceRepeatedly(periodMs));
         });
     }
 
-    /** Two operators hand over different documents made from the same version, at once. */
+    /** Sends two different changes based on the same version at once. */
     void race() {
         readConfiguration(r -> {
             if (r.status() == 200) {
                 cluster.count("staged races");
-                turn(Callers.json(r.json()).getInt("version"), false);
-                turn(Callers.json(r.json()).getInt("version"), false);
+                sendRandomChange(Callers.json(r.json()).getInt("version"), false);
+                sendRandomChange(Callers.json(r.json()).getInt("version"), false);
             }
         });
     }
 
-    /** An operator's request that nobody waits for. */
+    /** Sends an operator's request and only counts its response. */
     void operate(final String kind, final byte[] body) {
         callers.ask(
                 callers.anyController(),
                 id -> new NodeRequest.Operate(id, ControlRequestKind.of(kind), body),
-                r -> cluster.count(kind + " said " + r.status()));
+                r -> cluster.count(kind + " answered " + r.status()));
     }
 
-    /** One change that takes keys away or gives them back, by chance. */
-    void turn(final long basedOn, final boolean nonsense) {
+    /** Sends one change that revokes or restores each revocable key at random. */
+    void sendRandomChange(final long basedOn, final boolean invalid) {
         final String changeId = "change-" + ++changes;
         final List<String> keys = Callers.REVOCABLE_TENANTS.stream()
                 .filter(t -> cluster.random.nextInt(3) != 0)
                 .toList();
         final String doc = document(basedOn, changeId, keys);
-        keys.forEach(t -> grantsUnderWay.merge("key-" + t, 1, Integer::sum));
-        change(nonsense ? doc.replace("\"keepingSeconds\":30", "\"keepingSeconds\":-3") : doc, changeId, res -> {
-            keys.forEach(t -> grantsUnderWay.merge("key-" + t, -1, Integer::sum));
+        keys.forEach(t -> pendingGrants.merge("key-" + t, 1, Integer::sum));
+        change(invalid ? doc.replace("\"keepingSeconds\":30", "\"keepingSeconds\":-3") : doc, changeId, res -> {
+            keys.forEach(t -> pendingGrants.merge("key-" + t, -1, Integer::sum));
             if (res.status() != 200) {
                 return;
             }
-            if (nonsense) {
-                cluster.history.violation(cluster.now(), changeId + " is nonsense and was confirmed");
+            if (invalid) {
+                cluster.history.violation(cluster.now(), changeId + " is invalid and was confirmed");
             }
             if (Callers.json(res.json()).getInt("version") == cluster.history.newestConfirmed()) {
                 for (final String t : Callers.REVOCABLE_TENANTS) {
@@ -177,12 +179,12 @@
         callers.ask(p, id -> new NodeRequest.Operate(id, ControlRequestKind.CONFIGURATION, new byte[0]), then);
     }
 
-    /** What every data-plane process shows, against what was confirmed. */
+    /** Checks the configuration of every data-plane process against the confirmed changes. */
     void watch() {
         for (final SimulatedProcess process : cluster.processes.values()) {
             final ConfigurationClient client = process.alive && !process.frozen() ? clientOf(process) : null;
             if (client != null) {
-                checkInTime(process, client.configuration().version());
+                checkWithinBound(process, client.configuration().version());
                 if (client.leased(process.mono())) {
                     checkLeased(process, client.configuration());
                 }
@@ -197,33 +199,33 @@
         return process.node instanceof StorageNode storage ? storage.client() : null;
     }
 
-    /** A confirmed version is everywhere within the bound for changes. */
-    private void checkInTime(final SimulatedProcess process, final long version) {
+    /** Checks that a confirmed version reaches every process within the bound for changes. */
+    private void checkWithinBound(final SimulatedProcess process, final long version) {
         final Map.Entry<Long, Long> missing = confirmedAt.higherEntry(version);
         if (missing != null
                 && cluster.now()
                         > Math.max(missing.getValue(), cluster.outages.configurationOutageUntil(process.id))
                                 + cluster.timing.changeMs()) {
-            violation("node " + process.id + " has configuration " + version + " still, "
+            violation("node " + process.id + " still has configuration " + version + ", "
                     + (cluster.now() - missing.getValue()) + " ms after " + missing.getKey()
-                    + " was confirmed, and is not cut off");
+                    + " was confirmed, although nothing kept it from getting that");
         }
     }
 
-    /** Under a lease no version older than the newest confirmed one is honoured, and none that was rejected. */
+    /** Checks that a process with a lease uses no version older than the newest confirmed one, and no rejected one. */
     private void checkLeased(final SimulatedProcess process, final Configuration configuration) {
         final long version = configuration.version();
-        final Long before = shown.put(process.id, version);
+        final Long before = lastLeasedVersions.put(process.id, version);
         if (before != null && version < before) {
             violation("node " + process.id + " went back from configuration " + before + " to " + version);
         }
         final Map.Entry<Long, Long> newest = confirmedAt.lastEntry();
         if (newest != null && version < newest.getKey() && cluster.now() > newest.getValue()) {
-            violation("node " + process.id + " honours configuration " + version + " while " + newest.getKey()
+            violation("node " + process.id + " uses configuration " + version + " while " + newest.getKey()
                     + " was confirmed at " + newest.getValue());
         }
         if (version > 0 && refused.contains(configuration.changeId())) {
-            violation("node " + process.id + " honours the rejected change " + configuration.changeId());
+            violation("node " + process.id + " uses the rejected change " + configuration.changeId());
         }
     }
 
--- a/testing/src/main/java/brookpath/testing/sim/DeliveryLatencyOracle.java
+++ b/testing/src/main/java/brookpath/testing/sim/DeliveryLatencyOracle.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * Checks that each committed message reaches each session that was listening, within the bound; says what excused the
- * others.
+ * Checks that each committed message reaches each listening session within the delivery bound, and counts the late
+ * deliveries that an expected outage exempts.
  */
 final class DeliveryLatencyOracle {
     private final SimulatedCluster cluster;
@@ -16,38 +16,40 @@
         this.callers = callers;
     }
 
-    void committed(final Sent s) {
-        final int group = callers.groupOf(s.topic);
-        for (final Subscriber sub : callers.listeningTo(s.topic)) {
+    void committed(final Sent sent) {
+        final int group = callers.groupOf(sent.topic);
+        for (final Subscriber subscriber : callers.listeningTo(sent.topic)) {
             cluster.count("deliveries checked");
-            look(s, sub, sub.sessionId, group, s.committedAt + cluster.timing.deliverMs());
+            checkAt(sent, subscriber, subscriber.sessionId, group, sent.committedAt + cluster.timing.deliverMs());
         }
     }
 
-    private void look(final Sent s, final Subscriber sub, final long sessionId, final int group, final long deadline) {
+    private void checkAt(
+            final Sent sent, final Subscriber subscriber, final long sessionId, final int group, final long deadline) {
         cluster.at(deadline + 1, () -> {
-            if (sub.listener.has(s) || sub.sessionId != sessionId || !callers.holds(sub)) {
-                // why: a session that broke is checked by its resuming, not by this
+            if (subscriber.listener.has(sent) || subscriber.sessionId != sessionId || !callers.isOpen(subscriber)) {
+                // the messages that a broken session missed are checked when it resumes
                 return;
             }
-            ExpectedOutages.Outage why = null;
+            ExpectedOutages.Outage outage = null;
             long until = 0;
             for (final Map.Entry<ExpectedOutages.Outage, Long> e :
-                    cluster.outages.deliveryOutages(sub.gateway, group).entrySet()) {
+                    cluster.outages.deliveryOutages(subscriber.gateway, group).entrySet()) {
                 if (e.getValue() > until) {
                     until = e.getValue();
-                    why = e.getKey();
+                    outage = e.getKey();
                 }
             }
             if (until + cluster.timing.deliverMs() <= deadline) {
                 cluster.history.violation(
                         cluster.now(),
-                        sub.name + " on front " + sub.gateway + " has not got " + s.topic + "|" + s.sender + "|" + s.seq
-                                + ", accepted at " + s.committedAt + " in group " + group + ", "
-                                + (cluster.now() - s.committedAt) + " ms later, though it was listening");
+                        subscriber.name + " on gateway " + subscriber.gateway + " has not received " + sent.topic + "|"
+                                + sent.sender + "|" + sent.seq
+                                + ", committed at " + sent.committedAt + " in group " + group + ", "
+                                + (cluster.now() - sent.committedAt) + " ms later, although it was listening");
             } else {
-                cluster.count("late, excused by " + why);
-                look(s, sub, sessionId, group, until + cluster.timing.deliverMs());
+                cluster.count("late, exempt because of " + outage);
+                checkAt(sent, subscriber, sessionId, group, until + cluster.timing.deliverMs());
             }
         });
     }
--- a/testing/src/main/java/brookpath/testing/sim/ExpectedOutages.java
+++ b/testing/src/main/java/brookpath/testing/sim/ExpectedOutages.java
@@ -9,12 +9,12 @@
 import java.util.TreeMap;
 
 /**
- * Until when each process, each group and the control plane was unavailable, as a bystander sees it who knows the
- * faults and nothing else. These are the only exemptions that the oracles take; a slow disk, a lossy link, a wrong
- * clock or a mere kill of somebody else exempts nothing.
+ * Until when each process, each group and the control plane was expected to be unavailable, derived from the injected
+ * faults. These are the only exemptions that the oracles grant: a slow disk, a lossy link, a wrong clock or a kill of
+ * another process exempts nothing.
  */
 final class ExpectedOutages {
-    /** What may keep a record from its listeners. */
+    /** Reasons for which a record may not reach its listeners. */
     enum Outage {
         DOWN,
         CUT_OFF,
@@ -34,48 +34,48 @@
         this.cluster = cluster;
     }
 
-    private boolean works(final int id) {
+    private boolean isRunning(final int id) {
         final SimulatedProcess p = cluster.processes.get(id);
         return p.alive && !p.frozen();
     }
 
-    private boolean joined(final int a, final int b) {
+    private boolean connected(final int a, final int b) {
         return a == b || (!cluster.net.isCut(a, b) && !cluster.net.isCut(b, a));
     }
 
-    private List<Integer> joinedTo(final int id, final List<Integer> some) {
+    private List<Integer> connectedTo(final int id, final List<Integer> others) {
         final List<Integer> list = new ArrayList<>();
-        for (final int other : some) {
-            if (joined(id, other)) {
+        for (final int other : others) {
+            if (connected(id, other)) {
                 list.add(other);
             }
         }
         return list;
     }
 
-    /** Those that work and reach a majority of the members that work too. */
+    /** The running members that are connected to a majority of the members. */
     private List<Integer> core(final List<Integer> members) {
-        final List<Integer> working = new ArrayList<>();
+        final List<Integer> running = new ArrayList<>();
         for (final int id : members) {
-            if (works(id) && !rebuilt(id)) {
-                working.add(id);
+            if (isRunning(id) && !isRebuilding(id)) {
+                running.add(id);
             }
         }
         final List<Integer> core = new ArrayList<>();
-        for (final int id : working) {
-            if (joinedTo(id, working).size() > members.size() / 2) {
+        for (final int id : running) {
+            if (connectedTo(id, running).size() > members.size() / 2) {
                 core.add(id);
             }
         }
         return core;
     }
 
-    private boolean rebuilt(final int id) {
-        return cluster.processes.get(id).node instanceof ControllerNode b
-                && b.group().lost();
+    private boolean isRebuilding(final int id) {
+        return cluster.processes.get(id).node instanceof ControllerNode controller
+                && controller.group().lost();
     }
 
-    /** Went down between two checks. */
+    /** Records that a process went down between two checks. */
     void recordDown(final SimulatedProcess p) {
         downUntil.put(p.id, cluster.now());
         machinesOutUntil = cluster.now();
@@ -92,11 +92,11 @@
             if (!p.alive || p.frozen()) {
                 downUntil.put(p.id, now);
                 machinesOutUntil = p.goneForGood ? machinesOutUntil : now;
-            } else if (cuts && joinedTo(p.id, control).size() < 2) {
+            } else if (cuts && connectedTo(p.id, control).size() < 2) {
                 cutOffUntil.put(p.id, now);
             }
         }
-        // why: one slow disk exempts nothing; two at once are more than the one machine whose loss must be survived
+        // one slow disk exempts nothing; two at once exceed the one machine whose loss must be survived
         final long slow = cluster.storages.stream()
                 .filter(id -> cluster.processes.get(id).syncMs > 50)
                 .count();
@@ -110,13 +110,13 @@
         List<Integer> members = List.of();
         for (final int id : cluster.storages) {
             final GroupMachine m = cluster.processes.get(id).node instanceof StorageNode s ? s.group(g) : null;
-            if (m != null && members.isEmpty() && works(id)) {
+            if (m != null && members.isEmpty() && isRunning(id)) {
                 members = m.members().stream().map(Member::node).toList();
             }
         }
         final List<Integer> core = new ArrayList<>();
         for (final int id : core(members)) {
-            if (joinedTo(id, control).size() >= 2) {
+            if (connectedTo(id, control).size() >= 2) {
                 core.add(id);
             }
         }
@@ -125,7 +125,7 @@
         }
         if (cuts) {
             for (final int gateway : cluster.gateways) {
-                if (joinedTo(gateway, core).size() <= members.size() / 2) {
+                if (connectedTo(gateway, core).size() <= members.size() / 2) {
                     groupCutOffUntil
                             .computeIfAbsent(gateway, k -> new TreeMap<>())
                             .put(g, now);
@@ -134,7 +134,7 @@
         }
     }
 
-    /** The latest instant at which something exempted this process from knowing the newest configuration. */
+    /** The latest time at which this process was exempt from having the newest configuration. */
     long configurationOutageUntil(final int id) {
         return Math.max(noControlUntil, Math.max(downUntil.getOrDefault(id, 0L), cutOffUntil.getOrDefault(id, 0L)));
     }
@@ -143,7 +143,7 @@
         return noControlUntil;
     }
 
-    /** The latest instant at which something kept this gateway from delivering the group's records, by what. */
+    /** The latest time at which each kind of outage kept this gateway from delivering the group's records. */
     TreeMap<Outage, Long> deliveryOutages(final int gateway, final int group) {
         final TreeMap<Outage, Long> until = new TreeMap<>();
         until.put(Outage.DOWN, downUntil.getOrDefault(gateway, 0L));
@@ -157,7 +157,10 @@
         return until;
     }
 
-    /** The latest instant at which any machine that is to come back was down, frozen or cut from any other. */
+    /**
+     * The latest time at which a machine that is to come back was down or frozen, any link was cut, or more than one
+     * disk was slow.
+     */
     long machinesOutUntil() {
         return machinesOutUntil;
     }
--- a/testing/src/main/java/brookpath/testing/sim/FleetSize.java
+++ b/testing/src/main/java/brookpath/testing/sim/FleetSize.java
@@ -1,17 +1,17 @@
 package brookpath.testing.sim;
 
 /**
- * How large a simulated fleet and its callers are.
+ * Size of a simulated fleet and of its load.
  *
- * @param zoneDelayHalfMillis one way between two zones
+ * @param zoneDelayHalfMillis one-way delay between two zones, in half milliseconds
  */
 public record FleetSize(
         int groups, int gateways, int topics, int sessions, int tenants, double perSecond, int zoneDelayHalfMillis) {
-    /** The size of most tests. */
+    /** The size that most tests use. */
     public static final FleetSize SMALL = new FleetSize(4, 3, 8, 16, 3, 30, 2);
-    /** The users' own sizes, 18 processes with the three controllers. */
+    /** Fleet size of the smaller user: 18 processes, three of them controllers. */
     public static final FleetSize JADRAN = new FleetSize(16, 11, 110, 400, 8, 45, 1);
 
-    /** The larger users' own size. */
+    /** Fleet size of the larger user. */
     public static final FleetSize SAJHA = new FleetSize(16, 11, 450, 400, 8, 95, 3);
 }
--- a/testing/src/main/java/brookpath/testing/sim/LeaderWatch.java
+++ b/testing/src/main/java/brookpath/testing/sim/LeaderWatch.java
@@ -7,11 +7,11 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** Looks every few milliseconds at who acts as a group's leader: at most one member may. */
+/** Checks every few milliseconds that at most one member acts as a group's leader. */
 final class LeaderWatch {
     static final long PERIOD_MS = 5;
 
-    private static final long NOTED_AFTER_MS = 1_000;
+    private static final long NOTE_AFTER_MS = 1_000;
     private static final long NOTE_PERIOD_MS = 500;
 
     private final SimulatedCluster cluster;
@@ -37,7 +37,7 @@
     private TreeMap<Integer, Integer> actingLeaders() {
         final TreeMap<Integer, Integer> acting = new TreeMap<>();
         for (final SimulatedProcess process : cluster.processes.values()) {
-            // why: a frozen process does nothing until it wakes, and is looked at again then
+            // a frozen process does nothing until it resumes, and is checked again then
             if (!process.alive || process.frozen()) {
                 continue;
             }
@@ -79,20 +79,20 @@
 
     private void noteLeaderless(final int group, final long since) {
         final long leaderless = cluster.now() - since;
-        if (leaderless <= NOTED_AFTER_MS || leaderless % NOTE_PERIOD_MS >= PERIOD_MS) {
+        if (leaderless <= NOTE_AFTER_MS || leaderless % NOTE_PERIOD_MS >= PERIOD_MS) {
             return;
         }
         final StringBuilder text = new StringBuilder("group " + group + " has no acting leader:");
         for (final int id : cluster.storages) {
             final SimulatedProcess process = cluster.processes.get(id);
             if (process.alive && process.node instanceof StorageNode storage && storage.group(group) != null) {
-                append(text, id, storage.group(group));
+                appendState(text, id, storage.group(group));
             }
         }
         cluster.note(0, text.toString(), false);
     }
 
-    private static void append(final StringBuilder text, final int node, final GroupMachine group) {
+    private static void appendState(final StringBuilder text, final int node, final GroupMachine group) {
         text.append(" [")
                 .append(node)
                 .append(" role ")
--- a/testing/src/main/java/brookpath/testing/sim/MachineFaults.java
+++ b/testing/src/main/java/brookpath/testing/sim/MachineFaults.java
@@ -5,11 +5,12 @@
 import java.util.List;
 
 /**
- * Takes machines down, cuts them off and replaces them: never more than one counted machine at a time. A machine counts
- * as out while it is down, frozen, slowed or cut off, and for a while after it is back.
+ * Takes machines down, cuts them off and replaces them. A machine is out while it is down, frozen, slowed or cut off,
+ * and for {@link #CATCH_UP_MS} after that. A fault that takes out a counted machine, which is one with a disk, may only
+ * begin once {@link #allBack()}.
  */
 final class MachineFaults {
-    /** A machine counts as out this long after it is back, or after its start if it is new. */
+    /** How long a machine stays out after it is back, or after its start if it is new. */
     static final long CATCH_UP_MS = 4_000;
 
     private static final long REPLACEMENT_GAP_MS = 1_000;
@@ -44,7 +45,7 @@
         return outUntil;
     }
 
-    /** A machine is out from now until it is back at that moment and has caught up. */
+    /** Marks a machine as out for this long and until it has then caught up. */
     private void markOut(final SimulatedProcess process, final long durationMs) {
         final long backAt = cluster.now() + durationMs;
         outUntil = Math.max(outUntil, backAt + CATCH_UP_MS);
@@ -53,12 +54,12 @@
         history.availability.exempt(process.id, backAt);
     }
 
-    /** The core is unsettled by what happens now. */
+    /** Tells the availability oracle that the control plane is disturbed now. */
     void disturb() {
         history.availability.disturb(cluster.now());
     }
 
-    // ---- down and back
+    // ---- machines down and restarted
 
     void takeDown(final SimulatedProcess process, final boolean powerLoss, final long durationMs) {
         markOut(process, durationMs);
@@ -66,7 +67,7 @@
         cluster.at(cluster.now() + durationMs, () -> restart(process));
     }
 
-    /** Starts what does not run, unless it was shut down for good meanwhile. */
+    /** Starts a process that is not running, unless it is gone for good by now. */
     private void restart(final SimulatedProcess process) {
         if (!process.goneForGood) {
             cluster.restart(process);
@@ -79,8 +80,9 @@
     }
 
     /**
-     * A controller restarts several times in a row, each time with the time of day of its last start, as without a
-     * battery; a gateway stands still meanwhile, so that changes wait for its lease and are under way at each restart.
+     * Restarts a controller several times in a row, each time with the time of day of its previous start, as a machine
+     * without a clock battery does. A gateway is frozen meanwhile, so that changes wait for its lease to expire and are
+     * in progress at each restart.
      */
     void restartWithRepeatedClock(
             final SimulatedProcess controller, final SimulatedProcess gateway, final int restarts, final long upMs) {
@@ -102,7 +104,7 @@
         cluster.freeze(process, durationMs);
     }
 
-    /** All counted machines, or all there are, go at once and come back one by one. */
+    /** Takes all counted machines, or all machines, down at once; they come back one by one. */
     void takeAllDown(final boolean powerLoss, final boolean gatewaysToo) {
         final List<SimulatedProcess> all = gatewaysToo ? List.copyOf(cluster.processes.values()) : fleet.counted();
         for (final SimulatedProcess process : all) {
@@ -121,7 +123,7 @@
         outUntil = Math.max(outUntil, cluster.now() + at);
     }
 
-    // ---- cuts
+    // ---- network cuts
 
     /** Directions in which a machine's links are cut. */
     enum Direction {
@@ -150,8 +152,8 @@
     }
 
     /**
-     * A controller is in touch only where it reaches every other that itself reaches more than half of them; whoever is
-     * cut off from such a one is excused.
+     * Exempts the controllers on the other side of a cut. Where the process is still connected to more than half of the
+     * controllers, it belongs to the core, and a controller counts as in touch only if it reaches all of the core.
      */
     private void exemptThoseCutFromCore(final List<SimulatedProcess> from, final long durationMs) {
         final List<SimulatedProcess> cut =
@@ -173,7 +175,7 @@
 
     // ---- replacement
 
-    /** The machine is gone for good, and an empty one comes at another number. */
+    /** Removes a machine for good and starts an empty one with another node number. */
     void replace(final SimulatedProcess gone) {
         final boolean controller = fleet.isController(gone);
         remove(gone);
@@ -184,7 +186,7 @@
         cluster.at(cluster.now() + REPLACEMENT_GAP_MS, next::start);
     }
 
-    /** The new controller comes first; the old one is asked to hand over, and ends. */
+    /** Starts a new controller first, then shuts the old one down gracefully and removes it. */
     void replaceAnnounced(final SimulatedProcess gone) {
         final SimulatedProcess next = fleet.addController(gone.zone);
         fleet.freshSeeds();
@@ -202,7 +204,7 @@
         });
     }
 
-    /** A machine never comes back, and nobody is to wait for it. */
+    /** Removes a machine for good. */
     void remove(final SimulatedProcess gone) {
         disturb();
         if (!fleet.isController(gone)) {
@@ -211,7 +213,7 @@
         fleet.remove(gone);
     }
 
-    /** Another, empty machine comes at the number of one that is gone. */
+    /** Starts an empty machine with the node number of one that is gone. */
     void reuseAddress(final SimulatedProcess gone) {
         markOut(gone, REPLACEMENT_GAP_MS);
         if (!fleet.isController(gone)) {
@@ -221,7 +223,7 @@
         cluster.at(cluster.now() + REPLACEMENT_GAP_MS, () -> restart(gone));
     }
 
-    /** One more storage machine, before another one is emptied. */
+    /** Adds a storage machine, before another one is retired. */
     void addStorage(final String zone) {
         final SimulatedProcess added = fleet.addStorage(zone);
         markOut(added, 0);
@@ -237,7 +239,7 @@
         cluster.at(cluster.now() + durationMs, () -> process.syncMs = DISK_SYNC_MS);
     }
 
-    /** The disk takes no bytes; whoever looks after the process starts it again and again should it end. */
+    /** Fills the disk; the service manager restarts the process again and again if it ends. */
     void fullDisk(final SimulatedProcess process, final long durationMs) {
         markOut(process, durationMs);
         history.availability.disturb(cluster.now() + durationMs);
@@ -251,7 +253,7 @@
         });
     }
 
-    // ---- without a loss
+    // ---- faults that take no machine out
 
     void clockStep(final long byMs, final long durationMs) {
         for (final SimulatedProcess process : cluster.processes.values()) {
@@ -266,7 +268,7 @@
         disturb();
     }
 
-    /** Most sessions between processes break, and those with callers. */
+    /** Breaks most sessions between processes, and most of those with callers. */
     void resetSessions() {
         final List<SimulatedProcess> all =
                 cluster.processes.values().stream().filter(p -> p.alive).toList();
@@ -281,7 +283,7 @@
         disturb();
     }
 
-    /** The last failure of a day is over: nothing is cut or slowed any more. */
+    /** Ends all faults: heals the network and the disks and starts all processes that are not gone for good. */
     void endFaults() {
         cluster.net.heal();
         calls.unreachable.clear();
--- a/testing/src/main/java/brookpath/testing/sim/Mutation.java
+++ b/testing/src/main/java/brookpath/testing/sim/Mutation.java
@@ -1,7 +1,7 @@
 package brookpath.testing.sim;
 
-/** Ways to break the simulation on purpose, outside the production code, to see that a check fails. */
+/** Deliberate faults of the simulation, not of the production code, that a check must detect. */
 public enum Mutation {
-    /** The disk says synced and has not. */
+    /** The disk reports a sync that it has not done. */
     NO_FSYNC
 }
--- a/testing/src/main/java/brookpath/testing/sim/Operators.java
+++ b/testing/src/main/java/brookpath/testing/sim/Operators.java
@@ -9,28 +9,28 @@
 import java.util.List;
 
 /**
- * Operators as the users have them: whole configurations to any controller, several under way at once, each sent again
- * unchanged, to other machines first, until it has a final answer.
+ * Simulated operators. An order is a change that carries a whole configuration. Operators send orders to random
+ * controllers, several at once, and retry each one unchanged on another controller until it has a final answer.
  */
 final class Operators {
-    /** Hears of acknowledgements and of changes that were just sent, so that failures can strike right then. */
+    /** Is told of acknowledgements and of orders that were just sent, so that faults can be injected right then. */
     interface Observer {
         void acknowledged(SimulatedProcess by);
 
         void sent(SimulatedProcess to);
     }
 
-    private static final int MOST_UNDER_WAY = 8;
-    /** An order is sent once more while it is among so many that were acknowledged last. */
-    private static final int REPEATED_WITHIN = 1_000;
+    private static final int MAX_IN_FLIGHT = 8;
+    /** Only this many of the most recently acknowledged orders are sent again. */
+    private static final int REPEATABLE_ORDERS = 1_000;
 
-    private static final long REFUSED_GAP_MS = 10;
+    private static final long REFUSED_ORDER_GAP_MS = 10;
     private static final int OK = 200;
     private static final int CONFLICT = 409;
-    private static final long PAUSE_MS = 100;
-    private static final long LONGEST_PAUSE_MS = 1_000;
-    private static final int TOO_LATE = 408;
-    private static final int TOO_MANY = 429;
+    private static final long MIN_RETRY_DELAY_MS = 100;
+    private static final long MAX_RETRY_DELAY_MS = 1_000;
+    private static final int REQUEST_TIMEOUT = 408;
+    private static final int TOO_MANY_REQUESTS = 429;
 
     private final SimulatedCluster cluster;
     private final ControlFleet fleet;
@@ -40,7 +40,7 @@
     private Observer observer;
     private long newest;
     private int orders;
-    private int underWay;
+    private int inFlight;
     private boolean storming;
     private boolean quiet;
 
@@ -55,11 +55,11 @@
         this.calls = calls;
     }
 
-    void observer(final Observer next) {
-        observer = next;
+    void observer(final Observer other) {
+        observer = other;
     }
 
-    /** No new orders; those under way are seen through. */
+    /** Stops new orders; those in flight are retried until they have a final answer. */
     void quiet() {
         quiet = true;
     }
@@ -68,15 +68,15 @@
         return newest;
     }
 
-    /** A final answer ends an order; after any other it is sent again. */
+    /** Whether an answer ends an order; after any other one the order is sent again. */
     static boolean isFinal(final int status) {
-        return status / 100 == 2 || (status / 100 == 4 && status != TOO_LATE && status != TOO_MANY);
+        return status / 100 == 2 || (status / 100 == 4 && status != REQUEST_TIMEOUT && status != TOO_MANY_REQUESTS);
     }
 
     // ---- orders
 
-    /** An order now and then, two at once on one version, nonsense, an old order once more. */
-    void placeOrders(final long every) {
+    /** Places orders about every period: most are valid, some race, some are invalid, some repeat an old order. */
+    void placeOrders(final long periodMs) {
         if (quiet) {
             return;
         }
@@ -86,17 +86,17 @@
             case 2 -> repeat();
             default -> order(true);
         }
-        cluster.at(cluster.now() + every / 2 + cluster.random.nextLong(every), () -> placeOrders(every));
+        cluster.at(cluster.now() + periodMs / 2 + cluster.random.nextLong(periodMs), () -> placeOrders(periodMs));
     }
 
-    /** Two operators make different changes from the same version, at once. */
+    /** Sends two different orders based on the same version at once. */
     void race() {
         cluster.count("control: races");
         order(true);
         order(true);
     }
 
-    /** A change each so often, for so many times. */
+    /** Sends so many orders, one per gap. */
     void storm(final int changes, final long gapMs) {
         storming = changes > 0 && !quiet;
         if (storming) {
@@ -105,26 +105,26 @@
         }
     }
 
-    /** A run of invalid changes, and then the one once more that was acknowledged last. */
+    /** Sends so many invalid orders, then repeats the order that was acknowledged last. */
     void refusedOrders(final int changes) {
         storming = changes > 0 && !quiet;
         if (storming) {
             order(false);
-            cluster.at(cluster.now() + REFUSED_GAP_MS, () -> refusedOrders(changes - 1));
+            cluster.at(cluster.now() + REFUSED_ORDER_GAP_MS, () -> refusedOrders(changes - 1));
         } else if (!acknowledged.isEmpty()) {
             repeat(acknowledged.get(acknowledged.size() - 1));
         }
     }
 
-    /** Whether a run of hundreds of orders is under way. */
+    /** Whether a long series of orders is being sent. */
     boolean storming() {
         return storming;
     }
 
-    /** One whole configuration on top of the newest version that is known; nothing where eight are under way. */
+    /** Sends an order based on the newest known version, unless the maximum is in flight. */
     void order(final boolean valid) {
-        if (underWay >= MOST_UNDER_WAY) {
-            cluster.count("control: orders held back");
+        if (inFlight >= MAX_IN_FLIGHT) {
+            cluster.count("control: orders not sent, too many in flight");
             return;
         }
         final String changeId = "order-" + ++orders;
@@ -135,21 +135,21 @@
         if (valid) {
             history.availability.ordered(cluster.now(), changeId);
         }
-        underWay++;
+        inFlight++;
         send(change, anyController(null), 0);
     }
 
-    /** The newest order, or an older one, that was acknowledged is sent once more, as by one who did not hear of it. */
+    /** Sends the newest acknowledged order, or an older one, again, as an operator does who missed the answer. */
     private void repeat() {
-        if (!acknowledged.isEmpty() && underWay < MOST_UNDER_WAY) {
+        if (!acknowledged.isEmpty() && inFlight < MAX_IN_FLIGHT) {
             final int back = cluster.random.nextBoolean() ? 1 : 1 + cluster.random.nextInt(acknowledged.size());
-            repeat(acknowledged.get(acknowledged.size() - Math.min(back, REPEATED_WITHIN)));
+            repeat(acknowledged.get(acknowledged.size() - Math.min(back, REPEATABLE_ORDERS)));
         }
     }
 
     private void repeat(final Change change) {
         cluster.count("control: repeats");
-        underWay++;
+        inFlight++;
         history.availability.ordered(cluster.now(), change.changeId());
         send(change, anyController(null), 0);
     }
@@ -169,36 +169,36 @@
 
     private void answered(final Change change, final SimulatedProcess by, final int tries, final Response response) {
         if (!isFinal(response.status())) {
-            cluster.note(by.id, change.changeId() + " got no clear answer: " + response, false);
-            again(change, by, tries);
+            cluster.note(by.id, change.changeId() + " got no final answer: " + response, false);
+            retry(change, by, tries);
             return;
         }
         if (response.status() == OK) {
-            taken(change, ControlAnswer.of(response).version());
+            recordAcknowledged(change, ControlAnswer.of(response).version());
             if (calls.losesAnswer()) {
                 cluster.count("control: acknowledgements lost");
                 history.availability.finished(change.changeId());
-                again(change, by, tries);
+                retry(change, by, tries);
                 return;
             }
             acknowledged.add(change);
             newest = Math.max(newest, ControlAnswer.of(response).version());
         } else {
-            refused(change, response);
+            recordRefused(change, response);
         }
-        underWay--;
+        inFlight--;
         history.availability.finished(change.changeId());
         if (response.status() == OK && observer != null) {
             observer.acknowledged(by);
         }
     }
 
-    private void taken(final Change change, final long version) {
+    private void recordAcknowledged(final Change change, final long version) {
         history.changes.acknowledged(cluster.now(), change.changeId(), version);
         cluster.callers.operators.confirmed(version, change.changeId());
     }
 
-    private void refused(final Change change, final Response response) {
+    private void recordRefused(final Change change, final Response response) {
         cluster.count("control: refused with " + response.status());
         history.changes.refused(cluster.now(), change.changeId(), response.status());
         if (response.status() == CONFLICT) {
@@ -206,14 +206,14 @@
         }
     }
 
-    private void again(final Change change, final SimulatedProcess last, final int tries) {
-        final long pause = Math.min(LONGEST_PAUSE_MS, PAUSE_MS << Math.min(tries, 4));
+    private void retry(final Change change, final SimulatedProcess last, final int tries) {
+        final long delay = Math.min(MAX_RETRY_DELAY_MS, MIN_RETRY_DELAY_MS << Math.min(tries, 4));
         cluster.at(
-                cluster.now() + pause / 2 + cluster.random.nextLong(pause),
+                cluster.now() + delay / 2 + cluster.random.nextLong(delay),
                 () -> send(change, anyController(last), tries + 1));
     }
 
-    /** Any controller that is not known to be gone, the one that was tried last only where there is no other. */
+    /** A random controller of the fleet other than the last one that was tried. */
     private SimulatedProcess anyController(final SimulatedProcess last) {
         final List<SimulatedProcess> others =
                 fleet.controllers().stream().filter(process -> process != last).toList();
@@ -222,10 +222,10 @@
 
     // ---- reads
 
-    /** Reads from each controller, again and again, also after the last order. */
-    void read(final long every) {
+    /** Reads from each controller about every period, also after the last order. */
+    void read(final long periodMs) {
         fleet.controllers().forEach(this::read);
-        cluster.at(cluster.now() + every / 2 + cluster.random.nextLong(every), () -> read(every));
+        cluster.at(cluster.now() + periodMs / 2 + cluster.random.nextLong(periodMs), () -> read(periodMs));
     }
 
     private void read(final SimulatedProcess from) {
@@ -242,13 +242,13 @@
                         answer.document());
                 newest = Math.max(newest, answer.version());
             } else if (response.status() / 100 == 4) {
-                // why: no configuration at all is the oldest one
+                // a controller without any configuration reads as version 0, the oldest
                 history.changes.read(startedAt, cluster.now(), 0, "", "");
             }
         });
     }
 
-    /** The last read, from any controller that answers; tried for a while. */
+    /** The final read, from any controller, with this many retries. */
     void readBack(final int tries) {
         final long startedAt = cluster.now();
         calls.call(anyController(null), ControlAnswer.READ, new byte[0], "", response -> {
@@ -261,7 +261,7 @@
                         ControlAnswer.changeIdOf(answer.document()),
                         answer.document());
             } else if (tries > 0 && !isFinal(response.status())) {
-                cluster.at(cluster.now() + LONGEST_PAUSE_MS, () -> readBack(tries - 1));
+                cluster.at(cluster.now() + MAX_RETRY_DELAY_MS, () -> readBack(tries - 1));
             } else {
                 history.changes.readBackFailed(cluster.now(), response.status());
             }
--- a/testing/src/main/java/brookpath/testing/sim/Platform.java
+++ b/testing/src/main/java/brookpath/testing/sim/Platform.java
@@ -12,8 +12,8 @@
 import java.io.ByteArrayInputStream;
 
 /**
- * Stand-in for the users' platform: takes usage reports, and can be slow, fail, or hear a report whose sender never
- * hears back.
+ * Simulates the users' platform, which receives usage reports. While it is disturbed it can be slow, fail, or accept a
+ * report whose sender gets no answer.
  */
 public final class Platform {
     private final SimulatedCluster cluster;
@@ -24,10 +24,10 @@
         this.cluster = cluster;
     }
 
-    /** @param down takes nothing at all meanwhile */
-    void disturb(final long forMs, final boolean down) {
+    /** @param down accepts no report while it is disturbed */
+    void disturb(final long durationMs, final boolean down) {
         this.down = down;
-        disturbedUntil = Math.max(disturbedUntil, cluster.now() + forMs);
+        disturbedUntil = Math.max(disturbedUntil, cluster.now() + durationMs);
     }
 
     long disturbedUntil() {
@@ -35,38 +35,39 @@
     }
 
     void post(final SimulatedProcess from, final Action.Post post) {
-        logged(from, post);
+        checkCommitted(from, post);
         final long incarnation = from.incarnation;
         final boolean disturbed = cluster.now() < disturbedUntil;
-        final int kind = !disturbed ? 3 : down ? 0 : cluster.random.nextInt(4);
-        final long delay = disturbed && kind != 0 ? 2_000 + cluster.random.nextInt(3_000) : 5;
+        final int behaviour = !disturbed ? 3 : down ? 0 : cluster.random.nextInt(4);
+        final long delay = disturbed && behaviour != 0 ? 2_000 + cluster.random.nextInt(3_000) : 5;
         cluster.at(cluster.now() + delay, () -> {
-            // why: 0 fails before it takes the report, 1 and 2 take it and the response is lost or late, 3 works
-            if (kind != 0) {
-                take(post);
+            // 0: fails before it accepts the report; 1: accepts it, the response is lost; 2: accepts it late; 3: works
+            if (behaviour != 0) {
+                recordReport(post);
             }
             final PostOutcome outcome =
-                    kind == 0 ? PostOutcome.FAILED : kind == 1 ? PostOutcome.UNKNOWN : PostOutcome.ACCEPTED;
+                    behaviour == 0 ? PostOutcome.FAILED : behaviour == 1 ? PostOutcome.UNKNOWN : PostOutcome.ACCEPTED;
             if (from.alive && from.incarnation == incarnation) {
                 from.request(new NodeRequest.Posted(post.requestId(), outcome));
             }
         });
     }
 
-    /** What is posted is in the control log and committed there: a successor must not be able to total anew. */
-    private void logged(final SimulatedProcess from, final Action.Post post) {
-        final ControllerNode b = (ControllerNode) from.node;
+    /** Checks that a posted total is committed in the control log, so that a new leader cannot compute another. */
+    private void checkCommitted(final SimulatedProcess from, final Action.Post post) {
+        final ControllerNode controller = (ControllerNode) from.node;
         final long window = Long.parseLong(post.key());
-        for (final ControlState.Window w : ((ControlState) b.group().live()).windows()) {
-            if (w.window() == window && w.index() <= b.group().committed()) {
+        for (final ControlState.Window w : ((ControlState) controller.group().live()).windows()) {
+            if (w.window() == window && w.index() <= controller.group().committed()) {
                 return;
             }
         }
         cluster.history.violation(
-                cluster.now(), "node " + from.id + " posts " + post.key() + " before its log has accepted the total");
+                cluster.now(),
+                "node " + from.id + " posts " + post.key() + " before the total is committed in its log");
     }
 
-    private void take(final Action.Post post) {
+    private void recordReport(final Action.Post post) {
         cluster.count("usage posts");
         try (var rd = Json.createReader(new ByteArrayInputStream(post.json().getBytes(UTF_8)))) {
             final var obj = rd.readObject();
@@ -83,16 +84,21 @@
         }
     }
 
-    /** Every so often: reports are checkInTime, and every controller that knows a window's total knows the same. */
+    /** Checks every second that reports are in time and that all controllers agree on each window's total. */
     void watch() {
-        final long excused = Math.max(disturbedUntil, cluster.outages.noControlUntil());
+        final long exemptUntil = Math.max(disturbedUntil, cluster.outages.noControlUntil());
         cluster.history.usage.checkInTime(
-                cluster.now(), cluster.callers.tenants(), cluster.timing.windowMs(), Math.min(excused, cluster.now()));
+                cluster.now(),
+                cluster.callers.tenants(),
+                cluster.timing.windowMs(),
+                Math.min(exemptUntil, cluster.now()));
         for (final int id : cluster.controllers) {
-            if (cluster.processes.get(id).alive && cluster.processes.get(id).node instanceof ControllerNode b) {
-                for (final ControlState.Window w : ((ControlState) b.group().live()).windows()) {
+            if (cluster.processes.get(id).alive
+                    && cluster.processes.get(id).node instanceof ControllerNode controller) {
+                for (final ControlState.Window w :
+                        ((ControlState) controller.group().live()).windows()) {
                     final long end = (w.window() + 1) * cluster.timing.windowMs() - SimulatedCluster.WALL;
-                    if (w.index() <= b.group().committed()) {
+                    if (w.index() <= controller.group().committed()) {
                         w.used()
                                 .forEach(u -> cluster.history.usage.agrees(
                                         cluster.now(), "node " + id, u.tenant(), end, u.publishes(), u.bytes()));
--- a/testing/src/main/java/brookpath/testing/sim/ProcessLog.java
+++ b/testing/src/main/java/brookpath/testing/sim/ProcessLog.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The disk thread of a simulated process: it writes and syncs the write-ahead log, one batch after another. */
+/** The disk thread of a simulated process: writes and syncs the write-ahead log, one batch at a time. */
 final class ProcessLog {
     private static final long SCRUB_PERIOD_MS = 10_000;
 
@@ -22,32 +22,32 @@
         cluster = process.cluster;
     }
 
-    /** Forgets what a former incarnation had not written. */
+    /** Discards what a previous incarnation had not written. */
     void reset() {
         pending = new ArrayList<>();
         busy = false;
     }
 
     /**
-     * Opens the log on what the disk still holds.
+     * Recovers the log from what the disk still holds.
      *
      * @return the entries to replay
-     * @throws java.io.UncheckedIOException where the disk fails
+     * @throws java.io.UncheckedIOException if the disk fails
      */
     List<byte[]> recover() {
         final WriteAheadLog.Recovery recovery = WriteAheadLog.recover(process.disk);
         writeAheadLog = recovery.writeAheadLog();
         writer = new DiskWriter(writeAheadLog);
-        cluster.count(recovery.damaged() ? "damaged folders" : "recoveries");
+        cluster.count(recovery.damaged() ? "recoveries with damage" : "recoveries");
         return recovery.replayed();
     }
 
-    /** Looks for damaged records every so often. */
+    /** Checks the log for damaged records periodically. */
     void scheduleScrub() {
         if (process.disk != null) {
             process.after(SCRUB_PERIOD_MS, () -> {
                 if (!process.frozen() && !busy && !writeAheadLog.isIntact()) {
-                    cluster.count("damage found by the sweep of the disk");
+                    cluster.count("damage found by the disk scrub");
                     process.run(p -> p.node.damaged(p.time()));
                 }
                 scheduleScrub();
@@ -59,7 +59,7 @@
         pending.add(write);
     }
 
-    /** Begins to write what was added, unless a batch is under way. */
+    /** Starts to write what was added, unless a batch is being written. */
     void writePending() {
         if (!busy && !pending.isEmpty()) {
             write(takePending());
@@ -91,7 +91,7 @@
         try {
             number = cluster.mutations.contains(Mutation.NO_FSYNC) ? writer.written() : writer.sync();
         } catch (final RuntimeException ex) {
-            // why: a failed sync takes the process out, as the real host does
+            // a failed sync ends the process, as in production
             cluster.count("failed syncs");
             cluster.kill(process, false);
             return;
@@ -114,14 +114,14 @@
                 && cluster.crashes(process);
     }
 
-    /** What has come meanwhile is written at once, what found the disk full after a pause. */
+    /** Writes what was added meanwhile at once, or retries after a delay where the disk was full. */
     private void continueAfterSync(final boolean allWritten) {
         if (writer.takeSnapshotRefused()) {
-            cluster.count("snapshots without room");
+            cluster.count("snapshots refused, no space");
             process.after(cluster.timing.recoverMs() / 4, () -> process.run(p -> p.node.snapshotRefused(p.time())));
         }
         if (!allWritten) {
-            cluster.count("writes that found the disk full");
+            cluster.count("writes refused, disk full");
             process.after(cluster.timing.diskRetryDelay(), () -> write(takePending()));
         } else if (!process.frozen()) {
             writePending();
--- a/testing/src/main/java/brookpath/testing/sim/Publisher.java
+++ b/testing/src/main/java/brookpath/testing/sim/Publisher.java
@@ -4,7 +4,7 @@
 import brookpath.coordination.node.NodeRequest;
 import brookpath.testing.oracle.History.Sent;
 
-/** A sender with one message in flight at a time; it retries whatever was not answered for good. */
+/** A simulated sender with one message in flight at a time, which it retries until it gets a final answer. */
 final class Publisher {
     private static final int MAX_ATTEMPTS_WHEN_QUIET = 40;
     private static final long MIN_BACKOFF_MS = 100;
@@ -51,17 +51,18 @@
     }
 
     private void attempt(final Sent sent, final int attempt) {
-        cluster.count("publish goes");
-        final long askedAt = cluster.now();
+        cluster.count("publish attempts");
+        final long requestedAt = cluster.now();
         callers.ask(
                 callers.anyGateway(),
                 id -> new NodeRequest.Publish(id, key, sent.topic, sent.sender, sent.seq, sent.text),
-                response -> answered(sent, attempt, askedAt, response));
+                response -> answered(sent, attempt, requestedAt, response));
     }
 
-    private void answered(final Sent sent, final int attempt, final long askedAt, final Response response) {
+    private void answered(final Sent sent, final int attempt, final long requestedAt, final Response response) {
         if (response.status() < 400 || response.status() >= 500) {
-            callers.service.requested("publish to group " + callers.groupOf(topic), askedAt, response.status() == 200);
+            callers.availability.recordRequest(
+                    "publish to group " + callers.groupOf(topic), requestedAt, response.status() == 200);
         }
         switch (response.status()) {
             case 200 -> committed(sent, response);
@@ -75,7 +76,7 @@
     }
 
     private void committed(final Sent sent, final Response response) {
-        callers.operators.keyUsed(key, "published");
+        callers.operators.checkKeyUse(key, "published");
         final boolean first = sent.committedAt < 0;
         final long now = cluster.now();
         cluster.history.committed(now, sent, Callers.json(response.json()).getInt("position"));
@@ -97,12 +98,12 @@
     }
 
     private void unanswered(final Sent sent, final int attempt, final Response response) {
-        // why: only an outright rejection is certain; a reset or an unsettled publish may be in the log
+        // after 503 or an unsent request (-1) nothing was appended; after any other answer the log may have it
         if (response.status() != 503 && response.status() != -1) {
             sent.maybeAppended = true;
             cluster.count(response.status() == 504 ? "unsettled" : "resets and time-outs");
         } else {
-            cluster.count("refused for now");
+            cluster.count("refused temporarily");
         }
         if (attempt >= maxAttempts || (callers.quiet && attempt > MAX_ATTEMPTS_WHEN_QUIET + 1)) {
             sent.abandoned = true;
--- a/testing/src/main/java/brookpath/testing/sim/SimulatedDay.java
+++ b/testing/src/main/java/brookpath/testing/sim/SimulatedDay.java
@@ -10,11 +10,14 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** One seeded day: a fleet, its callers and operators, failures, and a morning after on which all is read back. */
+/**
+ * One simulated day, determined by a seed: a fleet with callers and operators runs while faults are injected; then all
+ * faults end, and the day checks that service recovers and that everything committed reads back.
+ */
 public final class SimulatedDay {
     private static final long RECOVERY_PAUSE_MS = 24_000;
 
-    /** What may go wrong in a day. */
+    /** Kinds of faults that a day can inject. */
     public enum Fault {
         KILL,
         POWER,
@@ -45,7 +48,7 @@
         ROT
     }
 
-    /** What a day is made of. */
+    /** Parameters of a day. */
     public record Plan(
             long seed,
             FleetSize size,
@@ -54,7 +57,7 @@
             EnumSet<Fault> faults,
             EnumSet<Mutation> mutations,
             Ending ending) {
-        /** A day of a small fleet with faults of these kinds. */
+        /** A day of 60 s on a small fleet, with faults of these kinds. */
         public static Plan of(final long seed, final EnumSet<Fault> faults) {
             return new Plan(
                     seed,
@@ -66,7 +69,7 @@
                     faults.isEmpty() ? Ending.NO_FAULT : Ending.FAULT);
         }
 
-        /** The same day on code that breaks one rule. */
+        /** The same day with the simulation broken in this way. */
         public Plan withMutation(final Mutation mutation) {
             return new Plan(seed, size, lengthMs, faultEveryMs, faults, EnumSet.of(mutation), ending);
         }
@@ -76,25 +79,25 @@
             return new Plan(seed, size, lengthMs, faultEveryMs, faults, mutations, other);
         }
 
-        /** The same day of a fleet of another size. */
+        /** The same day with a fleet of another size. */
         public Plan withSize(final FleetSize other) {
             return new Plan(seed, other, lengthMs, faultEveryMs, faults, mutations, ending);
         }
 
-        /** The same day of another length, in milliseconds of the simulation. */
+        /** The same day with another length, in milliseconds of virtual time. */
         public Plan withLength(final long ms) {
             return new Plan(seed, size, ms, faultEveryMs, faults, mutations, ending);
         }
     }
 
-    /** How a day ends: without a failure, on one, or on one whose machine, one with a disk, is never seen again. */
+    /** How a day ends: without a fault, with one, or with one and a machine with a disk lost for good. */
     public enum Ending {
         NO_FAULT,
         FAULT,
         MACHINE_LOST
     }
 
-    /** What a day came to. */
+    /** Result of a day. */
     public record Outcome(
             long seed,
             List<String> violations,
@@ -114,7 +117,7 @@
 
         @Override
         public String toString() {
-            return "seed " + seed + ": accepted " + committed + ", delivered " + delivered + ", " + counts
+            return "seed " + seed + ": committed " + committed + ", delivered " + delivered + ", " + counts
                     + (violations.isEmpty() ? "" : "\n  " + String.join("\n  ", violations));
         }
     }
@@ -122,33 +125,33 @@
     private final Plan plan;
     private final SimulatedCluster cluster;
     private int faultsCaused;
-    private final DayFaults failures;
+    private final DayFaults dayFaults;
 
     private SimulatedDay(final Plan plan, final ActionObserver observer) {
         this.plan = plan;
         cluster = new SimulatedCluster(plan.seed, plan.size, plan.mutations);
         cluster.observer = observer;
-        failures = new DayFaults(cluster);
+        dayFaults = new DayFaults(cluster);
     }
 
-    /** Plays the day. */
+    /** Plays a day. */
     public static Outcome play(final Plan plan) {
         return play(plan, ActionObserver.NONE);
     }
 
-    /** Plays the day and shows the observer the actions of all processes. */
+    /** Plays a day and passes the actions of all processes to the observer. */
     public static Outcome play(final Plan plan, final ActionObserver observer) {
         return new SimulatedDay(plan, observer).play();
     }
 
     /**
-     * Plays the day up to its last fault, without the recovery, and shows the observer the actions of all processes.
+     * Plays a day up to its last fault, without the recovery, and passes the actions of all processes to the observer.
      */
     public static void playFaults(final Plan plan, final ActionObserver observer) {
         new SimulatedDay(plan, observer).playFaults();
     }
 
-    /** The cluster of a calm day after its callers have been about for the plan's length, for measurements. */
+    /** The cluster of a day without faults after its callers have run for the plan's length, for measurements. */
     static SimulatedCluster withoutFaults(final Plan plan) {
         final SimulatedDay day = new SimulatedDay(plan, ActionObserver.NONE);
         day.begin();
@@ -170,40 +173,41 @@
 
     private Outcome play() {
         playFaults();
-        return morningAfter();
+        return checkRecovery();
     }
 
     private void playFaults() {
         begin();
-        cluster.callers.operators.raceOnAndOn(2_000);
+        cluster.callers.operators.raceRepeatedly(2_000);
         long next = cluster.now() + plan.faultEveryMs;
         final List<Fault> faults = new ArrayList<>(plan.faults);
         final long end = cluster.now() + plan.lengthMs;
         while (cluster.now() < end && !faults.isEmpty()) {
             cluster.run(Math.min(end, next));
-            // why: now and then a pause in which all machines are back, so that recovery is checked in mid-day, too
+            // in a longer pause after every sixth round all machines come back, so that recovery is checked mid-day too
             next = cluster.now()
                     + plan.faultEveryMs / 2
                     + cluster.random.nextLong(plan.faultEveryMs)
                     + (++faultsCaused % 6 == 0 ? RECOVERY_PAUSE_MS : 0);
-            failures.causeFault(faults.get(cluster.random.nextInt(faults.size())));
+            dayFaults.causeFault(faults.get(cluster.random.nextInt(faults.size())));
             if (cluster.random.nextInt(4) == 0) {
-                failures.causeFault(faults.get(cluster.random.nextInt(faults.size())));
+                dayFaults.causeFault(faults.get(cluster.random.nextInt(faults.size())));
             }
         }
         cluster.run(end);
         if (plan.ending != Ending.NO_FAULT && !faults.isEmpty()) {
-            failures.causeFault(faults.get(cluster.random.nextInt(faults.size())));
+            dayFaults.causeFault(faults.get(cluster.random.nextInt(faults.size())));
             cluster.run(cluster.now() + 1_000);
         }
         if (plan.ending == Ending.MACHINE_LOST) {
-            failures.loseOne();
+            dayFaults.loseMachineForGood();
         }
     }
 
     /**
-     * Two senders a topic at the rate of its size, one patient and one of any; half of the sessions live on a key that
-     * is revoked and restored.
+     * Starts two publishers for each topic, which together publish at the rate of the fleet's size: one makes up to 30
+     * attempts, the other makes only one on every second topic. Half of the sessions use a key that operators revoke
+     * and restore.
      */
     private void startCallers() {
         final FleetSize size = plan.size;
@@ -238,20 +242,20 @@
     }
 
     /**
-     * Machines come back; within the bound service is back too, for each kind of request; then everything committed is
-     * read back.
+     * Ends all faults and checks the recovery: each kind of request is served again within the recovery bound, and
+     * everything committed reads back.
      */
-    private Outcome morningAfter() {
-        failures.end();
-        final long healed = cluster.now();
-        // why: the bound, the span that is checked, and the patience of those who asked last in it
-        cluster.run(healed + cluster.timing.recoverMs() + 12_000);
+    private Outcome checkRecovery() {
+        dayFaults.endFaults();
+        final long faultsEndedAt = cluster.now();
+        // the recovery bound, the period that is checked, and the time-out of the last requests in it
+        cluster.run(faultsEndedAt + cluster.timing.recoverMs() + 12_000);
         cluster.callers.quiet = true;
         cluster.run(cluster.now() + 30_000);
         cluster.history.settle(cluster.now());
-        readBack();
-        sameLogs();
-        // why: the last window of the day ends, and its report has its time
+        checkReadBack();
+        checkSameLogs();
+        // lets the last usage window of the day end and its report arrive in time
         cluster.run(cluster.now() + cluster.timing.windowMs() + 11_000);
         cluster.platform.settle();
         long trace = 17;
@@ -272,8 +276,8 @@
                 trace);
     }
 
-    /** The newest configuration reads as what was confirmed last, or as something newer. */
-    private void readBack() {
+    /** Checks that the newest configuration reads as the one confirmed last, or as a newer one. */
+    private void checkReadBack() {
         final long newest = cluster.history.newestConfirmed();
         final boolean[] read = new boolean[1];
         cluster.callers.operators.readConfiguration(r -> {
@@ -284,23 +288,25 @@
                 if (r.status() != 200 || obj.getInt("version") < newest) {
                     cluster.history.violation(
                             cluster.now(),
-                            "newest spec reads as " + r.status() + " " + r.json() + ", confirmed was " + newest);
+                            "newest configuration reads as " + r.status() + " " + r.json() + ", confirmed was "
+                                    + newest);
                 } else if (obj.getInt("version") == newest
                         && !obj.getJsonObject("document")
                                 .getString("changeId")
                                 .equals(cluster.history.confirmedAs(newest))) {
-                    cluster.history.violation(cluster.now(), "spec " + newest + " reads back as another change");
+                    cluster.history.violation(
+                            cluster.now(), "configuration " + newest + " reads back as another change");
                 }
             }
         });
         cluster.run(cluster.now() + 4_000);
         if (!read[0]) {
-            cluster.history.violation(cluster.now(), "newest spec could not be read");
+            cluster.history.violation(cluster.now(), "newest configuration could not be read");
         }
     }
 
-    /** All members of a group hold the same record at the same committed position. */
-    private void sameLogs() {
+    /** Checks that all members of a group hold the same record at each committed position. */
+    private void checkSameLogs() {
         for (int g = 0; g < cluster.groups; g++) {
             final TreeMap<Long, byte[]> all = new TreeMap<>();
             for (final int id : cluster.storages) {
@@ -314,7 +320,7 @@
                     final byte[] other = all.putIfAbsent(index, logRecord.bytes());
                     if (other != null && !java.util.Arrays.equals(other, logRecord.bytes())) {
                         cluster.history.violation(
-                                cluster.now(), "group " + g + " has two records at accepted position " + index);
+                                cluster.now(), "group " + g + " has different records at committed position " + index);
                     }
                 }
             }
--- a/testing/src/main/java/brookpath/testing/sim/Slopes.java
+++ b/testing/src/main/java/brookpath/testing/sim/Slopes.java
@@ -6,18 +6,19 @@
 import java.util.Locale;
 
 /**
- * What a process of each role sends, gets and takes of a processor as the fleet grows: {@code bin/slopes}. Hollow nodes
- * share this process; bytes and messages are the same every time, times are this machine's.
+ * Measures the messages, bytes and processor time of a process of each role as the fleet grows: {@code bin/slopes}. All
+ * simulated processes run in this one; messages and bytes are the same in every run, processor times depend on the
+ * machine.
  */
 public final class Slopes {
-    private static final long WARM_MS = 10_000;
+    private static final long WARM_UP_MS = 10_000;
     private static final long MEASURED_MS = 10_000;
 
     private Slopes() {}
 
     /** Prints a row for each fleet size. */
     public static void main(final String[] args) {
-        memory();
+        printSessionHeap();
         for (final FleetSize size : List.of(
                 new FleetSize(4, 11, 450, 400, 8, 95, 3),
                 new FleetSize(16, 11, 450, 400, 8, 95, 3),
@@ -29,7 +30,7 @@
             final SimulatedCluster cluster =
                     SimulatedDay.withoutFaults(SimulatedDay.Plan.of(1, EnumSet.noneOf(SimulatedDay.Fault.class))
                             .withSize(size)
-                            .withLength(WARM_MS));
+                            .withLength(WARM_UP_MS));
             for (final SimulatedProcess p : cluster.processes.values()) {
                 p.sentMessages = 0;
                 p.sentBytes = 0;
@@ -41,7 +42,7 @@
             cluster.run(cluster.now() + MEASURED_MS);
             System.out.printf(
                     Locale.ROOT,
-                    "groups %d, fronts %d, sessions %d: %d accepted/s, %d delivered/s%n",
+                    "groups %d, gateways %d, sessions %d: %d committed/s, %d delivered/s%n",
                     size.groups(),
                     size.gateways(),
                     size.sessions(),
@@ -53,15 +54,15 @@
         }
     }
 
-    /** Heap of one gateway per session that listens to two topics of 1,000. */
-    private static void memory() {
+    /** Prints the heap that a gateway uses per session, each of which listens to two of 1,000 topics. */
+    private static void printSessionHeap() {
         final SimulatedCluster cluster =
                 SimulatedDay.withoutFaults(SimulatedDay.Plan.of(1, EnumSet.noneOf(SimulatedDay.Fault.class))
-                        .withLength(WARM_MS));
+                        .withLength(WARM_UP_MS));
         cluster.callers.quiet = true;
         cluster.run(cluster.now() + 5_000);
         final SimulatedProcess gateway = cluster.processes.get(cluster.gateways.get(0));
-        final long before = used();
+        final long before = usedHeapBytes();
         final int sessions = 4_000;
         for (int i = 0; i < sessions; i++) {
             final int n = i;
@@ -82,13 +83,13 @@
         cluster.run(cluster.now() + 5_000);
         System.out.printf(
                 Locale.ROOT,
-                "%d sessions opened, %d topics joined at one front: %d bytes of heap a session%n",
+                "%d sessions opened, %d topics joined at one gateway: %d bytes of heap per session%n",
                 cluster.counted("opened 200"),
                 cluster.counted("joined 200"),
-                (used() - before) / sessions);
+                (usedHeapBytes() - before) / sessions);
     }
 
-    private static long used() {
+    private static long usedHeapBytes() {
         System.gc();
         return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
     }
@@ -105,14 +106,14 @@
             in += p.gotBytes;
             busy += p.busyNanos;
         }
-        final double per = ids.size() * MEASURED_MS / 1_000.0;
+        final double processSeconds = ids.size() * MEASURED_MS / 1_000.0;
         System.out.printf(
                 Locale.ROOT,
                 "  %-8s %7.1f messages/s, %8.0f bytes/s out, %8.0f in, %6.2f ms/s of a core%n",
                 role,
-                messages / per,
-                out / per,
-                in / per,
-                busy / 1e6 / per);
+                messages / processSeconds,
+                out / processSeconds,
+                in / processSeconds,
+                busy / 1e6 / processSeconds);
     }
 }
--- a/testing/src/main/java/brookpath/testing/sim/Subscriber.java
+++ b/testing/src/main/java/brookpath/testing/sim/Subscriber.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** A session of a day, on some topics: it comes back with its cursor whenever it was dropped or has been away. */
+/** A simulated subscriber to some topics, which resumes its session with its cursor after each disconnection. */
 final class Subscriber {
     private final SimulatedCluster cluster;
     private final Callers callers;
@@ -46,17 +46,17 @@
         disconnected = false;
         final boolean resumes = cursor != null;
         final long at = cluster.now();
-        final long[] mine = new long[1];
-        mine[0] = callers.ask(p, i -> new NodeRequest.Subscribe(i, key, topics, cursor), r -> {
+        final long[] requestId = new long[1];
+        requestId[0] = callers.ask(p, id -> new NodeRequest.Subscribe(id, key, topics, cursor), r -> {
             if (resumes && (r.status() < 400 || r.status() >= 500)) {
-                callers.service.requested("resume", at, r.status() == 200);
+                callers.availability.recordRequest("resume", at, r.status() == 200);
             }
             if (r.status() == 200) {
                 cluster.count("subscribed");
                 return;
             }
-            if (!callers.sessions.remove(mine[0], this)) {
-                // why: the session was reset meanwhile, and its caller is coming back already
+            if (!callers.sessions.remove(requestId[0], this)) {
+                // the session was reset meanwhile, and the subscriber is already reconnecting
                 return;
             }
             if (r.status() == 410) {
@@ -71,17 +71,18 @@
             }
             cluster.at(cluster.now() + 100 + r.retryAfterMs() + cluster.random.nextInt(300), this::connect);
         });
-        sessionId = mine[0];
+        sessionId = requestId[0];
         callers.sessions.put(sessionId, this);
     }
 
     void line(final byte[] bytes) {
         final JsonObject obj = Callers.json(new String(bytes, UTF_8));
-        callers.operators.keyUsed(key, "received");
+        callers.operators.checkKeyUse(key, "received");
         cursor = obj.getString("cursor");
         if (obj.getString("type").equals("message")) {
             if (!listener.topics().contains(obj.getString("topic"))) {
-                cluster.history.violation(cluster.now(), name + " got an unasked topic");
+                cluster.history.violation(
+                        cluster.now(), name + " got a message of a topic that it did not subscribe to");
             }
             cluster.history.begunIfNot(
                     cluster.now(),
@@ -110,26 +111,27 @@
         }
     }
 
-    void gone(final String why) {
-        cluster.count("sessions gone");
+    void onClosed(final String why) {
+        cluster.count("sessions to reconnect");
         listeningSince = -1;
         cluster.at(cluster.now() + 50 + cluster.random.nextInt(500), this::connect);
     }
 
-    /** Drops off for a while and comes back, inside the keeping time. */
-    void disconnectTemporarily(final long away, final long every) {
+    /** Disconnects and reconnects within the retention time; repeats this about every period. */
+    void disconnectTemporarily(final long maxAwayMs, final long periodMs) {
         if (callers.quiet) {
             return;
         }
         if (callers.sessions.remove(sessionId) == this) {
-            cluster.count("naps");
+            cluster.count("disconnections");
             disconnected = true;
             final SimulatedProcess p = cluster.processes.get(gateway);
             p.request(new NodeRequest.Unsubscribe(sessionId));
             callers.forget(sessionId);
-            cluster.at(cluster.now() + 100 + cluster.random.nextLong(away), this::connect);
+            cluster.at(cluster.now() + 100 + cluster.random.nextLong(maxAwayMs), this::connect);
         }
         cluster.at(
-                cluster.now() + every / 2 + cluster.random.nextLong(every), () -> disconnectTemporarily(away, every));
+                cluster.now() + periodMs / 2 + cluster.random.nextLong(periodMs),
+                () -> disconnectTemporarily(maxAwayMs, periodMs));
     }
 }
--- a/testing/src/main/java/brookpath/testing/sim/Sweep.java
+++ b/testing/src/main/java/brookpath/testing/sim/Sweep.java
@@ -6,13 +6,13 @@
 import java.util.List;
 import java.util.stream.LongStream;
 
-/** Runs many seeds outside CI: {@code bin/sweep FIRST COUNT [FAULT,...]}. Exits 1 where a day had a violation. */
+/** Plays days with many seeds: {@code bin/sweep FIRST COUNT [FAULT,...]}. Exits 1 if a day had a violation. */
 public final class Sweep {
     private final EnumSet<SimulatedDay.Fault> faults;
-    /** A single day is printed in full. */
+    /** Whether only one day is played, which is then printed in full. */
     private final boolean single;
 
-    private final List<Long> gaps = Collections.synchronizedList(new ArrayList<>());
+    private final List<Long> leaderlessMs = Collections.synchronizedList(new ArrayList<>());
     private final List<Long> latencies = Collections.synchronizedList(new ArrayList<>());
 
     private Sweep(final EnumSet<SimulatedDay.Fault> faults, final boolean single) {
@@ -20,7 +20,11 @@
         this.single = single;
     }
 
-    /** Plays days from the first seed on, as many as the second argument says, with the given kinds of faults. */
+    /**
+     * Plays days with consecutive seeds.
+     *
+     * @param args the first seed, the number of days, and the kinds of faults, which are all by default
+     */
     public static void main(final String[] args) {
         final long first = args.length > 0 ? Long.parseLong(args[0]) : 1;
         final long count = args.length > 1 ? Long.parseLong(args[1]) : 100;
@@ -33,21 +37,21 @@
             faults.addAll(EnumSet.allOf(SimulatedDay.Fault.class));
         }
         final Sweep sweep = new Sweep(faults, count == 1);
-        final long bad = LongStream.range(first, first + count)
+        final long failed = LongStream.range(first, first + count)
                 .parallel()
                 .filter(seed -> !sweep.runDay(seed))
                 .count();
-        spread("masterless ms", sweep.gaps);
-        spread("acceptance-to-delivery ms", sweep.latencies);
-        System.out.println(count + " seeds, " + bad + " with violations");
-        System.exit(bad == 0 ? 0 : 1);
+        printPercentiles("time without an acting leader, ms", sweep.leaderlessMs);
+        printPercentiles("commit to delivery, ms", sweep.latencies);
+        System.out.println(count + " seeds, " + failed + " with violations");
+        System.exit(failed == 0 ? 0 : 1);
     }
 
-    /** Whether the day of this seed was without a violation. */
+    /** Plays the day of this seed; returns whether it had no violation. */
     private boolean runDay(final long seed) {
         try {
             final SimulatedDay.Outcome day = SimulatedDay.play(SimulatedDay.Plan.of(seed, faults));
-            gaps.addAll(day.leaderless());
+            leaderlessMs.addAll(day.leaderless());
             latencies.addAll(day.latencies());
             print(day);
             return day.good();
@@ -69,7 +73,7 @@
         }
     }
 
-    private static void spread(final String what, final List<Long> values) {
+    private static void printPercentiles(final String what, final List<Long> values) {
         Collections.sort(values);
         if (!values.isEmpty()) {
             final int n = values.size();
--- a/testing/src/test/java/brookpath/testing/DayTest.java
+++ b/testing/src/test/java/brookpath/testing/DayTest.java
@@ -21,7 +21,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Simulated days: nothing that must never happen happens, and something did happen. */
+/** Simulated days: no oracle finds a violation, and the day had enough load and faults for that to mean something. */
 public final class DayTest {
     @DataProvider(parallel = true)
     public Object[][] faults() {
@@ -35,16 +35,16 @@
     }
 
     @Test(dataProvider = "faults")
-    public void nothingForbiddenHappens(final EnumSet<Fault> faults) {
+    public void noViolationWithAnyFault(final EnumSet<Fault> faults) {
         for (long seed = 1; seed <= 2; seed++) {
             final Outcome day = SimulatedDay.play(Plan.of(seed, faults));
             assertTrue(day.good(), day.toString());
-            // why: a day on which nothing was done would be good as well
+            // a day without any load would have no violation either
             for (final String kind :
                     List.of("publish to group N", "count in group N", "resume", "listening", "change")) {
                 assertTrue(
                         day.counts().getOrDefault("availability checked: " + kind, 0) > 0,
-                        kind + " was not judged: " + day);
+                        kind + " was not checked: " + day);
             }
             assertTrue(day.counts().get("deliveries checked") > 3_000, day.toString());
             assertTrue(day.committed() > 800 && day.delivered() > 3 * day.committed(), day.toString());
@@ -59,23 +59,25 @@
     }
 
     @Test(dataProvider = "fleetSizes")
-    public void onACalmDayMessagesArriveInTheUsualTime(final FleetSize size) {
+    public void withoutFaultsMessagesArriveInTime(final FleetSize size) {
         final Outcome day = SimulatedDay.play(
                 Plan.of(3, EnumSet.noneOf(Fault.class)).withSize(size).withLength(20_000));
         assertTrue(day.good(), day.toString());
         assertTrue(
                 day.latencies().size() > 1_000 && day.latencies().stream().allMatch(ms -> ms <= 100),
-                "late on a calm day: " + day);
-        assertTrue(day.publishLatencies().stream().allMatch(ms -> ms <= 50), "slow to accept on a calm day: " + day);
+                "late delivery on a day without faults: " + day);
+        assertTrue(
+                day.publishLatencies().stream().allMatch(ms -> ms <= 50),
+                "slow commit on a day without faults: " + day);
     }
 
     @DataProvider(parallel = true)
-    public Object[][] fourSeeds() {
+    public Object[][] seeds() {
         return new Object[][] {{1L}, {2L}, {3L}, {4L}};
     }
 
-    @Test(dataProvider = "fourSeeds")
-    public void allIsReadBackThoughTheLastFailuresVictimNeverReturns(final long seed) {
+    @Test(dataProvider = "seeds")
+    public void noCommittedDataIsLostWithAMachine(final long seed) {
         final Outcome day =
                 SimulatedDay.play(Plan.of(seed, EnumSet.allOf(Fault.class)).withEnding(Ending.MACHINE_LOST));
         assertTrue(day.good(), day.toString());
@@ -83,7 +85,7 @@
     }
 
     @Test
-    public void theOwnerThatActedLastDiesRightAfterEachKindOfAct() throws InterruptedException {
+    public void leaderDiesAtEachCrashPoint() throws InterruptedException {
         final TreeMap<String, Integer> died = new TreeMap<>();
         final List<Outcome> days = SeedsInParallel.play(
                 1, 12, seed -> SimulatedDay.play(Plan.of(seed, EnumSet.of(Fault.LAST_ACT, Fault.RETIRE))));
@@ -103,7 +105,7 @@
     }
 
     @Test(dataProvider = "usersFleetSizes")
-    public void aDayOfTheUsersOwnSizes(final FleetSize size) {
+    public void noViolationAtTheUsersFleetSizes(final FleetSize size) {
         final Outcome day = SimulatedDay.play(
                 Plan.of(5, EnumSet.allOf(Fault.class)).withSize(size).withLength(40_000));
         assertTrue(day.good(), day.toString());
@@ -111,19 +113,19 @@
     }
 
     @Test
-    public void sameSeedSameDay() {
+    public void sameSeedGivesTheSameDay() {
         final Plan plan = Plan.of(7, EnumSet.of(KILL, POWER, OWNER_DIES));
         assertEquals(SimulatedDay.play(plan).trace(), SimulatedDay.play(plan).trace());
     }
 
     @Test
-    public void leftOutSyncIsSeen() {
-        boolean seen = false;
-        for (long seed = 1; seed <= 6 && !seen; seed++) {
-            seen = !SimulatedDay.play(Plan.of(seed, EnumSet.of(BLACKOUT)).withMutation(Mutation.NO_FSYNC))
+    public void missingSyncIsDetected() {
+        boolean detected = false;
+        for (long seed = 1; seed <= 6 && !detected; seed++) {
+            detected = !SimulatedDay.play(Plan.of(seed, EnumSet.of(BLACKOUT)).withMutation(Mutation.NO_FSYNC))
                     .good();
         }
-        assertTrue(seen, "a disk that never syncs went unnoticed");
+        assertTrue(detected, "no oracle detected a disk that never syncs");
         assertFalse(SimulatedDay.play(Plan.of(1, EnumSet.of(BLACKOUT))).counts().isEmpty());
     }
 }
