--- a/testing/src/main/java/brookpath/testing/sim/Callers.java
+++ b/testing/src/main/java/brookpath/testing/sim/Callers.java
@@ -225,7 +225,9 @@
 
     private List<Integer> ready = new ArrayList<>();
 
-    /** Probes the gateways as the platform does, which sends no callers to one that does not answer that it is ready. */
+    /**
+     * Probes the gateways as the platform does, which sends no callers to one that does not answer that it is ready.
+     */
     private void probeReadiness() {
         final List<Integer> readyNow = new ArrayList<>();
         for (final int id : cluster.gateways) {
