--- a/testing/src/main/java/brookpath/testing/sim/MachineFaults.java
+++ b/testing/src/main/java/brookpath/testing/sim/MachineFaults.java
@@ -180,7 +180,7 @@
         final boolean controller = fleet.isController(gone);
         remove(gone);
         final SimulatedProcess next = controller ? fleet.addController(gone.zone) : fleet.addStorage(gone.zone);
-        fleet.freshSeeds();
+        fleet.seedCurrentControllers();
         markOut(next, REPLACEMENT_GAP_MS);
         cluster.note(next.id, "is to replace node " + gone.id, false);
         cluster.at(cluster.now() + REPLACEMENT_GAP_MS, next::start);
@@ -189,7 +189,7 @@
     /** Starts a new controller first, then shuts the old one down gracefully and removes it. */
     void replaceAnnounced(final SimulatedProcess gone) {
         final SimulatedProcess next = fleet.addController(gone.zone);
-        fleet.freshSeeds();
+        fleet.seedCurrentControllers();
         next.start();
         markOut(next, CATCH_UP_MS);
         cluster.note(next.id, "is to replace node " + gone.id + ", announced", false);
@@ -199,7 +199,7 @@
                     gone, NodeRequest.GracefulShutdown::new, response -> cluster.count("control: graceful shutdowns"));
             cluster.at(cluster.now() + GRACEFUL_SHUTDOWN_MS, () -> {
                 remove(gone);
-                fleet.freshSeeds();
+                fleet.seedCurrentControllers();
             });
         });
     }
--- a/testing/src/main/java/brookpath/testing/sim/Platform.java
+++ b/testing/src/main/java/brookpath/testing/sim/Platform.java
@@ -77,7 +77,7 @@
                     .forEach(t -> cluster.history.usage.reported(
                             cluster.now(),
                             t.getString("tenant"),
-                            end - SimulatedCluster.WALL,
+                            end - SimulatedCluster.WALL_CLOCK_START_MS,
                             t.getJsonNumber("publishes").longValue(),
                             t.getJsonNumber("bytes").longValue(),
                             t.getBoolean("late")));
@@ -97,7 +97,7 @@
                     && cluster.processes.get(id).node instanceof ControllerNode controller) {
                 for (final ControlState.Window w :
                         ((ControlState) controller.group().live()).windows()) {
-                    final long end = (w.window() + 1) * cluster.timing.windowMs() - SimulatedCluster.WALL;
+                    final long end = (w.window() + 1) * cluster.timing.windowMs() - SimulatedCluster.WALL_CLOCK_START_MS;
                     if (w.index() <= controller.group().committed()) {
                         w.used()
                                 .forEach(u -> cluster.history.usage.agrees(
--- a/testing/src/main/java/brookpath/testing/sim/ProcessLog.java
+++ b/testing/src/main/java/brookpath/testing/sim/ProcessLog.java
@@ -39,7 +39,7 @@
         writeAheadLog = recovery.writeAheadLog();
         writer = new DiskWriter(writeAheadLog);
         cluster.count(recovery.damaged() ? "recoveries with damage" : "recoveries");
-        return recovery.replayed();
+        return recovery.allEntries();
     }
 
     /** Checks the log for damaged records periodically. */
@@ -110,8 +110,8 @@
         return cluster.armed != null
                 && batch.stream()
                         .anyMatch(a -> a instanceof Action.Write w && CrashPoint.ofWrite(w.entry()) == cluster.armed)
-                && CrashPoint.owns(process.node, cluster.groups)
-                && cluster.crashes(process);
+                && CrashPoint.leads(process.node, cluster.groups)
+                && cluster.crashIfAllowed(process);
     }
 
     /** Writes what was added meanwhile at once, or retries after a delay where the disk was full. */
--- a/testing/src/test/java/brookpath/testing/MachineIdentityTest.java
+++ b/testing/src/test/java/brookpath/testing/MachineIdentityTest.java
@@ -21,61 +21,61 @@
 import java.util.SplittableRandom;
 import org.testng.annotations.Test;
 
-/** A machine keeps its identity on its disk, and the cluster metadata keeps those of all machines. */
+/** A machine stores its identity on its disk, and the cluster metadata stores those of all machines. */
 public final class MachineIdentityTest {
     private static final String FILE = "machine-id";
 
     @Test
-    public void itOutlivesALossOfPowerRightAfterTheFirstStart() {
+    public void theIdentitySurvivesAPowerLossRightAfterTheFirstStart() {
         for (int seed = 0; seed < 50; seed++) {
             final FaultyDisk disk = new FaultyDisk();
-            assertEquals(MachineIdentity.of(disk, 7), new MachineIdentity(7, null));
+            assertEquals(MachineIdentity.loadOrCreate(disk, 7), new MachineIdentity(7, null));
             disk.powerLoss(new SplittableRandom(seed));
-            assertEquals(MachineIdentity.of(disk, 8), new MachineIdentity(7, null), "seed " + seed);
+            assertEquals(MachineIdentity.loadOrCreate(disk, 8), new MachineIdentity(7, null), "seed " + seed);
             WriteAheadLog.recover(disk);
-            assertEquals(MachineIdentity.of(disk, 9), new MachineIdentity(7, null));
+            assertEquals(MachineIdentity.loadOrCreate(disk, 9), new MachineIdentity(7, null));
         }
     }
 
     @Test
-    public void aMachineWithoutItsDiskIsAnotherOne() {
+    public void aMachineWithAnEmptyDiskGetsANewIdentity() {
         final FaultyDisk disk = new FaultyDisk();
-        MachineIdentity.of(disk, 7);
+        MachineIdentity.loadOrCreate(disk, 7);
         disk.wipe();
-        assertEquals(MachineIdentity.of(disk, 8).number(), 8);
+        assertEquals(MachineIdentity.loadOrCreate(disk, 8).number(), 8);
     }
 
     @Test
-    public void aDamagedIdentityCountsAsThatOfANewMachine() {
+    public void aDamagedIdentityIsReplacedByANewOne() {
         for (int length = 0; length <= 24; length++) {
             final FaultyDisk disk = new FaultyDisk();
-            MachineIdentity.of(disk, 7);
+            MachineIdentity.loadOrCreate(disk, 7);
             final DiskFile file = disk.open(FILE);
             final byte[] bytes = file.readAll();
             file.truncate(0);
             bytes[length % bytes.length] ^= 1;
             file.append(bytes, 0, length);
-            final MachineIdentity after = MachineIdentity.of(disk, 8);
+            final MachineIdentity after = MachineIdentity.loadOrCreate(disk, 8);
             assertEquals(after.number(), 8, length + " bytes");
             assertNotNull(after.finding());
-            assertEquals(MachineIdentity.of(disk, 9), new MachineIdentity(8, null));
+            assertEquals(MachineIdentity.loadOrCreate(disk, 9), new MachineIdentity(8, null));
         }
     }
 
     @Test
-    public void anUnfinishedWriteIsNoIdentity() {
+    public void anUnfinishedWriteIsIgnored() {
         final FaultyDisk disk = new FaultyDisk();
         final DiskFile file = disk.open(FILE + ".tmp");
         file.append(new byte[5], 0, 5);
-        assertEquals(MachineIdentity.of(disk, 8), new MachineIdentity(8, null));
-        assertEquals(MachineIdentity.of(disk, 9), new MachineIdentity(8, null));
+        assertEquals(MachineIdentity.loadOrCreate(disk, 8), new MachineIdentity(8, null));
+        assertEquals(MachineIdentity.loadOrCreate(disk, 9), new MachineIdentity(8, null));
     }
 
     private static final Membership MEMBERS = new Membership(3, List.of(new Member(11, 50, "a")), List.of());
     private static final NodeInfo STORAGE = new NodeInfo(11, "a", "x:1", "one", 77);
 
     @Test
-    public void theMetadataKeepsIdentities() {
+    public void theMetadataStoresIdentities() {
         final ClusterMetadata metadata = new ClusterMetadata(
                 5,
                 List.of(STORAGE),
@@ -107,14 +107,14 @@
     }
 
     @Test
-    public void metadataOfANewerFormatIsRefused() {
+    public void metadataOfANewerFormatIsRejected() {
         final byte[] newer =
                 PackedBuffer.writer().putLong(-3).putLong(5).putLong(0).toByteArray();
         assertThrows(IllegalStateException.class, () -> ClusterMetadata.load(newer));
     }
 
     @Test
-    public void onlyTwoKnownIdentitiesTellMachinesApart() {
+    public void machinesDifferOnlyIfBothIdentitiesAreKnown() {
         final NodeInfo other = new NodeInfo(11, "a", "x:1", "two", 78);
         assertTrue(other.replaces(STORAGE));
         assertTrue(STORAGE.replaces(other));
@@ -122,11 +122,11 @@
         assertFalse(other.replaces(STORAGE.withMachine(NodeInfo.UNKNOWN_MACHINE)));
         assertFalse(other.withMachine(NodeInfo.UNKNOWN_MACHINE).replaces(STORAGE));
         assertFalse(new NodeInfo(12, "a", "x:1", "two", 78).replaces(STORAGE));
-        assertNull(MachineIdentity.of(new FaultyDisk(), 1).finding());
+        assertNull(MachineIdentity.loadOrCreate(new FaultyDisk(), 1).finding());
     }
 
     @Test
-    public void aNameOutlivesALostDiskButNotAMachineWithoutOne() {
+    public void aNamedMachineStaysTheSameWithANewDiskButAnUnnamedOneDoesNot() {
         assertFalse(STORAGE.withMachine(78).replaces(STORAGE), "the same name with an empty disk is the same machine");
         final NodeInfo unnamed = new NodeInfo(11, "a", "x:1", "", 77);
         assertTrue(unnamed.withMachine(78).replaces(unnamed), "without names the identity alone decides");
