--- a/testing/src/main/java/brookpath/testing/sim/ControlFaults.java
+++ b/testing/src/main/java/brookpath/testing/sim/ControlFaults.java
@@ -96,7 +96,9 @@
             }
             case RESETS -> machines.resetSessions();
             case STORM ->
-                operators.storm(MAX_STORM_CHANGES / 3 + cluster.random.nextInt(MAX_STORM_CHANGES), 20L + cluster.random.nextInt(80));
+                operators.storm(
+                        MAX_STORM_CHANGES / 3 + cluster.random.nextInt(MAX_STORM_CHANGES),
+                        20L + cluster.random.nextInt(80));
             case REFUSED_ORDERS -> operators.refusedOrders(REFUSED_CHANGES);
             case RACES -> {
                 for (int i = 0; i < 5; i++) {
--- a/testing/src/main/java/brookpath/testing/sim/Platform.java
+++ b/testing/src/main/java/brookpath/testing/sim/Platform.java
@@ -97,7 +97,8 @@
                     && cluster.processes.get(id).node instanceof ControllerNode controller) {
                 for (final ControlState.Window w :
                         ((ControlState) controller.group().live()).windows()) {
-                    final long end = (w.window() + 1) * cluster.timing.windowMs() - SimulatedCluster.WALL_CLOCK_START_MS;
+                    final long end =
+                            (w.window() + 1) * cluster.timing.windowMs() - SimulatedCluster.WALL_CLOCK_START_MS;
                     if (w.index() <= controller.group().committed()) {
                         w.used()
                                 .forEach(u -> cluster.history.usage.agrees(
