--- a/testing/src/main/java/brookpath/testing/sim/ControlDay.java
+++ b/testing/src/main/java/brookpath/testing/sim/ControlDay.java
@@ -108,7 +108,7 @@
         }
         startClients();
         sampleRunningControllers();
-        operators.work(CHANGE_INTERVAL_MS);
+        operators.placeOrders(CHANGE_INTERVAL_MS);
         operators.read(READ_INTERVAL_MS);
         cluster.run(cluster.now() + MachineFaults.CATCH_UP_MS);
     }
@@ -164,7 +164,7 @@
     }
 
     private void recover() {
-        faults.machines().mend();
+        faults.machines().endFaults();
         cluster.run(cluster.now() + RECOVERY_MS);
         operators.quiet();
         cluster.callers.quiet = true;
--- a/testing/src/main/java/brookpath/testing/sim/ControlFaults.java
+++ b/testing/src/main/java/brookpath/testing/sim/ControlFaults.java
@@ -79,8 +79,8 @@
             case STORM, REFUSED_ORDERS -> operators.storming();
             case CLOCK_STEP, RESETS, RACES, ANSWERS_LOST -> cluster.now() < disturbedUntil;
             case RETIRE, RETIRE_THEN_WIPE, WIPE_DURING_RETIRE, POWER_AFTER_RETIRE ->
-                cluster.now() < retiringUntil || !machines.free() || pendingFault != null;
-            default -> !machines.free() || pendingFault != null;
+                cluster.now() < retiringUntil || !machines.allBack() || pendingFault != null;
+            default -> !machines.allBack() || pendingFault != null;
         };
     }
 
@@ -94,7 +94,7 @@
                 final long by = 1_000 + cluster.random.nextLong(9_000);
                 machines.clockStep(cluster.random.nextBoolean() ? by : -by, durationMs);
             }
-            case RESETS -> machines.resets();
+            case RESETS -> machines.resetSessions();
             case STORM ->
                 operators.storm(
                         MAX_STORM_CHANGES / 3 + cluster.random.nextInt(MAX_STORM_CHANGES),
@@ -120,8 +120,8 @@
             case CUT_OFF, CUT_SENDING, CUT_HEARING, CUT_FROM_CORE, CUT_FROM_HALF, CUT_SEEDS ->
                 cut(fault, anyController(), randomMs(9_000, 20_000));
             case FREEZE -> machines.freeze(anyCounted(), randomMs(500, 15_000));
-            case KILL -> machines.down(anyCounted(), false, randomMs(300, 20_000));
-            case POWER -> machines.down(anyCounted(), true, randomMs(300, 20_000));
+            case KILL -> machines.takeDown(anyCounted(), false, randomMs(300, 20_000));
+            case POWER -> machines.takeDown(anyCounted(), true, randomMs(300, 20_000));
             case REPLACE_CONTROLLER -> machines.replace(anyController());
             case REPLACE_CONTROLLER_ANNOUNCED -> machines.replaceAnnounced(anyController());
             case REUSE_CONTROLLER_ADDRESS -> machines.reuseAddress(anyController());
@@ -138,7 +138,7 @@
             }
             case FULL_DISK -> machines.fullDisk(anyCounted(), randomMs(3_000, 10_000));
             case CLOCK_REPEATS -> {
-                machines.clockRepeats(
+                machines.restartWithRepeatedClock(
                         anyController(),
                         anyOf(cluster.gateways.stream()
                                 .map(cluster.processes::get)
@@ -156,7 +156,7 @@
         final List<SimulatedProcess> core = machines.others(process, fleet.counted());
         final List<SimulatedProcess> all = machines.others(process, List.copyOf(cluster.processes.values()));
         switch (fault) {
-            case CUT_OFF -> machines.cutFromCallersToo(process, durationMs);
+            case CUT_OFF -> machines.cutIncludingCallers(process, durationMs);
             case CUT_SENDING -> machines.cut(process, all, SENDING, durationMs);
             case CUT_HEARING -> machines.cut(process, all, HEARING, durationMs);
             case CUT_FROM_CORE -> machines.cut(process, core, BOTH, durationMs);
@@ -207,21 +207,21 @@
     }
 
     private void wipeAnyStorageNode() {
-        if (!stopped && machines.free()) {
+        if (!stopped && machines.allBack()) {
             machines.wipe(anyOf(fleet.storages()), randomMs(300, 3_000));
         }
     }
 
     /** All machines lose power, or the control leader does; without one, the controller that acknowledged. */
     private void losePowerAfter(final SimulatedProcess by) {
-        if (stopped || !machines.free()) {
+        if (stopped || !machines.allBack()) {
             return;
         }
         if (cluster.random.nextBoolean()) {
-            machines.allDown(true, true);
+            machines.takeAllDown(true, true);
         } else {
             final SimulatedProcess leader = fleet.controlLeader();
-            machines.down(leader == null ? by : leader, true, randomMs(300, 10_000));
+            machines.takeDown(leader == null ? by : leader, true, randomMs(300, 10_000));
         }
     }
 
@@ -229,7 +229,7 @@
 
     @Override
     public void acknowledged(final SimulatedProcess by) {
-        if (pendingFault == null || pendingFault == KILL_AFTER_SEND || !machines.free()) {
+        if (pendingFault == null || pendingFault == KILL_AFTER_SEND || !machines.allBack()) {
             return;
         }
         final ControlFault fault = pendingFault;
@@ -238,25 +238,25 @@
         final SimulatedProcess target = leader == null || cluster.random.nextBoolean() ? by : leader;
         cluster.at(cluster.now() + cluster.random.nextInt(5), () -> {
             switch (fault) {
-                case POWER_AFTER_ACK -> machines.down(target, true, randomMs(300, 10_000));
+                case POWER_AFTER_ACK -> machines.takeDown(target, true, randomMs(300, 10_000));
                 case WIPE_AFTER_ACK -> machines.wipe(target, randomMs(300, 10_000));
-                case KILL_ALL -> machines.allDown(false, cluster.random.nextBoolean());
-                default -> machines.allDown(true, true);
+                case KILL_ALL -> machines.takeAllDown(false, cluster.random.nextBoolean());
+                default -> machines.takeAllDown(true, true);
             }
         });
     }
 
     @Override
     public void sent(final SimulatedProcess to) {
-        if (pendingFault != KILL_AFTER_SEND || !machines.free()) {
+        if (pendingFault != KILL_AFTER_SEND || !machines.allBack()) {
             return;
         }
         pendingFault = null;
         cluster.at(cluster.now() + randomMs(5, 400), () -> {
             final SimulatedProcess leader = fleet.controlLeader();
             final SimulatedProcess target = leader == null || cluster.random.nextBoolean() ? to : leader;
-            if (!stopped && machines.free() && !target.goneForGood) {
-                machines.down(target, cluster.random.nextBoolean(), randomMs(300, 5_000));
+            if (!stopped && machines.allBack() && !target.goneForGood) {
+                machines.takeDown(target, cluster.random.nextBoolean(), randomMs(300, 5_000));
             }
         });
     }
@@ -273,12 +273,12 @@
             public void acknowledged(final SimulatedProcess by) {
                 operators.observer(null);
                 if (kind == 0) {
-                    machines.allDown(false, false);
+                    machines.takeAllDown(false, false);
                 } else if (kind == 1) {
-                    machines.allDown(true, true);
+                    machines.takeAllDown(true, true);
                 } else {
                     if (kind == 3) {
-                        machines.allDown(true, false);
+                        machines.takeAllDown(true, false);
                     }
                     machines.wipe(by, randomMs(300, 3_000));
                 }
--- a/testing/src/main/java/brookpath/testing/sim/MachineFaults.java
+++ b/testing/src/main/java/brookpath/testing/sim/MachineFaults.java
@@ -5,18 +5,19 @@
 import java.util.List;
 
 /**
- * Takes machines down, cuts them off and replaces them: never more than one counted machine at a time. A machine counts
- * as out while it is down, frozen, slowed or cut off, and for a while after it is back.
+ * Takes machines down, cuts them off and replaces them. A machine is out while it is down, frozen, slowed or cut off,
+ * and for {@link #CATCH_UP_MS} after that. A fault that takes out a counted machine, which is one with a disk, may only
+ * begin once {@link #allBack()}.
  */
 final class MachineFaults {
-    /** A machine counts as out this long after it is back, or after its start if it is new. */
+    /** How long a machine stays out after it is back, or after its start if it is new. */
     static final long CATCH_UP_MS = 4_000;
 
     private static final long REPLACEMENT_GAP_MS = 1_000;
-    private static final long RETREAT_MS = 500;
+    private static final long GRACEFUL_SHUTDOWN_MS = 500;
     private static final long DISK_SYNC_MS = 2;
-    private static final long REPEATED_DOWN_MS = 200;
-    private static final long RESTART_EVERY_MS = 1_000;
+    private static final long REPEATED_RESTART_DOWN_MS = 200;
+    private static final long RESTART_PERIOD_MS = 1_000;
 
     private final SimulatedCluster cluster;
     private final ControlFleet fleet;
@@ -36,7 +37,7 @@
     }
 
     /** Whether all counted machines are back. */
-    boolean free() {
+    boolean allBack() {
         return cluster.now() >= outUntil;
     }
 
@@ -44,8 +45,8 @@
         return outUntil;
     }
 
-    /** A machine is out from now until it is back at that moment and has caught up. */
-    private void out(final SimulatedProcess process, final long durationMs) {
+    /** Marks a machine as out for this long and until it has then caught up. */
+    private void markOut(final SimulatedProcess process, final long durationMs) {
         final long backAt = cluster.now() + durationMs;
         outUntil = Math.max(outUntil, backAt + CATCH_UP_MS);
         disturb();
@@ -53,61 +54,62 @@
         history.availability.exempt(process.id, backAt);
     }
 
-    /** The core is unsettled by what happens now. */
+    /** Tells the availability oracle that the control plane is disturbed now. */
     void disturb() {
         history.availability.disturb(cluster.now());
     }
 
-    // ---- down and back
+    // ---- machines down and restarted
 
-    void down(final SimulatedProcess process, final boolean powerLoss, final long durationMs) {
-        out(process, durationMs);
+    void takeDown(final SimulatedProcess process, final boolean powerLoss, final long durationMs) {
+        markOut(process, durationMs);
         cluster.kill(process, powerLoss);
-        cluster.at(cluster.now() + durationMs, () -> back(process));
+        cluster.at(cluster.now() + durationMs, () -> restart(process));
     }
 
-    /** Starts what does not run, unless it was shut down for good meanwhile. */
-    private void back(final SimulatedProcess process) {
+    /** Starts a process that is not running, unless it is gone for good by now. */
+    private void restart(final SimulatedProcess process) {
         if (!process.goneForGood) {
             cluster.restart(process);
         }
     }
 
     void wipe(final SimulatedProcess process, final long durationMs) {
-        down(process, true, durationMs);
+        takeDown(process, true, durationMs);
         process.disk.wipe();
     }
 
     /**
-     * A controller restarts several times in a row, each time with the time of day of its last start, as without a
-     * battery; a gateway stands still meanwhile, so that changes wait for its lease and are under way at each restart.
+     * Restarts a controller several times in a row, each time with the time of day of its previous start, as a machine
+     * without a clock battery does. A gateway is frozen meanwhile, so that changes wait for its lease to expire and are
+     * in progress at each restart.
      */
-    void clockRepeats(
+    void restartWithRepeatedClock(
             final SimulatedProcess controller, final SimulatedProcess gateway, final int restarts, final long upMs) {
         final long skew = controller.skew;
-        cluster.freeze(gateway, restarts * (REPEATED_DOWN_MS + upMs));
+        cluster.freeze(gateway, restarts * (REPEATED_RESTART_DOWN_MS + upMs));
         for (int i = 0; i < restarts; i++) {
-            cluster.at(cluster.now() + i * (REPEATED_DOWN_MS + upMs), () -> {
-                controller.skew -= cluster.now() + REPEATED_DOWN_MS - fleet.startedAt(controller);
-                down(controller, false, REPEATED_DOWN_MS);
+            cluster.at(cluster.now() + i * (REPEATED_RESTART_DOWN_MS + upMs), () -> {
+                controller.skew -= cluster.now() + REPEATED_RESTART_DOWN_MS - fleet.startedAt(controller);
+                takeDown(controller, false, REPEATED_RESTART_DOWN_MS);
             });
         }
-        final long durationMs = restarts * (REPEATED_DOWN_MS + upMs);
-        out(controller, durationMs);
+        final long durationMs = restarts * (REPEATED_RESTART_DOWN_MS + upMs);
+        markOut(controller, durationMs);
         cluster.at(cluster.now() + durationMs, () -> controller.skew = skew);
     }
 
     void freeze(final SimulatedProcess process, final long durationMs) {
-        out(process, durationMs);
+        markOut(process, durationMs);
         cluster.freeze(process, durationMs);
     }
 
-    /** All counted machines, or all there are, go at once and come back one by one. */
-    void allDown(final boolean powerLoss, final boolean gatewaysToo) {
+    /** Takes all counted machines, or all machines, down at once; they come back one by one. */
+    void takeAllDown(final boolean powerLoss, final boolean gatewaysToo) {
         final List<SimulatedProcess> all = gatewaysToo ? List.copyOf(cluster.processes.values()) : fleet.counted();
         for (final SimulatedProcess process : all) {
             if (!process.goneForGood) {
-                down(process, powerLoss, 200 + cluster.random.nextLong(1_500));
+                takeDown(process, powerLoss, 200 + cluster.random.nextLong(1_500));
             }
         }
     }
@@ -115,13 +117,13 @@
     void rollingRestart(final long downMs) {
         long at = 0;
         for (final SimulatedProcess process : fleet.controllers()) {
-            cluster.at(cluster.now() + at, () -> down(process, false, downMs));
+            cluster.at(cluster.now() + at, () -> takeDown(process, false, downMs));
             at += downMs + CATCH_UP_MS;
         }
         outUntil = Math.max(outUntil, cluster.now() + at);
     }
 
-    // ---- cuts
+    // ---- network cuts
 
     /** Directions in which a machine's links are cut. */
     enum Direction {
@@ -135,8 +137,8 @@
             final List<SimulatedProcess> from,
             final Direction direction,
             final long durationMs) {
-        out(process, durationMs);
-        excuseThoseCutFromCore(from, durationMs);
+        markOut(process, durationMs);
+        exemptThoseCutFromCore(from, durationMs);
         cluster.note(process.id, "is cut off, " + direction + ", for " + durationMs, false);
         for (final SimulatedProcess other : from) {
             if (direction != Direction.HEARING) {
@@ -150,10 +152,10 @@
     }
 
     /**
-     * A controller is in touch only where it reaches every other that itself reaches more than half of them; whoever is
-     * cut off from such a one is excused.
+     * Exempts the controllers on the other side of a cut. Where the process is still connected to more than half of the
+     * controllers, it belongs to the core, and a controller counts as in touch only if it reaches all of the core.
      */
-    private void excuseThoseCutFromCore(final List<SimulatedProcess> from, final long durationMs) {
+    private void exemptThoseCutFromCore(final List<SimulatedProcess> from, final long durationMs) {
         final List<SimulatedProcess> cut =
                 from.stream().filter(fleet::isController).toList();
         if (2 * (fleet.controllers().size() - cut.size()) > fleet.controllers().size()) {
@@ -161,7 +163,7 @@
         }
     }
 
-    void cutFromCallersToo(final SimulatedProcess process, final long durationMs) {
+    void cutIncludingCallers(final SimulatedProcess process, final long durationMs) {
         cut(process, others(process, List.copyOf(cluster.processes.values())), Direction.BOTH, durationMs);
         calls.unreachable.add(process.id);
         cluster.at(cluster.now() + durationMs, () -> calls.unreachable.remove(process.id));
@@ -173,36 +175,36 @@
 
     // ---- replacement
 
-    /** The machine is gone for good, and an empty one comes at another number. */
+    /** Removes a machine for good and starts an empty one with another node number. */
     void replace(final SimulatedProcess gone) {
         final boolean controller = fleet.isController(gone);
         remove(gone);
         final SimulatedProcess next = controller ? fleet.addController(gone.zone) : fleet.addStorage(gone.zone);
         fleet.seedCurrentControllers();
-        out(next, REPLACEMENT_GAP_MS);
+        markOut(next, REPLACEMENT_GAP_MS);
         cluster.note(next.id, "is to replace node " + gone.id, false);
         cluster.at(cluster.now() + REPLACEMENT_GAP_MS, next::start);
     }
 
-    /** The new controller comes first; the old one is asked to hand over, and ends. */
+    /** Starts a new controller first, then shuts the old one down gracefully and removes it. */
     void replaceAnnounced(final SimulatedProcess gone) {
         final SimulatedProcess next = fleet.addController(gone.zone);
         fleet.seedCurrentControllers();
         next.start();
-        out(next, CATCH_UP_MS);
+        markOut(next, CATCH_UP_MS);
         cluster.note(next.id, "is to replace node " + gone.id + ", announced", false);
         cluster.at(cluster.now() + CATCH_UP_MS, () -> {
-            out(gone, RETREAT_MS);
+            markOut(gone, GRACEFUL_SHUTDOWN_MS);
             cluster.callers.ask(
-                    gone, NodeRequest.GracefulShutdown::new, response -> cluster.count("control: retreats"));
-            cluster.at(cluster.now() + RETREAT_MS, () -> {
+                    gone, NodeRequest.GracefulShutdown::new, response -> cluster.count("control: graceful shutdowns"));
+            cluster.at(cluster.now() + GRACEFUL_SHUTDOWN_MS, () -> {
                 remove(gone);
                 fleet.seedCurrentControllers();
             });
         });
     }
 
-    /** A machine never comes back, and nobody is to wait for it. */
+    /** Removes a machine for good. */
     void remove(final SimulatedProcess gone) {
         disturb();
         if (!fleet.isController(gone)) {
@@ -211,47 +213,47 @@
         fleet.remove(gone);
     }
 
-    /** Another, empty machine comes at the number of one that is gone. */
+    /** Starts an empty machine with the node number of one that is gone. */
     void reuseAddress(final SimulatedProcess gone) {
-        out(gone, REPLACEMENT_GAP_MS);
+        markOut(gone, REPLACEMENT_GAP_MS);
         if (!fleet.isController(gone)) {
             history.retirements.removed(fleet.name(gone.id));
         }
         fleet.reuseAddress(gone);
-        cluster.at(cluster.now() + REPLACEMENT_GAP_MS, () -> back(gone));
+        cluster.at(cluster.now() + REPLACEMENT_GAP_MS, () -> restart(gone));
     }
 
-    /** One more storage machine, before another one is emptied. */
+    /** Adds a storage machine, before another one is retired. */
     void addStorage(final String zone) {
         final SimulatedProcess added = fleet.addStorage(zone);
-        out(added, 0);
+        markOut(added, 0);
         added.start();
     }
 
     // ---- disks
 
     void slowDisk(final SimulatedProcess process, final long syncMs, final long durationMs) {
-        out(process, durationMs);
+        markOut(process, durationMs);
         history.availability.disturb(cluster.now() + durationMs);
         process.syncMs = syncMs;
         cluster.at(cluster.now() + durationMs, () -> process.syncMs = DISK_SYNC_MS);
     }
 
-    /** The disk takes no bytes; whoever looks after the process starts it again and again should it end. */
+    /** Fills the disk; the service manager restarts the process again and again if it ends. */
     void fullDisk(final SimulatedProcess process, final long durationMs) {
-        out(process, durationMs);
+        markOut(process, durationMs);
         history.availability.disturb(cluster.now() + durationMs);
         process.disk.full(true);
-        for (long at = RESTART_EVERY_MS; at < durationMs; at += RESTART_EVERY_MS) {
-            cluster.at(cluster.now() + at, () -> back(process));
+        for (long at = RESTART_PERIOD_MS; at < durationMs; at += RESTART_PERIOD_MS) {
+            cluster.at(cluster.now() + at, () -> restart(process));
         }
         cluster.at(cluster.now() + durationMs, () -> {
             process.disk.full(false);
-            back(process);
+            restart(process);
         });
     }
 
-    // ---- without a loss
+    // ---- faults that take no machine out
 
     void clockStep(final long byMs, final long durationMs) {
         for (final SimulatedProcess process : cluster.processes.values()) {
@@ -266,8 +268,8 @@
         disturb();
     }
 
-    /** Most sessions between processes break, and those with callers. */
-    void resets() {
+    /** Breaks most sessions between processes, and most of those with callers. */
+    void resetSessions() {
         final List<SimulatedProcess> all =
                 cluster.processes.values().stream().filter(p -> p.alive).toList();
         for (int i = 0; i < all.size(); i++) {
@@ -281,8 +283,8 @@
         disturb();
     }
 
-    /** The last failure of a day is over: nothing is cut or slowed any more. */
-    void mend() {
+    /** Ends all faults: heals the network and the disks and starts all processes that are not gone for good. */
+    void endFaults() {
         cluster.net.heal();
         calls.unreachable.clear();
         for (final SimulatedProcess process : cluster.processes.values()) {
@@ -290,7 +292,7 @@
             if (process.disk != null) {
                 process.disk.full(false);
             }
-            back(process);
+            restart(process);
         }
         disturb();
     }
