--- a/testing/src/main/java/brookpath/testing/sim/Platform.java
+++ b/testing/src/main/java/brookpath/testing/sim/Platform.java
@@ -63,7 +63,8 @@
             }
         }
         cluster.history.violation(
-                cluster.now(), "node " + from.id + " posts " + post.key() + " before the total is committed in its log");
+                cluster.now(),
+                "node " + from.id + " posts " + post.key() + " before the total is committed in its log");
     }
 
     private void recordReport(final Action.Post post) {
@@ -87,10 +88,15 @@
     void watch() {
         final long exemptUntil = Math.max(disturbedUntil, cluster.outages.noControlUntil());
         cluster.history.usage.checkInTime(
-                cluster.now(), cluster.callers.tenants(), cluster.timing.windowMs(), Math.min(exemptUntil, cluster.now()));
+                cluster.now(),
+                cluster.callers.tenants(),
+                cluster.timing.windowMs(),
+                Math.min(exemptUntil, cluster.now()));
         for (final int id : cluster.controllers) {
-            if (cluster.processes.get(id).alive && cluster.processes.get(id).node instanceof ControllerNode controller) {
-                for (final ControlState.Window w : ((ControlState) controller.group().live()).windows()) {
+            if (cluster.processes.get(id).alive
+                    && cluster.processes.get(id).node instanceof ControllerNode controller) {
+                for (final ControlState.Window w :
+                        ((ControlState) controller.group().live()).windows()) {
                     final long end =
                             (w.window() + 1) * cluster.timing.windowMs() - SimulatedCluster.WALL_CLOCK_START_MS;
                     if (w.index() <= controller.group().committed()) {
--- a/testing/src/main/java/brookpath/testing/sim/Subscriber.java
+++ b/testing/src/main/java/brookpath/testing/sim/Subscriber.java
@@ -81,7 +81,8 @@
         cursor = obj.getString("cursor");
         if (obj.getString("type").equals("message")) {
             if (!listener.topics().contains(obj.getString("topic"))) {
-                cluster.history.violation(cluster.now(), name + " got a message of a topic that it did not subscribe to");
+                cluster.history.violation(
+                        cluster.now(), name + " got a message of a topic that it did not subscribe to");
             }
             cluster.history.subscribedAtOrBefore(
                     cluster.now(),
@@ -130,6 +131,7 @@
             cluster.at(cluster.now() + 100 + cluster.random.nextLong(maxAwayMs), this::connect);
         }
         cluster.at(
-                cluster.now() + periodMs / 2 + cluster.random.nextLong(periodMs), () -> disconnectTemporarily(maxAwayMs, periodMs));
+                cluster.now() + periodMs / 2 + cluster.random.nextLong(periodMs),
+                () -> disconnectTemporarily(maxAwayMs, periodMs));
     }
 }
